--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -13,12 +13,12 @@
 use crate::{
     backend::{AnswerHead, Dispatch},
     health::ExchangeEnd,
-    pace::TokensAhead,
     permits::{self, Permit},
     pool::{Connection, NoConnection},
+    prefill_latency::TokensAhead,
     replicas::ReplicaUse,
+    retry_decision::ExchangeProof,
     state::{ProxyState, lock},
-    verdict::ExchangeProof,
 };
 
 /// Kept connections that may turn out to be closed, before anything was sent, in one exchange.
--- a/crates/proxy/src/control_watch.rs
+++ b/crates/proxy/src/control_watch.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    fleet::FEWEST_ROUTERS_FOR_SHARED_LOAD,
+    fleet_view::FEWEST_ROUTERS_FOR_SHARED_LOAD,
     limits,
     state::{ProxyState, lock},
 };
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -13,20 +13,19 @@
     affinity::PrefixPath,
     attempt::{self, FailedExchange, HeadDue, OpenAnswer, Target},
     backend::Dispatch,
-    entry,
+    crash_detection, entry,
     health::ExchangeEnd,
     quota,
     refusal::RefusalReason,
-    replica_end,
     replicas::{OpenRequest, Suspicion},
     request::ProxiedRequest,
     request_log::RequestLog,
+    retry_decision::{self, ExchangeFacts, ExchangeProof, NextStep},
     state::{ProxyState, lock},
     stream,
-    verdict::{self, ExchangeFacts, ExchangeProof, NextStep},
 };
 
-mod ending;
+mod final_response;
 
 /// Objectives after which an answer that may be had elsewhere is given up.
 const PATIENCE_OBJECTIVES: u64 = 2;
@@ -70,7 +69,7 @@
     content: ContentKey,
 ) -> Option<Duration> {
     let objective = Duration::from_millis(admitted.route.objective_ms);
-    replica_end::settled(state, content, objective).await;
+    crash_detection::settled(state, content, objective).await;
     state.quarantine_pause(content)
 }
 
@@ -193,7 +192,7 @@
             ExchangeEnd::Good
         };
         self.note_end(&target, end);
-        replica_end::outlived(&self.state, self.content);
+        crash_detection::outlived(&self.state, self.content);
         let response = self.response(head, railtack_http::full(content));
         if failed && self.admitted.route.kind.may_repeat() {
             return Ok(Step::Failure(response));
@@ -311,12 +310,12 @@
             declined: self.declined,
             in_time: Instant::now() < self.admitted.deadline && self.state.is_confirmed(),
         };
-        let step = verdict::next_step(facts);
+        let step = retry_decision::next_step(facts);
         if step != NextStep::TryAgain {
             return step;
         }
         if self.may_end_another() {
-            return verdict::without_retry(facts);
+            return retry_decision::without_retry(facts);
         }
         if proof == ExchangeProof::Withheld {
             return step;
@@ -338,7 +337,7 @@
             return step;
         }
         self.state.metrics.retries_denied.inc();
-        verdict::without_retry(facts)
+        retry_decision::without_retry(facts)
     }
 
     /// Borrows a retry from the leader. If connections broke under this request, first waits until it is
@@ -350,7 +349,7 @@
         }
         let objective = Duration::from_millis(self.admitted.route.objective_ms);
         if self.broken > 0 {
-            replica_end::settled(&self.state, self.content, objective).await;
+            crash_detection::settled(&self.state, self.content, objective).await;
         }
         !self.may_end_another() && quota::borrow_retry(&self.state, &self.service, objective).await
     }
@@ -379,7 +378,7 @@
         }
         if failed.end == Some(ExchangeEnd::ConnectionBroke) {
             self.broken += 1;
-            replica_end::connection_broke(&self.state, target, self.content);
+            crash_detection::connection_broke(&self.state, target, self.content);
         }
         spdlog::info!("exchange failed", kv: {
             request = self.request.id.clone(),
--- a/crates/proxy/src/pipeline/ending.rs
+++ b/crates/proxy/src/pipeline/final_response.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::RequestRun;
-use crate::{refusal::RefusalReason, targeting::NoTarget};
+use crate::{refusal::RefusalReason, selection::NoTarget};
 
 /// Shortest pause that a refused caller is told, milliseconds.
 const SHORTEST_RETRY_MS: u64 = 150;
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -29,7 +29,7 @@
     time::{Instant, timeout},
 };
 
-use crate::rest::Rest;
+use crate::idle_limit::Rest;
 
 /// Time for a connection to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
--- a/crates/proxy/src/request_log.rs
+++ b/crates/proxy/src/request_log.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    admission::Admitted, attempt::Target, choice::Candidate, pace::TokensAhead,
+    admission::Admitted, attempt::Target, choice::Candidate, prefill_latency::TokensAhead,
     request::ProxiedRequest, state::ProxyState,
 };
 
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -14,11 +14,11 @@
 
 use crate::{
     attempt::FailedExchange,
+    crash_detection,
     events::EventBuffer,
     health::ExchangeEnd,
     pipeline::{Answered, RequestRun, Step},
-    replica_end,
-    verdict::ExchangeProof,
+    retry_decision::ExchangeProof,
 };
 
 /// Longest pauses that a route allows between events after which a stream that can be continued
@@ -213,7 +213,7 @@
     fn finish(&mut self) -> Option<Result<Bytes, io::Error>> {
         if let Some(answered) = self.answered.take() {
             self.run.note_end(&answered.target, ExchangeEnd::Good);
-            replica_end::outlived(&self.run.state, self.run.content);
+            crash_detection::outlived(&self.run.state, self.run.content);
             if answered.answer.reusable {
                 let usage = &answered.target.usage;
                 usage.pool.put_back(answered.answer.connection);
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -8,12 +8,12 @@
     affinity::{PrefixPath, SentPrefixes, rendezvous},
     choice::{Candidate, RequestSize, SharedLoad, choose},
     events::EventBuffer,
-    fleet::FleetKnowledge,
+    fleet_view::FleetKnowledge,
     health::{ExchangeEnd, Health},
     lease::Lease,
-    named::NamedWeights,
-    split::Splitter,
-    verdict::{ExchangeFacts, ExchangeProof, NextStep, next_step, without_retry},
+    retry_decision::{ExchangeFacts, ExchangeProof, NextStep, next_step, without_retry},
+    traffic_split::Splitter,
+    weight_versions::NamedWeights,
 };
 use railtack_rpc::{
     FeatureLevel,
--- a/crates/proxy/tests/homes.rs
+++ b/crates/proxy/tests/homes.rs
@@ -15,7 +15,7 @@
 use railtack_proxy::{
     PromptSegment, PromptShape,
     affinity::{PrefixPath, rendezvous},
-    fleet::FleetKnowledge,
+    fleet_view::FleetKnowledge,
     homes::{Homes, Ring, SMALLEST_GROUP, busy_replicas, group_size, nested},
 };
 use railtack_rpc::serving::{FleetDigest, ReplicaCondition};
--- a/crates/proxy/tests/rest.rs
+++ b/crates/proxy/tests/idle_limit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hyper::{HeaderMap, header::HeaderValue};
-use railtack_proxy::rest::Rest;
+use railtack_proxy::idle_limit::Rest;
 
 fn stated(text: &'static str) -> Option<Rest> {
     let mut headers = HeaderMap::new();
--- a/crates/proxy/tests/pace.rs
+++ b/crates/proxy/tests/prefill_latency.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quickcheck::{TestResult, quickcheck};
-use railtack_proxy::pace::{ReadingPace, TokensAhead};
+use railtack_proxy::prefill_latency::{ReadingPace, TokensAhead};
 use tokio::time::Instant;
 
 const OBJECTIVE: Duration = Duration::from_millis(800);
--- a/crates/proxy/tests/returns.rs
+++ b/crates/proxy/tests/retry_pacing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quickcheck::quickcheck;
-use railtack_proxy::returns::ReturnTimes;
+use railtack_proxy::retry_pacing::ReturnTimes;
 use railtack_serving::Moment;
 
 const NOW: Moment = Moment::from_secs(100);
--- a/crates/proxy/tests/saves.rs
+++ b/crates/proxy/tests/store_budget.rs
@@ -6,7 +6,7 @@
 use railtack_proxy::{
     PromptSegment, PromptShape,
     affinity::PrefixPath,
-    saves::{SaveBudget, StoreRoom},
+    store_budget::{SaveBudget, StoreRoom},
 };
 use tokio::time::Instant;
 
