--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -39,10 +39,10 @@
         KeyOwner::Unknown if route.allows_anonymous && request.key.is_none() => None,
         KeyOwner::Unknown => return Err(RefusalReason::UnknownKey),
     };
-    let route_time = Duration::from_millis(route.timeout_ms);
-    let time = request
+    let route_timeout = Duration::from_millis(route.timeout_ms);
+    let timeout = request
         .patience
-        .map_or(route_time, |patience| patience.min(route_time));
+        .map_or(route_timeout, |patience| patience.min(route_timeout));
     Ok(Admitted {
         route: route.clone(),
         tenant: tenant.map(|tenant| tenant.name.clone()),
@@ -51,7 +51,7 @@
         priority: tenant
             .and_then(|tenant| tenant.priority)
             .unwrap_or(route.priority),
-        deadline: request.received + time,
+        deadline: request.received + timeout,
         revision: table.configuration().revision,
     })
 }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -14,17 +14,17 @@
     backend::{AnswerHead, Dispatch},
     health::ExchangeEnd,
     permits::{self, Permit},
-    pool::{Connection, NoConnection},
-    prefill_latency::TokensAhead,
-    replicas::ReplicaUse,
+    pool::{ConnectError, Connection},
+    prefill_latency::PrefillBacklog,
+    replicas::ReplicaHandle,
     retry_decision::ExchangeProof,
     state::{ProxyState, lock},
 };
 
 /// Kept connections that may turn out to be closed, before anything was sent, in one exchange.
-const STALE_CONNECTIONS: usize = 3;
+const MAX_STALE_CONNECTIONS: usize = 3;
 /// Largest answer that is read as a whole, bytes.
-const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A replica that was chosen.
 #[derive(Clone, Debug)]
@@ -32,13 +32,13 @@
     /// The replica.
     pub record: Arc<ReplicaRecord>,
     /// This router's use of it.
-    pub usage: Arc<ReplicaUse>,
+    pub handle: Arc<ReplicaHandle>,
     /// Connections that this router may open to it.
     pub connection_limit: u32,
     /// Tokens of the prompt that this router had sent there before.
-    pub kept_tokens: u64,
+    pub cached_tokens: u64,
     /// What the prompt has to wait for before its first event.
-    pub ahead: TokensAhead,
+    pub backlog: PrefillBacklog,
     /// Where the beginning of the prompt is likely to be kept, `ip:port`.
     pub fetch_from: Option<String>,
     /// The store that is to keep what is read, `ip:port`.
@@ -49,7 +49,7 @@
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub struct OpenAnswer {
+pub struct OpenResponse {
     /// Head.
     pub head: response::Parts,
     /// Body, as it comes.
@@ -125,11 +125,11 @@
 
 /// Until when the head of an answer is waited for.
 #[derive(Clone, Copy, Debug)]
-pub struct HeadDue {
+pub struct HeadDeadline {
     /// The usual end.
     pub due: Instant,
     /// The end if the replica answers others meanwhile: it is busy, not gone.
-    pub if_heard: Instant,
+    pub if_responding: Instant,
 }
 
 /// Sends a request and waits for the head of the answer.
@@ -139,18 +139,18 @@
     state: &Arc<ProxyState>,
     target: &Target,
     dispatch: &Dispatch<'_>,
-    must_not_be_lost: bool,
-    head_due: HeadDue,
+    non_retryable: bool,
+    head_deadline: HeadDeadline,
     content: ContentKey,
-) -> Result<OpenAnswer, FailedExchange> {
-    for _ in 0..STALE_CONNECTIONS {
-        let mut connection = connect(target, must_not_be_lost).await?;
+) -> Result<OpenResponse, FailedExchange> {
+    for _ in 0..MAX_STALE_CONNECTIONS {
+        let mut connection = connect(target, non_retryable).await?;
         // A freeze may fall anywhere before this point; the lease is looked at after it.
         if !state.is_confirmed() {
             return Err(FailedExchange::withheld("lease lost"));
         }
         // Others may have met the end of a replica under it while this copy waited for a place.
-        if state.quarantine_pause(content).is_some() {
+        if state.quarantine_retry_after(content).is_some() {
             return Err(FailedExchange::withheld("quarantined"));
         }
         let sent_at = Instant::now();
@@ -159,20 +159,22 @@
             return Err(FailedExchange::withheld("takes no requests"));
         }
         // A limit may have become known meanwhile, and a permit that waited for long is void.
-        if permits::is_lacking(&**state, &target.record.id, target.permit) {
+        if permits::lacks_valid_permit(&**state, &target.record.id, target.permit) {
             return Err(FailedExchange::withheld("no permit"));
         }
         let sent = connection
             .sender
             .try_send_request(state.backend.encode(dispatch));
         tokio::pin!(sent);
-        let mut answered = timeout_at(head_due.due, &mut sent).await;
-        if answered.is_err() && was_heard(state, target, sent_at) {
-            answered = timeout_at(head_due.if_heard, &mut sent).await;
+        let mut answered = timeout_at(head_deadline.due, &mut sent).await;
+        if answered.is_err() && has_responded(state, target, sent_at) {
+            answered = timeout_at(head_deadline.if_responding, &mut sent).await;
         }
         match answered {
             Err(_) => return Err(FailedExchange::may_have_run("no head in time")),
-            Ok(Ok(response)) => return judge(state, target, dispatch, connection, response),
+            Ok(Ok(response)) => {
+                return handle_response(state, target, dispatch, connection, response);
+            }
             Ok(Err(mut error)) => {
                 if error.take_message().is_none() {
                     return Err(FailedExchange::connection_broke("connection broke"));
@@ -188,10 +190,11 @@
 
 /// Whether anything came from the replica since `sent_at`, to this router or to another one: it is
 /// busy, not gone. One of hundreds of routers seldom has a second request there that would tell.
-fn was_heard(state: &ProxyState, target: &Target, sent_at: Instant) -> bool {
+fn has_responded(state: &ProxyState, target: &Target, sent_at: Instant) -> bool {
     let replica = ReplicaKey::of(&target.record.id);
-    target.usage.heard_since(sent_at)
-        || (state.options.policy.shared_view && lock(&state.fleet).heard_since(replica, sent_at))
+    target.handle.responded_since(sent_at)
+        || (state.options.policy.shared_view
+            && lock(&state.fleet).responded_since(replica, sent_at))
 }
 
 fn takes_requests(state: &ProxyState, target: &Target) -> bool {
@@ -201,31 +204,31 @@
         .takes(&target.record.id, state.uptime())
 }
 
-async fn connect(target: &Target, must_not_be_lost: bool) -> Result<Connection, FailedExchange> {
+async fn connect(target: &Target, non_retryable: bool) -> Result<Connection, FailedExchange> {
     let unreachable = || FailedExchange::not_run(Some(ExchangeEnd::Unreachable), "unreachable");
     let address = target.record.address.parse().map_err(|_| unreachable())?;
-    let pool = &target.usage.pool;
+    let pool = &target.handle.pool;
     let taken = pool
-        .take(address, target.connection_limit, must_not_be_lost)
+        .acquire(address, target.connection_limit, non_retryable)
         .await;
     taken.map_err(|failure| match failure {
-        NoConnection::Refused | NoConnection::Unreachable => unreachable(),
-        NoConnection::Limit => {
+        ConnectError::Refused | ConnectError::Unreachable => unreachable(),
+        ConnectError::Limit => {
             FailedExchange::not_run(Some(ExchangeEnd::Declined), "connection limit")
         }
     })
 }
 
-fn judge(
+fn handle_response(
     state: &Arc<ProxyState>,
     target: &Target,
     dispatch: &Dispatch<'_>,
     mut connection: Connection,
     response: Response<Incoming>,
-) -> Result<OpenAnswer, FailedExchange> {
+) -> Result<OpenResponse, FailedExchange> {
     let (head, body) = response.into_parts();
-    let reusable = connection.note_head(&head.headers, state.options.policy.stated_rest);
-    let answer = OpenAnswer {
+    let reusable = connection.update_from_head(&head.headers, state.options.policy.stated_rest);
+    let answer = OpenResponse {
         head,
         body,
         connection,
@@ -233,13 +236,13 @@
     };
     let classified = state.backend.classify(dispatch.request, &answer.head);
     let mut notice = state.backend.notice(&answer.head);
-    let is_own = matches!(classified, AnswerHead::Answer | AnswerHead::NotRun);
-    if !is_own {
+    let is_from_target = matches!(classified, AnswerHead::Answer | AnswerHead::NotRun);
+    if !is_from_target {
         // Another life's limit, or one of another moment.
         notice.limit = StatedLimit::NotNamed;
     }
-    let news = take_notice(state, target, notice);
-    if is_own {
+    let news = apply_notice(state, target, notice);
+    if is_from_target {
         let life = &target.record.id;
         permits::note_answer(
             state,
@@ -252,7 +255,7 @@
     // Another life may answer at the address before it is registered there. Taken for a sign of the former
     // one, such an answer would hide that that one has ended, and with it which request ended it.
     if classified != AnswerHead::WrongReplica {
-        target.usage.note_heard(Instant::now());
+        target.handle.record_response(Instant::now());
     }
     let failed = match classified {
         AnswerHead::Answer => return Ok(answer),
@@ -266,7 +269,7 @@
 }
 
 /// Takes in what a replica says of itself. Most answers say nothing, and leave before the lock on all replicas.
-fn take_notice(state: &ProxyState, target: &Target, notice: BackEndNotice) -> News {
+fn apply_notice(state: &ProxyState, target: &Target, notice: BackEndNotice) -> News {
     if notice == BackEndNotice::default() {
         return News::default();
     }
@@ -284,12 +287,17 @@
     if news.leaves {
         spdlog::info!("replica says that it leaves", kv: { replica = replica.clone() });
     }
-    take_limit(state, replica, notice.limit, news.limit);
+    record_limit(state, replica, notice.limit, news.limit);
     news
 }
 
 /// Counts what an answer says of a limit, and logs what is new.
-fn take_limit(state: &ProxyState, replica: &str, stated: StatedLimit, news: Option<RequestLimit>) {
+fn record_limit(
+    state: &ProxyState,
+    replica: &str,
+    stated: StatedLimit,
+    news: Option<RequestLimit>,
+) {
     match stated {
         StatedLimit::NotNamed => {}
         StatedLimit::Named(_) => {
@@ -311,21 +319,21 @@
     }
 }
 
-impl OpenAnswer {
+impl OpenResponse {
     /// Reads the whole body and gives the connection back.
-    pub async fn read_whole(
+    pub async fn read_body_whole(
         self,
-        usage: &ReplicaUse,
+        handle: &ReplicaHandle,
         due: Instant,
     ) -> Result<(response::Parts, Bytes), FailedExchange> {
         let time = due.saturating_duration_since(Instant::now());
-        let read = read_body(self.body, ANSWER_LIMIT, time).await;
+        let read = read_body(self.body, MAX_RESPONSE_BYTES, time).await;
         let content = read.map_err(|error| match error {
             ReceiveError::Broken => FailedExchange::connection_broke("answer broke off"),
             _ => FailedExchange::may_have_run("answer not read"),
         })?;
         if self.reusable {
-            usage.pool.put_back(self.connection);
+            handle.pool.release(self.connection);
         }
         Ok((self.head, content))
     }
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -15,13 +15,13 @@
 use tokio::time::Instant;
 
 /// Part of the share that is spent; the rest covers requests that are counted elsewhere.
-const SHARE_USED: f64 = 0.85;
+const SPENDABLE_SHARE: f64 = 0.85;
 /// Routers that are assumed as long as nobody has told how many there are.
-const ROUTERS_ASSUMED: u32 = 64;
+const ASSUMED_ROUTERS: u32 = 64;
 /// Steps in which a window moves on.
-const STEPS: u64 = 20;
+const BUCKETS_PER_WINDOW: u64 = 20;
 /// Steps that are kept: a window, and the step that it leaves.
-const STEPS_KEPT: usize = STEPS as usize + 1;
+const BUCKET_COUNT: usize = BUCKETS_PER_WINDOW as usize + 1;
 
 /// What the deployment allows.
 #[derive(Clone, Copy, Debug)]
@@ -36,8 +36,8 @@
 
 /// What was counted in one step of the window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Step {
-    number: u64,
+struct Bucket {
+    index: u64,
     requests: u32,
     retries: u32,
     /// Most routers that were alive.
@@ -49,7 +49,7 @@
 pub struct RetryBudget {
     rule: BudgetRule,
     started_at: Instant,
-    steps: [Step; STEPS_KEPT],
+    buckets: [Bucket; BUCKET_COUNT],
 }
 
 impl RetryBudget {
@@ -58,71 +58,73 @@
         Self {
             rule,
             started_at: now,
-            steps: [Step::default(); STEPS_KEPT],
+            buckets: [Bucket::default(); BUCKET_COUNT],
         }
     }
 
     /// Notes a first arrival of a request. `routers` is the number of routers that are alive, 0
     /// while unknown.
     pub fn earn(&mut self, routers: u32, now: Instant) {
-        self.step(routers, now).requests += 1;
+        self.current_bucket(routers, now).requests += 1;
     }
 
     /// Takes one retry, if there is one.
     pub fn spend(&mut self, routers: u32, now: Instant) -> bool {
-        self.step(routers, now);
-        let may_spend = f64::from(self.retries()) + 1.0 <= self.allowance(now);
-        if may_spend {
-            self.step(routers, now).retries += 1;
+        self.current_bucket(routers, now);
+        let is_allowed = f64::from(self.retries()) + 1.0 <= self.allowance(now);
+        if is_allowed {
+            self.current_bucket(routers, now).retries += 1;
         }
-        may_spend
+        is_allowed
     }
 
     /// Retries that may lie in the window that ends now.
     fn allowance(&self, now: Instant) -> f64 {
-        let current = self.number(now);
+        let current = self.bucket_index(now);
         let counted = self
-            .steps
+            .buckets
             .iter()
-            .filter(|step| step.number + STEPS > current);
-        let requests: u32 = counted.map(|step| step.requests).sum();
-        let share = f64::from(requests) * self.rule.ratio * SHARE_USED;
+            .filter(|bucket| bucket.index + BUCKETS_PER_WINDOW > current);
+        let requests: u32 = counted.map(|bucket| bucket.requests).sum();
+        let share = f64::from(requests) * self.rule.ratio * SPENDABLE_SHARE;
         share + self.slack(now)
     }
 
     /// This router's part of the slack.
     fn slack(&self, now: Instant) -> f64 {
         // A control replica that has just begun to lead knows few routers yet.
-        let most = self.steps.iter().map(|step| step.routers).max();
-        let routers = most.filter(|most| *most > 0).unwrap_or(ROUTERS_ASSUMED);
+        let max_routers = self.buckets.iter().map(|bucket| bucket.routers).max();
+        let routers = max_routers
+            .filter(|max_routers| *max_routers > 0)
+            .unwrap_or(ASSUMED_ROUTERS);
         let age = now.saturating_duration_since(self.started_at);
-        let grown = age.as_secs_f64() / self.window_s();
-        self.rule.slack * OWN_SLACK / f64::from(routers) * grown.min(1.0)
+        let ramp = age.as_secs_f64() / self.window_s();
+        self.rule.slack * OWN_SLACK / f64::from(routers) * ramp.min(1.0)
     }
 
     fn retries(&self) -> u32 {
-        self.steps.iter().map(|step| step.retries).sum()
+        self.buckets.iter().map(|bucket| bucket.retries).sum()
     }
 
     /// The present step, after those that have left the window were cleared.
-    fn step(&mut self, routers: u32, now: Instant) -> &mut Step {
-        let current = self.number(now);
-        for step in &mut self.steps {
-            if step.number + STEPS < current {
-                *step = Step::default();
+    fn current_bucket(&mut self, routers: u32, now: Instant) -> &mut Bucket {
+        let current = self.bucket_index(now);
+        for bucket in &mut self.buckets {
+            if bucket.index + BUCKETS_PER_WINDOW < current {
+                *bucket = Bucket::default();
             }
         }
-        let step = &mut self.steps[current as usize % STEPS_KEPT];
-        step.number = current;
-        step.routers = step.routers.max(routers);
-        step
+        let bucket = &mut self.buckets[current as usize % BUCKET_COUNT];
+        bucket.index = current;
+        bucket.routers = bucket.routers.max(routers);
+        bucket
     }
 
     /// Number of the step that `now` falls into; the first is 1.
-    fn number(&self, now: Instant) -> u64 {
+    fn bucket_index(&self, now: Instant) -> u64 {
         let age = now.saturating_duration_since(self.started_at);
-        let steps = age.as_secs_f64() / self.window_s() * STEPS as f64;
-        steps as u64 + 1
+        let buckets = age.as_secs_f64() / self.window_s() * BUCKETS_PER_WINDOW as f64;
+        buckets as u64 + 1
     }
 
     fn window_s(&self) -> f64 {
--- a/crates/proxy/src/control_watch.rs
+++ b/crates/proxy/src/control_watch.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    fleet_view::FEWEST_ROUTERS_FOR_SHARED_LOAD,
+    fleet_view::MIN_ROUTERS_FOR_SHARED_LOAD,
     limits,
     state::{ProxyState, lock},
 };
@@ -25,47 +25,47 @@
 /// Time for connecting to a control replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest time for which an answer may be held.
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+const MAX_HOLD_TIME: Duration = Duration::from_millis(500);
 /// Shortest time for which one may be held where the shared load is gone by: what this router meets
 /// goes with each question, and the digest of all routers comes with each answer. Half the age was
 /// worth 0.01 to 0.05 of what callers are owed, with 79 routers.
-const SHORTEST_WAIT: Duration = Duration::from_millis(250);
+const MIN_HOLD_TIME: Duration = Duration::from_millis(250);
 /// Questions that all routers together ask in a second; with more routers each asks less often, so
 /// that control replicas are asked no more.
-const QUESTIONS_PER_SECOND: u32 = 400;
+const WATCHES_PER_SECOND: u32 = 400;
 /// Time beyond the wait after which a control replica counts as out of reach.
-const ANSWER_MARGIN: Duration = Duration::from_millis(400);
+const REPLY_MARGIN: Duration = Duration::from_millis(400);
 /// Pause after a question that was not answered, and that after several in a row: control replicas that
 /// come back, or are behind, are asked by all routers.
-const FAILURE_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_FAILURE_PAUSE: Duration = Duration::from_millis(800);
+const MIN_FAILURE_PAUSE: Duration = Duration::from_millis(50);
+const MAX_FAILURE_PAUSE: Duration = Duration::from_millis(800);
 /// Time between looks at resting connections.
-const TIDY_INTERVAL: Duration = Duration::from_secs(1);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Follows the control group for as long as the process runs. `seeds` is asked for addresses
 /// whenever no known control replica answers.
 pub async fn follow(state: Arc<ProxyState>, seeds: impl Fn() -> Vec<SocketAddr> + Send) {
-    let mut targets = Targets::new(seeds());
+    let mut targets = ControlTargets::new(seeds());
     let mut failures_in_a_row = 0;
     loop {
         let Some(address) = targets.current() else {
-            sleep(FAILURE_PAUSE).await;
+            sleep(MIN_FAILURE_PAUSE).await;
             targets.add(seeds());
             continue;
         };
-        let asked_at = BootInstant::now();
+        let requested_at = BootInstant::now();
         let takes_records = targets.is_settled(&state.options.zone, address);
-        let reply = ask(&state, targets.connection(address), takes_records).await;
+        let reply = watch(&state, targets.connection(address), takes_records).await;
         let Some(reply) = reply else {
             if failures_in_a_row == 0 {
                 spdlog::warn!("control lost", kv: { address = address.to_string() });
             }
             failures_in_a_row += 1;
-            targets.note_silent(address);
+            targets.mark_unresponsive(address);
             if failures_in_a_row % targets.len().max(1) == 0 {
                 targets.add(seeds());
             }
-            targets.leave(address);
+            targets.advance_from(address);
             sleep(failure_pause(failures_in_a_row)).await;
             continue;
         };
@@ -79,22 +79,22 @@
         let is_current = reply
             .confirmed_age_ms
             .is_some_and(|age| age < CONFIRMATION_LIMIT_MS);
-        let brings_news = reply.update.is_some();
+        let has_update = reply.update.is_some();
         let held = Duration::from_millis(reply.held_ms);
-        targets.learn(address, &reply);
-        state.control_peers.learn(targets.addresses());
-        state.control_peers.learn_level(reply.group_level);
-        take_reply(&state, reply, asked_at);
-        if is_current || brings_news {
+        targets.update_members(address, &reply);
+        state.control_peers.set_members(targets.addresses());
+        state.control_peers.update_level(reply.group_level);
+        apply_reply(&state, reply, requested_at);
+        if is_current || has_update {
             targets.prefer_zone(&state.options.zone, address);
         } else {
-            targets.leave(address);
+            targets.advance_from(address);
         }
         // One that is answered at once without news, whatever the cause, does not ask again at once:
         // hundreds of routers would leave a control replica no time for anything else.
-        let goes_on = !targets.is_settled(&state.options.zone, address);
-        if !brings_news && held < FAILURE_PAUSE && !goes_on {
-            sleep(FAILURE_PAUSE).await;
+        let moves_on = !targets.is_settled(&state.options.zone, address);
+        if !has_update && held < MIN_FAILURE_PAUSE && !moves_on {
+            sleep(MIN_FAILURE_PAUSE).await;
         }
     }
 }
@@ -103,8 +103,8 @@
 pub async fn tidy(state: Arc<ProxyState>) {
     let mut was_confirmed = false;
     loop {
-        sleep(TIDY_INTERVAL).await;
-        lock(&state.replicas).discard_old(state.uptime());
+        sleep(MAINTENANCE_INTERVAL).await;
+        lock(&state.replicas).remove_expired(state.uptime());
         let age = lock(&state.lease)
             .age(BootInstant::now())
             .unwrap_or_default();
@@ -122,63 +122,63 @@
 /// at once.
 fn failure_pause(failures: usize) -> Duration {
     let doublings = failures.saturating_sub(1).min(8) as u32;
-    let longest = (FAILURE_PAUSE * 2_u32.pow(doublings)).min(LONGEST_FAILURE_PAUSE);
+    let longest = (MIN_FAILURE_PAUSE * 2_u32.pow(doublings)).min(MAX_FAILURE_PAUSE);
     longest.mul_f64(rand::random_range(0.5..1.0))
 }
 
 /// Time for which an answer may be held, with that many routers.
-pub fn longest_wait(routers: u32) -> Duration {
-    if routers < FEWEST_ROUTERS_FOR_SHARED_LOAD {
-        return LONGEST_WAIT;
+pub fn max_hold_time(routers: u32) -> Duration {
+    if routers < MIN_ROUTERS_FOR_SHARED_LOAD {
+        return MAX_HOLD_TIME;
     }
-    let wait = Duration::from_secs(1) * routers / QUESTIONS_PER_SECOND;
-    wait.clamp(SHORTEST_WAIT, LONGEST_WAIT)
+    let hold_time = Duration::from_secs(1) * routers / WATCHES_PER_SECOND;
+    hold_time.clamp(MIN_HOLD_TIME, MAX_HOLD_TIME)
 }
 
-async fn ask(
+async fn watch(
     state: &ProxyState,
     connection: Arc<ControlConnection>,
     takes_records: bool,
 ) -> Option<WatchReply> {
     let known = state.view.load().known;
     // Held only if there is nothing to tell: a router that lacks records gets the next ones at once.
-    let wait = longest_wait(state.routers.load(Ordering::Relaxed));
+    let hold_time = max_hold_time(state.routers.load(Ordering::Relaxed));
     let request = WatchRequest {
         router: state.options.node.clone(),
         known,
-        wait_ms: wait.as_millis() as u64,
+        wait_ms: hold_time.as_millis() as u64,
         takes_records,
         takes_parts: true,
         has_lease: lock(&state.lease).is_valid(BootInstant::now()),
-        sightings: lock(&state.replicas).sightings(Instant::now()),
+        sightings: lock(&state.replicas).observations(Instant::now()),
     };
     connection
         .call(|client| async move {
             client
-                .watch(call_deadline(wait + ANSWER_MARGIN), request)
+                .watch(call_deadline(hold_time + REPLY_MARGIN), request)
                 .await
         })
         .await
         .ok()
 }
 
-fn take_reply(state: &Arc<ProxyState>, mut reply: WatchReply, asked_at: BootInstant) {
+fn apply_reply(state: &Arc<ProxyState>, mut reply: WatchReply, requested_at: BootInstant) {
     let was_confirmed = state.is_confirmed();
     state.routers.store(reply.routers, Ordering::Relaxed);
     if let Some(digest) = reply.fleet.take() {
-        if let Some(dark) = lock(&state.fleet).take(digest, Instant::now()) {
+        if let Some(dark) = lock(&state.fleet).apply(digest, Instant::now()) {
             spdlog::info!("dark replicas told", kv: { dark });
         }
-        limits::tell_unknown(state);
+        limits::resend_unknown_limits(state);
     }
     if let Some(update) = reply.update.take() {
-        take_update(state, update);
+        apply_update(state, update);
     }
     // A lease vouches for what the router knows, so all changes of that are applied before it counts. It
     // need not know all replicas: to be told ten thousand took routers that had all restarted 4 s longer than
     // to be told the first ones.
     if state.view.load().known.may_be_served_from() {
-        state.take_confirmation(&reply, asked_at);
+        state.apply_confirmation(&reply, requested_at);
     }
     if !was_confirmed && state.is_confirmed() {
         let known = state.view.load().known;
@@ -186,9 +186,9 @@
     }
 }
 
-fn take_update(state: &ProxyState, update: ServingUpdate) {
-    if let Some(told) = &update.quarantine {
-        state.learn_quarantine(told);
+fn apply_update(state: &ProxyState, update: ServingUpdate) {
+    if let Some(quarantine) = &update.quarantine {
+        state.apply_quarantine(quarantine);
     }
     let Some(next) = state.view.load().updated(update) else {
         return;
@@ -207,20 +207,20 @@
 }
 
 /// Control replicas that may be asked.
-struct Targets {
+struct ControlTargets {
     connections: BTreeMap<SocketAddr, Arc<ControlConnection>>,
     zones: BTreeMap<SocketAddr, String>,
     /// Those that did not answer when they were asked last.
-    silent: BTreeSet<SocketAddr>,
+    unresponsive: BTreeSet<SocketAddr>,
     current: Option<SocketAddr>,
 }
 
-impl Targets {
+impl ControlTargets {
     fn new(seeds: Vec<SocketAddr>) -> Self {
         let mut targets = Self {
             connections: BTreeMap::new(),
             zones: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
             current: None,
         };
         targets.add(seeds);
@@ -259,7 +259,7 @@
     }
 
     /// Goes on to the next control replica.
-    fn leave(&mut self, address: SocketAddr) {
+    fn advance_from(&mut self, address: SocketAddr) {
         let later = self.connections.range((
             std::ops::Bound::Excluded(address),
             std::ops::Bound::Unbounded,
@@ -268,12 +268,12 @@
         self.current = next.or_else(|| self.connections.keys().next().copied());
     }
 
-    fn note_silent(&mut self, address: SocketAddr) {
-        self.silent.insert(address);
+    fn mark_unresponsive(&mut self, address: SocketAddr) {
+        self.unresponsive.insert(address);
     }
 
-    fn learn(&mut self, address: SocketAddr, reply: &WatchReply) {
-        self.silent.remove(&address);
+    fn update_members(&mut self, address: SocketAddr, reply: &WatchReply) {
+        self.unresponsive.remove(&address);
         self.zones.insert(address, reply.zone.clone());
         let members: Vec<SocketAddr> = reply
             .members
@@ -286,7 +286,7 @@
         self.connections
             .retain(|known, _| members.contains(known) || *known == address);
         self.zones.retain(|known, _| members.contains(known));
-        self.silent.retain(|known| members.contains(known));
+        self.unresponsive.retain(|known| members.contains(known));
         self.add(members);
     }
 
@@ -295,13 +295,13 @@
     /// router's zone, they were 0.37 of 0.94 GB between zones in 47 s with one restart of 985 routers that know
     /// 10,000 replicas.
     fn is_settled(&self, zone: &str, address: SocketAddr) -> bool {
-        self.zones.contains_key(&address) && self.better(zone, address).is_none()
+        self.zones.contains_key(&address) && self.preferred(zone, address).is_none()
     }
 
     /// One that answers and is of the router's zone, or of one that is not known yet.
-    fn better(&self, zone: &str, address: SocketAddr) -> Option<SocketAddr> {
+    fn preferred(&self, zone: &str, address: SocketAddr) -> Option<SocketAddr> {
         self.candidates(zone, address)
-            .find(|candidate| !self.silent.contains(candidate))
+            .find(|candidate| !self.unresponsive.contains(candidate))
     }
 
     fn candidates(&self, zone: &str, address: SocketAddr) -> impl Iterator<Item = SocketAddr> {
@@ -317,8 +317,8 @@
     /// did not answer only if there is no other.
     fn prefer_zone(&mut self, zone: &str, address: SocketAddr) {
         let any = self.candidates(zone, address).next();
-        if let Some(better) = self.better(zone, address).or(any) {
-            self.current = Some(better);
+        if let Some(preferred) = self.preferred(zone, address).or(any) {
+            self.current = Some(preferred);
         }
     }
 }
--- a/crates/proxy/src/entry.rs
+++ b/crates/proxy/src/entry.rs
@@ -21,20 +21,20 @@
 /// must do for serving it, or for a try elsewhere.
 const FIRST_LEASE_WAIT_DIVISOR: u32 = 3;
 /// Time assumed of a caller that states none.
-const ASSUMED_PATIENCE: Duration = Duration::from_secs(3);
+const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause that a caller is told while the configuration cannot be confirmed.
-const LONG_PAUSE: Duration = Duration::from_millis(500);
+const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Pause that a caller is told by a router that is about to end: others take the request at once.
-const STOPPING_PAUSE: Duration = Duration::from_millis(20);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Admits a request; one that comes before the first lease of this process waits for it.
 pub async fn admit(
     state: &ProxyState,
     request: &ProxiedRequest,
 ) -> Result<Admitted, RefusalReason> {
-    let mut changes = state.changes();
+    let mut changes = state.view_changes();
     let mut admitted = admit_now(state, request);
-    if !waits(state, &admitted) {
+    if !should_wait_for_lease(state, &admitted) {
         return admitted;
     }
     let wait = first_lease_wait(request);
@@ -43,7 +43,7 @@
         at_most_ms = wait.as_millis() as u64,
     });
     let until = request.received + wait;
-    while waits(state, &admitted) {
+    while should_wait_for_lease(state, &admitted) {
         if timeout_at(until, changes.changed()).await.is_err() {
             break;
         }
@@ -53,7 +53,7 @@
 }
 
 /// Whether a request that was looked at may be admitted later by this router.
-fn waits(state: &ProxyState, admitted: &Result<Admitted, RefusalReason>) -> bool {
+fn should_wait_for_lease(state: &ProxyState, admitted: &Result<Admitted, RefusalReason>) -> bool {
     admitted.as_ref().err() == Some(&RefusalReason::Unconfirmed)
         && state.options.policy.first_lease_wait
         && !state.was_confirmed()
@@ -61,16 +61,16 @@
 }
 
 /// What a caller is told of when to come back after a refusal on entry.
-pub fn pause_after(reason: RefusalReason) -> Option<Duration> {
+pub fn retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
-        RefusalReason::Unconfirmed => Some(LONG_PAUSE),
-        RefusalReason::Stopping => Some(STOPPING_PAUSE),
+        RefusalReason::Unconfirmed => Some(UNCONFIRMED_RETRY_AFTER),
+        RefusalReason::Stopping => Some(STOPPING_RETRY_AFTER),
         _ => None,
     }
 }
 
 fn first_lease_wait(request: &ProxiedRequest) -> Duration {
-    request.patience.unwrap_or(ASSUMED_PATIENCE) / FIRST_LEASE_WAIT_DIVISOR
+    request.patience.unwrap_or(DEFAULT_CLIENT_TIMEOUT) / FIRST_LEASE_WAIT_DIVISOR
 }
 
 fn admit_now(state: &ProxyState, request: &ProxiedRequest) -> Result<Admitted, RefusalReason> {
@@ -81,7 +81,7 @@
     }
     let admitted = admission::admit(table, request)?;
     let stop = state.stop_plan();
-    if stop.is_some_and(|plan| !plan.takes(admitted.deadline, Instant::now())) {
+    if stop.is_some_and(|plan| !plan.accepts(admitted.deadline, Instant::now())) {
         return Err(RefusalReason::Stopping);
     }
     Ok(admitted)
--- a/crates/proxy/src/fleet_view.rs
+++ b/crates/proxy/src/fleet_view.rs
@@ -11,92 +11,101 @@
 use tokio::time::Instant;
 
 /// Age from which a digest is not gone by: load changes within seconds.
-const DIGEST_KEPT: Duration = Duration::from_millis(3_000);
+const DIGEST_MAX_AGE: Duration = Duration::from_millis(3_000);
 
 /// Routers from which on a replica's load is taken from what all of them meet. A router that sees a
 /// good part of the traffic knows more from its own requests, which are newer: its own view was worth
 /// more with 7 or 8 routers, the shared one with 79 and 291 (`docs/EXPERIMENTS.md`,
 /// `docs/design/shifted-work.md`); between is not measured.
-pub const FEWEST_ROUTERS_FOR_SHARED_LOAD: u32 = 20;
+pub const MIN_ROUTERS_FOR_SHARED_LOAD: u32 = 20;
 
 /// Time for which a limit is gone by that digests do not name any more. A new leader knows of it only once a router
 /// asks, or tells what it heard itself, and those that have it from digests alone would send what they have until
 /// then; once it is over, their questions are answered so.
-const LIMIT_KEPT: Duration = Duration::from_millis(3_000);
+const LIMIT_MAX_AGE: Duration = Duration::from_millis(3_000);
 
 /// Time in which the most requests that were open lately count half as much: groups of replicas that are
 /// sized by them grow at once and shrink slowly, since each change moves homes.
-const BUSIEST_HALF_LIFE: Duration = Duration::from_secs(60);
+const PEAK_HALF_LIFE: Duration = Duration::from_secs(60);
 
 /// The digest received last.
 #[derive(Debug, Default)]
-pub struct FleetKnowledge {
-    made_at: Option<Instant>,
+pub struct FleetView {
+    digest_at: Option<Instant>,
     conditions: HashMap<ReplicaKey, ReplicaCondition>,
     /// Replicas that name a limit, each with the time at which a digest named it last.
-    limited: HashMap<ReplicaKey, (ToldLimit, Instant)>,
-    dark: usize,
+    limited: HashMap<ReplicaKey, (DigestLimit, Instant)>,
+    unresponsive: usize,
     /// Most requests that were open at all replicas lately, and when that was told.
-    busiest: Option<(f64, Instant)>,
+    peak: Option<(f64, Instant)>,
 }
 
 /// A limit that the digest names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLimit {
+pub struct DigestLimit {
     /// The limit.
     pub limit: RequestLimit,
     /// When the replica named it last to any router, as far as the leader heard.
-    pub named_at: Instant,
+    pub advertised_at: Instant,
 }
 
-impl FleetKnowledge {
+impl FleetView {
     /// Takes in a digest; tells how many replicas are dark, if that changed.
-    pub fn take(&mut self, digest: FleetDigest, now: Instant) -> Option<usize> {
-        let dark_before = self.dark;
-        self.made_at = now.checked_sub(Duration::from_millis(u64::from(digest.age_ms)));
+    pub fn apply(&mut self, digest: FleetDigest, now: Instant) -> Option<usize> {
+        let before = self.unresponsive;
+        self.digest_at = now.checked_sub(Duration::from_millis(u64::from(digest.age_ms)));
         self.conditions = digest
             .replicas
             .into_iter()
             .map(|condition| (condition.replica, condition))
             .collect();
-        let made_at = self.made_at.unwrap_or(now);
-        let limited = digest.limited.into_iter().map(|told| {
-            let age = Duration::from_millis(u64::from(told.named_ms));
-            let named_at = made_at.checked_sub(age).unwrap_or(made_at);
-            let limit = told.limit;
-            (told.replica, (ToldLimit { limit, named_at }, now))
+        let digest_at = self.digest_at.unwrap_or(now);
+        let limited = digest.limited.into_iter().map(|entry| {
+            let age = Duration::from_millis(u64::from(entry.named_ms));
+            let advertised_at = digest_at.checked_sub(age).unwrap_or(digest_at);
+            let limit = entry.limit;
+            (
+                entry.replica,
+                (
+                    DigestLimit {
+                        limit,
+                        advertised_at,
+                    },
+                    now,
+                ),
+            )
         });
         self.limited
-            .retain(|_, (_, told_at)| now < *told_at + LIMIT_KEPT);
+            .retain(|_, (_, received_at)| now < *received_at + LIMIT_MAX_AGE);
         self.limited.extend(limited);
         let open = self
             .conditions
             .values()
-            .map(|told| u64::from(told.open_requests));
+            .map(|entry| u64::from(entry.open_requests));
         let open = open.sum::<u64>() as f64;
-        self.busiest = Some((open.max(self.busiest_faded(now)), now));
-        let dark = self.conditions.values().filter(|told| told.is_dark);
-        self.dark = dark.count();
-        (self.dark != dark_before).then_some(self.dark)
+        self.peak = Some((open.max(self.decayed_peak(now)), now));
+        let unresponsive = self.conditions.values().filter(|entry| entry.is_dark);
+        self.unresponsive = unresponsive.count();
+        (self.unresponsive != before).then_some(self.unresponsive)
     }
 
     /// Whether the digest is new enough to go by.
     pub fn is_current(&self, now: Instant) -> bool {
-        self.made_at
-            .is_some_and(|made_at| now.saturating_duration_since(made_at) < DIGEST_KEPT)
+        self.digest_at
+            .is_some_and(|digest_at| now.saturating_duration_since(digest_at) < DIGEST_MAX_AGE)
     }
 
     /// Most requests that were open lately at all replicas of all services.
-    pub fn busiest_open_requests(&self, now: Instant) -> u64 {
-        self.busiest_faded(now).round() as u64
+    pub fn peak_open_requests(&self, now: Instant) -> u64 {
+        self.decayed_peak(now).round() as u64
     }
 
-    fn busiest_faded(&self, now: Instant) -> f64 {
-        let faded = self.busiest.map(|(open, at)| {
+    fn decayed_peak(&self, now: Instant) -> f64 {
+        let decayed = self.peak.map(|(open, at)| {
             let age = now.saturating_duration_since(at);
-            open * 0.5_f64.powf(age.as_secs_f64() / BUSIEST_HALF_LIFE.as_secs_f64())
+            open * 0.5_f64.powf(age.as_secs_f64() / PEAK_HALF_LIFE.as_secs_f64())
         });
-        faded.unwrap_or_default()
+        decayed.unwrap_or_default()
     }
 
     /// What is known of a replica; one that nobody uses has nothing open.
@@ -105,22 +114,22 @@
     }
 
     /// The limit of a replica, as far as digests told lately.
-    pub fn limit(&self, replica: ReplicaKey, now: Instant) -> Option<ToldLimit> {
-        let (told, told_at) = self.limited.get(&replica).copied()?;
-        (now < told_at + LIMIT_KEPT).then_some(told)
+    pub fn limit(&self, replica: ReplicaKey, now: Instant) -> Option<DigestLimit> {
+        let (entry, received_at) = self.limited.get(&replica).copied()?;
+        (now < received_at + LIMIT_MAX_AGE).then_some(entry)
     }
 
     /// Whether any replica is dark.
-    pub fn any_dark(&self) -> bool {
-        self.dark > 0
+    pub fn any_unresponsive(&self) -> bool {
+        self.unresponsive > 0
     }
 
     /// Whether some router heard from a replica after `since`, as far as the digest tells.
-    pub fn heard_since(&self, replica: ReplicaKey, since: Instant) -> bool {
-        let heard_at = self.made_at.and_then(|made_at| {
+    pub fn responded_since(&self, replica: ReplicaKey, since: Instant) -> bool {
+        let last_response_at = self.digest_at.and_then(|digest_at| {
             let heard_ms = self.condition(replica)?.heard_ms;
-            made_at.checked_sub(Duration::from_millis(u64::from(heard_ms)))
+            digest_at.checked_sub(Duration::from_millis(u64::from(heard_ms)))
         });
-        heard_at.is_some_and(|heard_at| heard_at > since)
+        last_response_at.is_some_and(|last_response_at| last_response_at > since)
     }
 }
--- a/crates/proxy/src/health.rs
+++ b/crates/proxy/src/health.rs
@@ -11,7 +11,7 @@
 /// Pause after a replica said that it is full or busy.
 const DECLINED_PAUSE: Duration = Duration::from_millis(120);
 /// Weight of the newest outcome in the rate of failures.
-const NEWEST_WEIGHT: f64 = 0.2;
+const LATEST_WEIGHT: f64 = 0.2;
 /// Time in which a rate of failures fades by half, so that a replica gets another chance.
 const HALF_LIFE_S: f64 = 4.0;
 
@@ -53,7 +53,7 @@
     }
 
     /// Whether the replica may be sent work now.
-    pub fn allows(&self, now: Instant) -> bool {
+    pub fn is_available(&self, now: Instant) -> bool {
         self.paused_until.is_none_or(|until| now >= until)
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Notes how an exchange ended.
-    pub fn note(&mut self, end: ExchangeEnd, now: Instant) {
+    pub fn record(&mut self, end: ExchangeEnd, now: Instant) {
         let failed = match end {
             ExchangeEnd::Good => {
                 self.unreachable_in_a_row = 0;
@@ -94,7 +94,7 @@
             }
         };
         let rate = self.failure_rate(now);
-        self.failure_rate = rate + (failed - rate) * NEWEST_WEIGHT;
+        self.failure_rate = rate + (failed - rate) * LATEST_WEIGHT;
         self.rated_at = now;
     }
 
--- a/crates/proxy/src/homes.rs
+++ b/crates/proxy/src/homes.rs
@@ -27,15 +27,15 @@
 /// Replicas in a group for each one that is kept busy: its members stand idle for most of the time, so that
 /// several times the work in a few seconds finds free places before the group has grown, and unshared parts
 /// stay out of the way of shared ones.
-const REPLICAS_FOR_ONE_BUSY: usize = 4;
+const GROUP_HEADROOM_FACTOR: usize = 4;
 /// Factor between two sizes of a group. Routers whose figures differ a little agree on a size but where it
 /// changes, and there homes move: with sizes a factor of two apart and a memory of ten seconds, second parts
 /// had two homes each, and 3.2 instead of 2.2 million tokens were read again on a quiet day.
-const SIZE_STEP: usize = 4;
+const GROUP_GROWTH_FACTOR: usize = 4;
 /// Members that are looked at for one that keeps the first part.
-const HOLDERS: usize = 16;
+const MAX_HOLDERS: usize = 16;
 /// Key by which replicas have their places on a ring; any number, the same in every router.
-const RING_KEY: u64 = 0;
+const RING_SEED: u64 = 0;
 
 /// Replicas that are kept busy by all work of a service.
 pub fn busy_replicas(open_requests: u64, slots: u32) -> usize {
@@ -46,10 +46,10 @@
 /// Replicas in the group of a first part. It is sized as if all requests of the service began with it, since
 /// how many do is not known to a router that sees one request in a second.
 pub fn group_size(busy_replicas: usize) -> usize {
-    let needed = busy_replicas.saturating_mul(REPLICAS_FOR_ONE_BUSY);
+    let needed = busy_replicas.saturating_mul(GROUP_HEADROOM_FACTOR);
     let mut size = SMALLEST_GROUP;
     while size < needed {
-        size = size.saturating_mul(SIZE_STEP);
+        size = size.saturating_mul(GROUP_GROWTH_FACTOR);
     }
     size
 }
@@ -77,7 +77,7 @@
 
     /// Where the home finds the first part: at a member that some router has just met. A home that is in use
     /// itself has it, and if it lacks anything, then what no member but a store keeps.
-    pub fn first_part_source(
+    pub fn prefix_source(
         &self,
         home: &ReplicaRecord,
         is_in_use: impl Fn(&ReplicaRecord) -> bool,
@@ -109,7 +109,7 @@
     /// A ring of these replicas.
     pub fn new(records: impl IntoIterator<Item = Arc<ReplicaRecord>>) -> Self {
         let members = records.into_iter().map(|record| Member {
-            position: rendezvous(RING_KEY, &record.id),
+            position: rendezvous(RING_SEED, &record.id),
             record,
         });
         let mut members: Vec<Member> = members.collect();
@@ -133,8 +133,8 @@
     /// All replicas once, from where a key falls.
     pub fn from(&self, key: u64) -> impl Iterator<Item = &Arc<ReplicaRecord>> + Clone {
         let start = self.members.partition_point(|member| member.position < key);
-        let (before, behind) = self.members.split_at(start);
-        behind.iter().chain(before).map(|member| &member.record)
+        let (before, after) = self.members.split_at(start);
+        after.iter().chain(before).map(|member| &member.record)
     }
 }
 
@@ -147,7 +147,7 @@
     is_usable: impl Fn(&ReplicaRecord) -> bool,
 ) -> Homes<'a> {
     let mut group = first_usable(candidates, size, is_usable);
-    let holders = group.iter().copied().take(HOLDERS).collect();
+    let holders = group.iter().copied().take(MAX_HOLDERS).collect();
     group.sort_by_cached_key(|record| Reverse(rendezvous(home, &record.id)));
     Homes {
         ranked: group,
@@ -158,13 +158,13 @@
 /// The first usable ones of `candidates`, `most` at most; the first ones of all, if none is usable.
 pub fn first_usable<'a>(
     candidates: impl Iterator<Item = &'a Arc<ReplicaRecord>> + Clone,
-    most: usize,
+    limit: usize,
     is_usable: impl Fn(&ReplicaRecord) -> bool,
 ) -> Vec<&'a Arc<ReplicaRecord>> {
     let usable = candidates.clone().filter(|record| is_usable(record));
-    let found: Vec<_> = usable.take(most).collect();
+    let found: Vec<_> = usable.take(limit).collect();
     if found.is_empty() {
-        return candidates.take(most).collect();
+        return candidates.take(limit).collect();
     }
     found
 }
--- a/crates/proxy/src/idle_limit.rs
+++ b/crates/proxy/src/idle_limit.rs
@@ -8,53 +8,53 @@
 use hyper::HeaderMap;
 
 /// Part of the time that a replica states in which a connection is taken up again.
-const STATED_SHARE: f64 = 0.8;
+const KEEP_ALIVE_SHARE: f64 = 0.8;
 
 /// Longest rest for requests of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rest {
-    usual: Duration,
-    safe: Duration,
+pub struct IdleLimit {
+    retryable: Duration,
+    non_retryable: Duration,
 }
 
-impl Rest {
+impl IdleLimit {
     /// For a replica that states no time: it may close connections that have rested for less than
     /// a second.
-    pub const UNSTATED: Self = Self {
-        usual: Duration::from_secs(2),
-        safe: Duration::from_millis(400),
+    pub const DEFAULT: Self = Self {
+        retryable: Duration::from_secs(2),
+        non_retryable: Duration::from_millis(400),
     };
 
     /// What the head of an answer states; `None` if nothing.
-    pub fn stated(headers: &HeaderMap) -> Option<Self> {
-        let rest = stated_time(headers)?.mul_f64(STATED_SHARE);
+    pub fn from_headers(headers: &HeaderMap) -> Option<Self> {
+        let limit = keep_alive_timeout(headers)?.mul_f64(KEEP_ALIVE_SHARE);
         Some(Self {
-            usual: rest,
-            safe: rest,
+            retryable: limit,
+            non_retryable: limit,
         })
     }
 
     /// The same where requests that must not be lost do not rely on what a replica states.
-    pub fn not_trusted_alone(self) -> Self {
+    pub fn capped_for_non_retryable(self) -> Self {
         Self {
-            safe: self.usual.min(Self::UNSTATED.safe),
+            non_retryable: self.retryable.min(Self::DEFAULT.non_retryable),
             ..self
         }
     }
 
-    /// Longest rest for a request; one that must not be lost (`must_not_be_lost`) has a shorter one
+    /// Longest rest for a request; one that must not be lost (`non_retryable`) has a shorter one
     /// unless the replica states the time.
-    pub fn limit(self, must_not_be_lost: bool) -> Duration {
-        if must_not_be_lost {
-            self.safe
+    pub fn limit(self, non_retryable: bool) -> Duration {
+        if non_retryable {
+            self.non_retryable
         } else {
-            self.usual
+            self.retryable
         }
     }
 }
 
 /// The time in `Keep-Alive: timeout=SECONDS`.
-fn stated_time(headers: &HeaderMap) -> Option<Duration> {
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text
         .split(',')
--- a/crates/proxy/src/lease.rs
+++ b/crates/proxy/src/lease.rs
@@ -31,13 +31,13 @@
         }
     }
 
-    /// Takes in an answer to a question asked at `asked_at`.
-    pub fn take_reply(&mut self, reply: &WatchReply, asked_at: BootInstant) {
+    /// Takes in an answer to a question asked at `requested_at`.
+    pub fn apply_reply(&mut self, reply: &WatchReply, requested_at: BootInstant) {
         let Some(age_ms) = reply.confirmed_age_ms else {
             return;
         };
         // The answer was made `held_ms` after the question arrived, so not before this moment.
-        let made_at = asked_at + Duration::from_millis(reply.held_ms);
+        let made_at = requested_at + Duration::from_millis(reply.held_ms);
         let confirmed_at = made_at.checked_sub(Duration::from_millis(age_ms));
         self.confirmed_at = self.confirmed_at.max(confirmed_at);
     }
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -23,28 +23,31 @@
     }
 
     fn known_limit(&self, life: &str) -> Option<KnownLimit> {
-        let own = lock(&self.replicas).availability.limit(life);
-        let own = own.map(|own| KnownLimit {
-            limit: own.limit,
-            age: self.uptime().saturating_sub(own.named_at),
-            own: Some(own),
+        let local = lock(&self.replicas).availability.limit(life);
+        let local = local.map(|named| KnownLimit {
+            limit: named.limit,
+            age: self.uptime().saturating_sub(named.named_at),
+            own: Some(named),
         });
         let now = Instant::now();
-        let told = lock(&self.fleet).limit(ReplicaKey::of(life), now);
-        let told = told.map(|told| KnownLimit {
-            limit: told.limit,
-            age: now.saturating_duration_since(told.named_at),
-            own: own.and_then(|own| own.own),
+        let digest = lock(&self.fleet).limit(ReplicaKey::of(life), now);
+        let digest = digest.map(|digest| KnownLimit {
+            limit: digest.limit,
+            age: now.saturating_duration_since(digest.advertised_at),
+            own: local.and_then(|local| local.own),
         });
-        own.into_iter().chain(told).min_by_key(|known| known.age)
+        local
+            .into_iter()
+            .chain(digest)
+            .min_by_key(|known| known.age)
     }
 
     fn unanswered_until(&self) -> Moment {
-        *lock(&self.permits_unanswered_until)
+        *lock(&self.permit_requests_suspended_until)
     }
 
     fn note_unanswered(&self, until: Moment) {
-        *lock(&self.permits_unanswered_until) = until;
+        *lock(&self.permit_requests_suspended_until) = until;
     }
 
     fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment) {
@@ -61,14 +64,16 @@
     async fn ask_leader(&self, question: PermitRequest, limit: Duration) -> Option<PermitReply> {
         let asked = self
             .control_peers
-            .ask("permit", |client| async move {
+            .call("permit", |client| async move {
                 client.take_permit(call_deadline(limit), question).await
             })
             .await;
         let (reply, address) = asked?;
         match &reply {
-            PermitReply::NotLeader { leader } => self.control_peers.follow(address, leader.clone()),
-            _ => self.control_peers.leads(address),
+            PermitReply::NotLeader { leader } => {
+                self.control_peers.follow_redirect(address, leader.clone())
+            }
+            _ => self.control_peers.set_leader(address),
         }
         Some(reply)
     }
@@ -76,20 +81,22 @@
 
 /// Tells the leader of limits that were named to this router and that the digest does not name: it may not have
 /// heard of them, or know that they are over.
-pub fn tell_unknown(state: &Arc<ProxyState>) {
+pub fn resend_unknown_limits(state: &Arc<ProxyState>) {
     let uptime = state.uptime();
     let now = Instant::now();
-    let untold: Vec<(String, NamedLimit)> = {
+    let unreported: Vec<(String, NamedLimit)> = {
         let replicas = lock(&state.replicas);
         let fleet = lock(&state.fleet);
-        let own = replicas.availability.limits();
-        own.filter(|(life, own)| {
-            own.named_at + DIGEST_LAG < uptime && fleet.limit(ReplicaKey::of(life), now).is_none()
-        })
-        .map(|(life, own)| (life.to_owned(), own))
-        .collect()
+        let named = replicas.availability.limits();
+        named
+            .filter(|(life, limit)| {
+                limit.named_at + DIGEST_LAG < uptime
+                    && fleet.limit(ReplicaKey::of(life), now).is_none()
+            })
+            .map(|(life, limit)| (life.to_owned(), limit))
+            .collect()
     };
-    for (life, own) in untold {
-        permits::tell_again(state, life, own);
+    for (life, limit) in unreported {
+        permits::resend_limit(state, life, limit);
     }
 }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -203,7 +203,7 @@
     }
 
     /// Counts the end of a request.
-    pub fn request_ended(&self, kind: Option<RequestKind>, outcome: &str) {
+    pub fn record_request_end(&self, kind: Option<RequestKind>, outcome: &str) {
         let labels = RequestLabels {
             kind: kind.map_or("", kind_label),
             outcome: outcome.to_owned(),
@@ -212,7 +212,7 @@
     }
 
     /// Notes the replicas that are known now.
-    pub fn replicas_known<'a>(&self, records: impl Iterator<Item = &'a ReplicaRecord>) {
+    pub fn set_replicas<'a>(&self, records: impl Iterator<Item = &'a ReplicaRecord>) {
         let mut counts = [("ready", 0), ("loading", 0), ("leaving", 0)];
         for record in records {
             let place = match (record.state, &record.order) {
@@ -230,7 +230,7 @@
     }
 
     /// Counts the end of an exchange.
-    pub fn exchange_ended(&self, outcome: &str) {
+    pub fn record_exchange_end(&self, outcome: &str) {
         count(&self.exchanges, outcome);
     }
 }
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -16,38 +16,38 @@
 use tokio::time::sleep;
 
 /// Longest time for one question.
-const LONGEST_ASK: Duration = Duration::from_millis(250);
+const MAX_PERMIT_REQUEST_TIME: Duration = Duration::from_millis(250);
 /// Part of the objective, as a divisor, that one question may take: other back ends may be asked after it.
-const ASK_DIVISOR: u32 = 8;
+const PERMIT_REQUEST_DIVISOR: u32 = 8;
 /// Time after an unanswered question in which no other is asked: a leader is elected in some hundreds of
 /// milliseconds, and requests go to other back ends meanwhile.
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(100);
+const LEADER_RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Time for telling the leader what an answer said.
-const TELL_TIMEOUT: Duration = Duration::from_millis(250);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Tries to tell it; the next question for a permit tells it too.
-const TELL_TRIES: u32 = 4;
+const REPORT_ATTEMPTS: u32 = 4;
 
 /// The right to send one request to a back end that names a limit, or the leader's word that it has none any more:
 /// digests may name it for longer.
 #[derive(Clone, Copy, Debug)]
 pub struct Permit {
-    asked_at: BootInstant,
+    requested_at: BootInstant,
     /// The limit and the permit's name; `None` if there is no limit.
-    given: Option<(RequestLimit, PermitStamp)>,
+    grant: Option<(RequestLimit, PermitStamp)>,
 }
 
 impl Permit {
     /// Whether it may still be used.
     fn is_fresh(&self) -> bool {
-        self.asked_at.elapsed() <= GRANT_LIFE
+        self.requested_at.elapsed() <= GRANT_LIFE
     }
 
     fn limit(&self) -> Option<RequestLimit> {
-        self.given.map(|(limit, _)| limit)
+        self.grant.map(|(limit, _)| limit)
     }
 
     fn stamp(&self) -> Option<PermitStamp> {
-        self.given.map(|(_, stamp)| stamp)
+        self.grant.map(|(_, stamp)| stamp)
     }
 }
 
@@ -88,13 +88,13 @@
     /// Asks the control replica that is believed to lead; `None` without an answer.
     fn ask_leader(
         &self,
-        question: PermitRequest,
+        request: PermitRequest,
         limit: Duration,
     ) -> impl Future<Output = Option<PermitReply>> + Send;
 }
 
 /// Whether a request lacks a permit to be sent to this back end now.
-pub fn is_lacking(router: &impl LimitedRouter, life: &str, permit: Option<Permit>) -> bool {
+pub fn lacks_valid_permit(router: &impl LimitedRouter, life: &str, permit: Option<Permit>) -> bool {
     match permit {
         Some(permit) => !permit.is_fresh(),
         None => router.known_limit(life).is_some(),
@@ -106,7 +106,7 @@
     let Some(known) = router.known_limit(life) else {
         return Permission::Given(None);
     };
-    let withheld = |limit: RequestLimit, room_in: Duration| {
+    let deny = |limit: RequestLimit, room_in: Duration| {
         spdlog::info!("permit withheld", kv: {
             replica = life.to_owned(),
             per_s = limit.requests_per_s(),
@@ -116,10 +116,10 @@
         Permission::Withheld
     };
     if router.uptime() < router.unanswered_until() {
-        return withheld(known.limit, UNANSWERED_PAUSE);
+        return deny(known.limit, LEADER_RETRY_PAUSE);
     }
-    let asked_at = BootInstant::now();
-    let question = PermitRequest {
+    let requested_at = BootInstant::now();
+    let request = PermitRequest {
         life: life.to_owned(),
         statement: LimitStatement {
             limit: Some(known.limit),
@@ -128,23 +128,26 @@
         },
         wants_permit: true,
     };
-    let limit = LONGEST_ASK.min(objective / ASK_DIVISOR);
-    match router.ask_leader(question, limit).await {
+    let limit = MAX_PERMIT_REQUEST_TIME.min(objective / PERMIT_REQUEST_DIVISOR);
+    match router.ask_leader(request, limit).await {
         Some(PermitReply::Given { limit, stamp }) => Permission::Given(Some(Permit {
-            asked_at,
-            given: Some((limit, stamp)),
+            requested_at,
+            grant: Some((limit, stamp)),
         })),
         Some(PermitReply::Withheld { limit, room_in_ms }) => {
-            withheld(limit, Duration::from_millis(u64::from(room_in_ms)))
+            deny(limit, Duration::from_millis(u64::from(room_in_ms)))
         }
         Some(PermitReply::Unlimited) => {
-            limit_is_over(router, life, known.own);
-            let given = None;
-            Permission::Given(Some(Permit { asked_at, given }))
+            clear_limit(router, life, known.own);
+            let grant = None;
+            Permission::Given(Some(Permit {
+                requested_at,
+                grant,
+            }))
         }
         Some(PermitReply::NotLeader { .. }) | None => {
-            router.note_unanswered(router.uptime() + UNANSWERED_PAUSE);
-            withheld(known.limit, UNANSWERED_PAUSE)
+            router.note_unanswered(router.uptime() + LEADER_RETRY_PAUSE);
+            deny(known.limit, LEADER_RETRY_PAUSE)
         }
     }
 }
@@ -172,37 +175,41 @@
         age_ms: 0,
         permit: permit.and_then(|permit| permit.stamp()),
     };
-    tokio::spawn(tell(Arc::clone(router), life.to_owned(), statement));
+    tokio::spawn(report_limit(Arc::clone(router), life.to_owned(), statement));
 }
 
 /// Tells the leader again of a limit that was named to this router: others may not know of it, or know that it
 /// is over.
-pub fn tell_again<R: LimitedRouter>(router: &Arc<R>, life: String, own: NamedLimit) {
+pub fn resend_limit<R: LimitedRouter>(router: &Arc<R>, life: String, named: NamedLimit) {
     let statement = LimitStatement {
-        limit: Some(own.limit),
-        age_ms: milliseconds(router.uptime().saturating_sub(own.named_at)),
+        limit: Some(named.limit),
+        age_ms: milliseconds(router.uptime().saturating_sub(named.named_at)),
         permit: None,
     };
-    tokio::spawn(tell(Arc::clone(router), life, statement));
+    tokio::spawn(report_limit(Arc::clone(router), life, statement));
 }
 
-async fn tell<R: LimitedRouter>(router: Arc<R>, life: String, heard: LimitStatement) {
-    let began_at = router.uptime();
-    let heard_at = began_at.saturating_sub(Duration::from_millis(u64::from(heard.age_ms)));
-    for _ in 0..TELL_TRIES {
-        let question = PermitRequest {
+async fn report_limit<R: LimitedRouter>(router: Arc<R>, life: String, report: LimitStatement) {
+    let started_at = router.uptime();
+    let received_at = started_at.saturating_sub(Duration::from_millis(u64::from(report.age_ms)));
+    for _ in 0..REPORT_ATTEMPTS {
+        let request = PermitRequest {
             life: life.clone(),
             statement: LimitStatement {
-                age_ms: milliseconds(router.uptime().saturating_sub(heard_at)),
-                ..heard
+                age_ms: milliseconds(router.uptime().saturating_sub(received_at)),
+                ..report
             },
             wants_permit: false,
         };
-        match router.ask_leader(question, TELL_TIMEOUT).await {
-            Some(PermitReply::NotLeader { .. }) | None => sleep(UNANSWERED_PAUSE).await,
+        match router.ask_leader(request, REPORT_TIMEOUT).await {
+            Some(PermitReply::NotLeader { .. }) | None => sleep(LEADER_RETRY_PAUSE).await,
             Some(PermitReply::Unlimited) => {
-                let own = router.known_limit(&life).and_then(|known| known.own);
-                limit_is_over(&*router, &life, own.filter(|own| own.named_at <= began_at));
+                let named = router.known_limit(&life).and_then(|known| known.own);
+                clear_limit(
+                    &*router,
+                    &life,
+                    named.filter(|named| named.named_at <= started_at),
+                );
                 return;
             }
             Some(_) => return,
@@ -215,13 +222,13 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn limit_is_over(router: &impl LimitedRouter, life: &str, own: Option<NamedLimit>) {
-    let Some(own) = own else {
+fn clear_limit(router: &impl LimitedRouter, life: &str, named: Option<NamedLimit>) {
+    let Some(named) = named else {
         return;
     };
     spdlog::info!("limit is over", kv: {
         replica = life.to_owned(),
-        per_s = own.limit.requests_per_s(),
+        per_s = named.limit.requests_per_s(),
     });
-    router.note_over(life, own.named_at);
+    router.note_over(life, named.named_at);
 }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -11,7 +11,7 @@
 use crate::{
     admission::Admitted,
     affinity::PrefixPath,
-    attempt::{self, FailedExchange, HeadDue, OpenAnswer, Target},
+    attempt::{self, FailedExchange, HeadDeadline, OpenResponse, Target},
     backend::Dispatch,
     crash_detection, entry,
     health::ExchangeEnd,
@@ -28,9 +28,9 @@
 mod final_response;
 
 /// Objectives after which an answer that may be had elsewhere is given up.
-const PATIENCE_OBJECTIVES: u64 = 2;
+const RESPONSE_TIMEOUT_OBJECTIVES: u64 = 2;
 /// Objectives after which a stream's first event is given up though its replica answers others.
-const BUSY_PATIENCE_OBJECTIVES: u32 = 4;
+const BUSY_TIMEOUT_OBJECTIVES: u32 = 4;
 /// Serves one request. Dropping the future, or the body of the response, cancels it.
 pub async fn handle(state: Arc<ProxyState>, request: ProxiedRequest) -> Response<Body> {
     let mut log = RequestLog::begin(&state, &request);
@@ -38,17 +38,17 @@
         Ok(admitted) => admitted,
         Err(reason) => {
             log.end(reason.to_string());
-            return reason.response(entry::pause_after(reason));
+            return reason.response(entry::retry_after(reason));
         }
     };
     log.admitted(&admitted);
     log.content = content_key(&request, &admitted);
-    if let Some(pause) = quarantined(&state, &admitted, log.content).await {
+    if let Some(pause) = quarantine_retry_after(&state, &admitted, log.content).await {
         let reason = RefusalReason::Quarantined;
         log.end(reason.to_string());
         return reason.response(Some(pause));
     }
-    if let Err(refusal) = quota::take(&state, &request, &admitted).await {
+    if let Err(refusal) = quota::acquire(&state, &request, &admitted).await {
         log.end(refusal.reason.to_string());
         return refusal.reason.response(refusal.retry_after);
     }
@@ -57,20 +57,20 @@
         .next(&admitted.route, seed)
         .unwrap_or_default()
         .to_owned();
-    state.earn_retry(&service);
+    state.record_request(&service);
     let run = RequestRun::new(state, request, admitted, service, log);
     run.run().await
 }
 
 /// When the caller of a quarantined request should come back; `None` if it may be sent.
-async fn quarantined(
+async fn quarantine_retry_after(
     state: &ProxyState,
     admitted: &Admitted,
     content: ContentKey,
 ) -> Option<Duration> {
     let objective = Duration::from_millis(admitted.route.objective_ms);
-    crash_detection::settled(state, content, objective).await;
-    state.quarantine_pause(content)
+    crash_detection::wait_for_crash_checks(state, content, objective).await;
+    state.quarantine_retry_after(content)
 }
 
 /// A request on its way, with everything that was tried for it.
@@ -94,13 +94,13 @@
     replicas_used: u32,
     declined: u32,
     /// Exchanges whose connection broke while the replica had the request.
-    broken: u32,
+    broken_connections: u32,
 }
 
 /// An answer that may be passed on, and the account of its request.
-pub struct Answered {
+pub struct ActiveExchange {
     /// The answer.
-    pub answer: OpenAnswer,
+    pub answer: OpenResponse,
     /// The replica.
     pub target: Target,
     /// Closes the account of the request when dropped.
@@ -133,7 +133,7 @@
             tried: Vec::new(),
             replicas_used: 0,
             declined: 0,
-            broken: 0,
+            broken_connections: 0,
         }
     }
 
@@ -142,24 +142,24 @@
         loop {
             let target = match self.wait_for_target().await {
                 Ok(target) => target,
-                Err(cause) => return self.without_target(failure, cause),
+                Err(cause) => return self.respond_without_target(failure, cause),
             };
-            let failed = match self.answer_from(target).await {
-                Ok(Step::Done(response)) => return response,
-                Ok(Step::Stream(begun)) => {
+            let failed = match self.try_target(target).await {
+                Ok(ExchangeStep::Done(response)) => return response,
+                Ok(ExchangeStep::Stream(begun)) => {
                     let (answered, first) = *begun;
                     return stream::respond(self, answered, first);
                 }
-                Ok(Step::Failure(response)) => {
+                Ok(ExchangeStep::Failure(response)) => {
                     failure = Some(response);
                     ExchangeProof::RanAndFailed
                 }
                 Err(failed) => failed.proof,
             };
             match self.next_step(failed).await {
-                NextStep::TryAgain if self.may_run_again(failed).await => {}
-                NextStep::TryAgain => return self.fail(failure),
-                NextStep::PassOn => {
+                NextStep::Retry if self.acquire_quota_for_retry(failed).await => {}
+                NextStep::Retry => return self.fail(failure),
+                NextStep::ForwardFailure => {
                     self.log.end("replica_failure".to_owned());
                     return failure.unwrap_or_else(|| RefusalReason::AnswerLost.response(None));
                 }
@@ -170,35 +170,35 @@
     }
 
     /// One exchange and, for an answer that is no stream, the whole of it.
-    async fn answer_from(&mut self, target: Target) -> Result<Step, FailedExchange> {
+    async fn try_target(&mut self, target: Target) -> Result<ExchangeStep, FailedExchange> {
         let answered = self.exchange(target, self.request.last_event).await?;
         let is_stream = self.admitted.route.kind.is_stream();
         if is_stream && answered.answer.head.status.is_success() {
             return stream::first_events(self, answered).await;
         }
-        let Answered {
+        let ActiveExchange {
             answer,
             target,
             open,
         } = answered;
-        let due = self.due();
-        let read = answer.read_whole(&target.usage, due).await;
+        let due = self.response_deadline();
+        let read = answer.read_body_whole(&target.handle, due).await;
         drop(open);
-        let (head, content) = read.map_err(|failed| self.note_failure(&target, failed))?;
+        let (head, content) = read.map_err(|failed| self.record_failure(&target, failed))?;
         let failed = head.status.is_server_error();
         let end = if failed {
             ExchangeEnd::Failed
         } else {
             ExchangeEnd::Good
         };
-        self.note_end(&target, end);
-        crash_detection::outlived(&self.state, self.content);
+        self.record_outcome(&target, end);
+        crash_detection::request_succeeded(&self.state, self.content);
         let response = self.response(head, railtack_http::full(content));
         if failed && self.admitted.route.kind.may_repeat() {
-            return Ok(Step::Failure(response));
+            return Ok(ExchangeStep::Failure(response));
         }
-        self.log.answered(&target, response.status().as_u16());
-        Ok(Step::Done(response))
+        self.log.completed(&target, response.status().as_u16());
+        Ok(ExchangeStep::Done(response))
     }
 
     /// Sends the request to a replica and waits for the head of its answer.
@@ -206,9 +206,9 @@
         &mut self,
         target: Target,
         last_event: Option<u64>,
-    ) -> Result<Answered, FailedExchange> {
-        let kept = target.kept_tokens;
-        let open = OpenRequest::begin(Arc::clone(&target.usage), target.ahead.own);
+    ) -> Result<ActiveExchange, FailedExchange> {
+        let kept = target.cached_tokens;
+        let open = OpenRequest::begin(Arc::clone(&target.handle), target.backlog.uncached_tokens);
         self.state
             .metrics
             .prompt_tokens
@@ -231,13 +231,13 @@
             save_to: target.save_to.as_deref(),
             last_event,
         };
-        let must_not_be_lost = !self.admitted.route.kind.may_repeat();
-        let due = self.head_due();
+        let non_retryable = !self.admitted.route.kind.may_repeat();
+        let due = self.head_deadline();
         let sent = attempt::exchange(
             &self.state,
             &target,
             &dispatch,
-            must_not_be_lost,
+            non_retryable,
             due,
             self.content,
         )
@@ -249,12 +249,12 @@
             Err(ExchangeProof::NotRun) => self.declined += 1,
             _ => self.replicas_used += 1,
         }
-        let answer = sent.map_err(|failed| self.note_failure(&target, failed))?;
+        let answer = sent.map_err(|failed| self.record_failure(&target, failed))?;
         if self.request.prompt.is_some() {
             let now = Instant::now();
-            lock(&self.state.replicas).note_sent(&target.record.id, &self.path, now);
+            lock(&self.state.replicas).record_sent(&target.record.id, &self.path, now);
         }
-        Ok(Answered {
+        Ok(ActiveExchange {
             answer,
             target,
             open,
@@ -262,35 +262,35 @@
     }
 
     /// When an answer is given up: at the deadline, or earlier if another replica may be asked.
-    pub fn due(&self) -> Instant {
+    pub fn response_deadline(&self) -> Instant {
         let route = &self.admitted.route;
         let may_go_on = route.kind.may_repeat() && self.replicas_used + 1 < route.max_attempts;
         if !may_go_on {
             return self.admitted.deadline;
         }
-        let patience = Duration::from_millis(route.objective_ms * PATIENCE_OBJECTIVES);
+        let patience = Duration::from_millis(route.objective_ms * RESPONSE_TIMEOUT_OBJECTIVES);
         self.admitted.deadline.min(Instant::now() + patience)
     }
 
     /// When the head of an answer is given up. The head of a stream comes with its first event, and
     /// a prompt that waits behind others would only be read once more elsewhere.
-    fn head_due(&self) -> HeadDue {
-        let due = self.due();
+    fn head_deadline(&self) -> HeadDeadline {
+        let due = self.response_deadline();
         let objective = Duration::from_millis(self.admitted.route.objective_ms);
-        let busy = Instant::now() + objective * BUSY_PATIENCE_OBJECTIVES;
+        let busy = Instant::now() + objective * BUSY_TIMEOUT_OBJECTIVES;
         let waits = self.state.options.policy.busy_patience && self.admitted.route.kind.is_stream();
-        let if_heard = if waits {
+        let if_responding = if waits {
             busy.min(self.admitted.deadline).max(due)
         } else {
             due
         };
-        HeadDue { due, if_heard }
+        HeadDeadline { due, if_responding }
     }
 
     /// Whether another replica may continue a stream, and the budget allows it.
-    pub async fn may_resume(&mut self) -> bool {
+    pub async fn acquire_resume(&mut self) -> bool {
         self.state.options.policy.resume
-            && self.next_step(ExchangeProof::MayHaveRun).await == NextStep::TryAgain
+            && self.next_step(ExchangeProof::MayHaveRun).await == NextStep::Retry
     }
 
     /// Whether the route lets a stream be continued at one more replica.
@@ -311,17 +311,17 @@
             in_time: Instant::now() < self.admitted.deadline && self.state.is_confirmed(),
         };
         let step = retry_decision::next_step(facts);
-        if step != NextStep::TryAgain {
+        if step != NextStep::Retry {
             return step;
         }
-        if self.may_end_another() {
+        if self.may_crash_another() {
             return retry_decision::without_retry(facts);
         }
         if proof == ExchangeProof::Withheld {
             return step;
         }
-        let is_own = self.state.spend_retry(&self.service);
-        let in_budget = is_own || self.borrows_retry().await;
+        let is_own = self.state.try_spend_retry(&self.service);
+        let in_budget = is_own || self.borrow_retry().await;
         spdlog::info!("retry", kv: {
             request = self.request.id.clone(),
             in_budget,
@@ -342,43 +342,44 @@
 
     /// Borrows a retry from the leader. If connections broke under this request, first waits until it is
     /// known whether their replicas ended: what is lent to all must not let one request end many of them.
-    async fn borrows_retry(&self) -> bool {
+    async fn borrow_retry(&self) -> bool {
         let policy = self.state.options.policy;
         if !policy.retry || !policy.lent_retries {
             return false;
         }
         let objective = Duration::from_millis(self.admitted.route.objective_ms);
-        if self.broken > 0 {
-            crash_detection::settled(&self.state, self.content, objective).await;
+        if self.broken_connections > 0 {
+            crash_detection::wait_for_crash_checks(&self.state, self.content, objective).await;
         }
-        !self.may_end_another() && quota::borrow_retry(&self.state, &self.service, objective).await
+        !self.may_crash_another()
+            && quota::borrow_retry(&self.state, &self.service, objective).await
     }
 
     /// Whether the request must not be sent to one more replica: it is quarantined, or will be if those
     /// at which its connections broke have ended, which is being looked into.
-    fn may_end_another(&self) -> bool {
-        let broke_at_many = self.broken >= ENDS_TO_QUARANTINE;
-        broke_at_many || self.state.quarantine_pause(self.content).is_some()
+    fn may_crash_another(&self) -> bool {
+        let broke_at_many = self.broken_connections >= ENDS_TO_QUARANTINE;
+        broke_at_many || self.state.quarantine_retry_after(self.content).is_some()
     }
 
     /// Whether the tenant's quota allows one more run after an exchange that ended with `proof`:
     /// what may have run was used, and is used once more.
-    pub async fn may_run_again(&self, proof: ExchangeProof) -> bool {
+    pub async fn acquire_quota_for_retry(&self, proof: ExchangeProof) -> bool {
         let is_paid = matches!(proof, ExchangeProof::Withheld | ExchangeProof::NotRun);
         is_paid
-            || quota::take(&self.state, &self.request, &self.admitted)
+            || quota::acquire(&self.state, &self.request, &self.admitted)
                 .await
                 .is_ok()
     }
 
     /// Notes how an exchange failed; logs it.
-    pub fn note_failure(&mut self, target: &Target, failed: FailedExchange) -> FailedExchange {
+    pub fn record_failure(&mut self, target: &Target, failed: FailedExchange) -> FailedExchange {
         if let Some(end) = failed.end {
-            self.note_end(target, end);
+            self.record_outcome(target, end);
         }
         if failed.end == Some(ExchangeEnd::ConnectionBroke) {
-            self.broken += 1;
-            crash_detection::connection_broke(&self.state, target, self.content);
+            self.broken_connections += 1;
+            crash_detection::connection_broken(&self.state, target, self.content);
         }
         spdlog::info!("exchange failed", kv: {
             request = self.request.id.clone(),
@@ -390,13 +391,13 @@
             back_off_ms = failed.notice.back_off.map_or(0, |time| time.as_millis() as u64),
             known = self.state.view.load().known.through,
         });
-        self.state.metrics.exchange_ended(failed.cause);
+        self.state.metrics.record_exchange_end(failed.cause);
         failed
     }
 
     /// Notes what an exchange says of a replica.
-    pub fn note_end(&self, target: &Target, end: ExchangeEnd) {
-        let Some(suspicion) = target.usage.note(end, Instant::now()) else {
+    pub fn record_outcome(&self, target: &Target, end: ExchangeEnd) {
+        let Some(suspicion) = target.handle.record_outcome(end, Instant::now()) else {
             return;
         };
         let event = match suspicion {
@@ -434,11 +435,11 @@
 }
 
 /// What an exchange brought.
-pub enum Step {
+pub enum ExchangeStep {
     /// The whole answer.
     Done(Response<Body>),
     /// A stream with its first events.
-    Stream(Box<(Answered, stream::FirstEvents)>),
+    Stream(Box<(ActiveExchange, stream::FirstEvents)>),
     /// The replica's failure, which may be passed on if no other replica does better.
     Failure(Response<Body>),
 }
--- a/crates/proxy/src/pipeline/final_response.rs
+++ b/crates/proxy/src/pipeline/final_response.rs
@@ -10,10 +10,10 @@
 use crate::{refusal::RefusalReason, selection::NoTarget};
 
 /// Shortest pause that a refused caller is told, milliseconds.
-const SHORTEST_RETRY_MS: u64 = 150;
+const MIN_RETRY_AFTER_MS: u64 = 150;
 
 impl RequestRun {
-    pub(super) fn without_target(
+    pub(super) fn respond_without_target(
         mut self,
         failure: Option<Response<Body>>,
         cause: NoTarget,
@@ -25,16 +25,18 @@
         if self.replicas_used > 0 {
             return self.fail(None);
         }
-        let told = match cause {
+        let refusal = match cause {
             NoTarget::TooLate { retry_after } => Some((RefusalReason::Overloaded, retry_after)),
-            NoTarget::BackingOff { opens_in } => Some((RefusalReason::BackingOff, opens_in)),
+            NoTarget::BackingOff { available_in } => {
+                Some((RefusalReason::BackingOff, available_in))
+            }
             NoTarget::AtLimit(full) => {
-                let pause = self.state.return_pause(&self.service, full);
+                let pause = self.state.limit_retry_after(&self.service, full);
                 Some((RefusalReason::AtLimit, pause))
             }
-            NoTarget::Nobody => None,
+            NoTarget::NoneAvailable => None,
         };
-        if let Some((reason, pause)) = told {
+        if let Some((reason, pause)) = refusal {
             self.log.end(reason.to_string());
             return reason.response(Some(pause));
         }
@@ -47,8 +49,8 @@
     }
 
     pub(super) fn refuse(mut self, reason: RefusalReason) -> Response<Body> {
-        let pause_ms = (self.admitted.route.objective_ms / 2).max(SHORTEST_RETRY_MS);
-        let (reason, pause) = match self.state.quarantine_pause(self.content) {
+        let pause_ms = (self.admitted.route.objective_ms / 2).max(MIN_RETRY_AFTER_MS);
+        let (reason, pause) = match self.state.quarantine_retry_after(self.content) {
             Some(pause) => (RefusalReason::Quarantined, pause),
             None => (reason, Duration::from_millis(pause_ms)),
         };
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -29,7 +29,7 @@
     time::{Instant, timeout},
 };
 
-use crate::idle_limit::Rest;
+use crate::idle_limit::IdleLimit;
 
 /// Time for a connection to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
@@ -40,7 +40,7 @@
 
 /// Why there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoConnection {
+pub enum ConnectError {
     /// The limit of open connections is reached.
     Limit,
     /// Nobody listens at the replica's address.
@@ -53,11 +53,11 @@
 #[derive(Debug)]
 pub enum PortState {
     /// Nobody listens there.
-    Refuses,
+    Refused,
     /// Somebody does.
-    Open(OpenPort),
+    Open(ProbeConnection),
     /// It cannot be told.
-    Untold,
+    Unknown,
 }
 
 /// A connection that shows whether a port stays open. No request is sent over it meanwhile: one that may
@@ -65,12 +65,12 @@
 /// connections, which is one where routers are hundreds: a replica that lives would get no request from this
 /// router for up to a second.
 #[derive(Debug)]
-pub struct OpenPort {
+pub struct ProbeConnection {
     connection: Connection,
     task: JoinHandle<()>,
 }
 
-impl OpenPort {
+impl ProbeConnection {
     /// Ends when the other side closes the connection.
     pub async fn closed(&mut self) {
         // How the connection ended makes no difference.
@@ -81,12 +81,12 @@
 /// Connections to one replica that rest.
 #[derive(Debug, Default)]
 pub struct Pool {
-    resting: Mutex<Vec<Resting>>,
+    idle: Mutex<Vec<IdleConnection>>,
     open: Arc<AtomicU32>,
 }
 
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
@@ -98,7 +98,7 @@
     pub sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     open: Arc<AtomicU32>,
-    rest: Rest,
+    idle_limit: IdleLimit,
 }
 
 impl Drop for Connection {
@@ -111,12 +111,12 @@
 impl Connection {
     /// Takes in what the head of an answer says of the connection; false if it is not to be used
     /// again.
-    pub fn note_head(&mut self, headers: &HeaderMap, trusts_stated_rest: bool) -> bool {
-        if let Some(stated) = Rest::stated(headers) {
-            self.rest = if trusts_stated_rest {
-                stated
+    pub fn update_from_head(&mut self, headers: &HeaderMap, trust_keep_alive: bool) -> bool {
+        if let Some(advertised) = IdleLimit::from_headers(headers) {
+            self.idle_limit = if trust_keep_alive {
+                advertised
             } else {
-                stated.not_trusted_alone()
+                advertised.capped_for_non_retryable()
             };
         }
         let closes = headers
@@ -134,92 +134,92 @@
     }
 
     /// Whether a request would get a connection.
-    pub fn has_room(&self, limit: u32) -> bool {
-        self.open_connections() < limit || !self.resting().is_empty()
+    pub fn has_capacity(&self, limit: u32) -> bool {
+        self.open_connections() < limit || !self.idle().is_empty()
     }
 
     /// A connection: a resting one, or a new one if fewer than `limit` are open. A request that
-    /// must not be lost (`must_not_be_lost`) is not sent over one that the replica may just be
+    /// must not be lost (`non_retryable`) is not sent over one that the replica may just be
     /// closing.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         address: SocketAddr,
         limit: u32,
-        must_not_be_lost: bool,
-    ) -> Result<Connection, NoConnection> {
-        if let Some(connection) = self.take_resting(must_not_be_lost) {
+        non_retryable: bool,
+    ) -> Result<Connection, ConnectError> {
+        if let Some(connection) = self.take_idle(non_retryable) {
             return Ok(connection);
         }
         if self.open_connections() >= limit {
-            return Err(NoConnection::Limit);
+            return Err(ConnectError::Limit);
         }
         let (connection, _) = connect(address, &self.open).await?;
         Ok(connection)
     }
 
     /// Whether somebody listens at the replica's port.
-    pub async fn look_at_port(&self, address: SocketAddr) -> PortState {
+    pub async fn probe_port(&self, address: SocketAddr) -> PortState {
         let uncounted = Arc::default();
         match connect(address, &uncounted).await {
-            Ok((connection, task)) => PortState::Open(OpenPort { connection, task }),
-            Err(NoConnection::Refused) => PortState::Refuses,
-            Err(NoConnection::Limit | NoConnection::Unreachable) => PortState::Untold,
+            Ok((connection, task)) => PortState::Open(ProbeConnection { connection, task }),
+            Err(ConnectError::Refused) => PortState::Refused,
+            Err(ConnectError::Limit | ConnectError::Unreachable) => PortState::Unknown,
         }
     }
 
     /// Keeps a watched connection for requests if fewer than `limit` are open.
-    pub fn keep_watched(&self, watched: OpenPort, limit: u32) {
+    pub fn adopt(&self, probe: ProbeConnection, limit: u32) {
         if self.open_connections() >= limit {
             return;
         }
-        let mut connection = watched.connection;
+        let mut connection = probe.connection;
         self.open.fetch_add(1, Ordering::Relaxed);
         let uncounted = std::mem::replace(&mut connection.open, Arc::clone(&self.open));
         uncounted.fetch_sub(1, Ordering::Relaxed);
-        self.put_back(connection);
+        self.release(connection);
     }
 
     /// Takes a connection back after a whole answer.
-    pub fn put_back(&self, connection: Connection) {
+    pub fn release(&self, connection: Connection) {
         if connection.sender.is_closed() {
             return;
         }
-        self.resting().push(Resting {
+        self.idle().push(IdleConnection {
             connection,
             since: Instant::now(),
         });
     }
 
     /// Closes connections that have rested for too long.
-    pub fn close_old(&self) {
-        self.resting()
-            .retain(|resting| resting.is_usable(resting.connection.rest.limit(false)));
+    pub fn close_expired(&self) {
+        self.idle()
+            .retain(|idle| idle.is_usable(idle.connection.idle_limit.limit(false)));
     }
 
-    fn take_resting(&self, must_not_be_lost: bool) -> Option<Connection> {
-        let mut resting = self.resting();
-        while let Some(newest) = resting.pop() {
-            let rest = newest.connection.rest;
-            if newest.is_usable(rest.limit(must_not_be_lost)) {
+    fn take_idle(&self, non_retryable: bool) -> Option<Connection> {
+        let mut idle = self.idle();
+        while let Some(newest) = idle.pop() {
+            let idle_limit = newest.connection.idle_limit;
+            if newest.is_usable(idle_limit.limit(non_retryable)) {
                 return Some(newest.connection);
             }
-            if must_not_be_lost && newest.is_usable(rest.limit(false)) {
+            if non_retryable && newest.is_usable(idle_limit.limit(false)) {
                 // Still good for others.
-                resting.push(newest);
+                idle.push(newest);
                 return None;
             }
         }
         None
     }
 
-    fn resting(&self) -> MutexGuard<'_, Vec<Resting>> {
-        self.resting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn idle(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Resting {
-    fn is_usable(&self, rest: Duration) -> bool {
-        !self.connection.sender.is_closed() && self.since.elapsed() < rest
+impl IdleConnection {
+    fn is_usable(&self, idle_limit: Duration) -> bool {
+        !self.connection.sender.is_closed() && self.since.elapsed() < idle_limit
     }
 }
 
@@ -227,20 +227,20 @@
 async fn connect(
     address: SocketAddr,
     open: &Arc<AtomicU32>,
-) -> Result<(Connection, JoinHandle<()>), NoConnection> {
+) -> Result<(Connection, JoinHandle<()>), ConnectError> {
     open.fetch_add(1, Ordering::Relaxed);
-    let counted = OpenCount(Some(Arc::clone(open)));
+    let counted = OpenGuard(Some(Arc::clone(open)));
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
-        .map_err(|_| NoConnection::Unreachable)?
+        .map_err(|_| ConnectError::Unreachable)?
         .map_err(|error| match error.kind() {
-            io::ErrorKind::ConnectionRefused => NoConnection::Refused,
-            _ => NoConnection::Unreachable,
+            io::ErrorKind::ConnectionRefused => ConnectError::Refused,
+            _ => ConnectError::Unreachable,
         })?;
-    set_options(&stream).map_err(|_| NoConnection::Unreachable)?;
+    set_options(&stream).map_err(|_| ConnectError::Unreachable)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(|_| NoConnection::Unreachable)?;
+        .map_err(|_| ConnectError::Unreachable)?;
     let task = tokio::spawn(async move {
         // How it ended shows in the exchange that used it.
         let _ = connection.await;
@@ -248,22 +248,22 @@
     let connection = Connection {
         sender,
         task: task.abort_handle(),
-        open: counted.handed_on(),
-        rest: Rest::UNSTATED,
+        open: counted.into_counter(),
+        idle_limit: IdleLimit::DEFAULT,
     };
     Ok((connection, task))
 }
 
 /// Counts a connection that is being made, also if its maker is dropped.
-struct OpenCount(Option<Arc<AtomicU32>>);
+struct OpenGuard(Option<Arc<AtomicU32>>);
 
-impl OpenCount {
-    fn handed_on(mut self) -> Arc<AtomicU32> {
+impl OpenGuard {
+    fn into_counter(mut self) -> Arc<AtomicU32> {
         self.0.take().unwrap_or_default()
     }
 }
 
-impl Drop for OpenCount {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         if let Some(open) = &self.0 {
             open.fetch_sub(1, Ordering::Relaxed);
--- a/crates/proxy/src/quarantine.rs
+++ b/crates/proxy/src/quarantine.rs
@@ -24,15 +24,15 @@
 /// one end in parts, some tens of milliseconds apart, and each part is judged as it comes: one that names only
 /// a harmless request which was there as well clears the one to blame until the next part is in. Without it,
 /// 31 of 100 simulated requests ended one to nine replicas more than can be needed to tell two apart.
-pub const REPORTS_COME_IN: Duration = Duration::from_millis(150);
+pub const REPORT_SETTLE_TIME: Duration = Duration::from_millis(150);
 /// Requests with a good end that are remembered: those of a minute at 17 requests a second, 32 KB.
-const GOOD_ENDS_KEPT: usize = 1_024;
+const MAX_SUCCESSES: usize = 1_024;
 /// Time for which a good end clears a request: work that many callers ask for is then not blamed when
 /// several replicas end at the same moment. Replicas that run it badly since an update of theirs are
 /// lost under it for no longer than this.
-const GOOD_END_COUNTS: Duration = Duration::from_secs(60);
+const SUCCESS_VALIDITY: Duration = Duration::from_secs(60);
 /// Requests remembered of one replica whose connections broke: more than are open there.
-const BROKEN_KEPT: usize = 256;
+const MAX_UNREPORTED: usize = 256;
 
 /// The requests that the control group has quarantined, and those that it watches.
 #[derive(Debug, Default)]
@@ -61,14 +61,14 @@
 impl QuarantineKnowledge {
     /// Takes in what the control group tells; it is complete. It comes with answers to watches and to
     /// this router's own reports, in any order.
-    pub fn learn(&mut self, told: &QuarantineUpdate, now: Instant) -> Vec<QuarantineChange> {
-        if told.changed_at <= self.changed_at {
+    pub fn learn(&mut self, update: &QuarantineUpdate, now: Instant) -> Vec<QuarantineChange> {
+        if update.changed_at <= self.changed_at {
             return Vec::new();
         }
-        self.changed_at = told.changed_at;
+        self.changed_at = update.changed_at;
         let before = std::mem::take(&mut self.quarantined);
         let mut changes = Vec::new();
-        for content in &told.quarantined {
+        for content in &update.quarantined {
             let since = before.get(content).copied();
             if since.is_none() {
                 changes.push(QuarantineChange::Quarantined(*content));
@@ -79,9 +79,9 @@
             .into_keys()
             .filter(|content| !self.quarantined.contains_key(content));
         changes.extend(released.map(QuarantineChange::Released));
-        self.watched = told.watched.iter().copied().collect();
+        self.watched = update.watched.iter().copied().collect();
         self.suspected.clone_from(&self.watched);
-        self.settled_at = Some(now + REPORTS_COME_IN);
+        self.settled_at = Some(now + REPORT_SETTLE_TIME);
         changes
     }
 
@@ -122,13 +122,13 @@
 /// The ends that this router's own requests met.
 #[derive(Debug, Default)]
 pub struct EndsMet {
-    good: VecDeque<(ContentKey, Instant)>,
-    broken: HashMap<String, Broken>,
+    successes: VecDeque<(ContentKey, Instant)>,
+    broken: HashMap<String, BrokenConnections>,
 }
 
 /// Requests whose connections to one replica broke.
 #[derive(Debug)]
-struct Broken {
+struct BrokenConnections {
     /// Those that are not reported yet.
     unreported: Vec<ContentKey>,
     /// Those that are being reported.
@@ -137,8 +137,8 @@
     is_awaited: bool,
 }
 
-impl Broken {
-    fn awaited() -> Self {
+impl BrokenConnections {
+    fn pending() -> Self {
         Self {
             unreported: Vec::new(),
             reporting: Vec::new(),
@@ -150,24 +150,24 @@
 impl EndsMet {
     /// Notes that a replica outlived a request.
     pub fn outlived(&mut self, content: ContentKey, now: Instant) {
-        if self.good.len() >= GOOD_ENDS_KEPT {
-            self.good.pop_front();
+        if self.successes.len() >= MAX_SUCCESSES {
+            self.successes.pop_front();
         }
-        self.good.push_back((content, now));
+        self.successes.push_back((content, now));
     }
 
     /// Notes that the connection over which a replica had a request broke. True if nobody looks yet
     /// whether the replica has ended.
     pub fn broke(&mut self, replica: &str, content: ContentKey, now: Instant) -> bool {
         let is_first = !self.broken.contains_key(replica);
-        let is_cleared = self.good.iter().rev().any(|(good, at)| {
-            *good == content && now.saturating_duration_since(*at) < GOOD_END_COUNTS
+        let is_cleared = self.successes.iter().rev().any(|(success, at)| {
+            *success == content && now.saturating_duration_since(*at) < SUCCESS_VALIDITY
         });
         let broken = self
             .broken
             .entry(replica.to_owned())
-            .or_insert_with(Broken::awaited);
-        if !is_cleared && broken.unreported.len() < BROKEN_KEPT {
+            .or_insert_with(BrokenConnections::pending);
+        if !is_cleared && broken.unreported.len() < MAX_UNREPORTED {
             broken.unreported.push(content);
         }
         is_first
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -18,9 +18,9 @@
 };
 
 /// Time for one question; a leader that is gone must not take all of a request's time.
-const ASK_TIMEOUT: Duration = Duration::from_millis(250);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Pause before another control replica is asked, while a leader is being elected.
-const ASK_PAUSE: Duration = Duration::from_millis(30);
+const GRANT_RETRY_INTERVAL: Duration = Duration::from_millis(30);
 /// Part of the objective, as a divisor, for which a request may wait for its part of the quota: the
 /// rest is needed for its answer.
 const WAIT_DIVISOR: u32 = 8;
@@ -29,11 +29,11 @@
 /// Part of the time left, as a divisor, for which a request that is late anyway may wait. All that
 /// waited for the same leader come at once then; those that are refused have mostly spent their
 /// retry.
-const LATE_WAIT_DIVISOR: u32 = 4;
+const LATE_MAX_WAIT_DIVISOR: u32 = 4;
 /// Part of the objective, as a divisor, in which a leader must have been found.
-const SEARCH_DIVISOR: u32 = 2;
+const LEADER_SEARCH_DIVISOR: u32 = 2;
 /// Shortest time in which one must have been found.
-const SHORTEST_SEARCH: Duration = Duration::from_millis(200);
+const MIN_LEADER_SEARCH: Duration = Duration::from_millis(200);
 
 /// Why a request has no part of its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 
 /// Takes the part of its tenant's quota that an admitted request needs; at once if the tenant has
 /// no limit.
-pub async fn take(
+pub async fn acquire(
     state: &ProxyState,
     request: &ProxiedRequest,
     admitted: &Admitted,
@@ -55,10 +55,10 @@
         return Ok(());
     };
     let objective = Duration::from_millis(admitted.route.objective_ms);
-    let search = (objective / SEARCH_DIVISOR).max(SHORTEST_SEARCH);
-    let until = (Instant::now() + search).min(admitted.deadline);
-    let wait = longest_wait(request.received, admitted.deadline, objective);
-    let question = QuotaRequest {
+    let search_time = (objective / LEADER_SEARCH_DIVISOR).max(MIN_LEADER_SEARCH);
+    let until = (Instant::now() + search_time).min(admitted.deadline);
+    let wait = max_wait(request.received, admitted.deadline, objective);
+    let grant_request = QuotaRequest {
         subject: QuotaSubject::Tenant {
             name: tenant.clone(),
         },
@@ -66,23 +66,23 @@
         longest_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
     };
     loop {
-        match ask(state, &question, until).await {
-            Asked::Granted => return Ok(()),
-            Asked::Refused(retry_after) => {
+        match request_grant(state, &grant_request, until).await {
+            GrantOutcome::Granted => return Ok(()),
+            GrantOutcome::Refused(retry_after) => {
                 return Err(QuotaRefusal {
                     reason: RefusalReason::QuotaUsed,
                     retry_after: Some(retry_after),
                 });
             }
-            Asked::Unanswered => {
-                if Instant::now() + ASK_PAUSE >= until {
+            GrantOutcome::Unanswered => {
+                if Instant::now() + GRANT_RETRY_INTERVAL >= until {
                     state.metrics.quota_unanswered.inc();
                     return Err(QuotaRefusal {
                         reason: RefusalReason::QuotaUnknown,
-                        retry_after: Some(search),
+                        retry_after: Some(search_time),
                     });
                 }
-                sleep(ASK_PAUSE).await;
+                sleep(GRANT_RETRY_INTERVAL).await;
             }
         }
     }
@@ -92,11 +92,11 @@
 /// soon. A router of hundreds has less than one retry of its own in a window.
 pub async fn borrow_retry(state: &ProxyState, service: &str, objective: Duration) -> bool {
     // Asking again would only hold the request.
-    if !state.control_peers.grants() {
+    if !state.control_peers.supports_grants() {
         return false;
     }
     let until = Instant::now() + objective / WAIT_DIVISOR;
-    let question = QuotaRequest {
+    let grant_request = QuotaRequest {
         subject: QuotaSubject::Retries {
             service: service.to_owned(),
         },
@@ -104,49 +104,55 @@
         longest_wait_ms: 0,
     };
     loop {
-        match ask(state, &question, until).await {
-            Asked::Granted => return true,
-            Asked::Refused(_) => return false,
-            Asked::Unanswered if Instant::now() + ASK_PAUSE >= until => return false,
-            Asked::Unanswered => sleep(ASK_PAUSE).await,
+        match request_grant(state, &grant_request, until).await {
+            GrantOutcome::Granted => return true,
+            GrantOutcome::Refused(_) => return false,
+            GrantOutcome::Unanswered if Instant::now() + GRANT_RETRY_INTERVAL >= until => {
+                return false;
+            }
+            GrantOutcome::Unanswered => sleep(GRANT_RETRY_INTERVAL).await,
         }
     }
 }
 
 /// How long a request may wait for its part of the quota.
-fn longest_wait(received: Instant, deadline: Instant, objective: Duration) -> Duration {
+fn max_wait(received: Instant, deadline: Instant, objective: Duration) -> Duration {
     let now = Instant::now();
     if now.saturating_duration_since(received) < objective / LATE_DIVISOR {
         objective / WAIT_DIVISOR
     } else {
-        deadline.saturating_duration_since(now) / LATE_WAIT_DIVISOR
+        deadline.saturating_duration_since(now) / LATE_MAX_WAIT_DIVISOR
     }
 }
 
-enum Asked {
+enum GrantOutcome {
     Granted,
     Refused(Duration),
     Unanswered,
 }
 
 /// One question to the replica that is believed to lead.
-async fn ask(state: &ProxyState, question: &QuotaRequest, until: Instant) -> Asked {
-    let asked_at = BootInstant::now();
-    let limit = ASK_TIMEOUT.min(until.saturating_duration_since(Instant::now()));
-    let sent = question.clone();
-    let answered = state
+async fn request_grant(
+    state: &ProxyState,
+    grant_request: &QuotaRequest,
+    until: Instant,
+) -> GrantOutcome {
+    let requested_at = BootInstant::now();
+    let limit = GRANT_TIMEOUT.min(until.saturating_duration_since(Instant::now()));
+    let sent = grant_request.clone();
+    let response = state
         .control_peers
-        .ask("quota", |client| async move {
+        .call("quota", |client| async move {
             client.take_quota(call_deadline(limit), sent).await
         })
         .await;
-    let Some((reply, asked)) = answered else {
-        return Asked::Unanswered;
+    let Some((reply, address)) = response else {
+        return GrantOutcome::Unanswered;
     };
     match reply {
         QuotaReply::Granted { wait_ms } => {
-            state.control_peers.leads(asked);
-            wait_for_part(asked_at, wait_ms).await
+            state.control_peers.set_leader(address);
+            wait_for_grant(requested_at, wait_ms).await
         }
         QuotaReply::Refused {
             retry_after_ms,
@@ -155,33 +161,33 @@
             term,
         } => {
             spdlog::info!("quota used up", kv: {
-                subject = format!("{:?}", question.subject),
-                stated_tokens = question.stated_tokens.unwrap_or_default(),
+                subject = format!("{:?}", grant_request.subject),
+                stated_tokens = grant_request.stated_tokens.unwrap_or_default(),
                 rate_per_s,
                 level,
                 // Whose ledger it is, and how old its answer.
-                leader = asked.to_string(),
+                leader = address.to_string(),
                 term,
-                age_ms = asked_at.elapsed().as_millis() as u64,
+                age_ms = requested_at.elapsed().as_millis() as u64,
                 retry_after_ms,
             });
-            Asked::Refused(Duration::from_millis(u64::from(retry_after_ms)))
+            GrantOutcome::Refused(Duration::from_millis(u64::from(retry_after_ms)))
         }
         QuotaReply::NotLeader { leader } => {
-            state.control_peers.follow(asked, leader);
-            Asked::Unanswered
+            state.control_peers.follow_redirect(address, leader);
+            GrantOutcome::Unanswered
         }
     }
 }
 
 /// Waits until what was granted is there. What is used later than its life is not covered by the
 /// ledger, so it is asked for anew.
-async fn wait_for_part(asked_at: BootInstant, wait_ms: u32) -> Asked {
+async fn wait_for_grant(requested_at: BootInstant, wait_ms: u32) -> GrantOutcome {
     let wait = Duration::from_millis(u64::from(wait_ms));
     sleep(wait).await;
-    if asked_at.elapsed() <= wait + GRANT_LIFE {
-        Asked::Granted
+    if requested_at.elapsed() <= wait + GRANT_LIFE {
+        GrantOutcome::Granted
     } else {
-        Asked::Unanswered
+        GrantOutcome::Unanswered
     }
 }
--- a/crates/proxy/src/replicas.rs
+++ b/crates/proxy/src/replicas.rs
@@ -20,18 +20,18 @@
 };
 
 /// Time after its last sign in which a replica without open requests is told of.
-const SIGHTING_KEPT: Duration = Duration::from_millis(1_500);
+const IDLE_OBSERVATION_MAX_AGE: Duration = Duration::from_millis(1_500);
 /// Time without any sign after which a replica with open requests is waited for in vain. A prompt
 /// that waits behind others may take as long; that others hear from the replica tells it apart.
-const IN_VAIN_AFTER: Duration = Duration::from_millis(700);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(700);
 
 /// One life of a replica, as this router uses it.
 #[derive(Debug)]
-pub struct ReplicaUse {
+pub struct ReplicaHandle {
     /// Connections.
     pub pool: Pool,
     load: Mutex<Load>,
-    heard_at: Mutex<Instant>,
+    last_response_at: Mutex<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +43,7 @@
     health: Health,
 }
 
-impl ReplicaUse {
+impl ReplicaHandle {
     fn new(now: Instant) -> Self {
         Self {
             pool: Pool::default(),
@@ -53,49 +53,50 @@
                 unread_tokens: 0,
                 health: Health::new(now),
             }),
-            heard_at: Mutex::new(now),
+            last_response_at: Mutex::new(now),
         }
     }
 
     /// Notes that something came from the replica, on any connection.
-    pub fn note_heard(&self, now: Instant) {
-        *lock(&self.heard_at) = now;
+    pub fn record_response(&self, now: Instant) {
+        *lock(&self.last_response_at) = now;
     }
 
     /// Whether anything came from the replica since `since`.
-    pub fn heard_since(&self, since: Instant) -> bool {
-        *lock(&self.heard_at) > since
+    pub fn responded_since(&self, since: Instant) -> bool {
+        *lock(&self.last_response_at) > since
     }
 
     /// Whether the replica may be sent work now.
-    pub fn allows(&self, now: Instant) -> bool {
-        self.load().health.allows(now)
+    pub fn is_available(&self, now: Instant) -> bool {
+        self.load().health.is_available(now)
     }
 
     /// What this router has met at the replica lately; `None` if it has not used it.
-    fn sighting(&self, replica: &str, now: Instant) -> Option<ReplicaSighting> {
-        let heard_at = *lock(&self.heard_at);
+    fn observation(&self, replica: &str, now: Instant) -> Option<ReplicaSighting> {
+        let last_response_at = *lock(&self.last_response_at);
         let load = *self.load();
-        let silence = now.saturating_duration_since(heard_at);
+        let silence = now.saturating_duration_since(last_response_at);
         let is_waiting = load.open_requests > 0;
-        let unreachable = load.health.is_suspected() && !load.health.allows(now);
-        if !is_waiting && !unreachable && silence > SIGHTING_KEPT {
+        let unreachable = load.health.is_suspected() && !load.health.is_available(now);
+        if !is_waiting && !unreachable && silence > IDLE_OBSERVATION_MAX_AGE {
             return None;
         }
-        let last_sign = heard_at.max(load.busy_since);
-        let in_vain = is_waiting && now.saturating_duration_since(last_sign) > IN_VAIN_AFTER;
+        let last_activity = last_response_at.max(load.busy_since);
+        let is_unanswered =
+            is_waiting && now.saturating_duration_since(last_activity) > UNRESPONSIVE_AFTER;
         Some(ReplicaSighting {
             replica: ReplicaKey::of(replica),
             open_requests: u16::try_from(load.open_requests).unwrap_or(u16::MAX),
             unread_tokens: u32::try_from(load.unread_tokens).unwrap_or(u32::MAX),
             heard_ms: u16::try_from(silence.as_millis()).unwrap_or(u16::MAX),
-            waiting_in_vain: u16::from(in_vain || unreachable),
+            waiting_in_vain: u16::from(is_unanswered || unreachable),
         })
     }
 
     /// Fills in what is known of the replica's load: `shared` is what all routers met there, if
     /// that is known.
-    pub fn describe(
+    pub fn fill_candidate(
         &self,
         candidate: Candidate,
         policy: Policy,
@@ -103,23 +104,23 @@
         now: Instant,
     ) -> Candidate {
         let load = self.load();
-        let mut described = candidate;
+        let mut filled = candidate;
         if policy.own_load {
-            described.open_requests = load.open_requests;
-            described.unread_tokens = load.unread_tokens;
+            filled.open_requests = load.open_requests;
+            filled.unread_tokens = load.unread_tokens;
         }
-        described.shared_load = shared;
+        filled.shared_load = shared;
         if policy.failure_rate {
-            described.failure_rate = load.health.failure_rate(now);
+            filled.failure_rate = load.health.failure_rate(now);
         }
-        described
+        filled
     }
 
     /// Notes how an exchange ended; tells whether the replica is suspected since, or no more.
-    pub fn note(&self, end: ExchangeEnd, now: Instant) -> Option<Suspicion> {
+    pub fn record_outcome(&self, end: ExchangeEnd, now: Instant) -> Option<Suspicion> {
         let health = &mut self.load().health;
         let before = health.is_suspected();
-        health.note(end, now);
+        health.record(end, now);
         match (before, health.is_suspected()) {
             (false, true) => Some(Suspicion::Raised),
             (true, false) => Some(Suspicion::Cleared),
@@ -144,14 +145,14 @@
 /// A request that is open at a replica; dropping it closes the account.
 #[derive(Debug)]
 pub struct OpenRequest {
-    replica: Arc<ReplicaUse>,
+    replica: Arc<ReplicaHandle>,
     unread_tokens: u64,
     began_at: Instant,
 }
 
 impl OpenRequest {
     /// Notes a request that is sent with a prompt of which `unread_tokens` must be read.
-    pub fn begin(replica: Arc<ReplicaUse>, unread_tokens: u64) -> Self {
+    pub fn begin(replica: Arc<ReplicaHandle>, unread_tokens: u64) -> Self {
         let began_at = Instant::now();
         {
             let mut load = replica.load();
@@ -169,12 +170,12 @@
     }
 
     /// Time since the request was sent.
-    pub fn waited(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.began_at.elapsed()
     }
 
     /// Notes that the prompt is read.
-    pub fn prompt_read(&mut self) {
+    pub fn prefill_done(&mut self) {
         let mut load = self.replica.load();
         load.unread_tokens = load.unread_tokens.saturating_sub(self.unread_tokens);
         self.unread_tokens = 0;
@@ -183,7 +184,7 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.prompt_read();
+        self.prefill_done();
         let mut load = self.replica.load();
         load.open_requests = load.open_requests.saturating_sub(1);
     }
@@ -192,7 +193,7 @@
 /// All replicas that this router uses.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
-    uses: HashMap<String, Arc<ReplicaUse>>,
+    handles: HashMap<String, Arc<ReplicaHandle>>,
     sent: SentPrefixes,
     /// What replicas said of taking requests; outlasts their accounts, which a view without them ends.
     pub availability: Availability,
@@ -200,13 +201,13 @@
 
 impl ReplicaTable {
     /// The account of a replica.
-    pub fn of(&mut self, replica: &str, now: Instant) -> Arc<ReplicaUse> {
-        let known = self.uses.get(replica);
+    pub fn handle(&mut self, replica: &str, now: Instant) -> Arc<ReplicaHandle> {
+        let known = self.handles.get(replica);
         if let Some(known) = known {
             return Arc::clone(known);
         }
-        let new = Arc::new(ReplicaUse::new(now));
-        self.uses.insert(replica.to_owned(), Arc::clone(&new));
+        let new = Arc::new(ReplicaHandle::new(now));
+        self.handles.insert(replica.to_owned(), Arc::clone(&new));
         new
     }
 
@@ -216,13 +217,13 @@
     }
 
     /// Notes that a replica reads a prompt.
-    pub fn note_sent(&mut self, replica: &str, path: &PrefixPath, now: Instant) {
-        self.sent.note(replica, path, now);
+    pub fn record_sent(&mut self, replica: &str, path: &PrefixPath, now: Instant) {
+        self.sent.record(replica, path, now);
     }
 
     /// Forgets replicas that are gone, and what those keep that were given new weights.
-    pub fn follow(&mut self, before: &ServingView, after: &ServingView) {
-        self.uses
+    pub fn apply_view(&mut self, before: &ServingView, after: &ServingView) {
+        self.handles
             .retain(|replica, _| after.replicas.contains_key(replica));
         // Both are in order, so that no replica is looked up.
         let mut present = after.replicas.iter().peekable();
@@ -232,32 +233,33 @@
             let kept = now
                 .is_some_and(|(_, now)| Arc::ptr_eq(now, record) || now.weights == record.weights);
             if !kept {
-                self.sent.forget(replica);
+                self.sent.remove_replica(replica);
             }
         }
     }
 
     /// Whether anything came from a replica other than this one within the `limit` before now.
-    pub fn heard_another(&self, replica: &str, limit: Duration, now: Instant) -> bool {
+    pub fn any_other_responded(&self, replica: &str, limit: Duration, now: Instant) -> bool {
         let Some(since) = now.checked_sub(limit) else {
             return false;
         };
-        let mut others = self.uses.iter().filter(|(other, _)| *other != replica);
-        others.any(|(_, usage)| usage.heard_since(since))
+        let mut others = self.handles.iter().filter(|(other, _)| *other != replica);
+        others.any(|(_, handle)| handle.responded_since(since))
     }
 
     /// What this router has met at the replicas lately.
-    pub fn sightings(&self, now: Instant) -> Vec<ReplicaSighting> {
-        let uses = self.uses.iter();
-        uses.filter_map(|(replica, usage)| usage.sighting(replica, now))
+    pub fn observations(&self, now: Instant) -> Vec<ReplicaSighting> {
+        let handles = self.handles.iter();
+        handles
+            .filter_map(|(replica, handle)| handle.observation(replica, now))
             .collect()
     }
 
     /// Closes connections that have rested for too long, and forgets what holds no longer.
-    pub fn discard_old(&mut self, now: Moment) {
+    pub fn remove_expired(&mut self, now: Moment) {
         self.availability.forget_past(now);
-        for replica in self.uses.values() {
-            replica.pool.close_old();
+        for replica in self.handles.values() {
+            replica.pool.close_expired();
         }
     }
 }
--- a/crates/proxy/src/request_log.rs
+++ b/crates/proxy/src/request_log.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    admission::Admitted, attempt::Target, choice::Candidate, prefill_latency::TokensAhead,
+    admission::Admitted, attempt::Target, choice::Candidate, prefill_latency::PrefillBacklog,
     request::ProxiedRequest, state::ProxyState,
 };
 
@@ -33,7 +33,7 @@
     pub weights: u64,
     cost: f64,
     /// What the prompt had to wait for there.
-    ahead: TokensAhead,
+    backlog: PrefillBacklog,
     /// Where the replica was told to fetch what it lacks; empty if nowhere.
     fetch_from: String,
     attempts: u32,
@@ -61,7 +61,7 @@
             prefix: 0,
             weights: 0,
             cost: 0.0,
-            ahead: TokensAhead::default(),
+            backlog: PrefillBacklog::default(),
             fetch_from: String::new(),
             attempts: 0,
             first_byte: None,
@@ -83,11 +83,11 @@
         self.candidate = *candidate;
         self.cost = cost;
         self.known = known;
-        self.ahead = target.ahead;
+        self.backlog = target.backlog;
     }
 
     /// Notes a choice, with what decided it.
-    pub fn chose(&mut self, target: &Target, candidate: &Candidate, cost: f64, known: u64) {
+    pub fn selected(&mut self, target: &Target, candidate: &Candidate, cost: f64, known: u64) {
         self.considered(target, candidate, cost, known);
         self.fetch_from = target.fetch_from.clone().unwrap_or_default();
         self.attempts += 1;
@@ -97,7 +97,7 @@
                 request = self.request.clone(),
                 attempt = self.attempts,
                 replica = self.replica.clone(),
-                kept_tokens = self.candidate.known_tokens,
+                kept_tokens = self.candidate.cached_tokens,
                 rank = self.candidate.rank,
                 cost = self.cost,
                 known,
@@ -106,14 +106,14 @@
     }
 
     /// Notes the whole answer of a replica.
-    pub fn answered(&mut self, target: &Target, status: u16) {
-        self.first_byte();
+    pub fn completed(&mut self, target: &Target, status: u16) {
+        self.record_first_byte();
         self.replica.clone_from(&target.record.id);
         self.end(format!("answered_{status}"));
     }
 
     /// Notes that the first byte of the answer is here.
-    pub fn first_byte(&mut self) {
+    pub fn record_first_byte(&mut self) {
         let waited = self.received.elapsed();
         self.first_byte = Some(waited);
         self.state
@@ -135,7 +135,7 @@
             .take()
             .unwrap_or_else(|| "caller_gone".to_owned());
         self.state.metrics.open_requests.dec();
-        self.state.metrics.request_ended(self.kind, &outcome);
+        self.state.metrics.record_request_end(self.kind, &outcome);
         spdlog::info!("request", kv: {
             request = self.request.clone(),
             content = self.content.to_string(),
@@ -147,7 +147,7 @@
             replica = self.replica.clone(),
             prefix = format!("{:016x}", self.prefix),
             shared_tokens = self.shared_tokens,
-            kept_tokens = self.candidate.known_tokens,
+            kept_tokens = self.candidate.cached_tokens,
             rank = self.candidate.rank,
             open_requests = self.candidate.open_requests,
             unread_tokens = self.candidate.unread_tokens,
@@ -155,8 +155,8 @@
             shared_open = self.candidate.shared_load.map_or(0, |load| load.open_requests),
             shared_unread = self.candidate.shared_load.map_or(0, |load| load.unread_tokens),
             has_shared_view = self.candidate.shared_load.is_some(),
-            unread_own = self.ahead.own,
-            unread_mean = self.ahead.mean_others,
+            unread_own = self.backlog.uncached_tokens,
+            unread_mean = self.backlog.mean_queued_tokens,
             fetch_from = self.fetch_from.clone(),
             weights = self.weights,
             cost = self.cost,
--- a/crates/proxy/src/retry_decision.rs
+++ b/crates/proxy/src/retry_decision.rs
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Send it to another replica, if the budget allows.
-    TryAgain,
+    Retry,
     /// Pass the replica's failure on.
-    PassOn,
+    ForwardFailure,
     /// Refuse: it has not run and never will.
     RefuseNotRun,
     /// Tell that it may have run.
@@ -48,19 +48,19 @@
 }
 
 /// Replicas that may decline a request before it is refused.
-const DECLINES_TAKEN: u32 = 3;
+const MAX_DECLINES: u32 = 3;
 
 /// Decides after an exchange that brought no good answer.
 pub fn next_step(facts: ExchangeFacts) -> NextStep {
-    let may_try = match facts.proof {
+    let can_retry = match facts.proof {
         ExchangeProof::Withheld => true,
-        ExchangeProof::NotRun => facts.declined < DECLINES_TAKEN,
+        ExchangeProof::NotRun => facts.declined < MAX_DECLINES,
         ExchangeProof::MayHaveRun | ExchangeProof::RanAndFailed => {
             facts.may_repeat && facts.replicas_used < facts.max_attempts
         }
     };
-    if may_try && facts.in_time {
-        return NextStep::TryAgain;
+    if can_retry && facts.in_time {
+        return NextStep::Retry;
     }
     without_retry(facts)
 }
@@ -68,7 +68,7 @@
 /// Decides when no further try is possible.
 pub fn without_retry(facts: ExchangeFacts) -> NextStep {
     match facts.proof {
-        ExchangeProof::RanAndFailed => NextStep::PassOn,
+        ExchangeProof::RanAndFailed => NextStep::ForwardFailure,
         ExchangeProof::MayHaveRun => NextStep::FailUnknown,
         ExchangeProof::Withheld | ExchangeProof::NotRun if facts.replicas_used == 0 => {
             NextStep::RefuseNotRun
--- a/crates/proxy/src/retry_pacing.rs
+++ b/crates/proxy/src/retry_pacing.rs
@@ -9,21 +9,21 @@
 use railtack_serving::Moment;
 
 /// Longest pause that a caller is told: limits come and go within seconds.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
 /// Rate that is reckoned with where limits allow less, requests a second.
-const LOWEST_RATE: f64 = 0.25;
+const MIN_RATE: f64 = 0.25;
 
 /// The room that callers of one service were told to come back for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ReturnTimes {
+pub struct RetryPacer {
     /// When the next caller is told to come back at the earliest.
     next: Moment,
 }
 
-impl ReturnTimes {
+impl RetryPacer {
     /// Pause for one more caller. The first replica has room in `opens_in`; together they allow `per_s` requests
     /// a second to `routers` routers.
-    pub fn pause(
+    pub fn next_retry_after(
         &mut self,
         now: Moment,
         opens_in: Duration,
@@ -33,11 +33,11 @@
     ) -> Duration {
         let at = self.next.max(now + opens_in);
         let pause = at.saturating_sub(now);
-        if pause > LONGEST_PAUSE {
+        if pause > MAX_RETRY_AFTER {
             let part = seed as f64 / u64::MAX as f64;
-            return LONGEST_PAUSE.mul_f64(0.5 + part / 2.0);
+            return MAX_RETRY_AFTER.mul_f64(0.5 + part / 2.0);
         }
-        let apart = f64::from(routers.max(1)) / per_s.max(LOWEST_RATE);
+        let apart = f64::from(routers.max(1)) / per_s.max(MIN_RATE);
         self.next = at + Duration::from_secs_f64(apart);
         pause
     }
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -15,18 +15,18 @@
     affinity::rendezvous,
     attempt::Target,
     choice::{self, Candidate, RequestSize, SharedLoad},
-    fleet_view::{FEWEST_ROUTERS_FOR_SHARED_LOAD, FleetKnowledge},
+    fleet_view::{FleetView, MIN_ROUTERS_FOR_SHARED_LOAD},
     homes::{Homes, SMALLEST_GROUP, busy_replicas, first_usable, group_size, nested},
     permits::{self, Permission},
     pipeline::RequestRun,
-    prefill_latency::TokensAhead,
+    prefill_latency::PrefillBacklog,
     replicas::ReplicaTable,
     state::lock,
     view::ServingView,
 };
 
 /// Pause between two looks for a replica that takes work.
-const LOOK_PAUSE: Duration = Duration::from_millis(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// Part of the objective for which a request may wait for a replica before it is refused.
 const WAIT_DIVISOR: u64 = 5;
 /// Connections that a router may open to one replica if the configuration states no limit.
@@ -34,9 +34,9 @@
 
 /// Replicas that have no room under the limits that they named.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FullLimits {
+pub struct ExhaustedLimits {
     /// Time until the first of them has room.
-    pub opens_in: Duration,
+    pub available_in: Duration,
     /// Requests a second that their limits allow together.
     pub per_s: f64,
 }
@@ -45,14 +45,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NoTarget {
     /// None takes work.
-    Nobody,
+    NoneAvailable,
     /// All that could run it asked for no requests for a time.
     BackingOff {
         /// Time until the first of them takes requests again.
-        opens_in: Duration,
+        available_in: Duration,
     },
     /// All that could run it have no room under the limits that they named.
-    AtLimit(FullLimits),
+    AtLimit(ExhaustedLimits),
     /// The first event would come too late.
     TooLate {
         /// When the caller should come back.
@@ -61,7 +61,7 @@
 }
 
 /// A replica that may be sent the request, and what speaks for and against it.
-struct Offer {
+struct EligibleReplica {
     candidate: Candidate,
     target: Target,
 }
@@ -72,10 +72,10 @@
         let route = &self.admitted.route;
         let wait = Duration::from_millis(route.objective_ms / WAIT_DIVISOR);
         let until = (self.request.received + wait).min(self.admitted.deadline);
-        let mut changes = self.state.changes();
+        let mut changes = self.state.view_changes();
         loop {
-            let chosen = match self.choose() {
-                Ok(target) => match self.permitted(target).await {
+            let chosen = match self.select() {
+                Ok(target) => match self.acquire_permit(target).await {
                     Some(target) => return Ok(target),
                     // Its limit has no room, which is known since: the next choice leaves it out.
                     None => continue,
@@ -83,22 +83,22 @@
                 Err(cause) => cause,
             };
             let now = Instant::now();
-            let is_over = now >= until || !self.state.is_confirmed();
+            let timed_out = now >= until || !self.state.is_confirmed();
             let may_change = match chosen {
-                NoTarget::Nobody => true,
-                NoTarget::BackingOff { opens_in } => {
-                    opens_in <= until.saturating_duration_since(now)
+                NoTarget::NoneAvailable => true,
+                NoTarget::BackingOff { available_in } => {
+                    available_in <= until.saturating_duration_since(now)
                 }
                 // Those that wait would all come for the next permit.
                 NoTarget::AtLimit(_) | NoTarget::TooLate { .. } => false,
             };
-            if is_over || !may_change {
+            if timed_out || !may_change {
                 return Err(chosen);
             }
             let change = async {
                 tokio::select! {
                     _ = changes.changed() => {}
-                    () = sleep(LOOK_PAUSE) => {}
+                    () = sleep(POLL_INTERVAL) => {}
                 }
             };
             let _ = timeout_at(until, change).await;
@@ -106,7 +106,7 @@
     }
 
     /// The target with a permit, if its replica has a limit; `None` if that has no room.
-    async fn permitted(&self, mut target: Target) -> Option<Target> {
+    async fn acquire_permit(&self, mut target: Target) -> Option<Target> {
         let objective = Duration::from_millis(self.admitted.route.objective_ms);
         match permits::take(&*self.state, &target.record.id, objective).await {
             Permission::Given(permit) => {
@@ -117,44 +117,44 @@
         }
     }
 
-    fn choose(&mut self) -> Result<Target, NoTarget> {
+    fn select(&mut self) -> Result<Target, NoTarget> {
         let view = self.state.view.load_full();
-        let table = view.table.as_ref().ok_or(NoTarget::Nobody)?;
+        let table = view.table.as_ref().ok_or(NoTarget::NoneAvailable)?;
         let configuration = table.configuration();
         let mut replicas = lock(&self.state.replicas);
-        let homes = self.ready_homes(&view, configuration, &replicas.availability);
+        let homes = self.home_replicas(&view, configuration, &replicas.availability);
         let ranked = &homes.ranked;
-        let mut offers = self.offers(ranked, &mut replicas, configuration);
-        let candidates: Vec<Candidate> = offers.iter().map(|offer| offer.candidate).collect();
-        let chosen = choice::choose(&candidates, self.size(), rand::random());
+        let mut eligible = self.eligible_replicas(ranked, &mut replicas, configuration);
+        let candidates: Vec<Candidate> = eligible.iter().map(|entry| entry.candidate).collect();
+        let chosen = choice::choose(&candidates, self.request_size(), rand::random());
         let Some((position, cost)) = chosen else {
-            return Err(without_offer(
+            return Err(no_eligible_cause(
                 ranked,
                 &replicas.availability,
                 self.state.uptime(),
             ));
         };
-        let Offer {
+        let EligibleReplica {
             candidate,
             mut target,
-        } = offers.swap_remove(position);
-        target.ahead = self.tokens_ahead(&candidate, &target, ranked);
-        if let Some(retry_after) = self.late_refusal(target.ahead) {
+        } = eligible.swap_remove(position);
+        target.backlog = self.prefill_backlog(&candidate, &target, ranked);
+        if let Some(retry_after) = self.overload_retry_after(target.backlog) {
             self.log
                 .considered(&target, &candidate, cost, view.known.through);
             return Err(NoTarget::TooLate { retry_after });
         }
         let store = self.store(configuration);
         target.fetch_from = self
-            .holder(&homes, &mut replicas, &target.record)
+            .fetch_source(&homes, &mut replicas, &target.record)
             .or_else(|| store.map(|store| store.address.clone()))
             .filter(|_| self.state.options.policy.fetch);
         drop(replicas);
         target.save_to = store
-            .filter(|_| self.is_saved(target.kept_tokens, configuration))
+            .filter(|_| self.should_save(target.cached_tokens, configuration))
             .map(|store| store.address.clone());
         self.log
-            .chose(&target, &candidate, cost, view.known.through);
+            .selected(&target, &candidate, cost, view.known.through);
         self.log.prefix = self.path.key().unwrap_or_default();
         self.log.shared_tokens = self.path.shared_tokens();
         self.log.weights = self.expected_weights(&target.record).unwrap_or_default();
@@ -162,45 +162,46 @@
     }
 
     /// What the prompt has to wait for at a replica, and would have to on average at those looked at.
-    fn tokens_ahead(
+    fn prefill_backlog(
         &self,
         candidate: &Candidate,
         target: &Target,
         ranked: &[&Arc<ReplicaRecord>],
-    ) -> TokensAhead {
-        let own = choice::unread_tokens(candidate, self.size());
+    ) -> PrefillBacklog {
+        let uncached_tokens = choice::uncached_tokens(candidate, self.request_size());
         let Some(fleet) = self.state.current_fleet(Instant::now()) else {
-            return TokensAhead {
-                own,
-                others: candidate.unread_tokens,
-                mean_others: 0,
+            return PrefillBacklog {
+                uncached_tokens,
+                queued_tokens: candidate.unread_tokens,
+                mean_queued_tokens: 0,
             };
         };
         let unread = |record: &ReplicaRecord| shared_load(&fleet, record).unread_tokens;
         let sum: u64 = ranked.iter().map(|record| unread(record)).sum();
-        TokensAhead {
-            own,
-            others: unread(&target.record).max(candidate.unread_tokens),
-            mean_others: sum / ranked.len().max(1) as u64,
+        PrefillBacklog {
+            uncached_tokens,
+            queued_tokens: unread(&target.record).max(candidate.unread_tokens),
+            mean_queued_tokens: sum / ranked.len().max(1) as u64,
         }
     }
 
     /// When the caller should come back, if the first event would come too late. One that has run
     /// elsewhere, or continues a stream, is sent all the same: its caller has waited for it.
-    fn late_refusal(&self, ahead: TokensAhead) -> Option<Duration> {
+    fn overload_retry_after(&self, backlog: PrefillBacklog) -> Option<Duration> {
         let is_new = self.tried.is_empty() && self.request.last_event.is_none();
         let is_stream = self.admitted.route.kind.is_stream();
         if !is_new || !is_stream || self.path.prompt_tokens == 0 {
             return None;
         }
         let objective = Duration::from_millis(self.admitted.route.objective_ms);
-        self.state.late_refusal(&self.service, ahead, objective)
+        self.state
+            .overload_retry_after(&self.service, backlog, objective)
     }
 
     /// Replicas that may run the request and were not asked yet, the favoured ones first: as many as are
     /// looked at. Those from which no router hears anything are left out, so that all routers agree on who
     /// stands in for them.
-    fn ready_homes<'a>(
+    fn home_replicas<'a>(
         &self,
         view: &'a ServingView,
         configuration: &ServingConfiguration,
@@ -209,10 +210,10 @@
         let Some(ring) = view.ready(&self.service) else {
             return Homes::default();
         };
-        let oldest = self.oldest_usable_weights();
-        let may_run = |record: &&Arc<ReplicaRecord>| {
+        let oldest_weights = self.oldest_usable_weights();
+        let can_run = |record: &&Arc<ReplicaRecord>| {
             let is_free = record.order.is_none() && !self.tried.contains(&record.id);
-            is_free && self.serves_model(record, oldest)
+            is_free && self.serves_model(record, oldest_weights)
         };
         let now = Instant::now();
         let uptime = self.state.uptime();
@@ -225,31 +226,31 @@
         let policy = self.state.options.policy;
         let home = self.path.key().filter(|_| policy.homes);
         if ring.len() <= SMALLEST_GROUP {
-            let candidates = ring.from(0).filter(may_run);
+            let candidates = ring.from(0).filter(can_run);
             let all = first_usable(candidates, SMALLEST_GROUP, is_usable);
             return Homes::of_all(home, all);
         }
-        let is_shared = policy.nested_homes && !self.admitted.isolated;
-        let first_part = self.path.first_key().filter(|_| is_shared);
-        if let (Some(home), Some(first_part)) = (home, first_part) {
+        let uses_groups = policy.nested_homes && !self.admitted.isolated;
+        let first_segment = self.path.first_segment_key().filter(|_| uses_groups);
+        if let (Some(home), Some(first_segment)) = (home, first_segment) {
             let size = self.group_size(fleet, configuration, now);
-            let candidates = ring.from(first_part).filter(may_run);
+            let candidates = ring.from(first_segment).filter(can_run);
             return nested(home, candidates, size, is_usable);
         }
         // Without a favoured one, those that are looked at are drawn.
         let start = home.unwrap_or_else(rand::random);
-        let candidates = ring.from(start).filter(may_run);
+        let candidates = ring.from(start).filter(can_run);
         Homes::of_all(None, first_usable(candidates, SMALLEST_GROUP, is_usable))
     }
 
     /// Replicas in the group of this prompt's first part.
     fn group_size(
         &self,
-        fleet: Option<&FleetKnowledge>,
+        fleet: Option<&FleetView>,
         configuration: &ServingConfiguration,
         now: Instant,
     ) -> usize {
-        let open = fleet.map_or(0, |fleet| fleet.busiest_open_requests(now));
+        let open = fleet.map_or(0, |fleet| fleet.peak_open_requests(now));
         let service = configuration.service(&self.service);
         let engine = service.and_then(|service| service.engine.as_ref());
         let slots = engine.map_or(1, |engine| engine.slots);
@@ -257,12 +258,12 @@
     }
 
     /// What is known of each replica that may be sent the request now.
-    fn offers(
+    fn eligible_replicas(
         &self,
         ranked: &[&Arc<ReplicaRecord>],
         table: &mut ReplicaTable,
         configuration: &ServingConfiguration,
-    ) -> Vec<Offer> {
+    ) -> Vec<EligibleReplica> {
         let now = Instant::now();
         let uptime = self.state.uptime();
         let policy = self.state.options.policy;
@@ -271,17 +272,17 @@
         let fleet = self
             .state
             .current_fleet(now)
-            .filter(|_| self.routers() >= FEWEST_ROUTERS_FOR_SHARED_LOAD);
-        let mut offers = Vec::with_capacity(ranked.len());
+            .filter(|_| self.routers() >= MIN_ROUTERS_FOR_SHARED_LOAD);
+        let mut eligible = Vec::with_capacity(ranked.len());
         for (rank, record) in ranked.iter().copied().enumerate() {
-            let usage = table.of(&record.id, now);
+            let handle = table.handle(&record.id, now);
             let shared = fleet.as_ref().map(|fleet| shared_load(fleet, record));
             let takes = table.availability.takes(&record.id, uptime);
-            let is_paused = policy.pauses && !usage.allows(now);
-            if !takes || is_paused || !usage.pool.has_room(connection_limit) {
+            let is_paused = policy.pauses && !handle.is_available(now);
+            if !takes || is_paused || !handle.pool.has_capacity(connection_limit) {
                 continue;
             }
-            let known_tokens = table.sent().known_tokens(&record.id, &self.path);
+            let cached_tokens = table.sent().cached_tokens(&record.id, &self.path);
             let mut candidate = Candidate {
                 same_zone: !policy.zone || record.zone == self.state.options.zone,
                 slots: record.slots,
@@ -289,29 +290,29 @@
                 ..Candidate::default()
             };
             if policy.sent_prefixes {
-                candidate.known_tokens = known_tokens;
+                candidate.cached_tokens = cached_tokens;
             }
             if policy.homes {
                 candidate.rank = rank;
             }
-            offers.push(Offer {
-                candidate: usage.describe(candidate, policy, shared, now),
+            eligible.push(EligibleReplica {
+                candidate: handle.fill_candidate(candidate, policy, shared, now),
                 target: Target {
                     record: Arc::clone(record),
-                    usage,
+                    handle,
                     connection_limit,
-                    kept_tokens: candidate.known_tokens,
-                    ahead: TokensAhead::default(),
+                    cached_tokens: candidate.cached_tokens,
+                    backlog: PrefillBacklog::default(),
                     fetch_from: None,
                     save_to: None,
                     permit: None,
                 },
             });
         }
-        offers
+        eligible
     }
 
-    fn size(&self) -> RequestSize {
+    fn request_size(&self) -> RequestSize {
         RequestSize {
             prompt_tokens: self.path.prompt_tokens,
             shared_tokens: self.path.shared_tokens(),
@@ -325,17 +326,17 @@
     }
 
     /// Whether a replica holds the model that the request names, in weights that may be used.
-    fn serves_model(&self, record: &ReplicaRecord, oldest: u64) -> bool {
+    fn serves_model(&self, record: &ReplicaRecord, oldest_weights: u64) -> bool {
         let Some(prompt) = &self.request.prompt else {
             return true;
         };
         let held = record.version_of(&prompt.model);
-        record.weights.is_empty() || held.is_some_and(|held| held >= oldest)
+        record.weights.is_empty() || held.is_some_and(|held| held >= oldest_weights)
     }
 
     /// Another replica that is likely to keep what the chosen one lacks, and has the same weights. The link
     /// of a store serves all replicas; what they can hand to each other does not burden it.
-    fn holder(
+    fn fetch_source(
         &self,
         homes: &Homes<'_>,
         table: &mut ReplicaTable,
@@ -349,11 +350,11 @@
         let mut is_source = |record: &ReplicaRecord| {
             record.id != chosen.id
                 && record.version_of(model) == chosen.version_of(model)
-                && table.of(&record.id, now).allows(now)
+                && table.handle(&record.id, now).is_available(now)
         };
-        let favoured = homes.ranked.first()?;
-        if is_source(favoured) {
-            return Some(favoured.address.clone());
+        let preferred = homes.ranked.first()?;
+        if is_source(preferred) {
+            return Some(preferred.address.clone());
         }
         let fleet = self.state.current_fleet(now);
         let is_in_use = |record: &ReplicaRecord| {
@@ -362,18 +363,18 @@
                 .as_ref()
                 .is_some_and(|fleet| fleet.condition(replica).is_some())
         };
-        let source = homes.first_part_source(chosen, is_in_use, is_source);
+        let source = homes.prefix_source(chosen, is_in_use, is_source);
         source.map(|record| record.address.clone())
     }
 
     /// Whether the store is to keep the prompt. What the replica was sent before was saved then.
     /// Prompts are spread over all stores, so what they hold together bounds the saves.
-    fn is_saved(&self, kept_tokens: u64, configuration: &ServingConfiguration) -> bool {
+    fn should_save(&self, cached_tokens: u64, configuration: &ServingConfiguration) -> bool {
         let capacity_tokens = stores(configuration)
             .map(|store| store.capacity_tokens)
             .sum();
-        kept_tokens < self.path.shared_tokens()
-            && self.state.takes_save(&self.path, capacity_tokens)
+        cached_tokens < self.path.shared_tokens()
+            && self.state.try_save(&self.path, capacity_tokens)
     }
 
     /// The store for this prompt's beginning; the same in every router.
@@ -425,31 +426,34 @@
 }
 
 /// Why none of the replicas that were looked at is sent a request.
-fn without_offer(
+fn no_eligible_cause(
     ranked: &[&Arc<ReplicaRecord>],
     availability: &Availability,
     now: Moment,
 ) -> NoTarget {
-    let waits = ranked
+    let delays = ranked
         .iter()
         .filter_map(|record| availability.opens_in(&record.id, now));
-    let opens_in = waits.min().unwrap_or_default();
-    if opens_in.is_zero() {
-        return NoTarget::Nobody;
+    let available_in = delays.min().unwrap_or_default();
+    if available_in.is_zero() {
+        return NoTarget::NoneAvailable;
     }
-    let full = ranked
+    let exhausted = ranked
         .iter()
         .filter_map(|record| availability.full_limit(&record.id, now));
-    let per_s: f64 = full.clone().map(RequestLimit::requests_per_s).sum();
-    if full.count() == 0 {
-        return NoTarget::BackingOff { opens_in };
+    let per_s: f64 = exhausted.clone().map(RequestLimit::requests_per_s).sum();
+    if exhausted.count() == 0 {
+        return NoTarget::BackingOff { available_in };
     }
-    NoTarget::AtLimit(FullLimits { opens_in, per_s })
+    NoTarget::AtLimit(ExhaustedLimits {
+        available_in,
+        per_s,
+    })
 }
 
 /// Whether no router hears anything from a replica though some wait for it.
-fn is_dark(fleet: &FleetKnowledge, record: &ReplicaRecord) -> bool {
-    if !fleet.any_dark() {
+fn is_dark(fleet: &FleetView, record: &ReplicaRecord) -> bool {
+    if !fleet.any_unresponsive() {
         return false;
     }
     let condition = fleet.condition(ReplicaKey::of(&record.id));
@@ -457,7 +461,7 @@
 }
 
 /// What all routers have open at a replica; one that the digest leaves out is not in use.
-fn shared_load(fleet: &FleetKnowledge, record: &ReplicaRecord) -> SharedLoad {
+fn shared_load(fleet: &FleetView, record: &ReplicaRecord) -> SharedLoad {
     let condition = fleet.condition(ReplicaKey::of(&record.id));
     condition.map_or_else(SharedLoad::default, |condition| SharedLoad {
         open_requests: u32::from(condition.open_requests),
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -25,18 +25,18 @@
     budget::{BudgetRule, RetryBudget},
     control_peers::ControlPeers,
     crash_detection,
-    fleet_view::FleetKnowledge,
+    fleet_view::FleetView,
     lease::Lease,
     metrics::ProxyMetrics,
-    prefill_latency::{ReadingPace, TokensAhead},
+    prefill_latency::{PrefillBacklog, PrefillLatency},
     quarantine::{EndsMet, QuarantineChange, QuarantineKnowledge},
     replicas::ReplicaTable,
-    retry_pacing::ReturnTimes,
-    selection::FullLimits,
-    store_budget::{SaveBudget, StoreRoom},
-    traffic_split::Splitter,
+    retry_pacing::RetryPacer,
+    selection::ExhaustedLimits,
+    store_budget::{SaveBudget, StoreCapacity},
+    traffic_split::TrafficSplitter,
     view::ServingView,
-    weight_versions::NamedWeights,
+    weight_versions::WeightVersions,
 };
 
 /// Where a router runs and what it is told.
@@ -67,30 +67,30 @@
     /// Replicas as this router uses them.
     pub replicas: Mutex<ReplicaTable>,
     /// What all routers together meet at the replicas.
-    pub fleet: Mutex<FleetKnowledge>,
+    pub fleet: Mutex<FleetView>,
     /// Division of routes among services.
-    pub splitter: Mutex<Splitter>,
+    pub splitter: Mutex<TrafficSplitter>,
     /// The control replicas, for questions to their leader.
     pub control_peers: ControlPeers,
     /// Requests that the control group has quarantined.
     pub quarantine: Mutex<QuarantineKnowledge>,
     /// Ends of replicas that this router's requests met.
-    pub ends_met: Mutex<EndsMet>,
+    pub crash_tracker: Mutex<EndsMet>,
     /// Told when an end that was looked into is settled.
-    pub ends_settled: Notify,
+    pub crash_checks_done: Notify,
     /// Places for reports that wait for the control group.
-    pub reports: Semaphore,
+    pub report_slots: Semaphore,
     /// Counters.
     pub metrics: ProxyMetrics,
     /// Routers that are alive; 0 while unknown.
     pub routers: AtomicU32,
     budgets: Mutex<HashMap<String, RetryBudget>>,
     /// Until when no permit is asked for, as no leader answered.
-    pub permits_unanswered_until: Mutex<Moment>,
-    returns: Mutex<HashMap<String, ReturnTimes>>,
-    saves: Mutex<SaveBudget>,
-    named: Mutex<NamedWeights>,
-    paces: Mutex<HashMap<String, ReadingPace>>,
+    pub permit_requests_suspended_until: Mutex<Moment>,
+    retry_pacers: Mutex<HashMap<String, RetryPacer>>,
+    save_budget: Mutex<SaveBudget>,
+    weight_versions: Mutex<WeightVersions>,
+    prefill_latencies: Mutex<HashMap<String, PrefillLatency>>,
     changed: watch::Sender<u64>,
     stop: Mutex<Option<StopPlan>>,
     started: BootInstant,
@@ -100,21 +100,21 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StopPlan {
     /// Until when every request is taken: callers learn by then that others are to be asked.
-    pub takes_all_until: Instant,
+    pub accept_all_until: Instant,
     /// When the last answer must be over.
-    pub ends_at: Instant,
+    pub drain_deadline: Instant,
 }
 
 /// Time after the signal in which every request is taken, whatever time it may need; a third of the
 /// grace time if that is shorter.
-const TAKING_TIME: Duration = Duration::from_millis(2_500);
+const ACCEPT_ALL_TIME: Duration = Duration::from_millis(2_500);
 
 impl StopPlan {
     /// A plan for a router that is told to stop `now` and ended by force after `grace`.
     pub fn new(now: Instant, grace: Duration) -> Self {
         Self {
-            takes_all_until: now + TAKING_TIME.min(grace / 3),
-            ends_at: now + Self::usable(grace),
+            accept_all_until: now + ACCEPT_ALL_TIME.min(grace / 3),
+            drain_deadline: now + Self::usable(grace),
         }
     }
 
@@ -124,8 +124,8 @@
     }
 
     /// Whether a request that is to be answered by `deadline` is still taken.
-    pub fn takes(&self, deadline: Instant, now: Instant) -> bool {
-        now < self.takes_all_until || deadline <= self.ends_at
+    pub fn accepts(&self, deadline: Instant, now: Instant) -> bool {
+        now < self.accept_all_until || deadline <= self.drain_deadline
     }
 }
 
@@ -150,17 +150,17 @@
             splitter: Mutex::default(),
             control_peers: ControlPeers::default(),
             quarantine: Mutex::default(),
-            ends_met: Mutex::default(),
-            ends_settled: Notify::new(),
-            reports: crash_detection::report_places(),
+            crash_tracker: Mutex::default(),
+            crash_checks_done: Notify::new(),
+            report_slots: crash_detection::report_slots(),
             metrics: ProxyMetrics::default(),
             routers: AtomicU32::new(0),
             budgets: Mutex::default(),
-            permits_unanswered_until: Mutex::default(),
-            returns: Mutex::default(),
-            saves: Mutex::default(),
-            named: Mutex::default(),
-            paces: Mutex::default(),
+            permit_requests_suspended_until: Mutex::default(),
+            retry_pacers: Mutex::default(),
+            save_budget: Mutex::default(),
+            weight_versions: Mutex::default(),
+            prefill_latencies: Mutex::default(),
             changed,
             stop: Mutex::default(),
             started: BootInstant::now(),
@@ -175,15 +175,16 @@
     /// Replaces the view by a newer one.
     pub fn set_view(&self, next: ServingView) {
         let before = self.view.load_full();
-        lock(&self.replicas).follow(&before, &next);
-        lock(&self.named).learn(&next.weights, Instant::now());
+        lock(&self.replicas).apply_view(&before, &next);
+        lock(&self.weight_versions).update(&next.weights, Instant::now());
         let known = next.known.through;
         self.metrics
-            .replicas_known(next.replicas.values().map(|record| &**record));
+            .set_replicas(next.replicas.values().map(|record| &**record));
         if let Some(table) = &next.table {
             let configuration = table.configuration();
-            lock(&self.paces).retain(|service, _| configuration.service(service).is_some());
-            lock(&self.returns).retain(|service, _| configuration.service(service).is_some());
+            lock(&self.prefill_latencies)
+                .retain(|service, _| configuration.service(service).is_some());
+            lock(&self.retry_pacers).retain(|service, _| configuration.service(service).is_some());
             let routes = &configuration.routes;
             lock(&self.splitter).retain(|name| routes.iter().any(|route| route.name == name));
         }
@@ -192,14 +193,14 @@
     }
 
     /// Takes in what the control group has quarantined.
-    pub fn learn_quarantine(&self, told: &QuarantineUpdate) {
+    pub fn apply_quarantine(&self, update: &QuarantineUpdate) {
         let mut quarantine = lock(&self.quarantine);
-        for change in quarantine.learn(told, Instant::now()) {
+        for change in quarantine.learn(update, Instant::now()) {
             let (event, content) = match change {
                 QuarantineChange::Quarantined(content) => ("request quarantined", content),
                 QuarantineChange::Released(content) => ("request released", content),
             };
-            spdlog::info!("{event}", kv: { content = content.to_string(), changed_at = told.changed_at });
+            spdlog::info!("{event}", kv: { content = content.to_string(), changed_at = update.changed_at });
         }
         self.metrics
             .quarantined
@@ -207,12 +208,12 @@
     }
 
     /// When the caller of a request that ends replicas should come back; `None` for all others.
-    pub fn quarantine_pause(&self, content: ContentKey) -> Option<Duration> {
+    pub fn quarantine_retry_after(&self, content: ContentKey) -> Option<Duration> {
         lock(&self.quarantine).pause(content, Instant::now())
     }
 
     /// Tells of each new view.
-    pub fn changes(&self) -> watch::Receiver<u64> {
+    pub fn view_changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
@@ -228,9 +229,9 @@
     }
 
     /// Takes in a confirmation; true if the router may serve since.
-    pub fn take_confirmation(&self, reply: &WatchReply, asked_at: BootInstant) -> bool {
+    pub fn apply_confirmation(&self, reply: &WatchReply, requested_at: BootInstant) -> bool {
         let was_confirmed = self.is_confirmed();
-        lock(&self.lease).take_reply(reply, asked_at);
+        lock(&self.lease).apply_reply(reply, requested_at);
         let gained = !was_confirmed && self.is_confirmed();
         if gained {
             // Requests wait for the first lease as they wait for a new view.
@@ -240,7 +241,7 @@
     }
 
     /// What all routers together meet at the replicas, if it is new enough to go by.
-    pub fn current_fleet(&self, now: Instant) -> Option<MutexGuard<'_, FleetKnowledge>> {
+    pub fn current_fleet(&self, now: Instant) -> Option<MutexGuard<'_, FleetView>> {
         let fleet = lock(&self.fleet);
         (self.options.policy.shared_view && fleet.is_current(now)).then_some(fleet)
     }
@@ -263,7 +264,7 @@
     /// The oldest weights of a model on which a request may start.
     pub fn oldest_usable_weights(&self, model: &str) -> u64 {
         let bound = Duration::from_millis(self.options.bounds.version_ms);
-        lock(&self.named).oldest_usable(model, bound, Instant::now())
+        lock(&self.weight_versions).oldest_usable(model, bound, Instant::now())
     }
 
     /// What callers may send now.
@@ -274,13 +275,13 @@
     }
 
     /// Notes a first arrival at a service.
-    pub fn earn_retry(&self, service: &str) {
+    pub fn record_request(&self, service: &str) {
         let routers = self.routers.load(Ordering::Relaxed);
         self.with_budget(service, |budget| budget.earn(routers, Instant::now()));
     }
 
     /// Takes a retry from a service's budget.
-    pub fn spend_retry(&self, service: &str) -> bool {
+    pub fn try_spend_retry(&self, service: &str) -> bool {
         if !self.options.policy.retry {
             return false;
         }
@@ -289,43 +290,45 @@
     }
 
     /// Notes how long a prompt waited for its first event.
-    pub fn note_first_event(&self, service: &str, ahead: TokensAhead, waited: Duration) {
-        let mut paces = lock(&self.paces);
-        let pace = paces.entry(service.to_owned()).or_default();
-        pace.note(ahead, waited, Instant::now());
+    pub fn record_first_event(&self, service: &str, backlog: PrefillBacklog, waited: Duration) {
+        let mut prefill_latencies = lock(&self.prefill_latencies);
+        let latency = prefill_latencies.entry(service.to_owned()).or_default();
+        latency.record(backlog, waited, Instant::now());
     }
 
     /// When the caller of a prompt that would come too late should come back.
-    pub fn late_refusal(
+    pub fn overload_retry_after(
         &self,
         service: &str,
-        ahead: TokensAhead,
+        backlog: PrefillBacklog,
         objective: Duration,
     ) -> Option<Duration> {
         if !self.options.policy.refuse_late {
             return None;
         }
-        lock(&self.paces).get(service)?.refusal(ahead, objective)
+        lock(&self.prefill_latencies)
+            .get(service)?
+            .retry_after(backlog, objective)
     }
 
     /// When one more caller of a service should come back whose replicas have no room under their limits.
-    pub fn return_pause(&self, service: &str, full: FullLimits) -> Duration {
+    pub fn limit_retry_after(&self, service: &str, exhausted: ExhaustedLimits) -> Duration {
         let routers = self.routers.load(Ordering::Relaxed);
-        let mut returns = lock(&self.returns);
-        let times = returns.entry(service.to_owned()).or_default();
-        times.pause(
+        let mut retry_pacers = lock(&self.retry_pacers);
+        let pacer = retry_pacers.entry(service.to_owned()).or_default();
+        pacer.next_retry_after(
             self.uptime(),
-            full.opens_in,
-            full.per_s,
+            exhausted.available_in,
+            exhausted.per_s,
             routers,
             rand::random(),
         )
     }
 
     /// Whether a prompt is sent to its store; all stores together hold `capacity_tokens`.
-    pub fn takes_save(&self, path: &PrefixPath, capacity_tokens: u64) -> bool {
+    pub fn try_save(&self, path: &PrefixPath, capacity_tokens: u64) -> bool {
         let policy = self.options.policy;
-        let room = StoreRoom {
+        let capacity = StoreCapacity {
             capacity_tokens: if policy.save_bound {
                 capacity_tokens
             } else {
@@ -334,7 +337,7 @@
             routers: self.routers.load(Ordering::Relaxed),
             reuse_window: Duration::from_millis(self.options.bounds.reuse_window_ms),
         };
-        policy.save && lock(&self.saves).take(path, room, Instant::now())
+        policy.save && lock(&self.save_budget).try_save(path, capacity, Instant::now())
     }
 
     fn with_budget<T>(&self, service: &str, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
--- a/crates/proxy/src/store_budget.rs
+++ b/crates/proxy/src/store_budget.rs
@@ -16,11 +16,11 @@
 /// Reuse windows in which unshared parts may fill the whole store.
 const WINDOWS_TO_FILL: f64 = 1.5;
 /// Reuse windows whose allowance is kept for a burst, as after new weights.
-const WINDOWS_KEPT: f64 = 0.5;
+const BURST_WINDOWS: f64 = 0.5;
 
 /// What the allowance follows from.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StoreRoom {
+pub struct StoreCapacity {
     /// Tokens that all stores hold together; 0 if not stated, which bounds nothing.
     pub capacity_tokens: u64,
     /// Routers that save to them.
@@ -29,7 +29,7 @@
     pub reuse_window: Duration,
 }
 
-impl StoreRoom {
+impl StoreCapacity {
     /// Unshared tokens that one router may save in one reuse window.
     fn allowance(self) -> f64 {
         self.capacity_tokens as f64 / WINDOWS_TO_FILL / f64::from(self.routers.max(1))
@@ -39,34 +39,35 @@
 /// Unshared tokens that this router may still save. A router starts with none.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SaveBudget {
-    left_tokens: f64,
+    available_tokens: f64,
     updated_at: Option<Instant>,
 }
 
 impl SaveBudget {
     /// Whether a prompt is saved; if so, its unshared part is taken from the allowance.
-    pub fn take(&mut self, path: &PrefixPath, room: StoreRoom, now: Instant) -> bool {
+    pub fn try_save(&mut self, path: &PrefixPath, capacity: StoreCapacity, now: Instant) -> bool {
         if !is_worth_saving(path) {
             return false;
         }
-        if room.capacity_tokens == 0 {
+        if capacity.capacity_tokens == 0 {
             return true;
         }
-        self.accrue(room, now);
+        self.accrue(capacity, now);
         let unshared = path.prompt_tokens.saturating_sub(path.shared_tokens()) as f64;
-        let taken = unshared <= self.left_tokens;
+        let taken = unshared <= self.available_tokens;
         if taken {
-            self.left_tokens -= unshared;
+            self.available_tokens -= unshared;
         }
         taken
     }
 
-    fn accrue(&mut self, room: StoreRoom, now: Instant) {
+    fn accrue(&mut self, capacity: StoreCapacity, now: Instant) {
         let before = self.updated_at.replace(now).unwrap_or(now);
         let elapsed = now.saturating_duration_since(before).as_secs_f64();
-        let windows = elapsed / room.reuse_window.as_secs_f64().max(1e-3);
-        let allowance = room.allowance();
-        self.left_tokens = (self.left_tokens + allowance * windows).min(allowance * WINDOWS_KEPT);
+        let windows = elapsed / capacity.reuse_window.as_secs_f64().max(1e-3);
+        let allowance = capacity.allowance();
+        self.available_tokens =
+            (self.available_tokens + allowance * windows).min(allowance * BURST_WINDOWS);
     }
 }
 
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -17,15 +17,15 @@
     crash_detection,
     events::EventBuffer,
     health::ExchangeEnd,
-    pipeline::{Answered, RequestRun, Step},
+    pipeline::{ActiveExchange, ExchangeStep, RequestRun},
     retry_decision::ExchangeProof,
 };
 
 /// Longest pauses that a route allows between events after which a stream that can be continued
 /// elsewhere is given up.
-const PATIENCE_GAPS: u64 = 4;
+const SILENCE_TIMEOUT_GAPS: u64 = 4;
 /// Shortest time after which it is.
-const SHORTEST_PATIENCE: Duration = Duration::from_millis(1_000);
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// The first events of a stream, or its end.
 pub struct FirstEvents {
@@ -37,25 +37,25 @@
 /// Waits for the first whole events, so that a failure before them can be mended unseen.
 pub async fn first_events(
     run: &mut RequestRun,
-    mut answered: Answered,
-) -> Result<Step, FailedExchange> {
+    mut answered: ActiveExchange,
+) -> Result<ExchangeStep, FailedExchange> {
     let mut buffer = EventBuffer::after(run.request.last_event);
-    let due = run.due();
+    let due = run.response_deadline();
     loop {
         match next_chunk(&mut answered, due).await {
             Chunk::Data(bytes) => {
                 let events = buffer.push(&bytes);
                 if !events.is_empty() {
-                    answered.open.prompt_read();
-                    let (ahead, waited) = (answered.target.ahead, answered.open.waited());
-                    run.state.note_first_event(&run.service, ahead, waited);
-                    run.log.first_byte();
+                    answered.open.prefill_done();
+                    let (backlog, waited) = (answered.target.backlog, answered.open.elapsed());
+                    run.state.record_first_event(&run.service, backlog, waited);
+                    run.log.record_first_byte();
                     let first = FirstEvents {
                         events,
                         buffer,
                         ended: false,
                     };
-                    return Ok(Step::Stream(Box::new((answered, first))));
+                    return Ok(ExchangeStep::Stream(Box::new((answered, first))));
                 }
             }
             Chunk::End if !buffer.is_inside_event() => {
@@ -64,26 +64,26 @@
                     buffer,
                     ended: true,
                 };
-                return Ok(Step::Stream(Box::new((answered, first))));
+                return Ok(ExchangeStep::Stream(Box::new((answered, first))));
             }
             Chunk::End | Chunk::Broken => {
                 let failed =
                     FailedExchange::connection_broke("stream broke before its first event");
-                return Err(run.note_failure(&answered.target, failed));
+                return Err(run.record_failure(&answered.target, failed));
             }
-            Chunk::Late => {
+            Chunk::TimedOut => {
                 let failed = FailedExchange::may_have_run("no event in time");
-                return Err(run.note_failure(&answered.target, failed));
+                return Err(run.record_failure(&answered.target, failed));
             }
         }
     }
 }
 
 /// The response to the caller, whose body relays the rest.
-pub fn respond(run: RequestRun, answered: Answered, first: FirstEvents) -> Response<Body> {
+pub fn respond(run: RequestRun, answered: ActiveExchange, first: FirstEvents) -> Response<Body> {
     let head = clone_head(&answered);
     let relay = Relay {
-        waiting: Some(first.events).filter(|events| !events.is_empty()),
+        pending: Some(first.events).filter(|events| !events.is_empty()),
         ended: first.ended,
         buffer: first.buffer,
         answered: Some(answered),
@@ -98,7 +98,7 @@
     Response::from_parts(parts, BodyExt::boxed(SyncStream::wrap(chunks)))
 }
 
-fn clone_head(answered: &Answered) -> hyper::http::response::Parts {
+fn clone_head(answered: &ActiveExchange) -> hyper::http::response::Parts {
     let mut response = Response::new(());
     *response.status_mut() = answered.answer.head.status;
     *response.headers_mut() = answered.answer.head.headers.clone();
@@ -127,19 +127,19 @@
     Data(Bytes),
     End,
     Broken,
-    Late,
+    TimedOut,
 }
 
-async fn next_chunk(answered: &mut Answered, due: Instant) -> Chunk {
+async fn next_chunk(answered: &mut ActiveExchange, due: Instant) -> Chunk {
     loop {
         match timeout_at(due, answered.answer.body.frame()).await {
-            Err(_) => return Chunk::Late,
+            Err(_) => return Chunk::TimedOut,
             Ok(None) => return Chunk::End,
             Ok(Some(Err(_))) => return Chunk::Broken,
             Ok(Some(Ok(frame))) => {
                 // Trailers carry nothing for callers.
                 if let Ok(data) = frame.into_data() {
-                    answered.target.usage.note_heard(Instant::now());
+                    answered.target.handle.record_response(Instant::now());
                     return Chunk::Data(data);
                 }
             }
@@ -150,30 +150,30 @@
 struct Relay {
     run: RequestRun,
     /// The exchange that brings the stream; `None` once the stream has ended.
-    answered: Option<Answered>,
+    answered: Option<ActiveExchange>,
     buffer: EventBuffer,
-    waiting: Option<Bytes>,
+    pending: Option<Bytes>,
     ended: bool,
 }
 
 impl Relay {
     /// The next whole events; `None` at the complete end, an error if the stream cannot go on.
     async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
-        if let Some(events) = self.waiting.take() {
+        if let Some(events) = self.pending.take() {
             return Some(Ok(events));
         }
         if self.ended {
             return self.finish();
         }
         loop {
-            let due = self.due();
+            let due = self.silence_deadline();
             let mut answered = self.answered.take()?;
             match next_chunk(&mut answered, due).await {
                 Chunk::Data(bytes) => {
                     let events = self.buffer.push(&bytes);
                     self.answered = Some(answered);
                     if self.buffer.is_oversized() {
-                        return self.give_up("event too large");
+                        return self.abort("event too large");
                     }
                     if !events.is_empty() {
                         return Some(Ok(events));
@@ -187,43 +187,43 @@
                     let failed = FailedExchange::connection_broke("stream broke");
                     self.resume(answered, failed).await?;
                 }
-                Chunk::Late => {
+                Chunk::TimedOut => {
                     let failed = FailedExchange::may_have_run("stream fell silent");
                     self.resume(answered, failed).await?;
                 }
             }
             if self.answered.is_none() {
-                return self.give_up("stream cut");
+                return self.abort("stream cut");
             }
         }
     }
 
     /// When a silent stream is given up.
-    fn due(&self) -> Instant {
+    fn silence_deadline(&self) -> Instant {
         let deadline = self.run.admitted.deadline;
         if !self.run.can_resume() {
             return deadline;
         }
         let gap = Duration::from_millis(self.run.admitted.route.gap_objective_ms);
-        let patience = (gap * PATIENCE_GAPS as u32).max(SHORTEST_PATIENCE);
+        let patience = (gap * SILENCE_TIMEOUT_GAPS as u32).max(MIN_SILENCE_TIMEOUT);
         deadline.min(Instant::now() + patience)
     }
 
     /// Ends the stream as complete.
     fn finish(&mut self) -> Option<Result<Bytes, io::Error>> {
         if let Some(answered) = self.answered.take() {
-            self.run.note_end(&answered.target, ExchangeEnd::Good);
-            crash_detection::outlived(&self.run.state, self.run.content);
+            self.run.record_outcome(&answered.target, ExchangeEnd::Good);
+            crash_detection::request_succeeded(&self.run.state, self.run.content);
             if answered.answer.reusable {
-                let usage = &answered.target.usage;
-                usage.pool.put_back(answered.answer.connection);
+                let handle = &answered.target.handle;
+                handle.pool.release(answered.answer.connection);
             }
         }
         self.run.log.end("streamed".to_owned());
         None
     }
 
-    fn give_up(&mut self, outcome: &str) -> Option<Result<Bytes, io::Error>> {
+    fn abort(&mut self, outcome: &str) -> Option<Result<Bytes, io::Error>> {
         self.answered = None;
         self.run.log.end(outcome.replace(' ', "_"));
         Some(Err(io::Error::new(
@@ -234,12 +234,16 @@
 
     /// Continues the stream at another replica. The former connection is closed first, so that
     /// only one replica works on the stream.
-    async fn resume(&mut self, answered: Answered, failed: FailedExchange) -> Option<()> {
-        self.run.note_failure(&answered.target, failed);
+    async fn resume(&mut self, answered: ActiveExchange, failed: FailedExchange) -> Option<()> {
+        self.run.record_failure(&answered.target, failed);
         drop(answered);
         self.buffer.discard_partial();
-        while self.run.may_resume().await {
-            if !self.run.may_run_again(ExchangeProof::MayHaveRun).await {
+        while self.run.acquire_resume().await {
+            if !self
+                .run
+                .acquire_quota_for_retry(ExchangeProof::MayHaveRun)
+                .await
+            {
                 return Some(());
             }
             let Ok(target) = self.run.wait_for_target().await else {
--- a/crates/proxy/src/traffic_split.rs
+++ b/crates/proxy/src/traffic_split.rs
@@ -10,18 +10,18 @@
 
 /// Progress of the division on each route.
 #[derive(Clone, Debug, Default)]
-pub struct Splitter {
+pub struct TrafficSplitter {
     /// For each route, the weights it was begun with and the balance of each service.
-    routes: HashMap<String, Division>,
+    routes: HashMap<String, RouteBalance>,
 }
 
 #[derive(Clone, Debug)]
-struct Division {
+struct RouteBalance {
     targets: Vec<WeightedService>,
     balances: Vec<i128>,
 }
 
-impl Splitter {
+impl TrafficSplitter {
     /// The service for the next request; `seed` is used when a route is seen for the first time or
     /// after its weights changed. `None` if no service has a weight.
     pub fn next<'a>(&mut self, route: &'a Route, seed: u64) -> Option<&'a str> {
@@ -29,9 +29,9 @@
             return Some(&only.service);
         }
         let known = self.routes.get(&route.name);
-        if known.is_none_or(|division| division.targets != route.targets) {
+        if known.is_none_or(|balance| balance.targets != route.targets) {
             self.routes
-                .insert(route.name.clone(), Division::new(&route.targets, seed));
+                .insert(route.name.clone(), RouteBalance::new(&route.targets, seed));
         }
         let position = self.routes.get_mut(&route.name)?.next()?;
         route
@@ -46,18 +46,18 @@
     }
 }
 
-impl Division {
+impl RouteBalance {
     fn new(targets: &[WeightedService], seed: u64) -> Self {
-        let mut division = Self {
+        let mut balance = Self {
             targets: targets.to_vec(),
             balances: vec![0; targets.len()],
         };
         let total: u64 = targets.iter().map(|target| target.weight_milli).sum();
         // The division has a period of at most the sum of the weights; a hundred steps spread it.
         for _ in 0..seed % total.clamp(1, 100) {
-            division.next();
+            balance.next();
         }
-        division
+        balance
     }
 
     fn next(&mut self) -> Option<usize> {
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -30,14 +30,14 @@
 impl ServingView {
     /// The state after an update; `None` if the update brings nothing new.
     pub fn updated(&self, update: ServingUpdate) -> Option<Self> {
-        let brings = update.known;
-        let is_older = brings.through < self.known.through;
-        if is_older || brings == self.known {
+        let received = update.known;
+        let is_older = received.through < self.known.through;
+        if is_older || received == self.known {
             return None;
         }
         let mut next = self.clone();
         next.ready = OnceLock::new();
-        next.known = brings;
+        next.known = received;
         if let Some(configuration) = update.configuration {
             next.table = Some(Arc::new(RouteTable::new(configuration)));
         }
@@ -45,10 +45,10 @@
             next.replicas = RedBlackTreeMapSync::default();
         }
         for replica in &update.removed {
-            next.end_lives_up_to(replica);
+            next.remove_incarnations_up_to(replica);
         }
         for record in update.replicas {
-            next.end_lives_up_to(&record.id);
+            next.remove_incarnations_up_to(&record.id);
             next.replicas
                 .insert_mut(record.id.clone(), Arc::new(record));
         }
@@ -59,16 +59,16 @@
     }
 
     /// Forgets a life of a replica and those before it, which are over with it: nothing else is told of them.
-    fn end_lives_up_to(&mut self, name: &str) {
+    fn remove_incarnations_up_to(&mut self, name: &str) {
         let last = Life::named(name);
         let lives = Life::names_of(last.replica);
         let known = self.replicas.range(lives).map(|(name, _)| name);
-        let over = known.filter(|known| {
+        let ended = known.filter(|known| {
             let life = Life::named(known);
             life.replica == last.replica && life.born_ms <= last.born_ms
         });
-        let over: Vec<String> = over.cloned().collect();
-        for life in over {
+        let ended: Vec<String> = ended.cloned().collect();
+        for life in ended {
             self.replicas.remove_mut(&life);
         }
         // One that does not say when it began is older than any that does.
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -8,12 +8,12 @@
     affinity::{PrefixPath, SentPrefixes, rendezvous},
     choice::{Candidate, RequestSize, SharedLoad, choose},
     events::EventBuffer,
-    fleet_view::FleetKnowledge,
+    fleet_view::FleetView,
     health::{ExchangeEnd, Health},
     lease::Lease,
     retry_decision::{ExchangeFacts, ExchangeProof, NextStep, next_step, without_retry},
-    traffic_split::Splitter,
-    weight_versions::NamedWeights,
+    traffic_split::TrafficSplitter,
+    weight_versions::WeightVersions,
 };
 use railtack_rpc::{
     FeatureLevel,
@@ -45,14 +45,14 @@
     let start = BootInstant::now();
     let mut lease = Lease::new(milliseconds(5_000), true);
     assert!(!lease.is_valid(start));
-    lease.take_reply(&reply(None, 0), start);
+    lease.apply_reply(&reply(None, 0), start);
     assert!(!lease.is_valid(start));
     // Asked now, held 400 ms, confirmed 300 ms before the answer: confirmed 100 ms from now.
-    lease.take_reply(&reply(Some(300), 400), start);
+    lease.apply_reply(&reply(Some(300), 400), start);
     assert!(lease.is_valid(start + milliseconds(4_500)));
     assert!(!lease.is_valid(start + milliseconds(4_700)));
     // An older confirmation that comes late changes nothing.
-    lease.take_reply(&reply(Some(5_000), 0), start + milliseconds(200));
+    lease.apply_reply(&reply(Some(5_000), 0), start + milliseconds(200));
     assert!(lease.is_valid(start + milliseconds(4_500)));
 }
 
@@ -60,7 +60,7 @@
 fn a_lease_ends_while_the_machine_is_suspended() {
     let steady = Instant::now();
     let mut lease = Lease::new(milliseconds(5_000), true);
-    lease.take_reply(&reply(Some(0), 0), BootInstant::at(steady, milliseconds(0)));
+    lease.apply_reply(&reply(Some(0), 0), BootInstant::at(steady, milliseconds(0)));
     let soon = steady + milliseconds(100);
     assert!(lease.is_valid(BootInstant::at(soon, milliseconds(0))));
     assert!(!lease.is_valid(BootInstant::at(soon, milliseconds(6_000))));
@@ -71,7 +71,7 @@
     let start = BootInstant::now();
     let mut lease = Lease::new(milliseconds(5_000), false);
     assert!(!lease.is_valid(start));
-    lease.take_reply(&reply(Some(0), 0), start);
+    lease.apply_reply(&reply(Some(0), 0), start);
     assert!(lease.is_valid(start + milliseconds(60_000)));
 }
 
@@ -99,11 +99,11 @@
     );
     assert_eq!(
         next_step(unrepeatable(ExchangeProof::RanAndFailed, 1)),
-        NextStep::PassOn
+        NextStep::ForwardFailure
     );
     assert_eq!(
         next_step(unrepeatable(ExchangeProof::NotRun, 0)),
-        NextStep::TryAgain
+        NextStep::Retry
     );
 }
 
@@ -130,7 +130,7 @@
         replicas_used: 0,
         ..facts(ExchangeProof::Withheld)
     };
-    assert_eq!(next_step(withheld), NextStep::TryAgain);
+    assert_eq!(next_step(withheld), NextStep::Retry);
     let late = ExchangeFacts {
         in_time: false,
         ..withheld
@@ -140,10 +140,7 @@
 
 #[test]
 fn attempts_declines_and_time_end_the_tries() {
-    assert_eq!(
-        next_step(facts(ExchangeProof::MayHaveRun)),
-        NextStep::TryAgain
-    );
+    assert_eq!(next_step(facts(ExchangeProof::MayHaveRun)), NextStep::Retry);
     let used_up = ExchangeFacts {
         replicas_used: 2,
         ..facts(ExchangeProof::MayHaveRun)
@@ -153,7 +150,7 @@
         in_time: false,
         ..facts(ExchangeProof::RanAndFailed)
     };
-    assert_eq!(next_step(late), NextStep::PassOn);
+    assert_eq!(next_step(late), NextStep::ForwardFailure);
     let declined = ExchangeFacts {
         declined: 3,
         replicas_used: 0,
@@ -190,7 +187,7 @@
 fn shares_follow_the_weights_from_any_start() {
     let route = split_route(&[90_000, 10_000, 0]);
     for seed in 0..20 {
-        let mut splitter = Splitter::default();
+        let mut splitter = TrafficSplitter::default();
         let mut counts = BTreeMap::new();
         for _ in 0..100 {
             let service = splitter.next(&route, seed).expect("a service").to_owned();
@@ -238,16 +235,16 @@
 fn an_unreachable_replica_rests_longer_each_time() {
     let start = Instant::now();
     let mut health = Health::new(start);
-    assert!(health.allows(start));
+    assert!(health.is_available(start));
     assert!(!health.is_suspected());
-    health.note(ExchangeEnd::Unreachable, start);
+    health.record(ExchangeEnd::Unreachable, start);
     assert!(health.is_suspected());
-    assert!(!health.allows(start + milliseconds(300)));
-    assert!(health.allows(start + milliseconds(500)));
-    health.note(ExchangeEnd::Unreachable, start + milliseconds(500));
-    assert!(!health.allows(start + milliseconds(1_200)));
-    health.note(ExchangeEnd::Good, start + milliseconds(1_500));
-    assert!(health.allows(start + milliseconds(1_500)));
+    assert!(!health.is_available(start + milliseconds(300)));
+    assert!(health.is_available(start + milliseconds(500)));
+    health.record(ExchangeEnd::Unreachable, start + milliseconds(500));
+    assert!(!health.is_available(start + milliseconds(1_200)));
+    health.record(ExchangeEnd::Good, start + milliseconds(1_500));
+    assert!(health.is_available(start + milliseconds(1_500)));
     assert!(!health.is_suspected());
 }
 
@@ -255,14 +252,14 @@
 fn older_weights_are_not_used_once_the_bound_comes_near() {
     let start = Instant::now();
     let bound = milliseconds(8_000);
-    let mut named = NamedWeights::default();
-    let learn = |named: &mut NamedWeights, version, at| {
-        named.learn(&BTreeMap::from([("m".to_owned(), version)]), at);
+    let mut named = WeightVersions::default();
+    let learn = |named: &mut WeightVersions, version, at| {
+        named.update(&BTreeMap::from([("m".to_owned(), version)]), at);
     };
     learn(&mut named, 2, start);
     learn(&mut named, 3, start + milliseconds(3_000));
     let oldest =
-        |named: &mut NamedWeights, at| named.oldest_usable("m", bound, start + milliseconds(at));
+        |named: &mut WeightVersions, at| named.oldest_usable("m", bound, start + milliseconds(at));
     assert_eq!(oldest(&mut named, 5_000), 0);
     assert_eq!(oldest(&mut named, 7_000), 2);
     assert_eq!(oldest(&mut named, 9_500), 3);
@@ -294,16 +291,16 @@
     assert_eq!(first.shared_tokens(), 2_000);
     let mut sent = SentPrefixes::default();
     let now = Instant::now();
-    sent.note("r1", &first, now);
-    assert_eq!(sent.known_tokens("r1", &second), 2_000);
+    sent.record("r1", &first, now);
+    assert_eq!(sent.cached_tokens("r1", &second), 2_000);
     assert_eq!(
-        sent.known_tokens("r1", &PrefixPath::new(&prompt(&[1, 9, 3]), "")),
+        sent.cached_tokens("r1", &PrefixPath::new(&prompt(&[1, 9, 3]), "")),
         1_000
     );
-    assert_eq!(sent.known_tokens("r1", &walled), 0);
-    assert_eq!(sent.known_tokens("r2", &first), 0);
-    sent.forget("r1");
-    assert_eq!(sent.known_tokens("r1", &first), 0);
+    assert_eq!(sent.cached_tokens("r1", &walled), 0);
+    assert_eq!(sent.cached_tokens("r2", &first), 0);
+    sent.remove_replica("r1");
+    assert_eq!(sent.cached_tokens("r1", &first), 0);
     let key = first.key().expect("a key");
     assert_eq!(rendezvous(key, "r1"), rendezvous(key, "r1"));
 }
@@ -349,9 +346,9 @@
     let start = Instant::now();
     let plan = StopPlan::new(start, milliseconds(8_000));
     let long = start + milliseconds(15_000);
-    assert!(plan.takes(long, start + milliseconds(2_000)));
-    assert!(!plan.takes(long, start + milliseconds(3_000)));
-    assert!(plan.takes(start + milliseconds(5_000), start + milliseconds(3_000)));
+    assert!(plan.accepts(long, start + milliseconds(2_000)));
+    assert!(!plan.accepts(long, start + milliseconds(3_000)));
+    assert!(plan.accepts(start + milliseconds(5_000), start + milliseconds(3_000)));
 }
 
 /// One of three hundred routers sends a replica one request in a while; that it has one open there
@@ -369,16 +366,16 @@
         }],
         ..FleetDigest::default()
     };
-    let mut fleet = FleetKnowledge::default();
+    let mut fleet = FleetView::default();
     assert_eq!(fleet.limit(replica, start), None);
-    fleet.take(naming, start);
+    fleet.apply(naming, start);
     let told = fleet.limit(replica, start).expect("a limit");
     assert_eq!(
-        (told.limit, told.named_at),
+        (told.limit, told.advertised_at),
         (limit, start - milliseconds(40))
     );
     // That of a new leader names nothing yet.
-    fleet.take(FleetDigest::default(), start + milliseconds(500));
+    fleet.apply(FleetDigest::default(), start + milliseconds(500));
     assert_eq!(
         fleet.limit(replica, start + milliseconds(2_900)),
         Some(told)
@@ -521,10 +518,10 @@
         age_ms: 1_000,
         replicas: vec![condition("a", false), condition("b", true)],
     };
-    let mut fleet = FleetKnowledge::default();
+    let mut fleet = FleetView::default();
     assert!(!fleet.is_current(start));
-    assert_eq!(fleet.take(digest.clone(), start), Some(1));
-    assert_eq!(fleet.take(digest, start), None);
+    assert_eq!(fleet.apply(digest.clone(), start), Some(1));
+    assert_eq!(fleet.apply(digest, start), None);
     assert!(fleet.is_current(start + milliseconds(1_900)));
     assert!(!fleet.is_current(start + milliseconds(2_100)));
     let known = fleet.condition(ReplicaKey::of("a"));
@@ -532,7 +529,7 @@
     assert_eq!(fleet.condition(ReplicaKey::of("c")), None);
     // Made a second ago, when somebody had heard from it 200 ms before.
     let heard = |replica| ReplicaKey::of(replica);
-    assert!(fleet.heard_since(heard("a"), start - milliseconds(1_300)));
-    assert!(!fleet.heard_since(heard("a"), start - milliseconds(1_100)));
-    assert!(!fleet.heard_since(heard("c"), start - milliseconds(9_000)));
+    assert!(fleet.responded_since(heard("a"), start - milliseconds(1_300)));
+    assert!(!fleet.responded_since(heard("a"), start - milliseconds(1_100)));
+    assert!(!fleet.responded_since(heard("c"), start - milliseconds(9_000)));
 }
--- a/crates/proxy/tests/entry.rs
+++ b/crates/proxy/tests/entry.rs
@@ -86,7 +86,7 @@
         fleet: None,
         group_level: FeatureLevel::OF_THIS_BUILD,
     };
-    assert!(state.take_confirmation(&reply, BootInstant::now()));
+    assert!(state.apply_confirmation(&reply, BootInstant::now()));
 }
 
 #[tokio::test(start_paused = true)]
@@ -110,7 +110,7 @@
     let waited = begun.elapsed();
     assert!(waited >= Duration::from_millis(900), "{waited:?}");
     assert!(waited <= Duration::from_millis(1_500), "{waited:?}");
-    assert!(entry::pause_after(RefusalReason::Unconfirmed).is_some());
+    assert!(entry::retry_after(RefusalReason::Unconfirmed).is_some());
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/proxy/tests/feature_level.rs
+++ b/crates/proxy/tests/feature_level.rs
@@ -22,9 +22,11 @@
 #[test]
 fn the_level_that_a_router_knows_never_falls() {
     let state = router(Vec::new());
-    assert!(!state.control_peers.grants());
-    state.control_peers.learn_level(FeatureLevel::SHARED_GRANTS);
+    assert!(!state.control_peers.supports_grants());
+    state
+        .control_peers
+        .update_level(FeatureLevel::SHARED_GRANTS);
     // Told by a control replica that is behind.
-    state.control_peers.learn_level(FeatureLevel::FIRST);
-    assert!(state.control_peers.grants());
+    state.control_peers.update_level(FeatureLevel::FIRST);
+    assert!(state.control_peers.supports_grants());
 }
--- a/crates/proxy/tests/homes.rs
+++ b/crates/proxy/tests/homes.rs
@@ -15,7 +15,7 @@
 use railtack_proxy::{
     PromptSegment, PromptShape,
     affinity::{PrefixPath, rendezvous},
-    fleet_view::FleetKnowledge,
+    fleet_view::FleetView,
     homes::{Homes, Ring, SMALLEST_GROUP, busy_replicas, group_size, nested},
 };
 use railtack_rpc::serving::{FleetDigest, ReplicaCondition};
@@ -67,8 +67,8 @@
     Ring::new(records.iter().cloned())
 }
 
-fn first_key(second: u64) -> u64 {
-    prompt(second).first_key().expect("a first part")
+fn first_segment_key(second: u64) -> u64 {
+    prompt(second).first_segment_key().expect("a first part")
 }
 
 fn home_key(second: u64) -> u64 {
@@ -76,7 +76,7 @@
 }
 
 fn homes(ring: &Ring, second: u64, size: usize) -> Homes<'_> {
-    let candidates = ring.from(first_key(second));
+    let candidates = ring.from(first_segment_key(second));
     nested(home_key(second), candidates, size, |_| true)
 }
 
@@ -91,7 +91,7 @@
     let records: Vec<_> = (0..10_000).map(record).collect();
     let ring = ring(&records);
     for second in 1..50 {
-        let on_ring: Vec<_> = ring.from(first_key(second)).collect();
+        let on_ring: Vec<_> = ring.from(first_segment_key(second)).collect();
         let members: HashSet<&String> = on_ring.iter().map(|record| &record.id).collect();
         assert_eq!(members.len(), records.len());
         let mut group = on_ring[..64].to_vec();
@@ -159,7 +159,7 @@
                 None => Homes::of_all(None, of_all(second).into_iter().collect()),
             };
             let home = homes.ranked[0];
-            let source = homes.first_part_source(
+            let source = homes.prefix_source(
                 home,
                 |record| told.contains(&record.id),
                 |record| record.id != home.id,
@@ -237,7 +237,7 @@
     let usual = homes(&ring, 3, SMALLEST_GROUP);
     let dark = usual.ranked[0].id.clone();
     let nested = |is_usable: &dyn Fn(&ReplicaRecord) -> bool| {
-        let candidates = ring.from(first_key(3));
+        let candidates = ring.from(first_segment_key(3));
         nested(home_key(3), candidates, SMALLEST_GROUP, is_usable)
     };
     let others = nested(&|record| record.id != dark);
@@ -280,16 +280,16 @@
             is_dark: false,
         }],
     };
-    let mut fleet = FleetKnowledge::default();
-    assert_eq!(fleet.busiest_open_requests(start), 0);
-    fleet.take(digest(40), start);
-    fleet.take(digest(400), start);
-    assert_eq!(fleet.busiest_open_requests(start), 400);
+    let mut fleet = FleetView::default();
+    assert_eq!(fleet.peak_open_requests(start), 0);
+    fleet.apply(digest(40), start);
+    fleet.apply(digest(400), start);
+    assert_eq!(fleet.peak_open_requests(start), 400);
     let later = start + Duration::from_secs(60);
-    fleet.take(digest(40), later);
-    assert_eq!(fleet.busiest_open_requests(later), 200);
+    fleet.apply(digest(40), later);
+    assert_eq!(fleet.peak_open_requests(later), 200);
     let much_later = start + Duration::from_secs(600);
-    assert!(fleet.busiest_open_requests(much_later) < 40);
+    assert!(fleet.peak_open_requests(much_later) < 40);
 }
 
 quickcheck! {
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -6,7 +6,7 @@
 };
 
 use railtack_proxy::permits::{
-    KnownLimit, LimitedRouter, Permission, Permit, is_lacking, note_answer, take,
+    KnownLimit, LimitedRouter, Permission, Permit, lacks_valid_permit, note_answer, take,
 };
 use railtack_rpc::{
     permits::{PermitReply, PermitRequest, PermitStamp},
@@ -114,7 +114,7 @@
 async fn where_no_limit_is_known_nobody_is_asked() {
     let router = Router::new(None, None);
     assert!(taken(&router).await.is_none());
-    assert!(!is_lacking(&*router, LIFE, None));
+    assert!(!lacks_valid_permit(&*router, LIFE, None));
     assert!(router.state().asked.is_empty());
 }
 
@@ -122,10 +122,10 @@
 async fn a_permit_is_void_after_a_while() {
     let router = Router::new(Some(limit(2.0)), given());
     let permit = taken(&router).await;
-    assert!(is_lacking(&*router, LIFE, None));
-    assert!(!is_lacking(&*router, LIFE, permit));
+    assert!(lacks_valid_permit(&*router, LIFE, None));
+    assert!(!lacks_valid_permit(&*router, LIFE, permit));
     advance(GRANT_LIFE + Duration::from_millis(1)).await;
-    assert!(is_lacking(&*router, LIFE, permit));
+    assert!(lacks_valid_permit(&*router, LIFE, permit));
     let asked = router.state().asked[0].clone();
     assert!(asked.wants_permit);
     assert_eq!(asked.statement.limit, Some(limit(2.0)));
@@ -138,9 +138,12 @@
 async fn the_leaders_word_that_there_is_no_limit_lets_the_request_be_sent() {
     let router = Router::new(Some(limit(2.0)), Some(PermitReply::Unlimited));
     let permit = taken(&router).await;
-    assert!(!is_lacking(&*router, LIFE, permit));
+    assert!(!lacks_valid_permit(&*router, LIFE, permit));
     advance(GRANT_LIFE + Duration::from_millis(1)).await;
-    assert!(is_lacking(&*router, LIFE, permit), "it may have one again");
+    assert!(
+        lacks_valid_permit(&*router, LIFE, permit),
+        "it may have one again"
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/pool.rs
@@ -17,29 +17,29 @@
 async fn a_port_that_is_watched_takes_no_connection_from_requests() {
     let (_listener, address) = listener().await;
     let pool = Pool::default();
-    let PortState::Open(watched) = pool.look_at_port(address).await else {
+    let PortState::Open(probe) = pool.probe_port(address).await else {
         panic!("somebody listens");
     };
-    assert!(pool.has_room(1), "the only connection is left");
-    let taken = pool.take(address, 1, true).await.expect("a connection");
+    assert!(pool.has_capacity(1), "the only connection is left");
+    let taken = pool.acquire(address, 1, true).await.expect("a connection");
     assert_eq!(pool.open_connections(), 1);
     // Others took the last one meanwhile: the watched one is closed.
-    pool.keep_watched(watched, 1);
+    pool.adopt(probe, 1);
     assert_eq!(pool.open_connections(), 1);
     drop(taken);
     assert_eq!(pool.open_connections(), 0);
-    let PortState::Open(watched) = pool.look_at_port(address).await else {
+    let PortState::Open(probe) = pool.probe_port(address).await else {
         panic!("somebody listens");
     };
-    pool.keep_watched(watched, 1);
+    pool.adopt(probe, 1);
     assert_eq!(pool.open_connections(), 1);
-    assert!(pool.has_room(1), "it rests");
+    assert!(pool.has_capacity(1), "it rests");
 }
 
 #[tokio::test]
 async fn a_port_that_nobody_listens_at_refuses() {
     let (listener, address) = listener().await;
     drop(listener);
-    let look = Pool::default().look_at_port(address).await;
-    assert!(matches!(look, PortState::Refuses), "{look:?}");
+    let look = Pool::default().probe_port(address).await;
+    assert!(matches!(look, PortState::Refused), "{look:?}");
 }
--- a/crates/proxy/tests/quarantine.rs
+++ b/crates/proxy/tests/quarantine.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use railtack_proxy::quarantine::{EndsMet, QuarantineChange, QuarantineKnowledge, REPORTS_COME_IN};
+use railtack_proxy::quarantine::{
+    EndsMet, QuarantineChange, QuarantineKnowledge, REPORT_SETTLE_TIME,
+};
 use railtack_rpc::serving::{QUARANTINE_TIME, QuarantineUpdate};
 use railtack_serving::ContentKey;
 use tokio::time::Instant;
@@ -54,16 +56,16 @@
     let start = Instant::now();
     let mut known = QuarantineKnowledge::default();
     known.learn(&told(7, &[OTHER]), start);
-    let soon = start + REPORTS_COME_IN / 4;
+    let soon = start + REPORT_SETTLE_TIME / 4;
     let changes = known.learn(&told(8, &[]), soon);
     assert_eq!(changes, [QuarantineChange::Released(OTHER)]);
-    let settled = soon + REPORTS_COME_IN;
+    let settled = soon + REPORT_SETTLE_TIME;
     assert_eq!(known.settles_at(OTHER, soon), Some(settled));
     assert_eq!(known.settles_at(OTHER, settled), None);
     assert_eq!(known.settles_at(FATAL, soon), None, "nobody suspects it");
     // The next end begins the time anew, though the lists are the same.
     assert_eq!(known.learn(&told(9, &[]), settled), []);
-    let settled_anew = settled + REPORTS_COME_IN;
+    let settled_anew = settled + REPORT_SETTLE_TIME;
     assert_eq!(known.settles_at(OTHER, settled), Some(settled_anew));
 }
 
--- a/crates/proxy/tests/retry_pacing.rs
+++ b/crates/proxy/tests/retry_pacing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quickcheck::quickcheck;
-use railtack_proxy::retry_pacing::ReturnTimes;
+use railtack_proxy::retry_pacing::RetryPacer;
 use railtack_serving::Moment;
 
 const NOW: Moment = Moment::from_secs(100);
@@ -11,15 +11,18 @@
 
 #[test]
 fn callers_come_back_as_far_apart_as_the_limits_allow() {
-    let mut returns = ReturnTimes::default();
+    let mut pacer = RetryPacer::default();
     // Two routers share ten requests a second: five a second each.
     let pauses: Vec<Duration> = (0..4)
-        .map(|_| returns.pause(NOW, OPENS_IN, 10.0, 2, 0))
+        .map(|_| pacer.next_retry_after(NOW, OPENS_IN, 10.0, 2, 0))
         .collect();
     assert_eq!(pauses, [200, 400, 600, 800].map(Duration::from_millis));
     // Room that nobody was told of is not kept for anybody.
     let later = NOW + Duration::from_secs(60);
-    assert_eq!(returns.pause(later, OPENS_IN, 10.0, 2, 0), OPENS_IN);
+    assert_eq!(
+        pacer.next_retry_after(later, OPENS_IN, 10.0, 2, 0),
+        OPENS_IN
+    );
 }
 
 quickcheck! {
@@ -29,9 +32,9 @@
         routers: u32,
         seed: u64
     ) -> bool {
-        let mut returns = ReturnTimes::default();
+        let mut pacer = RetryPacer::default();
         (0..callers).all(|_| {
-            let pause = returns.pause(NOW, OPENS_IN, per_s.abs().min(1e6), routers, seed);
+            let pause = pacer.next_retry_after(NOW, OPENS_IN, per_s.abs().min(1e6), routers, seed);
             pause <= Duration::from_secs(4)
         })
     }
--- a/crates/proxy/tests/store_budget.rs
+++ b/crates/proxy/tests/store_budget.rs
@@ -6,7 +6,7 @@
 use railtack_proxy::{
     PromptSegment, PromptShape,
     affinity::PrefixPath,
-    store_budget::{SaveBudget, StoreRoom},
+    store_budget::{SaveBudget, StoreCapacity},
 };
 use tokio::time::Instant;
 
@@ -26,8 +26,8 @@
     PrefixPath::new(&shape, "")
 }
 
-fn room(capacity_tokens: u64, routers: u32) -> StoreRoom {
-    StoreRoom {
+fn store(capacity_tokens: u64, routers: u32) -> StoreCapacity {
+    StoreCapacity {
         capacity_tokens,
         routers,
         reuse_window: Duration::from_secs(10),
@@ -47,9 +47,9 @@
         let mut saved = 0.0;
         for gap in gaps_ms {
             now += Duration::from_millis(u64::from(gap));
-            if budget.take(
+            if budget.try_save(
                 &prompt(70_000, u64::from(own)),
-                room(capacity, routers),
+                store(capacity, routers),
                 now,
             ) {
                 saved += f64::from(own);
@@ -72,7 +72,7 @@
         (0..1_000_u64)
             .filter(|step| {
                 let now = start + Duration::from_millis(step * 100);
-                budget.take(&prompt(6_300, own), room(635_000, 8), now)
+                budget.try_save(&prompt(6_300, own), store(635_000, 8), now)
             })
             .count()
     };
@@ -87,6 +87,6 @@
     let now = Instant::now();
     let mut budget = SaveBudget::default();
     for _ in 0..100 {
-        assert!(budget.take(&prompt(6_300, 2_890), room(0, 8), now));
+        assert!(budget.try_save(&prompt(6_300, 2_890), store(0, 8), now));
     }
 }
