--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is taken, on which route, for whom and for how long. Pure.
+//! Admission of a request: resolves its route, tenant, priority and deadline. Pure.
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
 
 use crate::{refusal::RefusalReason, request::ProxiedRequest};
 
-/// A request that is taken.
+/// An admitted request.
 #[derive(Clone, Debug)]
 pub struct Admitted {
-    /// Its route.
+    /// The matching route.
     pub route: Route,
-    /// The tenant that holds the key.
+    /// Name of the tenant that owns the API key.
     pub tenant: Option<String>,
-    /// Whether the tenant shares no cached prompt memory.
+    /// Whether the tenant's cached prefixes are isolated from those of others.
     pub isolated: bool,
     /// Whether the tenant has a quota.
     pub has_quota: bool,
-    /// Urgency; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// When the last answer is due: the caller's time or the route's, whichever is shorter.
+    /// Deadline of the response: the client's timeout or the route's, whichever is shorter.
     pub deadline: Instant,
-    /// Version of the configuration that decided.
+    /// Revision of the configuration used for the decision.
     pub revision: u64,
 }
 
-/// Decides on a request from the configuration in force.
+/// Admits or refuses a request under the given configuration.
 pub fn admit(table: &RouteTable, request: &ProxiedRequest) -> Result<Admitted, RefusalReason> {
     let route = table
         .route(&request.host, request.path())
@@ -35,7 +35,7 @@
     let tenant = match owner {
         KeyOwner::Tenant(tenant) => Some(tenant),
         KeyOwner::NotAsked => None,
-        // A key that nobody holds is refused even where none is needed.
+        // An unknown key is refused even on a route that allows anonymous requests.
         KeyOwner::Unknown if route.allows_anonymous && request.key.is_none() => None,
         KeyOwner::Unknown => return Err(RefusalReason::UnknownKey),
     };
--- a/crates/proxy/src/affinity.rs
+++ b/crates/proxy/src/affinity.rs
@@ -1,8 +1,8 @@
-//! Which replica is likely to keep the beginning of a prompt. Pure.
+//! Prefix affinity: which replicas are likely to cache a prompt's prefix. Pure.
 //!
-//! All routers rank the replicas for a prompt by rendezvous hashing over its deepest shared part,
-//! so that requests with the same beginning meet without any router asking another. Besides, each
-//! router remembers what it sent where.
+//! All routers rank replicas by rendezvous hashing over the longest shared prefix of the prompt, so
+//! that requests with the same prefix meet without coordination. In addition, each router remembers
+//! which prefixes it sent to which replica.
 
 use std::collections::HashMap;
 
@@ -11,21 +11,21 @@
 
 use crate::request::PromptShape;
 
-/// Prefixes that are remembered of all replicas together.
+/// Maximum number of remembered pairs of replica and prefix.
 const MAX_SENT_PREFIXES: usize = 16_384;
 
-/// The shared beginnings of a prompt, shortest first.
+/// Shared prefixes of a prompt, shortest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PrefixPath {
-    /// Hash of each beginning, and its length in tokens. The last part of a prompt is the
-    /// request's own and is left out unless it is the only one.
+    /// Hash and length in tokens of each prefix. The last segment of a prompt is unique to the
+    /// request and not included.
     pub prefixes: Vec<(u64, u64)>,
     /// Length of the whole prompt, tokens.
     pub prompt_tokens: u64,
 }
 
 impl PrefixPath {
-    /// The beginnings of a prompt within a cache namespace.
+    /// Computes the prefixes of a prompt within a cache namespace.
     pub fn new(prompt: &PromptShape, namespace: &str) -> Self {
         let shared = prompt.segments.len().saturating_sub(1);
         let mut hash = xxh3_64_with_seed(namespace.as_bytes(), 0);
@@ -42,35 +42,35 @@
         }
     }
 
-    /// Hash of the longest shared beginning, by which replicas are ranked.
+    /// Returns the hash of the longest shared prefix, by which replicas are ranked.
     pub fn key(&self) -> Option<u64> {
         self.prefixes.last().map(|(hash, _)| *hash)
     }
 
-    /// Hash of the first shared part.
+    /// Returns the hash of the first segment.
     pub fn first_segment_key(&self) -> Option<u64> {
         self.prefixes.first().map(|(hash, _)| *hash)
     }
 
-    /// Length of the longest shared beginning, tokens.
+    /// Returns the length of the longest shared prefix, tokens.
     pub fn shared_tokens(&self) -> u64 {
         self.prefixes.last().map_or(0, |(_, tokens)| *tokens)
     }
 }
 
-/// Rank of a replica for a key: the higher, the more it is favoured. The same in every router.
+/// Returns the rank of a replica for a key; higher is preferred. The same in every router.
 pub fn rendezvous(key: u64, replica: &str) -> u64 {
     xxh3_64_with_seed(replica.as_bytes(), key)
 }
 
-/// What this router has sent to which replica.
+/// Prefixes that this router has sent to each replica.
 #[derive(Clone, Debug, Default)]
 pub struct SentPrefixes {
     sent_at: HashMap<(u64, u64), Instant>,
 }
 
 impl SentPrefixes {
-    /// Tokens of the prompt that a replica read for this router before.
+    /// Returns the length of the longest prefix that this router has sent to the replica, tokens.
     pub fn cached_tokens(&self, replica: &str, path: &PrefixPath) -> u64 {
         let replica = replica_hash(replica);
         path.prefixes
@@ -80,7 +80,7 @@
             .map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// Notes that a replica reads a prompt.
+    /// Records that a prompt was sent to a replica.
     pub fn record(&mut self, replica: &str, path: &PrefixPath, now: Instant) {
         let replica = replica_hash(replica);
         for (hash, _) in &path.prefixes {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Forgets everything about a replica whose memory is gone.
+    /// Removes all prefixes of a replica whose cache was lost.
     pub fn remove_replica(&mut self, replica: &str) {
         let replica = replica_hash(replica);
         self.sent_at.retain(|(key, _), _| *key != replica);
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -1,50 +1,50 @@
-//! The share of the system's retries that one router may spend. Pure.
+//! Local share of the fleet-wide retry budget. Pure.
 //!
-//! The bound holds for all routers together and for every window: arrivals beyond the first of
-//! each request may reach a share of the requests, and some slack. A router counts its own first
-//! arrivals and retries over the last window. It spends up to a part of the share of its own
-//! requests, all at once if they fail at once, and up to its part of the slack.
+//! The bound holds for all routers together and for any window: retries stay below a ratio of the
+//! requests plus a fixed slack. Each router counts its own requests and retries over the last
+//! window. It may spend part of the ratio of its own requests, in a burst if necessary, plus its
+//! part of the slack.
 //!
-//! Invariant: retries in any window, of all lives of all routers, stay below the bound. What a
-//! former life spent is not known after a restart, so a router starts with no slack and gains it
-//! over one window; as much is left for what was spent before, and the rest is lent by the leader.
+//! Invariant: retries in any window stay below the bound, including those sent by routers before a
+//! restart. A restarted router does not know what it spent before, so it starts without slack and
+//! gains it over one window. The remaining slack is lent by the leader.
 
 use std::time::Duration;
 
 use railtack_serving::retries::OWN_SLACK;
 use tokio::time::Instant;
 
-/// Part of the share that is spent; the rest covers requests that are counted elsewhere.
+/// Part of the ratio that is spent; the rest covers requests counted by other routers.
 const SPENDABLE_SHARE: f64 = 0.85;
-/// Routers that are assumed as long as nobody has told how many there are.
+/// Number of routers assumed until it is known.
 const ASSUMED_ROUTERS: u32 = 64;
-/// Steps in which a window moves on.
+/// Buckets per window.
 const BUCKETS_PER_WINDOW: u64 = 20;
-/// Steps that are kept: a window, and the step that it leaves.
+/// Buckets kept: one window and the bucket that is leaving it.
 const BUCKET_COUNT: usize = BUCKETS_PER_WINDOW as usize + 1;
 
-/// What the deployment allows.
+/// Retry limits of the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetRule {
-    /// Arrivals beyond the first, as a share of the requests.
+    /// Retries per request.
     pub ratio: f64,
-    /// Arrivals beyond the share in one window.
+    /// Retries per window in addition to the ratio.
     pub slack: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// What was counted in one step of the window.
+/// Counts of one bucket of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     index: u64,
     requests: u32,
     retries: u32,
-    /// Most routers that were alive.
+    /// Largest number of live routers seen.
     routers: u32,
 }
 
-/// Retries that this router may still send to one service.
+/// Retry budget of this router for one service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     rule: BudgetRule,
@@ -53,7 +53,7 @@
 }
 
 impl RetryBudget {
-    /// The budget of a router that starts.
+    /// Creates the budget of a router that starts at `now`.
     pub fn new(rule: BudgetRule, now: Instant) -> Self {
         Self {
             rule,
@@ -62,13 +62,12 @@
         }
     }
 
-    /// Notes a first arrival of a request. `routers` is the number of routers that are alive, 0
-    /// while unknown.
+    /// Counts a first attempt. `routers` is the number of live routers, 0 if unknown.
     pub fn earn(&mut self, routers: u32, now: Instant) {
         self.current_bucket(routers, now).requests += 1;
     }
 
-    /// Takes one retry, if there is one.
+    /// Counts a retry and returns true if the budget allows it.
     pub fn spend(&mut self, routers: u32, now: Instant) -> bool {
         self.current_bucket(routers, now);
         let is_allowed = f64::from(self.retries()) + 1.0 <= self.allowance(now);
@@ -78,7 +77,7 @@
         is_allowed
     }
 
-    /// Retries that may lie in the window that ends now.
+    /// Returns the retries allowed in the window that ends at `now`.
     fn allowance(&self, now: Instant) -> f64 {
         let current = self.bucket_index(now);
         let counted = self
@@ -90,9 +89,9 @@
         share + self.slack(now)
     }
 
-    /// This router's part of the slack.
+    /// Returns this router's part of the slack.
     fn slack(&self, now: Instant) -> f64 {
-        // A control replica that has just begun to lead knows few routers yet.
+        // A new leader has not heard from all routers yet, so the largest recent number counts.
         let max_routers = self.buckets.iter().map(|bucket| bucket.routers).max();
         let routers = max_routers
             .filter(|max_routers| *max_routers > 0)
@@ -106,7 +105,7 @@
         self.buckets.iter().map(|bucket| bucket.retries).sum()
     }
 
-    /// The present step, after those that have left the window were cleared.
+    /// Returns the bucket of `now` after clearing those that have left the window.
     fn current_bucket(&mut self, routers: u32, now: Instant) -> &mut Bucket {
         let current = self.bucket_index(now);
         for bucket in &mut self.buckets {
@@ -120,7 +119,7 @@
         bucket
     }
 
-    /// Number of the step that `now` falls into; the first is 1.
+    /// Returns the index of the bucket of `now`, starting at 1.
     fn bucket_index(&self, now: Instant) -> u64 {
         let age = now.saturating_duration_since(self.started_at);
         let buckets = age.as_secs_f64() / self.window_s() * BUCKETS_PER_WINDOW as f64;
--- a/crates/proxy/src/choice.rs
+++ b/crates/proxy/src/choice.rs
@@ -1,93 +1,92 @@
-//! Which replica runs a request. Pure.
+//! Cost function that selects a replica among candidates. Pure.
 //!
-//! Every candidate gets a cost in shares of a replica: how busy it would be with the work that is
-//! known or presumed to be there, what part of its memory the uncached prompt takes, and what it
-//! costs to reach it. The cheapest wins; equal ones are told apart by the seed.
+//! The cost of a candidate is a sum of shares of a replica: its load, the part of its KV cache that
+//! the uncached prompt takes, and penalties for zone, rank and failures. The cheapest candidate
+//! wins; ties are broken by the seed.
 
-/// Cost of leaving the router's zone.
+/// Cost of a replica in another zone.
 const OTHER_ZONE_COST: f64 = 0.06;
-/// Cost of the replicas behind the favoured one, by rank: what they lack is fetched or read again.
+/// Cost by rank in the order of preference. Lower-ranked replicas have to fetch or recompute the
+/// prefix.
 const RANK_COSTS: [f64; 4] = [0.0, 0.10, 0.15, 0.20];
 /// Cost of a replica whose recent exchanges all failed.
 const FAILURE_COST: f64 = 2.0;
-/// Weight of the request's own prompt tokens that must be read, as shares of a replica's memory.
+/// Weight of the request's uncached prompt tokens, as a share of the KV cache.
 const PREFILL_WEIGHT: f64 = 4.0;
-/// Weight of the prompt tokens of other requests that are read before.
+/// Weight of the prompt tokens of other requests that are prefilled first.
 const QUEUED_PREFILL_WEIGHT: f64 = 1.5;
-/// Share of a prompt's beginning that the favoured replica is presumed to keep.
+/// Share of a shared prefix that the home replica is assumed to cache.
 const ASSUMED_CACHED_SHARE: f64 = 0.9;
 
-/// Power of the share of taken slots that is the cost of a busy replica whose whole load is known.
-/// A replica with free slots holds a request up little, however many are taken; and the figure is
-/// a second old, so that small differences must not send every router to the same replica.
+/// Exponent of the share of taken slots in the cost of a replica whose fleet-wide load is known.
+/// Low utilization hardly delays a request, and the figure is about a second old: small differences
+/// must not send every router to the same replica.
 const LOAD_EXPONENT: i32 = 3;
 
-/// Replicas that are favoured most for a prompt, among which the shared load decides.
+/// Top-ranked replicas among which the shared load decides.
 const PREFERRED_CHOICES: usize = 2;
-/// Share of a replica's memory from which on a prompt's shared beginning is kept at one replica, the
-/// favoured one, however busy it is. Memory is what binds then: a copy elsewhere takes the place of
-/// another beginning, which is read again. Worth 0.2 of what callers are owed at high load, with 79
-/// routers before 90 replicas and beginnings of 7 in 100 of a replica's memory: 4.3 instead of 10.2
-/// million tokens of beginnings were read again in half a minute.
+/// Share of a replica's KV cache above which a shared prefix is pinned to its home replica, however
+/// busy that is. A second copy of such a prefix evicts another one, which then has to be
+/// recomputed.
 const PINNED_PREFIX_SHARE: f64 = 0.01;
-/// Cost of a replica that is not the favoured one, for a prompt that is kept at one replica: as much as
-/// one whose slots are all taken. Failures and rests still send the prompt elsewhere.
+/// Cost of leaving the home replica with a pinned prefix, equal to that of a fully loaded replica.
+/// Failures and back-off can still move the prompt.
 const PINNED_OFF_HOME_COST: f64 = 1.0;
-/// Replicas of any zone that are drawn for a request without a prompt.
+/// Replicas drawn from any zone for a request without a prompt.
 const RANDOM_CHOICES: usize = 2;
 
-/// What all routers together have open at a replica, this router's newest requests included.
+/// Open load of all routers at a replica, including the newest requests of this router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SharedLoad {
-    /// Open requests.
+    /// Number of open requests.
     pub open_requests: u32,
-    /// Prompt tokens of those that have brought no event yet.
+    /// Prompt tokens of the open requests that have not produced an event yet.
     pub unread_tokens: u64,
 }
 
-/// What is known of one replica that may run the request.
+/// Inputs to the cost of one replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Candidate {
-    /// Whether it is in the router's zone.
+    /// Whether the replica is in the router's zone.
     pub same_zone: bool,
-    /// Requests that it runs at once.
+    /// Requests the replica runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds; 0 if it is no engine.
+    /// KV cache capacity, tokens; 0 for a replica that is not an engine.
     pub capacity_tokens: u64,
-    /// Requests of this router that are open there.
+    /// Open requests of this router at the replica.
     pub open_requests: u32,
-    /// Prompt tokens of this router's requests there that have brought no event yet.
+    /// Prompt tokens of this router's open requests that have not produced an event yet.
     pub unread_tokens: u64,
-    /// What all routers have open there; `None` if that is not known.
+    /// Load of all routers at the replica; `None` if unknown.
     pub shared_load: Option<SharedLoad>,
-    /// Prompt tokens that it is known to keep.
+    /// Prompt tokens that this router sent to the replica before.
     pub cached_tokens: u64,
-    /// Place among the replicas that rendezvous hashing favours for this prompt; 0 is the first.
+    /// Position in the order of preference for this prompt; 0 is the home replica.
     pub rank: usize,
-    /// Share of recent exchanges that failed.
+    /// Decayed share of recent exchanges that failed, 0 to 1.
     pub failure_rate: f64,
 }
 
-/// What is known of the request.
+/// Size of the request, and the number of routers competing for replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RequestSize {
-    /// Length of the prompt, tokens; 0 without one.
+    /// Length of the prompt, tokens; 0 without a prompt.
     pub prompt_tokens: u64,
-    /// Length of the beginning that it shares with others, tokens.
+    /// Length of the prefix shared with other requests, tokens.
     pub shared_tokens: u64,
-    /// Routers that send to the same replicas.
+    /// Number of routers that send to the same replicas.
     pub routers: u32,
 }
 
 impl RequestSize {
-    /// Whether the prompt goes to its favoured replica whatever the load is: a copy of its beginning
-    /// would take too much of another replica's memory.
+    /// Whether the prompt stays at its home replica regardless of load, because a copy of its
+    /// prefix would take too much of another replica's KV cache.
     pub fn is_pinned(&self, capacity_tokens: u64) -> bool {
         self.shared_tokens as f64 > capacity_tokens as f64 * PINNED_PREFIX_SHARE
     }
 }
 
-/// Position of the cheapest candidate, and its cost.
+/// Returns the position and cost of the cheapest candidate, or `None` if there are no candidates.
 pub fn choose(candidates: &[Candidate], size: RequestSize, seed: u64) -> Option<(usize, f64)> {
     let count = candidates.len();
     let ranks = preferred_ranks(candidates);
@@ -108,7 +107,6 @@
     Some((cheapest.position, cheapest.cost))
 }
 
-/// What decides between a candidate and others.
 struct ScoredCandidate {
     position: usize,
     rotated: usize,
@@ -116,10 +114,10 @@
     cost: f64,
 }
 
-/// Whether a candidate is one of the few among which a request chooses by their shared load. All
-/// routers have the same figures, a second old: if each took the least busy replica of all, all
-/// would take the same one. A prompt chooses among the replicas that are favoured most for it,
-/// which differ from prompt to prompt; other requests among their zone's and a few drawn ones.
+/// Whether a candidate is in the subset from which the request selects by shared load. All routers
+/// see the same figures, about a second old, and would overload the replica that is least loaded
+/// overall. A prompt selects among its top-ranked replicas, which differ between prompts; other
+/// requests select among their own zone and a few random replicas.
 fn is_eligible(
     candidate: &Candidate,
     preferred_ranks: usize,
@@ -136,15 +134,15 @@
     }
 }
 
-/// Ranks among which the shared load decides: the first few, and one more than those that are full,
-/// so that a prompt that is asked for very often spreads as far as it must.
+/// Number of top ranks that are eligible: a fixed minimum, extended to the first replica with a
+/// free slot, so that a hot prompt spreads only as far as necessary.
 fn preferred_ranks(candidates: &[Candidate]) -> usize {
     let free = candidates.iter().filter(|candidate| !is_full(candidate));
     let first_free = free.map(|candidate| candidate.rank).min();
     first_free.map_or(usize::MAX, |rank| (rank + 1).max(PREFERRED_CHOICES))
 }
 
-/// Whether all slots are taken by what all routers have open there.
+/// Whether the requests of all routers take every slot.
 fn is_full(candidate: &Candidate) -> bool {
     let open = candidate.shared_load.map_or(0, |load| load.open_requests);
     open >= candidate.slots
@@ -168,7 +166,7 @@
         + failures
 }
 
-/// What it costs to send a prompt to another replica than the favoured one.
+/// Cost of sending a prompt to a replica other than its home.
 fn rank_cost(candidate: &Candidate, size: RequestSize) -> f64 {
     if size.shared_tokens == 0 || candidate.rank == 0 {
         return 0.0;
@@ -181,23 +179,24 @@
     }
 }
 
-/// How much the requests that are open at a replica hold up one more.
+/// Cost of the delay caused by requests that are already open at the replica.
 fn load_cost(candidate: &Candidate, size: RequestSize) -> f64 {
     let slots = f64::from(candidate.slots.max(1));
     if let Some(shared) = candidate.shared_load {
         if size.is_pinned(candidate.capacity_tokens) {
-            // Only this router's own requests tell equally good replicas apart.
+            // For a pinned prompt, only this router's own requests count.
             return f64::from(candidate.open_requests) / slots;
         }
         let open = shared.open_requests.max(candidate.open_requests);
         return (f64::from(open) / slots).powi(LOAD_EXPONENT);
     }
-    // Others send there as well; how much is a guess.
+    // The load of other routers is unknown and estimated from their number.
     let routers = f64::from(size.routers.max(1));
     f64::from(candidate.open_requests) * routers.sqrt() / slots
 }
 
-/// Prompt tokens that a replica has to read, less what it is known or presumed to keep.
+/// Returns the prompt tokens that the replica has to prefill, given what it is known or assumed to
+/// cache.
 pub fn uncached_tokens(candidate: &Candidate, size: RequestSize) -> u64 {
     let assumed = if candidate.rank == 0 {
         (size.shared_tokens as f64 * ASSUMED_CACHED_SHARE) as u64
@@ -213,7 +212,7 @@
         return 0.0;
     }
     let uncached = uncached_tokens(candidate, size) as f64 * PREFILL_WEIGHT;
-    // The load of others is a second old. It is gone by for prompts that may go elsewhere.
+    // The shared figure is about a second old and ignored for pinned prompts.
     let shared_load = candidate
         .shared_load
         .filter(|_| !size.is_pinned(candidate.capacity_tokens));
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -1,9 +1,10 @@
-//! Finding out whether a replica has ended when a connection to it broke, and telling the control group
-//! which requests ran there.
+//! Detects replica crashes after broken connections and reports them to the control group, with the
+//! requests that were running.
 //!
-//! A broken connection alone shows nothing: answers are lost and connections are reset while the
-//! replica goes on. It has ended if its port refuses connections, or if another life of it has
-//! registered at its address. One that said it leaves has not ended under a request.
+//! A broken connection alone proves nothing: responses get lost and connections are reset while the
+//! replica keeps running. A replica has crashed if its port refuses connections or if another
+//! incarnation has registered at its address. A replica that announced its shutdown is not
+//! reported.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,43 +25,44 @@
     view::ServingView,
 };
 
-/// Time for which another life at the address is waited for if the port did not tell. A replica's new
-/// life registers some seconds after the end of the former one.
+/// Time to wait for a new incarnation at the address if the port gives no proof. A restarted
+/// replica registers some seconds after the crash.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_secs(8);
-/// Time in which another replica must have been heard from for a report that removes one: a router of
-/// hundreds has a request open somewhere several times in it.
+/// Time within which another replica must have responded before a crash report may remove a
+/// replica; a router of a large fleet receives several responses in it.
 const RECENT_RESPONSE: Duration = Duration::from_secs(3);
-/// Part of the objective, as a divisor, for which a request waits while an end under it is looked into:
-/// what is left must do for its answer.
+/// Divisor of the objective that gives the longest wait of a request for a crash check. The
+/// remaining time must suffice for its response.
 const CRASH_CHECK_DIVISOR: u32 = 8;
-/// The same for one that is suspected already, which few are: it may end the next replica.
+/// The same for a request that is already suspected: few are, and it may crash the next replica.
 const SUSPECT_CHECK_DIVISOR: u32 = 2;
-/// Time after a connection broke in which the replica's port may close while requests wait for that: some
-/// tens of milliseconds, as [`settled`] has them wait for.
+/// Time after a broken connection in which the port may close while requests wait for the check
+/// (see [`wait_for_crash_checks`]).
 const BLOCKING_CLOSE_TIMEOUT: Duration = Duration::from_millis(50);
-/// Time in which it may close while nobody waits; beside load a process that ends may be that slow.
+/// Time in which the port may close after requests have stopped waiting; a process may exit slowly
+/// under load.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Connections that are opened at most to see whether a port closes: a replica may also close them for
-/// reasons of its own.
+/// Maximum number of connections opened to check a port; a replica may close them for other
+/// reasons.
 const MAX_PORT_PROBES: u32 = 3;
-/// Time for one try to have something recorded.
+/// Timeout of one proposal to the control group.
 const PROPOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before the next try, while a leader is being elected.
+/// Pause before the next proposal while a leader is being elected.
 const PROPOSE_RETRY_INTERVAL: Duration = Duration::from_millis(60);
-/// Reports that wait for the control group at the same time; more are dropped, with a log line.
+/// Maximum number of reports that wait for the control group; further ones are dropped and logged.
 const MAX_CONCURRENT_REPORTS: usize = 64;
 
-/// What shows that a replica has ended.
+/// Proof that a replica has crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CrashProof {
     /// Its port refuses connections.
     PortRefuses,
-    /// Another life of it has registered at its address.
+    /// Another incarnation has registered at its address.
     Succeeded,
 }
 
-/// Notes that the connection over which a replica had a request broke; looks in the background
-/// whether the replica has ended.
+/// Records that the connection of a running request broke, and checks in the background whether the
+/// replica has crashed.
 pub fn connection_broken(state: &Arc<ProxyState>, target: &Target, content: ContentKey) {
     if has_left(&state.view.load(), &target.record) {
         return;
@@ -71,8 +73,8 @@
     }
 }
 
-/// Notes that a replica outlived a request; tells the control group if it holds that request to be
-/// suspect, or to blame: copies that were open when it was quarantined may show that it is not.
+/// Records that a request completed, and reports it to the control group if the request is
+/// suspected or quarantined: copies that were open when it was quarantined may prove it harmless.
 pub fn request_succeeded(state: &Arc<ProxyState>, content: ContentKey) {
     lock(&state.crash_tracker).outlived(content, Instant::now());
     if lock(&state.quarantine).take_good_end(content) {
@@ -84,7 +86,7 @@
     }
 }
 
-/// Whether the replica said that it leaves, or was removed without another life in its place.
+/// Whether the replica announced its shutdown, or was removed without a successor.
 fn has_left(view: &ServingView, record: &ReplicaRecord) -> bool {
     match view.replicas.get(&record.id) {
         Some(known) => known.state == ReplicaState::Leaving,
@@ -100,7 +102,7 @@
         looked_ms = broken_at.elapsed().as_millis() as u64,
     });
     if let Some(proof) = proof {
-        // Nothing more is sent there until its next life registers.
+        // Stops sending to the replica until its next incarnation registers.
         target
             .handle
             .record_outcome(ExchangeEnd::Unreachable, Instant::now());
@@ -112,10 +114,10 @@
     }
 }
 
-/// Tells the control group that a replica has ended, with all requests that it may have ended under.
+/// Reports a crashed replica to the control group, with all requests it may have crashed on.
 async fn report_crash(state: &ProxyState, replica: &str, proof: &str) {
     state.metrics.replica_ends.inc();
-    // If this router hears from nobody else, its own path may be what is broken.
+    // Without responses from other replicas, this router's own network may have failed.
     let hears_others =
         lock(&state.replicas).any_other_responded(replica, RECENT_RESPONSE, Instant::now());
     let witness = hears_others.then(|| state.options.node.clone());
@@ -145,15 +147,15 @@
     state.crash_checks_done.notify_waiters();
 }
 
-/// Waits while an end under this request is being looked into, here or, if it is suspected, at other routers,
-/// so that a request that comes again and again risks one replica at a time. One that is not to blame loses some tens of
-/// milliseconds after the end of its replica, and no more than a part of its objective.
+/// Waits while a crash that involves this request is being checked, here or, if the request is
+/// suspected, by other routers. A request that is repeated thus risks one replica at a time. The
+/// wait is bounded by a part of the objective.
 pub async fn wait_for_crash_checks(state: &ProxyState, content: ContentKey, objective: Duration) {
     let started_at = Instant::now();
     loop {
         let settled = state.crash_checks_done.notified();
         tokio::pin!(settled);
-        // Registered before the look, so that no notice is missed.
+        // Enabled before the state is read, so that no notification is missed.
         settled.as_mut().enable();
         let is_awaited = lock(&state.crash_tracker).is_awaited(content);
         let now = Instant::now();
@@ -174,7 +176,7 @@
             return;
         }
         let wake_at = settles_at.map_or(until, |at| at.min(until));
-        // Whether it was told or the time is over: both are looked at anew.
+        // The state is checked again after a notification as well as after a timeout.
         let _ = timeout_at(wake_at, settled).await;
     }
 }
@@ -192,14 +194,13 @@
     }
 }
 
-/// A look at the port of a replica of which a connection broke. A process that ends closes its connections
-/// and its port one after the other, and a port that is looked at between is still open: a connection that
-/// came up there is closed with it. Looked at once, an end was not told when the port closed 2 ms after the
-/// connections, and one request ended ten replicas of ten.
+/// Checks whether the port of a replica closes. An exiting process closes its connections and its
+/// listening port one after the other; a connection accepted in between is closed with the port.
+/// One check is therefore not enough.
 struct PortProbe<'a> {
     target: &'a Target,
     probes_left: u32,
-    /// The connection that came up last.
+    /// The last connection that was established.
     open: Option<ProbeConnection>,
 }
 
@@ -237,7 +238,7 @@
         }
     }
 
-    /// The same; a connection that is still open then is kept for requests.
+    /// The same, and hands a connection that is still open at the end to the pool.
     async fn refuses_or_keeps(mut self, until: Instant) -> bool {
         let refuses = self.refuses(until).await;
         if let Some(open) = self.open {
@@ -271,8 +272,7 @@
     others.any(|other| other.address == record.address && other.id != record.id)
 }
 
-/// Has the control group record something, asking leader after leader. What is recorded twice counts
-/// once.
+/// Proposes a command until it is recorded, following changes of leader. Recording is idempotent.
 async fn propose_until_recorded(state: &ProxyState, command: ServingCommand) {
     if !state.control_peers.supports_grants() {
         spdlog::info!("report kept back: the group does not record it yet");
@@ -293,7 +293,7 @@
 }
 
 async fn propose(state: &ProxyState, command: &ServingCommand) -> bool {
-    // The serving state goes by no time of day.
+    // Commands of the serving state do not use the time of day.
     let proposal = Proposal {
         at: 0,
         command: Command::Serving(command.clone()),
@@ -323,7 +323,7 @@
     false
 }
 
-/// Places for reports that wait for the control group.
+/// Creates the semaphore that limits concurrent reports.
 pub fn report_slots() -> tokio::sync::Semaphore {
     tokio::sync::Semaphore::new(MAX_CONCURRENT_REPORTS)
 }
--- a/crates/proxy/src/homes.rs
+++ b/crates/proxy/src/homes.rs
@@ -1,19 +1,16 @@
-//! Which of very many replicas take the prompts that share a first part. Pure.
+//! Placement of prompts on replicas in large fleets. Pure.
 //!
-//! Prompts nest: a long first part that thousands share, then one that some of them share, then the
-//! request's own. Homes drawn for the deepest shared part from all of ten thousand replicas would have the
-//! first part read at each home. So where a service has far more replicas than its work needs, the first
-//! part draws a group of them, and the deepest part its home within the group: what a home lacks of the
-//! first part is fetched from a member of the group that is in use. All routers find the same group
-//! without asking, and a replica that comes or goes moves only the homes at it. Buys 0.0025 of what callers are
-//! owed on a quiet day of 9,675 replicas (1.90 instead of 2.15 million tokens read again in 25 s, one play each).
+//! Prompts nest: thousands of requests share a long first segment, some of them share a second one,
+//! and the rest is unique. If homes were chosen by the longest shared prefix among all replicas,
+//! each home would have to prefill the first segment. In a fleet that is much larger than its load
+//! needs, the first segment therefore selects a group of replicas, and the longest prefix selects a
+//! home within the group. A home fetches the first segment from a group member that is in use. All
+//! routers compute the same group without coordination, and a replica that joins or leaves only
+//! moves the homes placed on it.
 //!
-//! *Weighed:* one working set for all prompts (first parts are then read by all of its members);
-//! homes for the deepest part alone, as below [`SMALLEST_GROUP`], where replicas are few and the memory of
-//! each of them is needed; a small group for each tenant that shares nothing, sized by an equal share of the
-//! work. Tenants are not equal: with groups of two a large tenant's second parts did not fit its members, and
-//! on a day of 333 tenants 3.6 instead of 1.9 million tokens were read again. Prompts of such a tenant keep
-//! homes among all replicas.
+//! Small fleets, up to [`SMALLEST_GROUP`], place prompts by the longest prefix alone because they
+//! need the cache of every replica. Isolated tenants also use all replicas: tenants differ in size,
+//! and the prefixes of a large one would not fit a small group.
 
 use std::{cmp::Reverse, sync::Arc};
 
@@ -21,30 +18,27 @@
 
 use crate::affinity::rendezvous;
 
-/// Replicas from which on a service is divided into groups, and the size of a group while
-/// little is asked for. Up to here each beginning may need the memory of any replica.
+/// Fleet size above which a service is divided into groups, and the smallest size of a group.
 pub const SMALLEST_GROUP: usize = 256;
-/// Replicas in a group for each one that is kept busy: its members stand idle for most of the time, so that
-/// several times the work in a few seconds finds free places before the group has grown, and unshared parts
-/// stay out of the way of shared ones.
+/// Members of a group per replica kept busy. The headroom absorbs bursts until the group grows, and
+/// separates unique segments from shared ones.
 const GROUP_HEADROOM_FACTOR: usize = 4;
-/// Factor between two sizes of a group. Routers whose figures differ a little agree on a size but where it
-/// changes, and there homes move: with sizes a factor of two apart and a memory of ten seconds, second parts
-/// had two homes each, and 3.2 instead of 2.2 million tokens were read again on a quiet day.
+/// Factor between two group sizes. A large factor makes routers with slightly different load
+/// figures agree on the size; homes move whenever it changes.
 const GROUP_GROWTH_FACTOR: usize = 4;
-/// Members that are looked at for one that keeps the first part.
+/// Members that are searched for one that caches the first segment.
 const MAX_HOLDERS: usize = 16;
-/// Key by which replicas have their places on a ring; any number, the same in every router.
+/// Hash seed of positions on the ring; arbitrary, but the same in every router.
 const RING_SEED: u64 = 0;
 
-/// Replicas that are kept busy by all work of a service.
+/// Returns the number of replicas that the open requests of a service keep busy.
 pub fn busy_replicas(open_requests: u64, slots: u32) -> usize {
     let busy = open_requests.div_ceil(u64::from(slots.max(1)));
     usize::try_from(busy).unwrap_or(usize::MAX)
 }
 
-/// Replicas in the group of a first part. It is sized as if all requests of the service began with it, since
-/// how many do is not known to a router that sees one request in a second.
+/// Returns the size of the group for a first segment. It is sized for the load of the whole
+/// service, since one router cannot tell how much of that begins with a given segment.
 pub fn group_size(busy_replicas: usize) -> usize {
     let needed = busy_replicas.saturating_mul(GROUP_HEADROOM_FACTOR);
     let mut size = SMALLEST_GROUP;
@@ -54,17 +48,18 @@
     size
 }
 
-/// The replicas that take prompts with one first part.
+/// Replicas for prompts that share a first segment.
 #[derive(Clone, Debug, Default)]
 pub struct Homes<'a> {
-    /// The home of the deepest shared part first, then those that stand in for it, in that order.
+    /// Replicas in order of preference: the home of the longest shared prefix, then its
+    /// substitutes.
     pub ranked: Vec<&'a Arc<ReplicaRecord>>,
-    /// Where the first part is likely to be kept; none if all replicas of the service are in `ranked`.
+    /// Group members that may cache the first segment; empty if `ranked` covers the whole service.
     pub holders: Vec<&'a Arc<ReplicaRecord>>,
 }
 
 impl<'a> Homes<'a> {
-    /// The homes for a key among all replicas that may run a request; in the order given without one.
+    /// Ranks all candidates by rendezvous hashing on `home`; keeps their order without a key.
     pub fn of_all(home: Option<u64>, mut all: Vec<&'a Arc<ReplicaRecord>>) -> Self {
         if let Some(home) = home {
             all.sort_by_cached_key(|record| Reverse(rendezvous(home, &record.id)));
@@ -75,8 +70,8 @@
         }
     }
 
-    /// Where the home finds the first part: at a member that some router has just met. A home that is in use
-    /// itself has it, and if it lacks anything, then what no member but a store keeps.
+    /// Returns a group member in use from which `home` can fetch the first segment. A home that is
+    /// in use itself already caches the segment.
     pub fn prefix_source(
         &self,
         home: &ReplicaRecord,
@@ -91,9 +86,8 @@
     }
 }
 
-/// The replicas of a service that take work, in the order of a hash of their identities. Made once for a view,
-/// so that finding a group takes a time that grows with the group and not with the fleet: 10,000 replicas
-/// were hashed and put in order for each request before.
+/// Ready replicas of a service, ordered by the hash of their ids. Built once per view, so that the
+/// cost of finding a group depends on the size of the group and not of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Ring {
     members: Vec<Member>,
@@ -106,7 +100,7 @@
 }
 
 impl Ring {
-    /// A ring of these replicas.
+    /// Builds a ring of the given replicas.
     pub fn new(records: impl IntoIterator<Item = Arc<ReplicaRecord>>) -> Self {
         let members = records.into_iter().map(|record| Member {
             position: rendezvous(RING_SEED, &record.id),
@@ -120,17 +114,17 @@
         Self { members }
     }
 
-    /// Replicas on it.
+    /// Returns the number of replicas.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there are none.
+    /// Whether the ring has no replicas.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// All replicas once, from where a key falls.
+    /// Iterates over all replicas once, starting at the position of `key`.
     pub fn from(&self, key: u64) -> impl Iterator<Item = &Arc<ReplicaRecord>> + Clone {
         let start = self.members.partition_point(|member| member.position < key);
         let (before, after) = self.members.split_at(start);
@@ -138,8 +132,9 @@
     }
 }
 
-/// The homes for a prompt whose group begins with the first of `candidates`, in a group of `size`. `is_usable`
-/// leaves out replicas on which all routers agree; if it leaves none, it is not gone by.
+/// Returns the homes for a prompt in a group of `size` replicas that starts at the first candidate.
+/// `is_usable` excludes replicas by criteria that all routers share; if it excludes all, it is
+/// ignored.
 pub fn nested<'a>(
     home: u64,
     candidates: impl Iterator<Item = &'a Arc<ReplicaRecord>> + Clone,
@@ -155,7 +150,7 @@
     }
 }
 
-/// The first usable ones of `candidates`, `most` at most; the first ones of all, if none is usable.
+/// Returns the first usable candidates, at most `limit`. Ignores `is_usable` if it excludes all.
 pub fn first_usable<'a>(
     candidates: impl Iterator<Item = &'a Arc<ReplicaRecord>> + Clone,
     limit: usize,
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -1,9 +1,10 @@
-//! Permits for requests to back ends that name a limit over all routers together.
+//! Permits for requests to back ends that advertise a rate limit for all routers together.
 //!
-//! A router that has heard of a limit, from an answer or from the digest of all routers, asks the leader for a
-//! permit right before it sends a request there, and tells it what it heard. Nobody keeps permits: one that is not
-//! used soon is void, so that a router which was frozen with one in hand does not send it later. Without an
-//! answer of a leader nothing is sent there, as nobody else knows what others send.
+//! A router that knows of a limit, from a response or from the fleet digest, requests a permit from
+//! the leader right before it sends a request, and reports the limit with it. Permits are not kept:
+//! one that is not used soon expires, so that a router that was suspended does not use it later.
+//! Without a reply of a leader the request is not sent to that back end, since only the leader
+//! knows the combined rate.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,29 +16,29 @@
 use railtack_serving::{Moment, NamedLimit, RequestLimit, StatedLimit};
 use tokio::time::sleep;
 
-/// Longest time for one question.
+/// Maximum timeout of one permit request.
 const MAX_PERMIT_REQUEST_TIME: Duration = Duration::from_millis(250);
-/// Part of the objective, as a divisor, that one question may take: other back ends may be asked after it.
+/// Divisor of the objective that bounds the timeout of one permit request; other back ends may have
+/// to be tried after it.
 const PERMIT_REQUEST_DIVISOR: u32 = 8;
-/// Time after an unanswered question in which no other is asked: a leader is elected in some hundreds of
-/// milliseconds, and requests go to other back ends meanwhile.
+/// Pause in permit requests after one that got no reply. An election takes some hundred
+/// milliseconds; requests use other back ends meanwhile.
 const LEADER_RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Time for telling the leader what an answer said.
+/// Timeout of one report of a limit to the leader.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Tries to tell it; the next question for a permit tells it too.
+/// Attempts to report a limit; the next permit request reports it too.
 const REPORT_ATTEMPTS: u32 = 4;
 
-/// The right to send one request to a back end that names a limit, or the leader's word that it has none any more:
-/// digests may name it for longer.
+/// Permission to send one request to a back end that advertises a limit, or the leader's
+/// confirmation that the limit no longer exists, which digests may not reflect yet.
 #[derive(Clone, Copy, Debug)]
 pub struct Permit {
     requested_at: BootInstant,
-    /// The limit and the permit's name; `None` if there is no limit.
+    /// The limit and the identifier of the permit; `None` if there is no limit.
     grant: Option<(RequestLimit, PermitStamp)>,
 }
 
 impl Permit {
-    /// Whether it may still be used.
     fn is_fresh(&self) -> bool {
         self.requested_at.elapsed() <= GRANT_LIFE
     }
@@ -51,41 +52,41 @@
     }
 }
 
-/// What became of a question for a permit.
+/// Result of a permit request.
 #[derive(Clone, Copy, Debug)]
 pub enum Permission {
-    /// The request may be sent; with a permit, if the back end is known to have, or to have had, a limit.
+    /// The request may be sent. Holds a permit if the back end has, or recently had, a limit.
     Given(Option<Permit>),
-    /// It may not, before a moment that was noted.
+    /// The limit has no room yet; the time at which it does was recorded.
     Withheld,
 }
 
 /// What a router knows of a back end's limit.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownLimit {
-    /// The limit that was named last, to this router or to others.
+    /// The most recently advertised limit, to this router or to another.
     pub limit: RequestLimit,
-    /// Time since.
+    /// Time since it was advertised.
     pub age: Duration,
-    /// What the back end named to this router itself.
+    /// The limit that the back end advertised to this router.
     pub own: Option<NamedLimit>,
 }
 
-/// A router, as far as limits need it: what it knows of them, and how it reaches the leader.
+/// Access to a router's limits and to the leader, as needed for permits.
 pub trait LimitedRouter: Send + Sync + 'static {
-    /// Time since it started.
+    /// Returns the time since the router started.
     fn uptime(&self) -> Moment;
-    /// What it knows of a back end's limit; `None` if it has none.
+    /// Returns the known limit of a back end; `None` if it has none.
     fn known_limit(&self, life: &str) -> Option<KnownLimit>;
-    /// Until when no permit is asked for, as no leader answered.
+    /// Returns the end of the pause in permit requests after a call without a reply.
     fn unanswered_until(&self) -> Moment;
-    /// Notes that no leader answered.
+    /// Pauses permit requests because no leader replied.
     fn note_unanswered(&self, until: Moment);
-    /// Notes that a limit has no room before a moment.
+    /// Records that a limit has no room before `room_at`.
     fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment);
-    /// Notes that a limit is over that was named to this router no later than at `named_at`.
+    /// Removes a limit that was last advertised to this router at `named_at` or earlier.
     fn note_over(&self, life: &str, named_at: Moment);
-    /// Asks the control replica that is believed to lead; `None` without an answer.
+    /// Calls the presumed leader; returns `None` without a reply.
     fn ask_leader(
         &self,
         request: PermitRequest,
@@ -93,7 +94,7 @@
     ) -> impl Future<Output = Option<PermitReply>> + Send;
 }
 
-/// Whether a request lacks a permit to be sent to this back end now.
+/// Whether the request needs a permit for this back end and has no valid one.
 pub fn lacks_valid_permit(router: &impl LimitedRouter, life: &str, permit: Option<Permit>) -> bool {
     match permit {
         Some(permit) => !permit.is_fresh(),
@@ -101,7 +102,7 @@
     }
 }
 
-/// Takes a permit for one request, if the back end has a limit.
+/// Requests a permit if the back end has a limit.
 pub async fn take(router: &impl LimitedRouter, life: &str, objective: Duration) -> Permission {
     let Some(known) = router.known_limit(life) else {
         return Permission::Given(None);
@@ -152,8 +153,8 @@
     }
 }
 
-/// Takes in what the answer to a request says of its back end's limit; `is_news` if this router had not heard of
-/// it. What the leader does not know yet is told to it at once.
+/// Processes the limit advertised by a response and reports it to the leader if the leader may not
+/// know it yet. `is_news` is true if the limit is new to this router.
 pub fn note_answer<R: LimitedRouter>(
     router: &Arc<R>,
     life: &str,
@@ -178,8 +179,8 @@
     tokio::spawn(report_limit(Arc::clone(router), life.to_owned(), statement));
 }
 
-/// Tells the leader again of a limit that was named to this router: others may not know of it, or know that it
-/// is over.
+/// Reports a limit again that was advertised to this router. The leader may not know it, or may
+/// reply that it no longer exists.
 pub fn resend_limit<R: LimitedRouter>(router: &Arc<R>, life: String, named: NamedLimit) {
     let statement = LimitStatement {
         limit: Some(named.limit),
@@ -217,7 +218,8 @@
     }
 }
 
-/// In whole milliseconds, rounded down: what is told as newer than it is takes no limit back too early.
+/// Converts to whole milliseconds, rounding down. An age that is rounded up could make the leader
+/// drop a limit too early.
 fn milliseconds(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/proxy/src/quarantine.rs
+++ b/crates/proxy/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! What this router knows of requests that end the replicas that run them. Pure: times are passed in.
+//! Quarantine state of requests that crash the replicas that run them. Pure.
 //!
-//! One router sees few of the times at which such a request comes. So routers tell the control group
-//! under which of their requests a replica ended; it decides, and all routers refuse what it
-//! quarantines. *Weighed:* a count at each router: seven routers let a request end three replicas each.
+//! A single router sees few occurrences of such a request. Routers therefore report to the control
+//! group which of their requests were running when a replica crashed; the group decides, and all
+//! routers refuse the requests that it quarantines.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -13,54 +13,53 @@
 use railtack_serving::ContentKey;
 use tokio::time::Instant;
 
-/// Time in which the other connections to a replica that ended break, too: one look reports them all.
+/// Time in which the other connections to a crashed replica break as well; they share one report.
 pub const GATHERING: Duration = Duration::from_millis(15);
-/// Time after which an end that could not be recorded is given up: longer than the control group is
-/// without a leader in any failure that it outlives.
+/// Time after which an unrecorded crash report is dropped; longer than the control group is
+/// expected to be without a leader.
 pub const RECORD_LIMIT: Duration = Duration::from_secs(30);
-/// Shortest pause that the caller of a quarantined request is told: its release takes a moment.
+/// Minimum retry delay of a quarantined request; its release takes a moment.
 const SHORTEST_PAUSE: Duration = Duration::from_secs(1);
-/// Time after news of an end in which requests that are suspected, but not quarantined, wait. Routers report
-/// one end in parts, some tens of milliseconds apart, and each part is judged as it comes: one that names only
-/// a harmless request which was there as well clears the one to blame until the next part is in. Without it,
-/// 31 of 100 simulated requests ended one to nine replicas more than can be needed to tell two apart.
+/// Time for which suspected requests wait after an update. Routers report one crash in several
+/// parts, tens of milliseconds apart, and each part is evaluated on arrival. A part that names only
+/// a harmless request clears the harmful one until the next part arrives.
 pub const REPORT_SETTLE_TIME: Duration = Duration::from_millis(150);
-/// Requests with a good end that are remembered: those of a minute at 17 requests a second, 32 KB.
+/// Maximum number of remembered successful requests; a minute at 17 requests per second, 32 KB.
 const MAX_SUCCESSES: usize = 1_024;
-/// Time for which a good end clears a request: work that many callers ask for is then not blamed when
-/// several replicas end at the same moment. Replicas that run it badly since an update of theirs are
-/// lost under it for no longer than this.
+/// Time for which a success clears a request of suspicion, so that popular requests are not blamed
+/// when several replicas crash at once. If a new version of the replicas crashes on such a request,
+/// its crashes are ignored for at most this time.
 const SUCCESS_VALIDITY: Duration = Duration::from_secs(60);
-/// Requests remembered of one replica whose connections broke: more than are open there.
+/// Maximum number of requests remembered per crashed replica; more than are open at one.
 const MAX_UNREPORTED: usize = 256;
 
-/// The requests that the control group has quarantined, and those that it watches.
+/// Requests that the control group has quarantined or watches.
 #[derive(Debug, Default)]
 pub struct QuarantineKnowledge {
-    /// With the time at which this router learned of it.
+    /// Quarantined requests, with the time at which this router learned of each.
     quarantined: HashMap<ContentKey, Instant>,
-    /// Those of which a good end is still to be told.
+    /// Suspected requests whose next success has to be reported.
     watched: HashSet<ContentKey>,
-    /// All that are suspected.
+    /// All suspected requests.
     suspected: HashSet<ContentKey>,
-    /// When all reports of the last end are in.
+    /// Time by which all reports of the latest crash have arrived.
     settled_at: Option<Instant>,
-    /// Log position of what was learned last.
+    /// Log position of the latest update.
     changed_at: u64,
 }
 
-/// What changed for one request.
+/// Change of a request's quarantine state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// It is sent to no replica any more.
+    /// The request is no longer sent to replicas.
     Quarantined(ContentKey),
-    /// It is sent to replicas again.
+    /// The request is sent to replicas again.
     Released(ContentKey),
 }
 
 impl QuarantineKnowledge {
-    /// Takes in what the control group tells; it is complete. It comes with answers to watches and to
-    /// this router's own reports, in any order.
+    /// Applies a complete update from the control group. Updates arrive in watch replies and in
+    /// replies to this router's own reports, in any order.
     pub fn learn(&mut self, update: &QuarantineUpdate, now: Instant) -> Vec<QuarantineChange> {
         if update.changed_at <= self.changed_at {
             return Vec::new();
@@ -85,41 +84,43 @@
         changes
     }
 
-    /// When the caller of a quarantined request should come back; `None` if it is not quarantined.
+    /// Returns the retry delay of a quarantined request; `None` if it is not quarantined.
     pub fn pause(&self, content: ContentKey, now: Instant) -> Option<Duration> {
         let since = self.quarantined.get(&content)?;
         let passed = now.saturating_duration_since(*since);
         Some(QUARANTINE_TIME.saturating_sub(passed).max(SHORTEST_PAUSE))
     }
 
-    /// Whether replicas have ended under the request, and it is not quarantined.
+    /// Whether the request is suspected but not quarantined.
     pub fn is_suspected(&self, content: ContentKey) -> bool {
         self.suspected.contains(&content)
     }
 
-    /// When all reports of the last end are in, if the request is suspected and they may not be yet.
+    /// Returns the time by which all reports of the latest crash have arrived, if the request is
+    /// suspected and that time lies ahead.
     pub fn settles_at(&self, content: ContentKey, now: Instant) -> Option<Instant> {
         self.settled_at
             .filter(|at| self.is_suspected(content) && now < *at)
     }
 
-    /// Whether a good end of the request is to be told; for one that is only watched, once.
+    /// Whether a success of the request has to be reported: once for a watched request, always for
+    /// a quarantined one.
     pub fn take_good_end(&mut self, content: ContentKey) -> bool {
         self.watched.remove(&content) || self.quarantined.contains_key(&content)
     }
 
-    /// Log position of what was learned last.
+    /// Returns the log position of the latest update.
     pub fn changed_at(&self) -> u64 {
         self.changed_at
     }
 
-    /// Requests that are quarantined.
+    /// Returns the number of quarantined requests.
     pub fn quarantined(&self) -> usize {
         self.quarantined.len()
     }
 }
 
-/// The ends that this router's own requests met.
+/// Successes and broken connections of this router's own requests.
 #[derive(Debug, Default)]
 pub struct EndsMet {
     successes: VecDeque<(ContentKey, Instant)>,
@@ -129,11 +130,11 @@
 /// Requests whose connections to one replica broke.
 #[derive(Debug)]
 struct BrokenConnections {
-    /// Those that are not reported yet.
+    /// Requests not reported yet.
     unreported: Vec<ContentKey>,
-    /// Those that are being reported.
+    /// Requests being reported.
     reporting: Vec<ContentKey>,
-    /// Whether it will be known within a moment what became of the replica.
+    /// Whether the check of the replica is expected to finish soon.
     is_awaited: bool,
 }
 
@@ -148,7 +149,7 @@
 }
 
 impl EndsMet {
-    /// Notes that a replica outlived a request.
+    /// Records that a request completed without a crash.
     pub fn outlived(&mut self, content: ContentKey, now: Instant) {
         if self.successes.len() >= MAX_SUCCESSES {
             self.successes.pop_front();
@@ -156,8 +157,8 @@
         self.successes.push_back((content, now));
     }
 
-    /// Notes that the connection over which a replica had a request broke. True if nobody looks yet
-    /// whether the replica has ended.
+    /// Records that the connection of a running request broke. Returns true if no check of the
+    /// replica is in progress yet.
     pub fn broke(&mut self, replica: &str, content: ContentKey, now: Instant) -> bool {
         let is_first = !self.broken.contains_key(replica);
         let is_cleared = self.successes.iter().rev().any(|(success, at)| {
@@ -173,7 +174,7 @@
         is_first
     }
 
-    /// Whether it will be known within a moment if a replica ended under this request.
+    /// Whether a check that involves this request is expected to finish soon.
     pub fn is_awaited(&self, content: ContentKey) -> bool {
         let awaited = self.broken.values().filter(|broken| broken.is_awaited);
         let mut contents =
@@ -181,14 +182,14 @@
         contents.any(|known| *known == content)
     }
 
-    /// Notes that it may take long to learn what became of a replica.
+    /// Records that the check of a replica may take long, so that requests stop waiting for it.
     pub fn stop_awaiting(&mut self, replica: &str) {
         if let Some(broken) = self.broken.get_mut(replica) {
             broken.is_awaited = false;
         }
     }
 
-    /// The next requests to report of a replica that has ended; none, if all are reported.
+    /// Returns the next requests to report for a crashed replica; empty if all are reported.
     pub fn next_report(&mut self, replica: &str) -> Vec<ContentKey> {
         let Some(broken) = self.broken.get_mut(replica) else {
             return Vec::new();
@@ -197,7 +198,7 @@
         broken.reporting.clone()
     }
 
-    /// Forgets what broke at a replica.
+    /// Removes all records of a replica.
     pub fn forget(&mut self, replica: &str) {
         self.broken.remove(replica);
     }
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -1,8 +1,8 @@
-//! Taking a part of a tenant's quota from the leading control replica, before a request is sent.
+//! Acquires quota grants from the leading control replica before a request is sent.
 //!
-//! A router holds no part of a quota itself: one of many sees too few of a tenant's requests to use
-//! what it would hold. A question takes a round trip to the leader. Without an answer the request is
-//! refused: nobody else knows what other routers have used.
+//! Routers hold no local share of a quota, because one of many sees too few requests of a tenant to
+//! use it up. A grant takes one round trip to the leader. Without a reply the request is refused:
+//! only the leader knows how much of the quota is in use.
 
 use std::time::Duration;
 
@@ -17,35 +17,32 @@
     admission::Admitted, refusal::RefusalReason, request::ProxiedRequest, state::ProxyState,
 };
 
-/// Time for one question; a leader that is gone must not take all of a request's time.
+/// Timeout of one call; a failed leader must not use up the request's time.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause before another control replica is asked, while a leader is being elected.
+/// Pause between calls while a leader is being elected.
 const GRANT_RETRY_INTERVAL: Duration = Duration::from_millis(30);
-/// Part of the objective, as a divisor, for which a request may wait for its part of the quota: the
-/// rest is needed for its answer.
+/// Divisor of the objective that gives the longest wait for a grant.
 const WAIT_DIVISOR: u32 = 8;
-/// Part of the objective, as a divisor, from which on a request is late anyway, as after a restart.
+/// Divisor of the objective after which a request counts as late, for example after a restart.
 const LATE_DIVISOR: u32 = 2;
-/// Part of the time left, as a divisor, for which a request that is late anyway may wait. All that
-/// waited for the same leader come at once then; those that are refused have mostly spent their
-/// retry.
+/// Divisor of the remaining time that gives the longest wait of a late request. Late requests reach
+/// the leader in a burst, and most of them have already used their retry.
 const LATE_MAX_WAIT_DIVISOR: u32 = 4;
-/// Part of the objective, as a divisor, in which a leader must have been found.
+/// Divisor of the objective that gives the time to find a leader.
 const LEADER_SEARCH_DIVISOR: u32 = 2;
-/// Shortest time in which one must have been found.
+/// Minimum time to find a leader.
 const MIN_LEADER_SEARCH: Duration = Duration::from_millis(200);
 
-/// Why a request has no part of its tenant's quota.
+/// Refusal of a request without a quota grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaRefusal {
-    /// What the caller is told.
+    /// Reason reported to the caller.
     pub reason: RefusalReason,
-    /// When it should come back.
+    /// Time after which the caller should retry.
     pub retry_after: Option<Duration>,
 }
 
-/// Takes the part of its tenant's quota that an admitted request needs; at once if the tenant has
-/// no limit.
+/// Acquires the quota grant of an admitted request; returns at once if its tenant has no quota.
 pub async fn acquire(
     state: &ProxyState,
     request: &ProxiedRequest,
@@ -88,10 +85,10 @@
     }
 }
 
-/// Borrows a retry from the leader for a request to `service`; false if none is lent, or no leader answers
-/// soon. A router of hundreds has less than one retry of its own in a window.
+/// Borrows a retry for `service` from the leader; returns false if it is denied or no leader
+/// replies in time. In a large fleet a router earns less than one local retry per window.
 pub async fn borrow_retry(state: &ProxyState, service: &str, objective: Duration) -> bool {
-    // Asking again would only hold the request.
+    // The group does not support grants, so a call could only delay the request.
     if !state.control_peers.supports_grants() {
         return false;
     }
@@ -115,7 +112,7 @@
     }
 }
 
-/// How long a request may wait for its part of the quota.
+/// Returns the longest time for which a request may wait for its grant.
 fn max_wait(received: Instant, deadline: Instant, objective: Duration) -> Duration {
     let now = Instant::now();
     if now.saturating_duration_since(received) < objective / LATE_DIVISOR {
@@ -131,7 +128,7 @@
     Unanswered,
 }
 
-/// One question to the replica that is believed to lead.
+/// Sends one grant request to the presumed leader.
 async fn request_grant(
     state: &ProxyState,
     grant_request: &QuotaRequest,
@@ -165,7 +162,7 @@
                 stated_tokens = grant_request.stated_tokens.unwrap_or_default(),
                 rate_per_s,
                 level,
-                // Whose ledger it is, and how old its answer.
+                // The leader that refused, and the age of its reply.
                 leader = address.to_string(),
                 term,
                 age_ms = requested_at.elapsed().as_millis() as u64,
@@ -180,8 +177,8 @@
     }
 }
 
-/// Waits until what was granted is there. What is used later than its life is not covered by the
-/// ledger, so it is asked for anew.
+/// Waits until the grant becomes valid. A grant used after its validity is not covered by the
+/// leader's ledger and has to be requested again.
 async fn wait_for_grant(requested_at: BootInstant, wait_ms: u32) -> GrantOutcome {
     let wait = Duration::from_millis(u64::from(wait_ms));
     sleep(wait).await;
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -1,5 +1,7 @@
-//! Finding the replica for a request: who may serve it, what each is known to keep, who is chosen,
-//! and where the chosen one fetches what it lacks.
+//! Selects the replica for a request and the sources it fetches cached prefixes from.
+//!
+//! Replicas are ranked by [`homes`](crate::homes), compared by [`choice`](crate::choice), and
+//! reserved by [`permits`](crate::permits) if they advertise a rate limit.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -25,49 +27,49 @@
     view::ServingView,
 };
 
-/// Pause between two looks for a replica that takes work.
+/// Interval at which an unsuccessful selection is repeated if the view does not change.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
-/// Part of the objective for which a request may wait for a replica before it is refused.
+/// Divisor of the route's objective that gives the longest wait for an available replica.
 const WAIT_DIVISOR: u64 = 5;
-/// Connections that a router may open to one replica if the configuration states no limit.
+/// Connections one router may open to a replica if the configuration sets no limit.
 const DEFAULT_CONNECTIONS: u32 = 32;
 
-/// Replicas that have no room under the limits that they named.
+/// Rate limits that exclude every replica able to run a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExhaustedLimits {
-    /// Time until the first of them has room.
+    /// Time until the first of the replicas accepts a request again.
     pub available_in: Duration,
-    /// Requests a second that their limits allow together.
+    /// Sum of the replicas' limits, requests per second.
     pub per_s: f64,
 }
 
-/// Why a request was not sent to any replica.
+/// Reason why no replica was selected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NoTarget {
-    /// None takes work.
+    /// No replica accepts work.
     NoneAvailable,
-    /// All that could run it asked for no requests for a time.
+    /// Every candidate asked for a back-off period.
     BackingOff {
-        /// Time until the first of them takes requests again.
+        /// Time until the first of the periods ends.
         available_in: Duration,
     },
-    /// All that could run it have no room under the limits that they named.
+    /// Every candidate has reached its advertised rate limit.
     AtLimit(ExhaustedLimits),
-    /// The first event would come too late.
+    /// The service is overloaded: the first event would exceed the objective.
     TooLate {
-        /// When the caller should come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// A replica that may be sent the request, and what speaks for and against it.
+/// A replica that may be sent the request, and the inputs to its cost.
 struct EligibleReplica {
     candidate: Candidate,
     target: Target,
 }
 
 impl RequestRun {
-    /// Waits a little for a replica that takes work.
+    /// Selects a replica; waits for one to become available, up to a part of the objective.
     pub async fn wait_for_target(&mut self) -> Result<Target, NoTarget> {
         let route = &self.admitted.route;
         let wait = Duration::from_millis(route.objective_ms / WAIT_DIVISOR);
@@ -77,7 +79,8 @@
             let chosen = match self.select() {
                 Ok(target) => match self.acquire_permit(target).await {
                     Some(target) => return Ok(target),
-                    // Its limit has no room, which is known since: the next choice leaves it out.
+                    // The limit is now recorded as exhausted, so the next selection skips this
+                    // replica.
                     None => continue,
                 },
                 Err(cause) => cause,
@@ -89,7 +92,7 @@
                 NoTarget::BackingOff { available_in } => {
                     available_in <= until.saturating_duration_since(now)
                 }
-                // Those that wait would all come for the next permit.
+                // Waiting requests would all compete for the next permit.
                 NoTarget::AtLimit(_) | NoTarget::TooLate { .. } => false,
             };
             if timed_out || !may_change {
@@ -105,7 +108,8 @@
         }
     }
 
-    /// The target with a permit, if its replica has a limit; `None` if that has no room.
+    /// Returns the target with a permit if its replica has a rate limit, or `None` if the permit
+    /// was denied.
     async fn acquire_permit(&self, mut target: Target) -> Option<Target> {
         let objective = Duration::from_millis(self.admitted.route.objective_ms);
         match permits::take(&*self.state, &target.record.id, objective).await {
@@ -161,7 +165,8 @@
         Ok(target)
     }
 
-    /// What the prompt has to wait for at a replica, and would have to on average at those looked at.
+    /// Returns the prompt tokens to be prefilled before the first event at the target, and the mean
+    /// of the ranked replicas.
     fn prefill_backlog(
         &self,
         candidate: &Candidate,
@@ -185,8 +190,8 @@
         }
     }
 
-    /// When the caller should come back, if the first event would come too late. One that has run
-    /// elsewhere, or continues a stream, is sent all the same: its caller has waited for it.
+    /// Returns the retry delay if the first event would exceed the objective. Retries and resumed
+    /// streams are never refused here.
     fn overload_retry_after(&self, backlog: PrefillBacklog) -> Option<Duration> {
         let is_new = self.tried.is_empty() && self.request.last_event.is_none();
         let is_stream = self.admitted.route.kind.is_stream();
@@ -198,9 +203,9 @@
             .overload_retry_after(&self.service, backlog, objective)
     }
 
-    /// Replicas that may run the request and were not asked yet, the favoured ones first: as many as are
-    /// looked at. Those from which no router hears anything are left out, so that all routers agree on who
-    /// stands in for them.
+    /// Returns the replicas that can run the request and were not tried yet, in order of
+    /// preference. Replicas that are unresponsive to all routers are left out, so that every router
+    /// picks the same substitutes.
     fn home_replicas<'a>(
         &self,
         view: &'a ServingView,
@@ -237,13 +242,13 @@
             let candidates = ring.from(first_segment).filter(can_run);
             return nested(home, candidates, size, is_usable);
         }
-        // Without a favoured one, those that are looked at are drawn.
+        // Without a prefix, the search starts at a random position.
         let start = home.unwrap_or_else(rand::random);
         let candidates = ring.from(start).filter(can_run);
         Homes::of_all(None, first_usable(candidates, SMALLEST_GROUP, is_usable))
     }
 
-    /// Replicas in the group of this prompt's first part.
+    /// Returns the size of the replica group for this prompt's first segment.
     fn group_size(
         &self,
         fleet: Option<&FleetView>,
@@ -257,7 +262,7 @@
         group_size(busy_replicas(open, slots))
     }
 
-    /// What is known of each replica that may be sent the request now.
+    /// Returns the ranked replicas that accept a request now, each with its load and cached prefix.
     fn eligible_replicas(
         &self,
         ranked: &[&Arc<ReplicaRecord>],
@@ -325,7 +330,7 @@
         prompt.map_or(0, |prompt| self.state.oldest_usable_weights(&prompt.model))
     }
 
-    /// Whether a replica holds the model that the request names, in weights that may be used.
+    /// Whether the replica holds usable weights of the requested model.
     fn serves_model(&self, record: &ReplicaRecord, oldest_weights: u64) -> bool {
         let Some(prompt) = &self.request.prompt else {
             return true;
@@ -334,8 +339,8 @@
         record.weights.is_empty() || held.is_some_and(|held| held >= oldest_weights)
     }
 
-    /// Another replica that is likely to keep what the chosen one lacks, and has the same weights. The link
-    /// of a store serves all replicas; what they can hand to each other does not burden it.
+    /// Returns a replica with the same weights that probably caches what the chosen one lacks.
+    /// Peers are preferred over the store, whose link is shared by all replicas.
     fn fetch_source(
         &self,
         homes: &Homes<'_>,
@@ -367,8 +372,9 @@
         source.map(|record| record.address.clone())
     }
 
-    /// Whether the store is to keep the prompt. What the replica was sent before was saved then.
-    /// Prompts are spread over all stores, so what they hold together bounds the saves.
+    /// Whether the prompt is to be saved to the store. A prefix that was sent to this replica
+    /// before has been considered for saving already. Prompts are spread over all stores, so their
+    /// total capacity bounds the saves.
     fn should_save(&self, cached_tokens: u64, configuration: &ServingConfiguration) -> bool {
         let capacity_tokens = stores(configuration)
             .map(|store| store.capacity_tokens)
@@ -377,7 +383,7 @@
             && self.state.try_save(&self.path, capacity_tokens)
     }
 
-    /// The store for this prompt's beginning; the same in every router.
+    /// Returns the store for this prompt's prefix; every router picks the same one.
     fn store<'a>(&self, configuration: &'a ServingConfiguration) -> Option<&'a StoreShape> {
         let key = self.path.key()?;
         stores(configuration).max_by_key(|store| rendezvous(key, &store.address))
@@ -402,12 +408,12 @@
         self.state.routers.load(Ordering::Relaxed).max(1)
     }
 
-    /// Weights that the replica must hold to run the request.
+    /// Returns the version of the model's weights that the replica must hold to run the request.
     pub fn expected_weights(&self, record: &ReplicaRecord) -> Option<u64> {
         record.version_of(&self.request.prompt.as_ref()?.model)
     }
 
-    /// Cached prompt memory is shared only within a model, a version of its weights and, for an
+    /// Returns the namespace of cached prefixes: the model, the version of its weights and, for an
     /// isolated tenant, the tenant.
     pub fn cache_namespace(&self, record: &ReplicaRecord) -> Option<String> {
         let prompt = self.request.prompt.as_ref()?;
@@ -425,7 +431,7 @@
     services.filter_map(|service| service.store.as_ref())
 }
 
-/// Why none of the replicas that were looked at is sent a request.
+/// Returns the reason why none of the ranked replicas is eligible.
 fn no_eligible_cause(
     ranked: &[&Arc<ReplicaRecord>],
     availability: &Availability,
@@ -451,7 +457,7 @@
     })
 }
 
-/// Whether no router hears anything from a replica though some wait for it.
+/// Whether routers wait for responses of the replica and none of them has received any.
 fn is_dark(fleet: &FleetView, record: &ReplicaRecord) -> bool {
     if !fleet.any_unresponsive() {
         return false;
@@ -460,7 +466,7 @@
     condition.is_some_and(|condition| condition.is_dark)
 }
 
-/// What all routers have open at a replica; one that the digest leaves out is not in use.
+/// Returns the load of all routers at a replica; a replica missing from the digest is idle.
 fn shared_load(fleet: &FleetView, record: &ReplicaRecord) -> SharedLoad {
     let condition = fleet.condition(ReplicaKey::of(&record.id));
     condition.map_or_else(SharedLoad::default, |condition| SharedLoad {
