--- a/crates/lab/src/scale/homes.rs
+++ b/crates/lab/src/scale/homes.rs
@@ -4,8 +4,8 @@
 
 use hdrhistogram::Histogram;
 use railtack_proxy::{
-    choice::{Candidate, RequestSize, SharedLoad, choose},
-    homes::{Homes, Ring, SMALLEST_GROUP, first_usable, nested},
+    homes::{Homes, MIN_GROUP_SIZE, Ring, group_homes, take_usable},
+    scoring::{Candidate, RequestSize, SharedLoad, choose},
 };
 use railtack_serving::{ReplicaRecord, ReplicaState};
 use rand::{RngExt, SeedableRng};
@@ -77,11 +77,14 @@
         let ring = Ring::new(records.iter().cloned());
         let made = started.elapsed();
         let in_group = measured(|first_part, home| {
-            let candidates = ring.from(first_part);
-            choice_among(&nested(home, candidates, SMALLEST_GROUP, |_| true), home)
+            let candidates = ring.iter_from(first_part);
+            choice_among(
+                &group_homes(home, candidates, MIN_GROUP_SIZE, |_| true),
+                home,
+            )
         });
         let among_all = measured(|_, home| {
-            let all = first_usable(ring.from(0), ring.len(), |_| true);
+            let all = take_usable(ring.iter_from(0), ring.len(), |_| true);
             choice_among(&Homes::of_all(Some(home), all), home)
         });
         let micros =
--- a/crates/lab/tests/lent_retries.rs
+++ b/crates/lab/tests/lent_retries.rs
@@ -138,13 +138,13 @@
             lender = Lender::later(bounds, now);
         }
         let budget = &mut budgets[random.random_range(0..ROUTERS)];
-        budget.earn(ROUTERS as u32, now);
+        budget.deposit(ROUTERS as u32, now);
         retries.requests.push(now);
         if !random.random_bool(failures(second)) {
             continue;
         }
         retries.wanted += 1;
-        if budget.spend(ROUTERS as u32, now) || lends && lender.lend(now) {
+        if budget.withdraw(ROUTERS as u32, now) || lends && lender.lend(now) {
             retries.sent.push(now);
         }
     }
--- a/crates/lab/tests/parted_reports.rs
+++ b/crates/lab/tests/parted_reports.rs
@@ -15,7 +15,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use railtack_control::serving_state::quarantine::{ENDS_DESPITE_RIVAL, Quarantine};
-use railtack_proxy::quarantine::QuarantineKnowledge;
+use railtack_proxy::quarantine::QuarantineState;
 use railtack_rpc::serving::QuarantineUpdate;
 use railtack_serving::{ContentKey, ReplicaKey};
 use rand::{RngExt, SeedableRng};
@@ -58,7 +58,7 @@
     ends: u32,
     quarantine: Quarantine,
     recorded: u64,
-    routers: Vec<QuarantineKnowledge>,
+    routers: Vec<QuarantineState>,
     /// Until when each router has the fatal request wait.
     settles_ms: [u64; ROUTERS],
     reports: BTreeMap<u64, Vec<Report>>,
@@ -74,9 +74,7 @@
             ends: 0,
             quarantine: Quarantine::default(),
             recorded: 0,
-            routers: (0..ROUTERS)
-                .map(|_| QuarantineKnowledge::default())
-                .collect(),
+            routers: (0..ROUTERS).map(|_| QuarantineState::default()).collect(),
             settles_ms: [0; ROUTERS],
             reports: BTreeMap::new(),
             notices: BTreeMap::new(),
@@ -95,7 +93,7 @@
             }
             let now = self.now();
             for notice in self.notices.remove(&self.now_ms).unwrap_or_default() {
-                self.routers[notice.router].learn(&notice.told, now);
+                self.routers[notice.router].apply(&notice.told, now);
             }
         }
     }
@@ -129,7 +127,7 @@
         } else {
             SETTLING_MS
         };
-        let is_settled = knowledge.settles_at(FATAL, self.now()).is_none();
+        let is_settled = knowledge.reports_complete_at(FATAL, self.now()).is_none();
         waited_ms < longest_ms && (!is_settled || self.now_ms < self.settles_ms[router])
     }
 
@@ -140,7 +138,10 @@
         while self.waits(router, self.now_ms - arrived_ms) {
             self.pass(self.now_ms + 1);
         }
-        if self.routers[router].pause(FATAL, self.now()).is_some() {
+        if self.routers[router]
+            .retry_after(FATAL, self.now())
+            .is_some()
+        {
             return false;
         }
         self.ends += 1;
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -41,8 +41,10 @@
     };
     let route_timeout = Duration::from_millis(route.timeout_ms);
     let timeout = request
-        .patience
-        .map_or(route_timeout, |patience| patience.min(route_timeout));
+        .client_timeout
+        .map_or(route_timeout, |client_timeout| {
+            client_timeout.min(route_timeout)
+        });
     Ok(Admitted {
         route: route.clone(),
         tenant: tenant.map(|tenant| tenant.name.clone()),
--- a/crates/proxy/src/affinity.rs
+++ b/crates/proxy/src/affinity.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::request::PromptShape;
+use crate::request::PromptInfo;
 
 /// Maximum number of remembered pairs of replica and prefix.
 const MAX_SENT_PREFIXES: usize = 16_384;
@@ -26,7 +26,7 @@
 
 impl PrefixPath {
     /// Computes the prefixes of a prompt within a cache namespace.
-    pub fn new(prompt: &PromptShape, namespace: &str) -> Self {
+    pub fn new(prompt: &PromptInfo, namespace: &str) -> Self {
         let shared = prompt.segments.len().saturating_sub(1);
         let mut hash = xxh3_64_with_seed(namespace.as_bytes(), 0);
         let mut tokens = 0;
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::{
-    backend::{AnswerHead, Dispatch},
+    backend::{Dispatch, ResponseClass},
     health::ExchangeEnd,
     permits::{self, Permit},
     pool::{ConnectError, Connection},
@@ -235,8 +235,8 @@
         reusable,
     };
     let classified = state.backend.classify(dispatch.request, &answer.head);
-    let mut notice = state.backend.notice(&answer.head);
-    let is_from_target = matches!(classified, AnswerHead::Answer | AnswerHead::NotRun);
+    let mut notice = state.backend.signals(&answer.head);
+    let is_from_target = matches!(classified, ResponseClass::Response | ResponseClass::NotRun);
     if !is_from_target {
         // Another life's limit, or one of another moment.
         notice.limit = StatedLimit::NotNamed;
@@ -244,7 +244,7 @@
     let news = apply_notice(state, target, notice);
     if is_from_target {
         let life = &target.record.id;
-        permits::note_answer(
+        permits::handle_response(
             state,
             life,
             target.permit,
@@ -254,14 +254,14 @@
     }
     // Another life may answer at the address before it is registered there. Taken for a sign of the former
     // one, such an answer would hide that that one has ended, and with it which request ended it.
-    if classified != AnswerHead::WrongReplica {
+    if classified != ResponseClass::WrongReplica {
         target.handle.record_response(Instant::now());
     }
     let failed = match classified {
-        AnswerHead::Answer => return Ok(answer),
-        AnswerHead::Foreign => FailedExchange::may_have_run("foreign answer"),
-        AnswerHead::NotRun => FailedExchange::not_run(Some(ExchangeEnd::Declined), "declined"),
-        AnswerHead::WrongReplica => {
+        ResponseClass::Response => return Ok(answer),
+        ResponseClass::OtherRequest => FailedExchange::may_have_run("foreign answer"),
+        ResponseClass::NotRun => FailedExchange::not_run(Some(ExchangeEnd::Declined), "declined"),
+        ResponseClass::WrongReplica => {
             FailedExchange::not_run(Some(ExchangeEnd::Declined), "wrong replica or weights")
         }
     };
--- a/crates/proxy/src/backend.rs
+++ b/crates/proxy/src/backend.rs
@@ -36,19 +36,19 @@
 
 /// What the head of an answer proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerHead {
+pub enum ResponseClass {
     /// The replica answers this request.
-    Answer,
+    Response,
     /// The replica did not run the request and never will.
     NotRun,
     /// The address belongs to another replica, or it holds other weights; it did not run.
     WrongReplica,
     /// The answer belongs to another request.
-    Foreign,
+    OtherRequest,
 }
 
 /// What the headers of an answer say of a limit on requests, under this name.
-pub fn stated_limit(headers: &HeaderMap, name: &str) -> StatedLimit {
+pub fn parse_limit_header(headers: &HeaderMap, name: &str) -> StatedLimit {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return StatedLimit::NotNamed;
@@ -67,9 +67,9 @@
     /// The request to send.
     fn encode(&self, dispatch: &Dispatch<'_>) -> Request<Full<Bytes>>;
     /// What the head of an answer proves.
-    fn classify(&self, request: &ProxiedRequest, head: &response::Parts) -> AnswerHead;
+    fn classify(&self, request: &ProxiedRequest, head: &response::Parts) -> ResponseClass;
     /// What the head of an answer says of the replica itself.
-    fn notice(&self, head: &response::Parts) -> BackEndNotice;
+    fn signals(&self, head: &response::Parts) -> BackEndNotice;
     /// Whether a header of an answer concerns only one connection and is not passed on.
     fn is_hop_by_hop(&self, name: &str) -> bool;
 }
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -63,12 +63,12 @@
     }
 
     /// Counts a first attempt. `routers` is the number of live routers, 0 if unknown.
-    pub fn earn(&mut self, routers: u32, now: Instant) {
+    pub fn deposit(&mut self, routers: u32, now: Instant) {
         self.current_bucket(routers, now).requests += 1;
     }
 
     /// Counts a retry and returns true if the budget allows it.
-    pub fn spend(&mut self, routers: u32, now: Instant) -> bool {
+    pub fn withdraw(&mut self, routers: u32, now: Instant) -> bool {
         self.current_bucket(routers, now);
         let is_allowed = f64::from(self.retries()) + 1.0 <= self.allowance(now);
         if is_allowed {
--- a/crates/proxy/src/control_watch.rs
+++ b/crates/proxy/src/control_watch.rs
@@ -44,7 +44,7 @@
 
 /// Follows the control group for as long as the process runs. `seeds` is asked for addresses
 /// whenever no known control replica answers.
-pub async fn follow(state: Arc<ProxyState>, seeds: impl Fn() -> Vec<SocketAddr> + Send) {
+pub async fn run_watch(state: Arc<ProxyState>, seeds: impl Fn() -> Vec<SocketAddr> + Send) {
     let mut targets = ControlTargets::new(seeds());
     let mut failures_in_a_row = 0;
     loop {
@@ -100,7 +100,7 @@
 }
 
 /// Closes connections to replicas that have rested for too long, for as long as the process runs.
-pub async fn tidy(state: Arc<ProxyState>) {
+pub async fn run_maintenance(state: Arc<ProxyState>) {
     let mut was_confirmed = false;
     loop {
         sleep(MAINTENANCE_INTERVAL).await;
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -20,7 +20,7 @@
     attempt::Target,
     health::ExchangeEnd,
     pool::{PortState, ProbeConnection},
-    quarantine::{GATHERING, RECORD_LIMIT},
+    quarantine::{REPORT_BATCH_DELAY, REPORT_TIMEOUT},
     state::{ProxyState, lock},
     view::ServingView,
 };
@@ -68,7 +68,7 @@
         return;
     }
     let now = Instant::now();
-    if lock(&state.crash_tracker).broke(&target.record.id, content, now) {
+    if lock(&state.crash_tracker).record_broken_connection(&target.record.id, content, now) {
         tokio::spawn(investigate(Arc::clone(state), target.clone(), now));
     }
 }
@@ -76,8 +76,8 @@
 /// Records that a request completed, and reports it to the control group if the request is
 /// suspected or quarantined: copies that were open when it was quarantined may prove it harmless.
 pub fn request_succeeded(state: &Arc<ProxyState>, content: ContentKey) {
-    lock(&state.crash_tracker).outlived(content, Instant::now());
-    if lock(&state.quarantine).take_good_end(content) {
+    lock(&state.crash_tracker).record_success(content, Instant::now());
+    if lock(&state.quarantine).should_report_success(content) {
         let contents = vec![content];
         spdlog::info!("suspected request ran well", kv: { content = content.to_string() });
         let state = Arc::clone(state);
@@ -106,7 +106,7 @@
         target
             .handle
             .record_outcome(ExchangeEnd::Unreachable, Instant::now());
-        sleep(GATHERING).await;
+        sleep(REPORT_BATCH_DELAY).await;
         report_crash(&state, &target.record.id, &format!("{proof:?}")).await;
     } else {
         lock(&state.crash_tracker).forget(&target.record.id);
@@ -124,7 +124,7 @@
     let mut requests = 0;
     let mut has_reported = false;
     loop {
-        let contents = lock(&state.crash_tracker).next_report(replica);
+        let contents = lock(&state.crash_tracker).take_unreported(replica);
         if contents.is_empty() && has_reported {
             break;
         }
@@ -157,13 +157,13 @@
         tokio::pin!(settled);
         // Enabled before the state is read, so that no notification is missed.
         settled.as_mut().enable();
-        let is_awaited = lock(&state.crash_tracker).is_awaited(content);
+        let is_pending = lock(&state.crash_tracker).is_crash_check_pending(content);
         let now = Instant::now();
-        let (is_suspected, settles_at) = {
+        let (is_suspected, complete_at) = {
             let quarantine = lock(&state.quarantine);
             (
                 quarantine.is_suspected(content),
-                quarantine.settles_at(content, now),
+                quarantine.reports_complete_at(content, now),
             )
         };
         let divisor = if is_suspected {
@@ -172,10 +172,10 @@
             CRASH_CHECK_DIVISOR
         };
         let until = started_at + objective / divisor;
-        if now >= until || !is_awaited && settles_at.is_none() {
+        if now >= until || !is_pending && complete_at.is_none() {
             return;
         }
-        let wake_at = settles_at.map_or(until, |at| at.min(until));
+        let wake_at = complete_at.map_or(until, |at| at.min(until));
         // The state is checked again after a notification as well as after a timeout.
         let _ = timeout_at(wake_at, settled).await;
     }
@@ -186,7 +186,7 @@
     if port.refuses(broken_at + BLOCKING_CLOSE_TIMEOUT).await {
         return Some(CrashProof::PortRefuses);
     }
-    lock(&state.crash_tracker).stop_awaiting(&target.record.id);
+    lock(&state.crash_tracker).stop_blocking(&target.record.id);
     state.crash_checks_done.notify_waiters();
     tokio::select! {
         proof = wait_for_successor(state, target, broken_at) => proof,
@@ -282,14 +282,14 @@
         spdlog::warn!("report dropped", kv: { waiting = MAX_CONCURRENT_REPORTS });
         return;
     };
-    let until = Instant::now() + RECORD_LIMIT;
+    let until = Instant::now() + REPORT_TIMEOUT;
     while Instant::now() < until {
         if propose(state, &command).await {
             return;
         }
         sleep(PROPOSE_RETRY_INTERVAL).await;
     }
-    spdlog::warn!("report given up", kv: { after_s = RECORD_LIMIT.as_secs() });
+    spdlog::warn!("report given up", kv: { after_s = REPORT_TIMEOUT.as_secs() });
 }
 
 async fn propose(state: &ProxyState, command: &ServingCommand) -> bool {
--- a/crates/proxy/src/entry.rs
+++ b/crates/proxy/src/entry.rs
@@ -57,7 +57,7 @@
     admitted.as_ref().err() == Some(&RefusalReason::Unconfirmed)
         && state.options.policy.first_lease_wait
         && !state.was_confirmed()
-        && state.stop_plan().is_none()
+        && state.shutdown_plan().is_none()
 }
 
 /// What a caller is told of when to come back after a refusal on entry.
@@ -70,7 +70,7 @@
 }
 
 fn first_lease_wait(request: &ProxiedRequest) -> Duration {
-    request.patience.unwrap_or(DEFAULT_CLIENT_TIMEOUT) / FIRST_LEASE_WAIT_DIVISOR
+    request.client_timeout.unwrap_or(DEFAULT_CLIENT_TIMEOUT) / FIRST_LEASE_WAIT_DIVISOR
 }
 
 fn admit_now(state: &ProxyState, request: &ProxiedRequest) -> Result<Admitted, RefusalReason> {
@@ -80,7 +80,7 @@
         return Err(RefusalReason::Unconfirmed);
     }
     let admitted = admission::admit(table, request)?;
-    let stop = state.stop_plan();
+    let stop = state.shutdown_plan();
     if stop.is_some_and(|plan| !plan.accepts(admitted.deadline, Instant::now())) {
         return Err(RefusalReason::Stopping);
     }
--- a/crates/proxy/src/homes.rs
+++ b/crates/proxy/src/homes.rs
@@ -8,7 +8,7 @@
 //! routers compute the same group without coordination, and a replica that joins or leaves only
 //! moves the homes placed on it.
 //!
-//! Small fleets, up to [`SMALLEST_GROUP`], place prompts by the longest prefix alone because they
+//! Small fleets, up to [`MIN_GROUP_SIZE`], place prompts by the longest prefix alone because they
 //! need the cache of every replica. Isolated tenants also use all replicas: tenants differ in size,
 //! and the prefixes of a large one would not fit a small group.
 
@@ -19,7 +19,7 @@
 use crate::affinity::rendezvous;
 
 /// Fleet size above which a service is divided into groups, and the smallest size of a group.
-pub const SMALLEST_GROUP: usize = 256;
+pub const MIN_GROUP_SIZE: usize = 256;
 /// Members of a group per replica kept busy. The headroom absorbs bursts until the group grows, and
 /// separates unique segments from shared ones.
 const GROUP_HEADROOM_FACTOR: usize = 4;
@@ -41,7 +41,7 @@
 /// service, since one router cannot tell how much of that begins with a given segment.
 pub fn group_size(busy_replicas: usize) -> usize {
     let needed = busy_replicas.saturating_mul(GROUP_HEADROOM_FACTOR);
-    let mut size = SMALLEST_GROUP;
+    let mut size = MIN_GROUP_SIZE;
     while size < needed {
         size = size.saturating_mul(GROUP_GROWTH_FACTOR);
     }
@@ -55,7 +55,7 @@
     /// substitutes.
     pub ranked: Vec<&'a Arc<ReplicaRecord>>,
     /// Group members that may cache the first segment; empty if `ranked` covers the whole service.
-    pub holders: Vec<&'a Arc<ReplicaRecord>>,
+    pub prefix_holders: Vec<&'a Arc<ReplicaRecord>>,
 }
 
 impl<'a> Homes<'a> {
@@ -66,7 +66,7 @@
         }
         Self {
             ranked: all,
-            holders: Vec::new(),
+            prefix_holders: Vec::new(),
         }
     }
 
@@ -81,7 +81,7 @@
         if is_in_use(home) {
             return None;
         }
-        let mut holders = self.holders.iter().copied();
+        let mut holders = self.prefix_holders.iter().copied();
         holders.find(|record| is_in_use(record) && is_source(record))
     }
 }
@@ -125,7 +125,7 @@
     }
 
     /// Iterates over all replicas once, starting at the position of `key`.
-    pub fn from(&self, key: u64) -> impl Iterator<Item = &Arc<ReplicaRecord>> + Clone {
+    pub fn iter_from(&self, key: u64) -> impl Iterator<Item = &Arc<ReplicaRecord>> + Clone {
         let start = self.members.partition_point(|member| member.position < key);
         let (before, after) = self.members.split_at(start);
         after.iter().chain(before).map(|member| &member.record)
@@ -135,23 +135,23 @@
 /// Returns the homes for a prompt in a group of `size` replicas that starts at the first candidate.
 /// `is_usable` excludes replicas by criteria that all routers share; if it excludes all, it is
 /// ignored.
-pub fn nested<'a>(
+pub fn group_homes<'a>(
     home: u64,
     candidates: impl Iterator<Item = &'a Arc<ReplicaRecord>> + Clone,
     size: usize,
     is_usable: impl Fn(&ReplicaRecord) -> bool,
 ) -> Homes<'a> {
-    let mut group = first_usable(candidates, size, is_usable);
-    let holders = group.iter().copied().take(MAX_HOLDERS).collect();
+    let mut group = take_usable(candidates, size, is_usable);
+    let prefix_holders = group.iter().copied().take(MAX_HOLDERS).collect();
     group.sort_by_cached_key(|record| Reverse(rendezvous(home, &record.id)));
     Homes {
         ranked: group,
-        holders,
+        prefix_holders,
     }
 }
 
 /// Returns the first usable candidates, at most `limit`. Ignores `is_usable` if it excludes all.
-pub fn first_usable<'a>(
+pub fn take_usable<'a>(
     candidates: impl Iterator<Item = &'a Arc<ReplicaRecord>> + Clone,
     limit: usize,
     is_usable: impl Fn(&ReplicaRecord) -> bool,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -12,7 +12,7 @@
 //! | does it end the replicas that run it? | [`quarantine`] (pure), [`crash_detection`] | |
 //! | is the tenant's quota used up? | [`quota`], by way of [`control_peers`] | |
 //! | which service? | [`traffic_split`] | yes |
-//! | which replica? | [`choice`], with [`affinity`], [`health`], [`weight_versions`] and [`railtack_serving::availability`] | yes |
+//! | which replica? | [`scoring`], with [`affinity`], [`health`], [`weight_versions`] and [`railtack_serving::availability`] | yes |
 //! | which replicas take prompts with this first part? | [`homes`] | yes |
 //! | what do all routers meet there? | [`fleet_view`] | yes |
 //! | will its first event be in time? | [`prefill_latency`] | yes |
@@ -32,7 +32,6 @@
 pub mod attempt;
 pub mod backend;
 pub mod budget;
-pub mod choice;
 pub mod control_peers;
 pub mod control_watch;
 pub mod crash_detection;
@@ -57,6 +56,7 @@
 pub mod request_log;
 pub mod retry_decision;
 pub mod retry_pacing;
+pub mod scoring;
 pub mod selection;
 pub mod state;
 pub mod store_budget;
@@ -65,7 +65,7 @@
 pub mod view;
 pub mod weight_versions;
 
-pub use backend::{AnswerHead, BackendProtocol, Dispatch};
+pub use backend::{BackendProtocol, Dispatch, ResponseClass};
 pub use pipeline::handle;
-pub use request::{PromptSegment, PromptShape, ProxiedRequest};
-pub use state::{ProxyOptions, ProxyState, StopPlan};
+pub use request::{PromptInfo, PromptSegment, ProxiedRequest};
+pub use state::{ProxyOptions, ProxyState, ShutdownPlan};
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -10,14 +10,14 @@
 use tokio::time::Instant;
 
 use crate::{
-    permits::{self, KnownLimit, LimitedRouter},
+    permits::{self, KnownLimit, PermitClient},
     state::{ProxyState, lock},
 };
 
 /// Time after a limit was heard in which the digest may not name it yet.
 const DIGEST_LAG: Duration = Duration::from_secs(1);
 
-impl LimitedRouter for ProxyState {
+impl PermitClient for ProxyState {
     fn uptime(&self) -> Moment {
         ProxyState::uptime(self)
     }
@@ -27,14 +27,14 @@
         let local = local.map(|named| KnownLimit {
             limit: named.limit,
             age: self.uptime().saturating_sub(named.named_at),
-            own: Some(named),
+            advertised_here: Some(named),
         });
         let now = Instant::now();
         let digest = lock(&self.fleet).limit(ReplicaKey::of(life), now);
         let digest = digest.map(|digest| KnownLimit {
             limit: digest.limit,
             age: now.saturating_duration_since(digest.advertised_at),
-            own: local.and_then(|local| local.own),
+            advertised_here: local.and_then(|local| local.advertised_here),
         });
         local
             .into_iter()
@@ -42,21 +42,21 @@
             .min_by_key(|known| known.age)
     }
 
-    fn unanswered_until(&self) -> Moment {
+    fn permit_requests_suspended_until(&self) -> Moment {
         *lock(&self.permit_requests_suspended_until)
     }
 
-    fn note_unanswered(&self, until: Moment) {
+    fn suspend_permit_requests(&self, until: Moment) {
         *lock(&self.permit_requests_suspended_until) = until;
     }
 
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment) {
+    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: Moment) {
         self.metrics.permits_withheld.inc();
         let mut replicas = lock(&self.replicas);
         replicas.availability.has_room_at(life, limit, room_at);
     }
 
-    fn note_over(&self, life: &str, named_at: Moment) {
+    fn clear_limit(&self, life: &str, named_at: Moment) {
         let mut replicas = lock(&self.replicas);
         replicas.availability.limit_is_over(life, named_at);
     }
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -54,11 +54,11 @@
 
 /// Result of a permit request.
 #[derive(Clone, Copy, Debug)]
-pub enum Permission {
+pub enum PermitDecision {
     /// The request may be sent. Holds a permit if the back end has, or recently had, a limit.
-    Given(Option<Permit>),
+    Granted(Option<Permit>),
     /// The limit has no room yet; the time at which it does was recorded.
-    Withheld,
+    Denied,
 }
 
 /// What a router knows of a back end's limit.
@@ -69,23 +69,23 @@
     /// Time since it was advertised.
     pub age: Duration,
     /// The limit that the back end advertised to this router.
-    pub own: Option<NamedLimit>,
+    pub advertised_here: Option<NamedLimit>,
 }
 
 /// Access to a router's limits and to the leader, as needed for permits.
-pub trait LimitedRouter: Send + Sync + 'static {
+pub trait PermitClient: Send + Sync + 'static {
     /// Returns the time since the router started.
     fn uptime(&self) -> Moment;
     /// Returns the known limit of a back end; `None` if it has none.
     fn known_limit(&self, life: &str) -> Option<KnownLimit>;
     /// Returns the end of the pause in permit requests after a call without a reply.
-    fn unanswered_until(&self) -> Moment;
+    fn permit_requests_suspended_until(&self) -> Moment;
     /// Pauses permit requests because no leader replied.
-    fn note_unanswered(&self, until: Moment);
+    fn suspend_permit_requests(&self, until: Moment);
     /// Records that a limit has no room before `room_at`.
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment);
+    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: Moment);
     /// Removes a limit that was last advertised to this router at `named_at` or earlier.
-    fn note_over(&self, life: &str, named_at: Moment);
+    fn clear_limit(&self, life: &str, named_at: Moment);
     /// Calls the presumed leader; returns `None` without a reply.
     fn ask_leader(
         &self,
@@ -95,7 +95,7 @@
 }
 
 /// Whether the request needs a permit for this back end and has no valid one.
-pub fn lacks_valid_permit(router: &impl LimitedRouter, life: &str, permit: Option<Permit>) -> bool {
+pub fn lacks_valid_permit(router: &impl PermitClient, life: &str, permit: Option<Permit>) -> bool {
     match permit {
         Some(permit) => !permit.is_fresh(),
         None => router.known_limit(life).is_some(),
@@ -103,9 +103,13 @@
 }
 
 /// Requests a permit if the back end has a limit.
-pub async fn take(router: &impl LimitedRouter, life: &str, objective: Duration) -> Permission {
+pub async fn acquire(
+    router: &impl PermitClient,
+    life: &str,
+    objective: Duration,
+) -> PermitDecision {
     let Some(known) = router.known_limit(life) else {
-        return Permission::Given(None);
+        return PermitDecision::Granted(None);
     };
     let deny = |limit: RequestLimit, room_in: Duration| {
         spdlog::info!("permit withheld", kv: {
@@ -113,10 +117,10 @@
             per_s = limit.requests_per_s(),
             room_in_ms = room_in.as_millis() as u64,
         });
-        router.note_withheld(life, limit, router.uptime() + room_in);
-        Permission::Withheld
+        router.record_denied(life, limit, router.uptime() + room_in);
+        PermitDecision::Denied
     };
-    if router.uptime() < router.unanswered_until() {
+    if router.uptime() < router.permit_requests_suspended_until() {
         return deny(known.limit, LEADER_RETRY_PAUSE);
     }
     let requested_at = BootInstant::now();
@@ -131,7 +135,7 @@
     };
     let limit = MAX_PERMIT_REQUEST_TIME.min(objective / PERMIT_REQUEST_DIVISOR);
     match router.ask_leader(request, limit).await {
-        Some(PermitReply::Given { limit, stamp }) => Permission::Given(Some(Permit {
+        Some(PermitReply::Given { limit, stamp }) => PermitDecision::Granted(Some(Permit {
             requested_at,
             grant: Some((limit, stamp)),
         })),
@@ -139,15 +143,15 @@
             deny(limit, Duration::from_millis(u64::from(room_in_ms)))
         }
         Some(PermitReply::Unlimited) => {
-            clear_limit(router, life, known.own);
+            clear_limit(router, life, known.advertised_here);
             let grant = None;
-            Permission::Given(Some(Permit {
+            PermitDecision::Granted(Some(Permit {
                 requested_at,
                 grant,
             }))
         }
         Some(PermitReply::NotLeader { .. }) | None => {
-            router.note_unanswered(router.uptime() + LEADER_RETRY_PAUSE);
+            router.suspend_permit_requests(router.uptime() + LEADER_RETRY_PAUSE);
             deny(known.limit, LEADER_RETRY_PAUSE)
         }
     }
@@ -155,7 +159,7 @@
 
 /// Processes the limit advertised by a response and reports it to the leader if the leader may not
 /// know it yet. `is_news` is true if the limit is new to this router.
-pub fn note_answer<R: LimitedRouter>(
+pub fn handle_response<R: PermitClient>(
     router: &Arc<R>,
     life: &str,
     permit: Option<Permit>,
@@ -181,7 +185,7 @@
 
 /// Reports a limit again that was advertised to this router. The leader may not know it, or may
 /// reply that it no longer exists.
-pub fn resend_limit<R: LimitedRouter>(router: &Arc<R>, life: String, named: NamedLimit) {
+pub fn resend_limit<R: PermitClient>(router: &Arc<R>, life: String, named: NamedLimit) {
     let statement = LimitStatement {
         limit: Some(named.limit),
         age_ms: milliseconds(router.uptime().saturating_sub(named.named_at)),
@@ -190,7 +194,7 @@
     tokio::spawn(report_limit(Arc::clone(router), life, statement));
 }
 
-async fn report_limit<R: LimitedRouter>(router: Arc<R>, life: String, report: LimitStatement) {
+async fn report_limit<R: PermitClient>(router: Arc<R>, life: String, report: LimitStatement) {
     let started_at = router.uptime();
     let received_at = started_at.saturating_sub(Duration::from_millis(u64::from(report.age_ms)));
     for _ in 0..REPORT_ATTEMPTS {
@@ -205,7 +209,9 @@
         match router.ask_leader(request, REPORT_TIMEOUT).await {
             Some(PermitReply::NotLeader { .. }) | None => sleep(LEADER_RETRY_PAUSE).await,
             Some(PermitReply::Unlimited) => {
-                let named = router.known_limit(&life).and_then(|known| known.own);
+                let named = router
+                    .known_limit(&life)
+                    .and_then(|known| known.advertised_here);
                 clear_limit(
                     &*router,
                     &life,
@@ -224,7 +230,7 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn clear_limit(router: &impl LimitedRouter, life: &str, named: Option<NamedLimit>) {
+fn clear_limit(router: &impl PermitClient, life: &str, named: Option<NamedLimit>) {
     let Some(named) = named else {
         return;
     };
@@ -232,5 +238,5 @@
         replica = life.to_owned(),
         per_s = named.limit.requests_per_s(),
     });
-    router.note_over(life, named.named_at);
+    router.clear_limit(life, named.named_at);
 }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -268,8 +268,8 @@
         if !may_go_on {
             return self.admitted.deadline;
         }
-        let patience = Duration::from_millis(route.objective_ms * RESPONSE_TIMEOUT_OBJECTIVES);
-        self.admitted.deadline.min(Instant::now() + patience)
+        let timeout = Duration::from_millis(route.objective_ms * RESPONSE_TIMEOUT_OBJECTIVES);
+        self.admitted.deadline.min(Instant::now() + timeout)
     }
 
     /// When the head of an answer is given up. The head of a stream comes with its first event, and
--- a/crates/proxy/src/quarantine.rs
+++ b/crates/proxy/src/quarantine.rs
@@ -14,10 +14,10 @@
 use tokio::time::Instant;
 
 /// Time in which the other connections to a crashed replica break as well; they share one report.
-pub const GATHERING: Duration = Duration::from_millis(15);
+pub const REPORT_BATCH_DELAY: Duration = Duration::from_millis(15);
 /// Time after which an unrecorded crash report is dropped; longer than the control group is
 /// expected to be without a leader.
-pub const RECORD_LIMIT: Duration = Duration::from_secs(30);
+pub const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Minimum retry delay of a quarantined request; its release takes a moment.
 const SHORTEST_PAUSE: Duration = Duration::from_secs(1);
 /// Time for which suspected requests wait after an update. Routers report one crash in several
@@ -35,7 +35,7 @@
 
 /// Requests that the control group has quarantined or watches.
 #[derive(Debug, Default)]
-pub struct QuarantineKnowledge {
+pub struct QuarantineState {
     /// Quarantined requests, with the time at which this router learned of each.
     quarantined: HashMap<ContentKey, Instant>,
     /// Suspected requests whose next success has to be reported.
@@ -57,10 +57,10 @@
     Released(ContentKey),
 }
 
-impl QuarantineKnowledge {
+impl QuarantineState {
     /// Applies a complete update from the control group. Updates arrive in watch replies and in
     /// replies to this router's own reports, in any order.
-    pub fn learn(&mut self, update: &QuarantineUpdate, now: Instant) -> Vec<QuarantineChange> {
+    pub fn apply(&mut self, update: &QuarantineUpdate, now: Instant) -> Vec<QuarantineChange> {
         if update.changed_at <= self.changed_at {
             return Vec::new();
         }
@@ -85,7 +85,7 @@
     }
 
     /// Returns the retry delay of a quarantined request; `None` if it is not quarantined.
-    pub fn pause(&self, content: ContentKey, now: Instant) -> Option<Duration> {
+    pub fn retry_after(&self, content: ContentKey, now: Instant) -> Option<Duration> {
         let since = self.quarantined.get(&content)?;
         let passed = now.saturating_duration_since(*since);
         Some(QUARANTINE_TIME.saturating_sub(passed).max(SHORTEST_PAUSE))
@@ -98,14 +98,14 @@
 
     /// Returns the time by which all reports of the latest crash have arrived, if the request is
     /// suspected and that time lies ahead.
-    pub fn settles_at(&self, content: ContentKey, now: Instant) -> Option<Instant> {
+    pub fn reports_complete_at(&self, content: ContentKey, now: Instant) -> Option<Instant> {
         self.settled_at
             .filter(|at| self.is_suspected(content) && now < *at)
     }
 
     /// Whether a success of the request has to be reported: once for a watched request, always for
     /// a quarantined one.
-    pub fn take_good_end(&mut self, content: ContentKey) -> bool {
+    pub fn should_report_success(&mut self, content: ContentKey) -> bool {
         self.watched.remove(&content) || self.quarantined.contains_key(&content)
     }
 
@@ -122,7 +122,7 @@
 
 /// Successes and broken connections of this router's own requests.
 #[derive(Debug, Default)]
-pub struct EndsMet {
+pub struct CrashTracker {
     successes: VecDeque<(ContentKey, Instant)>,
     broken: HashMap<String, BrokenConnections>,
 }
@@ -148,9 +148,9 @@
     }
 }
 
-impl EndsMet {
+impl CrashTracker {
     /// Records that a request completed without a crash.
-    pub fn outlived(&mut self, content: ContentKey, now: Instant) {
+    pub fn record_success(&mut self, content: ContentKey, now: Instant) {
         if self.successes.len() >= MAX_SUCCESSES {
             self.successes.pop_front();
         }
@@ -159,7 +159,12 @@
 
     /// Records that the connection of a running request broke. Returns true if no check of the
     /// replica is in progress yet.
-    pub fn broke(&mut self, replica: &str, content: ContentKey, now: Instant) -> bool {
+    pub fn record_broken_connection(
+        &mut self,
+        replica: &str,
+        content: ContentKey,
+        now: Instant,
+    ) -> bool {
         let is_first = !self.broken.contains_key(replica);
         let is_cleared = self.successes.iter().rev().any(|(success, at)| {
             *success == content && now.saturating_duration_since(*at) < SUCCESS_VALIDITY
@@ -175,7 +180,7 @@
     }
 
     /// Whether a check that involves this request is expected to finish soon.
-    pub fn is_awaited(&self, content: ContentKey) -> bool {
+    pub fn is_crash_check_pending(&self, content: ContentKey) -> bool {
         let awaited = self.broken.values().filter(|broken| broken.is_awaited);
         let mut contents =
             awaited.flat_map(|broken| broken.unreported.iter().chain(&broken.reporting));
@@ -183,14 +188,14 @@
     }
 
     /// Records that the check of a replica may take long, so that requests stop waiting for it.
-    pub fn stop_awaiting(&mut self, replica: &str) {
+    pub fn stop_blocking(&mut self, replica: &str) {
         if let Some(broken) = self.broken.get_mut(replica) {
             broken.is_awaited = false;
         }
     }
 
     /// Returns the next requests to report for a crashed replica; empty if all are reported.
-    pub fn next_report(&mut self, replica: &str) -> Vec<ContentKey> {
+    pub fn take_unreported(&mut self, replica: &str) -> Vec<ContentKey> {
         let Some(broken) = self.broken.get_mut(replica) else {
             return Vec::new();
         };
--- a/crates/proxy/src/replicas.rs
+++ b/crates/proxy/src/replicas.rs
@@ -12,9 +12,9 @@
 
 use crate::{
     affinity::{PrefixPath, SentPrefixes},
-    choice::{Candidate, SharedLoad},
     health::{ExchangeEnd, Health},
     pool::Pool,
+    scoring::{Candidate, SharedLoad},
     state::lock,
     view::ServingView,
 };
@@ -39,7 +39,7 @@
     open_requests: u32,
     /// Since when some request has been open without a break.
     busy_since: Instant,
-    unread_tokens: u64,
+    pending_prefill_tokens: u64,
     health: Health,
 }
 
@@ -50,7 +50,7 @@
             load: Mutex::new(Load {
                 open_requests: 0,
                 busy_since: now,
-                unread_tokens: 0,
+                pending_prefill_tokens: 0,
                 health: Health::new(now),
             }),
             last_response_at: Mutex::new(now),
@@ -88,7 +88,7 @@
         Some(ReplicaSighting {
             replica: ReplicaKey::of(replica),
             open_requests: u16::try_from(load.open_requests).unwrap_or(u16::MAX),
-            unread_tokens: u32::try_from(load.unread_tokens).unwrap_or(u32::MAX),
+            unread_tokens: u32::try_from(load.pending_prefill_tokens).unwrap_or(u32::MAX),
             heard_ms: u16::try_from(silence.as_millis()).unwrap_or(u16::MAX),
             waiting_in_vain: u16::from(is_unanswered || unreachable),
         })
@@ -107,7 +107,7 @@
         let mut filled = candidate;
         if policy.own_load {
             filled.open_requests = load.open_requests;
-            filled.unread_tokens = load.unread_tokens;
+            filled.pending_prefill_tokens = load.pending_prefill_tokens;
         }
         filled.shared_load = shared;
         if policy.failure_rate {
@@ -146,13 +146,13 @@
 #[derive(Debug)]
 pub struct OpenRequest {
     replica: Arc<ReplicaHandle>,
-    unread_tokens: u64,
+    pending_prefill_tokens: u64,
     began_at: Instant,
 }
 
 impl OpenRequest {
     /// Notes a request that is sent with a prompt of which `unread_tokens` must be read.
-    pub fn begin(replica: Arc<ReplicaHandle>, unread_tokens: u64) -> Self {
+    pub fn begin(replica: Arc<ReplicaHandle>, pending_prefill_tokens: u64) -> Self {
         let began_at = Instant::now();
         {
             let mut load = replica.load();
@@ -160,11 +160,11 @@
                 load.busy_since = began_at;
             }
             load.open_requests += 1;
-            load.unread_tokens += unread_tokens;
+            load.pending_prefill_tokens += pending_prefill_tokens;
         }
         Self {
             replica,
-            unread_tokens,
+            pending_prefill_tokens,
             began_at,
         }
     }
@@ -177,8 +177,10 @@
     /// Notes that the prompt is read.
     pub fn prefill_done(&mut self) {
         let mut load = self.replica.load();
-        load.unread_tokens = load.unread_tokens.saturating_sub(self.unread_tokens);
-        self.unread_tokens = 0;
+        load.pending_prefill_tokens = load
+            .pending_prefill_tokens
+            .saturating_sub(self.pending_prefill_tokens);
+        self.pending_prefill_tokens = 0;
     }
 }
 
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -17,7 +17,7 @@
 
 /// What a caller says of a prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PromptShape {
+pub struct PromptInfo {
     /// The model.
     pub model: String,
     /// Length of the prompt, tokens.
@@ -48,9 +48,9 @@
     /// When the head of the request was read.
     pub received: Instant,
     /// Time for which the caller waits, from `received`.
-    pub patience: Option<Duration>,
+    pub client_timeout: Option<Duration>,
     /// What the caller says of the prompt, if the request has one.
-    pub prompt: Option<PromptShape>,
+    pub prompt: Option<PromptInfo>,
     /// Tokens of prompt and longest answer that the caller states.
     pub stated_tokens: Option<u64>,
     /// Last event of the stream that the caller has.
--- a/crates/proxy/src/request_log.rs
+++ b/crates/proxy/src/request_log.rs
@@ -6,8 +6,8 @@
 use tokio::time::Instant;
 
 use crate::{
-    admission::Admitted, attempt::Target, choice::Candidate, prefill_latency::PrefillBacklog,
-    request::ProxiedRequest, state::ProxyState,
+    admission::Admitted, attempt::Target, prefill_latency::PrefillBacklog, request::ProxiedRequest,
+    scoring::Candidate, state::ProxyState,
 };
 
 /// Collects what is logged of a request and logs it once, also if the caller goes away.
@@ -150,10 +150,10 @@
             kept_tokens = self.candidate.cached_tokens,
             rank = self.candidate.rank,
             open_requests = self.candidate.open_requests,
-            unread_tokens = self.candidate.unread_tokens,
+            unread_tokens = self.candidate.pending_prefill_tokens,
             // What all routers had there, as far as this one was told.
             shared_open = self.candidate.shared_load.map_or(0, |load| load.open_requests),
-            shared_unread = self.candidate.shared_load.map_or(0, |load| load.unread_tokens),
+            shared_unread = self.candidate.shared_load.map_or(0, |load| load.pending_prefill_tokens),
             has_shared_view = self.candidate.shared_load.is_some(),
             unread_own = self.backlog.uncached_tokens,
             unread_mean = self.backlog.mean_queued_tokens,
--- a/crates/proxy/src/choice.rs
+++ b/crates/proxy/src/scoring.rs
@@ -41,7 +41,7 @@
     /// Number of open requests.
     pub open_requests: u32,
     /// Prompt tokens of the open requests that have not produced an event yet.
-    pub unread_tokens: u64,
+    pub pending_prefill_tokens: u64,
 }
 
 /// Inputs to the cost of one replica.
@@ -56,7 +56,7 @@
     /// Open requests of this router at the replica.
     pub open_requests: u32,
     /// Prompt tokens of this router's open requests that have not produced an event yet.
-    pub unread_tokens: u64,
+    pub pending_prefill_tokens: u64,
     /// Load of all routers at the replica; `None` if unknown.
     pub shared_load: Option<SharedLoad>,
     /// Prompt tokens that this router sent to the replica before.
@@ -216,7 +216,8 @@
     let shared_load = candidate
         .shared_load
         .filter(|_| !size.is_pinned(candidate.capacity_tokens));
-    let shared_unread = shared_load.map_or(0, |load| load.unread_tokens);
-    let queued = candidate.unread_tokens.max(shared_unread) as f64 * QUEUED_PREFILL_WEIGHT;
+    let shared_pending = shared_load.map_or(0, |load| load.pending_prefill_tokens);
+    let queued =
+        candidate.pending_prefill_tokens.max(shared_pending) as f64 * QUEUED_PREFILL_WEIGHT;
     (uncached + queued) / candidate.capacity_tokens as f64
 }
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -16,13 +16,13 @@
 use crate::{
     affinity::rendezvous,
     attempt::Target,
-    choice::{self, Candidate, RequestSize, SharedLoad},
     fleet_view::{FleetView, MIN_ROUTERS_FOR_SHARED_LOAD},
-    homes::{Homes, SMALLEST_GROUP, busy_replicas, first_usable, group_size, nested},
-    permits::{self, Permission},
+    homes::{Homes, MIN_GROUP_SIZE, busy_replicas, group_homes, group_size, take_usable},
+    permits::{self, PermitDecision},
     pipeline::RequestRun,
     prefill_latency::PrefillBacklog,
     replicas::ReplicaTable,
+    scoring::{self, Candidate, RequestSize, SharedLoad},
     state::lock,
     view::ServingView,
 };
@@ -112,12 +112,12 @@
     /// was denied.
     async fn acquire_permit(&self, mut target: Target) -> Option<Target> {
         let objective = Duration::from_millis(self.admitted.route.objective_ms);
-        match permits::take(&*self.state, &target.record.id, objective).await {
-            Permission::Given(permit) => {
+        match permits::acquire(&*self.state, &target.record.id, objective).await {
+            PermitDecision::Granted(permit) => {
                 target.permit = permit;
                 Some(target)
             }
-            Permission::Withheld => None,
+            PermitDecision::Denied => None,
         }
     }
 
@@ -130,7 +130,7 @@
         let ranked = &homes.ranked;
         let mut eligible = self.eligible_replicas(ranked, &mut replicas, configuration);
         let candidates: Vec<Candidate> = eligible.iter().map(|entry| entry.candidate).collect();
-        let chosen = choice::choose(&candidates, self.request_size(), rand::random());
+        let chosen = scoring::choose(&candidates, self.request_size(), rand::random());
         let Some((position, cost)) = chosen else {
             return Err(no_eligible_cause(
                 ranked,
@@ -173,19 +173,19 @@
         target: &Target,
         ranked: &[&Arc<ReplicaRecord>],
     ) -> PrefillBacklog {
-        let uncached_tokens = choice::uncached_tokens(candidate, self.request_size());
+        let uncached_tokens = scoring::uncached_tokens(candidate, self.request_size());
         let Some(fleet) = self.state.current_fleet(Instant::now()) else {
             return PrefillBacklog {
                 uncached_tokens,
-                queued_tokens: candidate.unread_tokens,
+                queued_tokens: candidate.pending_prefill_tokens,
                 mean_queued_tokens: 0,
             };
         };
-        let unread = |record: &ReplicaRecord| shared_load(&fleet, record).unread_tokens;
-        let sum: u64 = ranked.iter().map(|record| unread(record)).sum();
+        let pending = |record: &ReplicaRecord| shared_load(&fleet, record).pending_prefill_tokens;
+        let sum: u64 = ranked.iter().map(|record| pending(record)).sum();
         PrefillBacklog {
             uncached_tokens,
-            queued_tokens: unread(&target.record).max(candidate.unread_tokens),
+            queued_tokens: pending(&target.record).max(candidate.pending_prefill_tokens),
             mean_queued_tokens: sum / ranked.len().max(1) as u64,
         }
     }
@@ -230,22 +230,22 @@
         };
         let policy = self.state.options.policy;
         let home = self.path.key().filter(|_| policy.homes);
-        if ring.len() <= SMALLEST_GROUP {
-            let candidates = ring.from(0).filter(can_run);
-            let all = first_usable(candidates, SMALLEST_GROUP, is_usable);
+        if ring.len() <= MIN_GROUP_SIZE {
+            let candidates = ring.iter_from(0).filter(can_run);
+            let all = take_usable(candidates, MIN_GROUP_SIZE, is_usable);
             return Homes::of_all(home, all);
         }
         let uses_groups = policy.nested_homes && !self.admitted.isolated;
         let first_segment = self.path.first_segment_key().filter(|_| uses_groups);
         if let (Some(home), Some(first_segment)) = (home, first_segment) {
             let size = self.group_size(fleet, configuration, now);
-            let candidates = ring.from(first_segment).filter(can_run);
-            return nested(home, candidates, size, is_usable);
+            let candidates = ring.iter_from(first_segment).filter(can_run);
+            return group_homes(home, candidates, size, is_usable);
         }
         // Without a prefix, the search starts at a random position.
         let start = home.unwrap_or_else(rand::random);
-        let candidates = ring.from(start).filter(can_run);
-        Homes::of_all(None, first_usable(candidates, SMALLEST_GROUP, is_usable))
+        let candidates = ring.iter_from(start).filter(can_run);
+        Homes::of_all(None, take_usable(candidates, MIN_GROUP_SIZE, is_usable))
     }
 
     /// Returns the size of the replica group for this prompt's first segment.
@@ -471,6 +471,6 @@
     let condition = fleet.condition(ReplicaKey::of(&record.id));
     condition.map_or_else(SharedLoad::default, |condition| SharedLoad {
         open_requests: u32::from(condition.open_requests),
-        unread_tokens: u64::from(condition.unread_tokens),
+        pending_prefill_tokens: u64::from(condition.unread_tokens),
     })
 }
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -29,7 +29,7 @@
     lease::Lease,
     metrics::ProxyMetrics,
     prefill_latency::{PrefillBacklog, PrefillLatency},
-    quarantine::{EndsMet, QuarantineChange, QuarantineKnowledge},
+    quarantine::{CrashTracker, QuarantineChange, QuarantineState},
     replicas::ReplicaTable,
     retry_pacing::RetryPacer,
     selection::ExhaustedLimits,
@@ -73,9 +73,9 @@
     /// The control replicas, for questions to their leader.
     pub control_peers: ControlPeers,
     /// Requests that the control group has quarantined.
-    pub quarantine: Mutex<QuarantineKnowledge>,
+    pub quarantine: Mutex<QuarantineState>,
     /// Ends of replicas that this router's requests met.
-    pub crash_tracker: Mutex<EndsMet>,
+    pub crash_tracker: Mutex<CrashTracker>,
     /// Told when an end that was looked into is settled.
     pub crash_checks_done: Notify,
     /// Places for reports that wait for the control group.
@@ -92,13 +92,13 @@
     weight_versions: Mutex<WeightVersions>,
     prefill_latencies: Mutex<HashMap<String, PrefillLatency>>,
     changed: watch::Sender<u64>,
-    stop: Mutex<Option<StopPlan>>,
+    stop: Mutex<Option<ShutdownPlan>>,
     started: BootInstant,
 }
 
 /// A planned stop of this router.
 #[derive(Clone, Copy, Debug)]
-pub struct StopPlan {
+pub struct ShutdownPlan {
     /// Until when every request is taken: callers learn by then that others are to be asked.
     pub accept_all_until: Instant,
     /// When the last answer must be over.
@@ -109,17 +109,17 @@
 /// grace time if that is shorter.
 const ACCEPT_ALL_TIME: Duration = Duration::from_millis(2_500);
 
-impl StopPlan {
+impl ShutdownPlan {
     /// A plan for a router that is told to stop `now` and ended by force after `grace`.
     pub fn new(now: Instant, grace: Duration) -> Self {
         Self {
             accept_all_until: now + ACCEPT_ALL_TIME.min(grace / 3),
-            drain_deadline: now + Self::usable(grace),
+            drain_deadline: now + Self::drain_time(grace),
         }
     }
 
     /// The part of the grace time that is used for open requests.
-    pub fn usable(grace: Duration) -> Duration {
+    pub fn drain_time(grace: Duration) -> Duration {
         grace * 15 / 16
     }
 
@@ -195,7 +195,7 @@
     /// Takes in what the control group has quarantined.
     pub fn apply_quarantine(&self, update: &QuarantineUpdate) {
         let mut quarantine = lock(&self.quarantine);
-        for change in quarantine.learn(update, Instant::now()) {
+        for change in quarantine.apply(update, Instant::now()) {
             let (event, content) = match change {
                 QuarantineChange::Quarantined(content) => ("request quarantined", content),
                 QuarantineChange::Released(content) => ("request released", content),
@@ -209,7 +209,7 @@
 
     /// When the caller of a request that ends replicas should come back; `None` for all others.
     pub fn quarantine_retry_after(&self, content: ContentKey) -> Option<Duration> {
-        lock(&self.quarantine).pause(content, Instant::now())
+        lock(&self.quarantine).retry_after(content, Instant::now())
     }
 
     /// Tells of each new view.
@@ -248,16 +248,16 @@
 
     /// Whether callers should be sent here.
     pub fn is_ready(&self) -> bool {
-        self.is_confirmed() && self.stop_plan().is_none()
+        self.is_confirmed() && self.shutdown_plan().is_none()
     }
 
     /// Begins a planned stop.
-    pub fn begin_stop(&self, plan: StopPlan) {
+    pub fn begin_shutdown(&self, plan: ShutdownPlan) {
         *lock(&self.stop) = Some(plan);
     }
 
     /// The planned stop, if one has begun.
-    pub fn stop_plan(&self) -> Option<StopPlan> {
+    pub fn shutdown_plan(&self) -> Option<ShutdownPlan> {
         *lock(&self.stop)
     }
 
@@ -277,7 +277,7 @@
     /// Notes a first arrival at a service.
     pub fn record_request(&self, service: &str) {
         let routers = self.routers.load(Ordering::Relaxed);
-        self.with_budget(service, |budget| budget.earn(routers, Instant::now()));
+        self.with_budget(service, |budget| budget.deposit(routers, Instant::now()));
     }
 
     /// Takes a retry from a service's budget.
@@ -286,7 +286,7 @@
             return false;
         }
         let routers = self.routers.load(Ordering::Relaxed);
-        self.with_budget(service, |budget| budget.spend(routers, Instant::now()))
+        self.with_budget(service, |budget| budget.withdraw(routers, Instant::now()))
     }
 
     /// Notes how long a prompt waited for its first event.
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -205,8 +205,8 @@
             return deadline;
         }
         let gap = Duration::from_millis(self.run.admitted.route.gap_objective_ms);
-        let patience = (gap * SILENCE_TIMEOUT_GAPS as u32).max(MIN_SILENCE_TIMEOUT);
-        deadline.min(Instant::now() + patience)
+        let timeout = (gap * SILENCE_TIMEOUT_GAPS as u32).max(MIN_SILENCE_TIMEOUT);
+        deadline.min(Instant::now() + timeout)
     }
 
     /// Ends the stream as complete.
--- a/crates/proxy/tests/budget.rs
+++ b/crates/proxy/tests/budget.rs
@@ -31,7 +31,7 @@
                     if restarts > 0 && step % (1_000 / restarts) == 0 {
                         budget = RetryBudget::new(RULE, now);
                     }
-                    spent += u32::from(budget.spend(routers, now));
+                    spent += u32::from(budget.withdraw(routers, now));
                 }
             }
             assert!(
@@ -50,8 +50,8 @@
     let mut spent = 0;
     for step in 0..1_000_u64 {
         let now = start + milliseconds(step);
-        budget.earn(7, now);
-        spent += u32::from(budget.spend(7, now));
+        budget.deposit(7, now);
+        spent += u32::from(budget.withdraw(7, now));
     }
     assert!((100..=200).contains(&spent), "{spent}");
 }
@@ -63,13 +63,13 @@
     let start = Instant::now();
     let mut budget = RetryBudget::new(RULE, start);
     for step in 0..80_u64 {
-        budget.earn(8, start + milliseconds(step * 120));
+        budget.deposit(8, start + milliseconds(step * 120));
     }
     let now = start + milliseconds(9_700);
-    let spent = (0..40).filter(|_| budget.spend(8, now)).count();
+    let spent = (0..40).filter(|_| budget.withdraw(8, now)).count();
     assert!((14..=20).contains(&spent), "{spent}");
     // Once; and again only after a window.
-    assert!(!budget.spend(8, start + milliseconds(12_000)));
+    assert!(!budget.withdraw(8, start + milliseconds(12_000)));
 }
 
 #[test]
@@ -79,7 +79,7 @@
     let mut spent = 0;
     for step in 0..200_u64 {
         let routers = if step < 150 { 8 } else { 1 };
-        spent += u32::from(budget.spend(routers, start + milliseconds(step * 100)));
+        spent += u32::from(budget.withdraw(routers, start + milliseconds(step * 100)));
     }
     assert!(spent <= 7, "{spent}");
 }
@@ -104,10 +104,10 @@
             }
             let router = usize::from(kind) % routers as usize;
             if kind < 128 {
-                budgets[router].earn(routers, now);
+                budgets[router].deposit(routers, now);
                 requests.push(now);
             }
-            while budgets[router].spend(routers, now) {
+            while budgets[router].withdraw(routers, now) {
                 retries.push(now);
             }
         }
--- a/crates/proxy/tests/control_watch.rs
+++ b/crates/proxy/tests/control_watch.rs
@@ -13,7 +13,7 @@
 
 use futures::StreamExt;
 use railtack_consensus::{Message, ReplicaId};
-use railtack_proxy::control_watch::follow;
+use railtack_proxy::control_watch::run_watch;
 use railtack_rpc::{
     Control, FeatureLevel, Sender,
     codec::ServerCodec,
@@ -168,7 +168,7 @@
     let control = Confirmed::default();
     tokio::spawn(serve(listener, control.clone()));
     let state = router(vec![address]);
-    let following = tokio::spawn(follow(state, move || vec![address]));
+    let following = tokio::spawn(run_watch(state, move || vec![address]));
     tokio::time::sleep(Duration::from_secs(1)).await;
     following.abort();
     let questions = control.asked.all.load(Ordering::Relaxed);
@@ -192,7 +192,7 @@
     };
     tokio::spawn(serve(listener, control));
     let state = router(vec![address]);
-    let following = tokio::spawn(follow(Arc::clone(&state), move || vec![address]));
+    let following = tokio::spawn(run_watch(Arc::clone(&state), move || vec![address]));
     tokio::time::sleep(Duration::from_millis(500)).await;
     following.abort();
     state.is_confirmed()
@@ -257,7 +257,7 @@
     }
     let state = router(vec![members[0]]);
     let seed = members[0];
-    let following = tokio::spawn(follow(state, move || vec![seed]));
+    let following = tokio::spawn(run_watch(state, move || vec![seed]));
     tokio::time::sleep(Duration::from_millis(600)).await;
     following.abort();
     for (zone, questions) in asked {
@@ -289,7 +289,7 @@
     };
     tokio::spawn(serve(listener, control));
     let state = router(vec![address]);
-    let following = tokio::spawn(follow(state, move || vec![address]));
+    let following = tokio::spawn(run_watch(state, move || vec![address]));
     tokio::time::sleep(Duration::from_secs(1)).await;
     following.abort();
     assert!(questions.for_records.load(Ordering::Relaxed) > 0);
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -4,14 +4,14 @@
 
 use railtack_clock::BootInstant;
 use railtack_proxy::{
-    PromptSegment, PromptShape, StopPlan,
+    PromptInfo, PromptSegment, ShutdownPlan,
     affinity::{PrefixPath, SentPrefixes, rendezvous},
-    choice::{Candidate, RequestSize, SharedLoad, choose},
     events::EventBuffer,
     fleet_view::FleetView,
     health::{ExchangeEnd, Health},
     lease::Lease,
     retry_decision::{ExchangeFacts, ExchangeProof, NextStep, next_step, without_retry},
+    scoring::{Candidate, RequestSize, SharedLoad, choose},
     traffic_split::TrafficSplitter,
     weight_versions::WeightVersions,
 };
@@ -266,8 +266,8 @@
     assert_eq!(named.oldest_usable("other", bound, start), 0);
 }
 
-fn prompt(ids: &[u64]) -> PromptShape {
-    PromptShape {
+fn prompt(ids: &[u64]) -> PromptInfo {
+    PromptInfo {
         model: "m".to_owned(),
         prompt_tokens: 1_000 * ids.len() as u64,
         answer_tokens: 10,
@@ -344,7 +344,7 @@
 #[test]
 fn a_stopping_router_takes_only_what_it_can_finish() {
     let start = Instant::now();
-    let plan = StopPlan::new(start, milliseconds(8_000));
+    let plan = ShutdownPlan::new(start, milliseconds(8_000));
     let long = start + milliseconds(15_000);
     assert!(plan.accepts(long, start + milliseconds(2_000)));
     assert!(!plan.accepts(long, start + milliseconds(3_000)));
@@ -402,10 +402,10 @@
     let home = Candidate {
         rank: 0,
         open_requests: 1,
-        unread_tokens: 3_700,
+        pending_prefill_tokens: 3_700,
         shared_load: Some(SharedLoad {
             open_requests: 4,
-            unread_tokens: 3_700,
+            pending_prefill_tokens: 3_700,
         }),
         ..other
     };
@@ -426,7 +426,7 @@
     let full = Candidate {
         shared_load: Some(SharedLoad {
             open_requests: 14,
-            unread_tokens: 60_000,
+            pending_prefill_tokens: 60_000,
         }),
         ..home
     };
@@ -441,14 +441,14 @@
         shared_tokens: 6_300,
         routers: 79,
     };
-    let replica = |rank, open_requests, unread_tokens| Candidate {
+    let replica = |rank, open_requests, pending_prefill_tokens| Candidate {
         same_zone: rank > 0,
         slots: 16,
         capacity_tokens: 86_721,
         rank,
         shared_load: Some(SharedLoad {
             open_requests,
-            unread_tokens,
+            pending_prefill_tokens,
         }),
         ..Candidate::default()
     };
@@ -487,7 +487,7 @@
         rank,
         shared_load: Some(SharedLoad {
             open_requests,
-            unread_tokens: 0,
+            pending_prefill_tokens: 0,
         }),
         ..Candidate::default()
     };
--- a/crates/proxy/tests/entry.rs
+++ b/crates/proxy/tests/entry.rs
@@ -59,7 +59,7 @@
         body: Bytes::new(),
         key: None,
         received: Instant::now(),
-        patience: Some(Duration::from_millis(3_000)),
+        client_timeout: Some(Duration::from_millis(3_000)),
         prompt: None,
         stated_tokens: None,
         last_event: None,
--- a/crates/proxy/tests/homes.rs
+++ b/crates/proxy/tests/homes.rs
@@ -13,10 +13,10 @@
 
 use quickcheck::quickcheck;
 use railtack_proxy::{
-    PromptSegment, PromptShape,
+    PromptInfo, PromptSegment,
     affinity::{PrefixPath, rendezvous},
     fleet_view::FleetView,
-    homes::{Homes, Ring, SMALLEST_GROUP, busy_replicas, group_size, nested},
+    homes::{Homes, MIN_GROUP_SIZE, Ring, busy_replicas, group_homes, group_size},
 };
 use railtack_rpc::serving::{FleetDigest, ReplicaCondition};
 use railtack_serving::{ReplicaKey, ReplicaRecord, ReplicaState};
@@ -50,7 +50,7 @@
 /// The prompt with a second part; each second part has one first part.
 fn prompt(second: u64) -> PrefixPath {
     let segment = |id, tokens| PromptSegment { id, tokens };
-    let shape = PromptShape {
+    let shape = PromptInfo {
         model: "m".to_owned(),
         prompt_tokens: 9_190,
         segments: vec![
@@ -58,7 +58,7 @@
             segment(1_000 + second, 3_780),
             segment(u64::MAX, 2_890),
         ],
-        ..PromptShape::default()
+        ..PromptInfo::default()
     };
     PrefixPath::new(&shape, "")
 }
@@ -76,8 +76,8 @@
 }
 
 fn homes(ring: &Ring, second: u64, size: usize) -> Homes<'_> {
-    let candidates = ring.from(first_segment_key(second));
-    nested(home_key(second), candidates, size, |_| true)
+    let candidates = ring.iter_from(first_segment_key(second));
+    group_homes(home_key(second), candidates, size, |_| true)
 }
 
 fn home(ring: &Ring, second: u64, size: usize) -> String {
@@ -91,7 +91,7 @@
     let records: Vec<_> = (0..10_000).map(record).collect();
     let ring = ring(&records);
     for second in 1..50 {
-        let on_ring: Vec<_> = ring.from(first_segment_key(second)).collect();
+        let on_ring: Vec<_> = ring.iter_from(first_segment_key(second)).collect();
         let members: HashSet<&String> = on_ring.iter().map(|record| &record.id).collect();
         assert_eq!(members.len(), records.len());
         let mut group = on_ring[..64].to_vec();
@@ -100,7 +100,7 @@
     }
     let few = Ring::new(records[..3].iter().cloned());
     assert_eq!(homes(&few, 7, 64).ranked.len(), 3);
-    assert!(Ring::default().from(7).next().is_none());
+    assert!(Ring::default().iter_from(7).next().is_none());
 }
 
 #[test]
@@ -108,14 +108,14 @@
     let ring = ring(&fleet());
     let mut groups: HashMap<u64, HashSet<String>> = HashMap::new();
     for second in 0..SECOND_PARTS {
-        let homes = homes(&ring, second, SMALLEST_GROUP);
+        let homes = homes(&ring, second, MIN_GROUP_SIZE);
         let group = groups.entry(second % FIRST_PARTS).or_default();
         group.insert(homes.ranked[0].id.clone());
     }
     for group in groups.values() {
-        assert!(group.len() <= SMALLEST_GROUP, "{}", group.len());
+        assert!(group.len() <= MIN_GROUP_SIZE, "{}", group.len());
         // Second parts spread over all of it.
-        assert!(group.len() > SMALLEST_GROUP * 3 / 4, "{}", group.len());
+        assert!(group.len() > MIN_GROUP_SIZE * 3 / 4, "{}", group.len());
     }
 }
 
@@ -126,10 +126,10 @@
     let ring = ring(&records);
     let reversed = Ring::new(records.iter().rev().cloned());
     for second in 0..40 {
-        let one = homes(&ring, second, SMALLEST_GROUP);
-        let other = homes(&reversed, second, SMALLEST_GROUP);
+        let one = homes(&ring, second, MIN_GROUP_SIZE);
+        let other = homes(&reversed, second, MIN_GROUP_SIZE);
         assert_eq!(one.ranked, other.ranked);
-        assert_eq!(one.holders, other.holders);
+        assert_eq!(one.prefix_holders, other.prefix_holders);
     }
 }
 
@@ -183,7 +183,7 @@
 fn a_group_reads_its_first_part_a_few_times_in_all() {
     for seed in [11, 12, 13] {
         let flat = read_again(None, 6, seed);
-        let grouped = read_again(Some(SMALLEST_GROUP), 6, seed);
+        let grouped = read_again(Some(MIN_GROUP_SIZE), 6, seed);
         assert!(
             grouped * 3 < flat,
             "seed {seed}: {grouped} of {flat} tokens"
@@ -206,13 +206,13 @@
     let kept = records.iter().enumerate();
     let kept = kept.filter(|(number, _)| number % gone_each != 0);
     let kept = Ring::new(kept.map(|(_, record)| Arc::clone(record)));
-    let share = moved(&all, &kept, (SMALLEST_GROUP, SMALLEST_GROUP));
+    let share = moved(&all, &kept, (MIN_GROUP_SIZE, MIN_GROUP_SIZE));
     // Those at replicas that are gone, and those of their places in the group.
     assert!(share < 3.0 / gone_each as f64, "{share}");
     // A group that doubles would leave half of them where they are; one that grows by its step a fourth.
-    let doubled = moved(&all, &all, (SMALLEST_GROUP, SMALLEST_GROUP * 2));
+    let doubled = moved(&all, &all, (MIN_GROUP_SIZE, MIN_GROUP_SIZE * 2));
     assert!(doubled < 0.6, "{doubled}");
-    let grown = moved(&all, &all, (SMALLEST_GROUP, SMALLEST_GROUP * 4));
+    let grown = moved(&all, &all, (MIN_GROUP_SIZE, MIN_GROUP_SIZE * 4));
     assert!(grown < 0.85, "{grown}");
 }
 
@@ -223,7 +223,7 @@
     let left = Ring::new(left.cloned());
     let mut load: HashMap<String, u64> = HashMap::new();
     for second in 0..SECOND_PARTS {
-        *load.entry(home(&left, second, SMALLEST_GROUP)).or_default() += 1;
+        *load.entry(home(&left, second, MIN_GROUP_SIZE)).or_default() += 1;
     }
     // 247 prompts a second over 2,336 second parts, half a second each at a replica.
     let most = load.values().max().copied().unwrap_or_default() as f64;
@@ -234,34 +234,34 @@
 #[test]
 fn members_on_which_all_routers_agree_are_left_out_unless_all_are() {
     let ring = ring(&fleet());
-    let usual = homes(&ring, 3, SMALLEST_GROUP);
+    let usual = homes(&ring, 3, MIN_GROUP_SIZE);
     let dark = usual.ranked[0].id.clone();
-    let nested = |is_usable: &dyn Fn(&ReplicaRecord) -> bool| {
-        let candidates = ring.from(first_segment_key(3));
-        nested(home_key(3), candidates, SMALLEST_GROUP, is_usable)
+    let group = |is_usable: &dyn Fn(&ReplicaRecord) -> bool| {
+        let candidates = ring.iter_from(first_segment_key(3));
+        group_homes(home_key(3), candidates, MIN_GROUP_SIZE, is_usable)
     };
-    let others = nested(&|record| record.id != dark);
+    let others = group(&|record| record.id != dark);
     assert!(others.ranked.iter().all(|record| record.id != dark));
-    assert_eq!(others.ranked.len(), SMALLEST_GROUP);
+    assert_eq!(others.ranked.len(), MIN_GROUP_SIZE);
     let kept = others
         .ranked
         .iter()
         .filter(|record| usual.ranked.contains(record));
-    assert_eq!(kept.count(), SMALLEST_GROUP - 1);
-    let none = nested(&|_| false);
+    assert_eq!(kept.count(), MIN_GROUP_SIZE - 1);
+    let none = group(&|_| false);
     assert_eq!(none.ranked, usual.ranked);
 }
 
 #[test]
 fn a_group_grows_with_the_work() {
-    assert_eq!(group_size(busy_replicas(0, 16)), SMALLEST_GROUP);
+    assert_eq!(group_size(busy_replicas(0, 16)), MIN_GROUP_SIZE);
     // Work that comes and goes a little leaves homes where they are.
     for open_requests in [100, 345, 600, 1_000] {
         let size = group_size(busy_replicas(open_requests, 16));
-        assert_eq!(size, SMALLEST_GROUP, "{open_requests}");
+        assert_eq!(size, MIN_GROUP_SIZE, "{open_requests}");
     }
     // Ten times the work.
-    assert_eq!(group_size(busy_replicas(3_450, 16)), SMALLEST_GROUP * 4);
+    assert_eq!(group_size(busy_replicas(3_450, 16)), MIN_GROUP_SIZE * 4);
     // Figures that make no sense are borne.
     assert!(group_size(busy_replicas(u64::MAX, 0)) > FLEET);
 }
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -6,7 +6,7 @@
 };
 
 use railtack_proxy::permits::{
-    KnownLimit, LimitedRouter, Permission, Permit, lacks_valid_permit, note_answer, take,
+    KnownLimit, Permit, PermitClient, PermitDecision, acquire, handle_response, lacks_valid_permit,
 };
 use railtack_rpc::{
     permits::{PermitReply, PermitRequest, PermitStamp},
@@ -35,7 +35,7 @@
     /// What the leader answers; nothing if it is away.
     reply: Option<PermitReply>,
     asked: Vec<PermitRequest>,
-    unanswered_until: Moment,
+    permit_requests_suspended_until: Moment,
     room_at: Option<Moment>,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-impl LimitedRouter for Router {
+impl PermitClient for Router {
     fn uptime(&self) -> Moment {
         self.started.elapsed()
     }
@@ -66,26 +66,26 @@
         Some(KnownLimit {
             limit,
             age: Duration::from_millis(40),
-            own: Some(NamedLimit {
+            advertised_here: Some(NamedLimit {
                 limit,
                 named_at: self.uptime(),
             }),
         })
     }
 
-    fn unanswered_until(&self) -> Moment {
-        self.state().unanswered_until
+    fn permit_requests_suspended_until(&self) -> Moment {
+        self.state().permit_requests_suspended_until
     }
 
-    fn note_unanswered(&self, until: Moment) {
-        self.state().unanswered_until = until;
+    fn suspend_permit_requests(&self, until: Moment) {
+        self.state().permit_requests_suspended_until = until;
     }
 
-    fn note_withheld(&self, _: &str, _: RequestLimit, room_at: Moment) {
+    fn record_denied(&self, _: &str, _: RequestLimit, room_at: Moment) {
         self.state().room_at = Some(room_at);
     }
 
-    fn note_over(&self, _: &str, _: Moment) {
+    fn clear_limit(&self, _: &str, _: Moment) {
         // Digests go on naming it for a while.
     }
 
@@ -104,9 +104,9 @@
 }
 
 async fn taken(router: &Arc<Router>) -> Option<Permit> {
-    match take(&**router, LIFE, OBJECTIVE).await {
-        Permission::Given(permit) => permit,
-        Permission::Withheld => panic!("withheld"),
+    match acquire(&**router, LIFE, OBJECTIVE).await {
+        PermitDecision::Granted(permit) => permit,
+        PermitDecision::Denied => panic!("withheld"),
     }
 }
 
@@ -150,8 +150,8 @@
 async fn without_a_leader_nothing_is_sent_and_others_do_not_ask_for_a_moment() {
     let router = Router::new(Some(limit(2.0)), None);
     for _ in 0..5 {
-        let permission = take(&*router, LIFE, OBJECTIVE).await;
-        assert!(matches!(permission, Permission::Withheld));
+        let permission = acquire(&*router, LIFE, OBJECTIVE).await;
+        assert!(matches!(permission, PermitDecision::Denied));
     }
     assert_eq!(router.state().asked.len(), 1);
     let room_at = router.state().room_at.expect("a moment");
@@ -167,7 +167,7 @@
     let permit = taken(&router).await;
     let told = async |stated, is_news| {
         let before = router.state().asked.len();
-        note_answer(&router, LIFE, permit, stated, is_news);
+        handle_response(&router, LIFE, permit, stated, is_news);
         tokio::task::yield_now().await;
         router.state().asked.get(before).cloned()
     };
--- a/crates/proxy/tests/store_budget.rs
+++ b/crates/proxy/tests/store_budget.rs
@@ -4,14 +4,14 @@
 
 use quickcheck::{QuickCheck, TestResult};
 use railtack_proxy::{
-    PromptSegment, PromptShape,
+    PromptInfo, PromptSegment,
     affinity::PrefixPath,
     store_budget::{SaveBudget, StoreCapacity},
 };
 use tokio::time::Instant;
 
 fn prompt(shared: u64, own: u64) -> PrefixPath {
-    let shape = PromptShape {
+    let shape = PromptInfo {
         model: "m".to_owned(),
         prompt_tokens: shared + own,
         answer_tokens: 10,
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::{Request, http::response};
 use railtack_proxy::{
-    AnswerHead, BackendProtocol, Dispatch, ProxiedRequest, ProxyOptions, ProxyState,
+    BackendProtocol, Dispatch, ProxiedRequest, ProxyOptions, ProxyState, ResponseClass,
 };
 use railtack_serving::{BackEndNotice, Bounds, Policy, QuotaBounds};
 
@@ -18,11 +18,11 @@
         Request::default()
     }
 
-    fn classify(&self, _: &ProxiedRequest, _: &response::Parts) -> AnswerHead {
-        AnswerHead::Foreign
+    fn classify(&self, _: &ProxiedRequest, _: &response::Parts) -> ResponseClass {
+        ResponseClass::OtherRequest
     }
 
-    fn notice(&self, _: &response::Parts) -> BackEndNotice {
+    fn signals(&self, _: &response::Parts) -> BackEndNotice {
         BackEndNotice::default()
     }
 
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -11,7 +11,7 @@
 use railtack_core::{
     AttemptId, CacheNamespace, EngineIncarnation, PrefixChain, RequestId, TemplateName, TenantName,
 };
-use railtack_proxy::permits::{Permission, Permit};
+use railtack_proxy::permits::{Permit, PermitDecision};
 use railtack_routing::{Decision, EngineSlot, ModelKey, RequestShape};
 use railtack_serving::ContentKey;
 use railtack_settings::documents::Priority;
@@ -175,8 +175,8 @@
             return Some(None);
         };
         match limits::permission(self.state, &life).await {
-            Permission::Given(permit) => Some(permit),
-            Permission::Withheld => None,
+            PermitDecision::Granted(permit) => Some(permit),
+            PermitDecision::Denied => None,
         }
     }
 
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -5,8 +5,8 @@
 use hyper::HeaderMap;
 use railtack_backend_api::REQUEST_LIMIT;
 use railtack_proxy::{
-    backend::stated_limit,
-    permits::{self, KnownLimit, LimitedRouter, Permission, Permit},
+    backend::parse_limit_header,
+    permits::{self, KnownLimit, Permit, PermitClient, PermitDecision},
 };
 use railtack_rpc::permits::{PermitReply, PermitRequest};
 use railtack_serving::{Announced, BackEndNotice, Moment, News, RequestLimit, StatedLimit};
@@ -42,7 +42,7 @@
     }
 }
 
-impl LimitedRouter for RouterState {
+impl PermitClient for RouterState {
     fn uptime(&self) -> Moment {
         RouterState::uptime(self)
     }
@@ -55,24 +55,24 @@
         Some(KnownLimit {
             limit: own.limit,
             age: self.uptime().saturating_sub(own.named_at),
-            own: Some(own),
+            advertised_here: Some(own),
         })
     }
 
-    fn unanswered_until(&self) -> Moment {
+    fn permit_requests_suspended_until(&self) -> Moment {
         *lock(&self.permits_unanswered_until)
     }
 
-    fn note_unanswered(&self, until: Moment) {
+    fn suspend_permit_requests(&self, until: Moment) {
         *lock(&self.permits_unanswered_until) = until;
     }
 
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment) {
+    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: Moment) {
         self.metrics.permits_withheld.inc();
         self.with_announced(life, |announced| announced.has_room_at(limit, room_at));
     }
 
-    fn note_over(&self, life: &str, named_at: Moment) {
+    fn clear_limit(&self, life: &str, named_at: Moment) {
         self.with_announced(life, |announced| announced.limit_is_over(named_at));
     }
 
@@ -82,8 +82,8 @@
 }
 
 /// Takes a permit for one request, if the engine or back end has a limit.
-pub async fn permission(state: &RouterState, life: &str) -> Permission {
-    permits::take(state, life, ASKED_WITHIN).await
+pub async fn permission(state: &RouterState, life: &str) -> PermitDecision {
+    permits::acquire(state, life, ASKED_WITHIN).await
 }
 
 /// Takes in what an answer says of the limit of the engine or back end that gave it.
@@ -93,7 +93,7 @@
     permit: Option<Permit>,
     headers: &HeaderMap,
 ) {
-    let stated = stated_limit(headers, REQUEST_LIMIT);
+    let stated = parse_limit_header(headers, REQUEST_LIMIT);
     let news = match stated {
         StatedLimit::NotNamed => News::default(),
         StatedLimit::Unreadable(error) => {
@@ -116,7 +116,7 @@
             )
         }
     };
-    permits::note_answer(state, life, permit, stated, news.limit.is_some());
+    permits::handle_response(state, life, permit, stated, news.limit.is_some());
 }
 
 fn log_news(life: &str, news: News) -> News {
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -5,7 +5,7 @@
 
 use railtack_core::{EngineId, EngineIncarnation, RefusalCode};
 use railtack_http::client::port_refuses;
-use railtack_proxy::quarantine::{GATHERING, RECORD_LIMIT};
+use railtack_proxy::quarantine::{REPORT_BATCH_DELAY, REPORT_TIMEOUT};
 use railtack_rpc::{
     protocol::{Command, Outcome},
     serving::{QuarantineUpdate, ServingCommand, ServingOutcome},
@@ -38,7 +38,7 @@
 
 /// The refusal of a request that is quarantined.
 pub fn refusal(state: &RouterState, content: ContentKey) -> Option<Refusal> {
-    let pause = lock(&state.quarantine).pause(content, Instant::now())?;
+    let pause = lock(&state.quarantine).retry_after(content, Instant::now())?;
     let detail = "back ends ended under this request, one after the other";
     let refusal = Refusal::not_run(RefusalCode::Quarantined, detail);
     Some(refusal.retry_after_ms(pause.as_millis() as u64))
@@ -47,7 +47,7 @@
 /// Takes in what the control group has quarantined.
 pub fn learn(state: &RouterState, told: &QuarantineUpdate) {
     let mut quarantine = lock(&state.quarantine);
-    for change in quarantine.learn(told, Instant::now()) {
+    for change in quarantine.apply(told, Instant::now()) {
         spdlog::info!("quarantine changed", kv: {
             change = format!("{change:?}"),
             changed_at = told.changed_at,
@@ -61,8 +61,8 @@
 
 /// Notes that a back end outlived a request; tells the control group if that request is suspect.
 pub fn outlived(state: &Arc<RouterState>, content: ContentKey) {
-    lock(&state.ends_met).outlived(content, Instant::now());
-    if lock(&state.quarantine).take_good_end(content) {
+    lock(&state.crash_tracker).record_success(content, Instant::now());
+    if lock(&state.quarantine).should_report_success(content) {
         let state = Arc::clone(state);
         let contents = vec![content];
         tokio::spawn(
@@ -74,7 +74,7 @@
 /// Notes that the connection over which a back end had a request broke; looks in the background whether
 /// it has ended: its port refuses connections.
 pub fn connection_broke(state: &Arc<RouterState>, life: BackEndLife, content: ContentKey) {
-    if lock(&state.ends_met).broke(&life.name, content, Instant::now()) {
+    if lock(&state.crash_tracker).record_broken_connection(&life.name, content, Instant::now()) {
         let state = Arc::clone(state);
         tokio::spawn(async move { look(&state, &life).await });
     }
@@ -89,15 +89,15 @@
     });
     if has_ended {
         state.metrics.back_end_ends.inc();
-        sleep(GATHERING).await;
+        sleep(REPORT_BATCH_DELAY).await;
         report_end(state, life).await;
     }
-    lock(&state.ends_met).forget(&life.name);
+    lock(&state.crash_tracker).forget(&life.name);
 }
 
 async fn report_end(state: &RouterState, life: &BackEndLife) {
     loop {
-        let contents = lock(&state.ends_met).next_report(&life.name);
+        let contents = lock(&state.crash_tracker).take_unreported(&life.name);
         if contents.is_empty() {
             return;
         }
@@ -119,7 +119,7 @@
     }
     let proposed = state
         .control
-        .propose(Command::Serving(command), RECORD_LIMIT)
+        .propose(Command::Serving(command), REPORT_TIMEOUT)
         .await;
     match proposed {
         Proposed::Done(Outcome::Serving(ServingOutcome::EndRecorded(told))) => learn(state, &told),
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -11,7 +11,7 @@
 };
 use railtack_core::{AttemptId, IdempotencyKey, RefusalCode, TemplateName, TenantName};
 use railtack_http::{Body, SendError, back_off, body, read_body, send_on_new_connection};
-use railtack_proxy::permits::{Permission, Permit};
+use railtack_proxy::permits::{Permit, PermitDecision};
 use railtack_rpc::protocol::StoredAnswer;
 use railtack_serving::{BackEndNotice, ContentKey, RequestContent};
 use railtack_settings::documents::Target;
@@ -332,7 +332,9 @@
     loop {
         let address = next_backend(state, service)?;
         // One that has no room is left out next time.
-        if let Permission::Given(permit) = limits::permission(state, &address.to_string()).await {
+        if let PermitDecision::Granted(permit) =
+            limits::permission(state, &address.to_string()).await
+        {
             return Some(Chosen { address, permit });
         }
     }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -15,7 +15,7 @@
 use railtack_consensus::{Millis, ReplicaId};
 use railtack_core::{EngineId, RefusalCode, TenantName};
 use railtack_http::HttpClient;
-use railtack_proxy::quarantine::{EndsMet, QuarantineKnowledge};
+use railtack_proxy::quarantine::{CrashTracker, QuarantineState};
 use railtack_routing::{Admission, Micros, RetryBudget, Scheduler, SchedulerOptions};
 use railtack_serving::{Availability, Moment};
 use railtack_settings::{RouterSettings, router::WhenUnconfirmed};
@@ -61,9 +61,9 @@
     /// Recent decisions.
     pub decisions: Mutex<DecisionLog>,
     /// Requests that the control group has quarantined.
-    pub quarantine: Mutex<QuarantineKnowledge>,
+    pub quarantine: Mutex<QuarantineState>,
     /// Ends of back ends that this router's requests met.
-    pub ends_met: Mutex<EndsMet>,
+    pub crash_tracker: Mutex<CrashTracker>,
     /// Counters.
     pub metrics: RouterMetrics,
     /// Connections to engines.
@@ -107,7 +107,7 @@
             retry_budgets: Mutex::default(),
             decisions: Mutex::default(),
             quarantine: Mutex::default(),
-            ends_met: Mutex::default(),
+            crash_tracker: Mutex::default(),
             metrics: RouterMetrics::default(),
             client: HttpClient::new(ENGINE_CONNECT_TIMEOUT),
             control: ControlLink::new(&settings.control),
