--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One exchange with one replica, up to the head of its answer.
+//! One exchange with one replica, up to the head of the response.
 
 use std::sync::Arc;
 
@@ -21,57 +21,57 @@
     state::{ProxyState, lock},
 };
 
-/// Kept connections that may turn out to be closed, before anything was sent, in one exchange.
+/// Maximum number of pooled connections per exchange that may turn out to be closed.
 const MAX_STALE_CONNECTIONS: usize = 3;
-/// Largest answer that is read as a whole, bytes.
+/// Maximum size of a response that is buffered completely, bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A replica that was chosen.
+/// A selected replica and what to send with the request.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The replica.
+    /// Record of the replica.
     pub record: Arc<ReplicaRecord>,
-    /// This router's use of it.
+    /// Connections and load of this router at the replica.
     pub handle: Arc<ReplicaHandle>,
-    /// Connections that this router may open to it.
+    /// Maximum number of connections of this router to the replica.
     pub connection_limit: u32,
-    /// Tokens of the prompt that this router had sent there before.
+    /// Prompt tokens that this router sent to the replica before.
     pub cached_tokens: u64,
-    /// What the prompt has to wait for before its first event.
+    /// Prompt tokens to be prefilled before the first event.
     pub backlog: PrefillBacklog,
-    /// Where the beginning of the prompt is likely to be kept, `ip:port`.
+    /// Address of a peer or store that probably caches the prefix, `ip:port`.
     pub fetch_from: Option<String>,
-    /// The store that is to keep what is read, `ip:port`.
+    /// Address of the store to which the prompt is saved, `ip:port`.
     pub save_to: Option<String>,
-    /// The permit to send it the request, if it has a limit.
+    /// Permit to send the request, if the replica has a rate limit.
     pub permit: Option<Permit>,
 }
 
-/// An answer whose head has come.
+/// A response whose head was received.
 #[derive(Debug)]
 pub struct OpenResponse {
-    /// Head.
+    /// Head of the response.
     pub head: response::Parts,
-    /// Body, as it comes.
+    /// Body, not yet received.
     pub body: Incoming,
-    /// The connection that it comes over.
+    /// Connection of the exchange.
     pub connection: Connection,
-    /// Whether the connection may be used again after a whole answer.
+    /// Whether the connection can be reused after the body was received.
     pub reusable: bool,
 }
 
-/// An exchange that brought no answer to pass on.
+/// An exchange without a response that can be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedExchange {
-    /// What it says of the replica; `None` if nothing.
+    /// Outcome that counts for the replica's health; `None` if none does.
     pub end: Option<ExchangeEnd>,
-    /// What it proves of the request.
+    /// Whether the replica may have run the request.
     pub proof: ExchangeProof,
-    /// For logs.
+    /// Cause, for logs and metrics.
     pub cause: &'static str,
-    /// Status of the answer, if one came.
+    /// Status of the response, if one was received.
     pub status: Option<u16>,
-    /// What the answer says of the replica.
+    /// Signals of the replica in the response head.
     pub notice: BackEndNotice,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A failure before anything was sent, for a reason that is known since.
+    /// The request was not sent, for a reason that is recorded in the state by now.
     fn withheld(cause: &'static str) -> Self {
         Self {
             proof: ExchangeProof::Withheld,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The same failure, with the answer that shows it.
+    /// Adds the response that caused the failure.
     fn answered(self, status: u16, notice: BackEndNotice) -> Self {
         Self {
             status: Some(status),
@@ -111,7 +111,7 @@
         }
     }
 
-    /// A failure after the request may have been received.
+    /// The exchange failed after the request may have been received.
     pub fn may_have_run(cause: &'static str) -> Self {
         Self {
             end: Some(ExchangeEnd::Broken),
@@ -123,18 +123,18 @@
     }
 }
 
-/// Until when the head of an answer is waited for.
+/// Deadlines for the head of a response.
 #[derive(Clone, Copy, Debug)]
 pub struct HeadDeadline {
-    /// The usual end.
+    /// Default deadline.
     pub due: Instant,
-    /// The end if the replica answers others meanwhile: it is busy, not gone.
+    /// Deadline if the replica is responding to other requests: it is busy rather than gone.
     pub if_responding: Instant,
 }
 
-/// Sends a request and waits for the head of the answer.
+/// Sends a request and waits for the head of the response.
 ///
-/// Dropping the future closes the connection, so that the replica stops.
+/// Dropping the future closes the connection, which makes the replica stop the request.
 pub async fn exchange(
     state: &Arc<ProxyState>,
     target: &Target,
@@ -145,20 +145,20 @@
 ) -> Result<OpenResponse, FailedExchange> {
     for _ in 0..MAX_STALE_CONNECTIONS {
         let mut connection = connect(target, non_retryable).await?;
-        // A freeze may fall anywhere before this point; the lease is looked at after it.
+        // The process may have been suspended since selection, so the lease is checked here.
         if !state.is_confirmed() {
             return Err(FailedExchange::withheld("lease lost"));
         }
-        // Others may have met the end of a replica under it while this copy waited for a place.
+        // Other copies may have crashed replicas while this one waited for a connection.
         if state.quarantine_retry_after(content).is_some() {
             return Err(FailedExchange::withheld("quarantined"));
         }
         let sent_at = Instant::now();
-        // The replica may have asked for rest, or said that it leaves, while this request waited for its connection.
+        // The replica may have asked for back-off or announced its shutdown meanwhile.
         if !takes_requests(state, target) {
             return Err(FailedExchange::withheld("takes no requests"));
         }
-        // A limit may have become known meanwhile, and a permit that waited for long is void.
+        // A limit may have been advertised meanwhile, and a permit may have expired.
         if permits::lacks_valid_permit(&**state, &target.record.id, target.permit) {
             return Err(FailedExchange::withheld("no permit"));
         }
@@ -188,8 +188,8 @@
     ))
 }
 
-/// Whether anything came from the replica since `sent_at`, to this router or to another one: it is
-/// busy, not gone. One of hundreds of routers seldom has a second request there that would tell.
+/// Whether any router received anything from the replica after `sent_at`. In a large fleet, one
+/// router rarely has a second request there.
 fn has_responded(state: &ProxyState, target: &Target, sent_at: Instant) -> bool {
     let replica = ReplicaKey::of(&target.record.id);
     target.handle.responded_since(sent_at)
@@ -238,7 +238,7 @@
     let mut notice = state.backend.signals(&answer.head);
     let is_from_target = matches!(classified, ResponseClass::Response | ResponseClass::NotRun);
     if !is_from_target {
-        // Another life's limit, or one of another moment.
+        // The limit of another incarnation, or an outdated one.
         notice.limit = StatedLimit::NotNamed;
     }
     let news = apply_notice(state, target, notice);
@@ -252,8 +252,8 @@
             news.limit.is_some(),
         );
     }
-    // Another life may answer at the address before it is registered there. Taken for a sign of the former
-    // one, such an answer would hide that that one has ended, and with it which request ended it.
+    // A new incarnation may respond at the address before it is registered. Counting that as a
+    // response of the old one would hide its crash.
     if classified != ResponseClass::WrongReplica {
         target.handle.record_response(Instant::now());
     }
@@ -268,7 +268,7 @@
     Err(failed.answered(answer.head.status.as_u16(), notice))
 }
 
-/// Takes in what a replica says of itself. Most answers say nothing, and leave before the lock on all replicas.
+/// Applies the signals of a response head. Most have none and skip the lock on all replicas.
 fn apply_notice(state: &ProxyState, target: &Target, notice: BackEndNotice) -> News {
     if notice == BackEndNotice::default() {
         return News::default();
@@ -291,7 +291,7 @@
     news
 }
 
-/// Counts what an answer says of a limit, and logs what is new.
+/// Counts an advertised limit and logs a new one.
 fn record_limit(
     state: &ProxyState,
     replica: &str,
@@ -320,8 +320,8 @@
 }
 
 impl OpenResponse {
-    /// Reads the whole body and gives the connection back.
-    pub async fn read_body_whole(
+    /// Reads the complete body and returns the connection to the pool.
+    pub async fn read_complete(
         self,
         handle: &ReplicaHandle,
         due: Instant,
--- a/crates/proxy/src/backend.rs
+++ b/crates/proxy/src/backend.rs
@@ -1,4 +1,4 @@
-//! How dispatches and answers look on the wire; an adapter implements it.
+//! Wire protocol of replicas, implemented by an adapter.
 
 use std::time::Duration;
 
@@ -9,45 +9,46 @@
 
 use crate::request::ProxiedRequest;
 
-/// Everything that a replica is told besides the caller's own request.
+/// A request to a replica, with everything added by the router.
 #[derive(Clone, Debug)]
 pub struct Dispatch<'a> {
     /// The caller's request.
     pub request: &'a ProxiedRequest,
-    /// The replica that is to run it; no other may.
+    /// The replica that is to run the request; no other may.
     pub replica: &'a ReplicaRecord,
-    /// Time left.
+    /// Time until the deadline.
     pub time_left: Duration,
-    /// The tenant, if keys are asked for.
+    /// Name of the tenant; `None` for an anonymous request.
     pub tenant: Option<&'a str>,
-    /// Urgency; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Weights that the replica must hold to run it.
+    /// Version of the weights that the replica must hold.
     pub expected_weights: Option<u64>,
-    /// Namespace of cached prompt memory.
+    /// Namespace of cached prefixes.
     pub cache_namespace: Option<&'a str>,
-    /// `ip:port` of a replica or store that is likely to keep the beginning of the prompt.
+    /// Address of a replica or store that probably caches the prefix, `ip:port`.
     pub fetch_from: Option<&'a str>,
-    /// `ip:port` of the store that is to keep what the replica reads.
+    /// Address of the store to which the prompt is saved, `ip:port`.
     pub save_to: Option<&'a str>,
-    /// Last event that the caller has; the answer goes on behind it.
+    /// Last event received by the caller; the response continues after it.
     pub last_event: Option<u64>,
 }
 
-/// What the head of an answer proves.
+/// Classification of a response by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// The replica answers this request.
+    /// Response to this request.
     Response,
     /// The replica did not run the request and never will.
     NotRun,
-    /// The address belongs to another replica, or it holds other weights; it did not run.
+    /// The address belongs to another replica, or the replica holds other weights; the request did
+    /// not run.
     WrongReplica,
-    /// The answer belongs to another request.
+    /// Response to another request.
     OtherRequest,
 }
 
-/// What the headers of an answer say of a limit on requests, under this name.
+/// Parses the rate limit advertised by the header `name`. Repeated headers are invalid.
 pub fn parse_limit_header(headers: &HeaderMap, name: &str) -> StatedLimit {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
@@ -62,14 +63,14 @@
     }
 }
 
-/// The language of back ends.
+/// Protocol spoken by replicas.
 pub trait BackendProtocol: Send + Sync {
-    /// The request to send.
+    /// Encodes a dispatch as an HTTP request.
     fn encode(&self, dispatch: &Dispatch<'_>) -> Request<Full<Bytes>>;
-    /// What the head of an answer proves.
+    /// Classifies a response by its head.
     fn classify(&self, request: &ProxiedRequest, head: &response::Parts) -> ResponseClass;
-    /// What the head of an answer says of the replica itself.
+    /// Returns the replica's signals in the head of a response.
     fn signals(&self, head: &response::Parts) -> BackEndNotice;
-    /// Whether a header of an answer concerns only one connection and is not passed on.
+    /// Whether a response header is hop-by-hop and not forwarded.
     fn is_hop_by_hop(&self, name: &str) -> bool;
 }
--- a/crates/proxy/src/control_peers.rs
+++ b/crates/proxy/src/control_peers.rs
@@ -1,5 +1,4 @@
-//! The control replicas as this router reaches them with questions and commands of its own, which the
-//! leader answers.
+//! Calls to the leader of the control group.
 
 use std::{
     collections::BTreeMap,
@@ -12,10 +11,10 @@
 
 use crate::state::lock;
 
-/// Time for connecting to a control replica.
+/// Timeout for connecting to a control replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The control replicas that may lead.
+/// Connections to the control replicas, one of which is presumed to lead.
 #[derive(Debug, Default)]
 pub struct ControlPeers {
     peers: Mutex<PeerState>,
@@ -29,18 +28,18 @@
 }
 
 impl ControlPeers {
-    /// Takes in what the group does together.
+    /// Updates the feature level of the group.
     pub fn update_level(&self, level: FeatureLevel) {
         self.level.learn(level);
     }
 
-    /// Whether the group grants parts and records ends. A member of a build that does not would close the
-    /// connection on a question that it cannot read.
+    /// Whether the group supports grants and crash reports. A member of a previous build would
+    /// close the connection on a request that it cannot decode.
     pub fn supports_grants(&self) -> bool {
         self.level.get() >= FeatureLevel::SHARED_GRANTS
     }
 
-    /// Takes in the present control replicas.
+    /// Sets the members of the group; keeps connections to existing members.
     pub fn set_members(&self, members: impl Iterator<Item = SocketAddr>) {
         let mut peers = self.lock();
         let former = std::mem::take(&mut peers.connections);
@@ -52,7 +51,7 @@
         }
     }
 
-    /// The replica that is believed to lead, or any.
+    /// Returns the connection to the presumed leader, or to any member.
     pub fn preferred(&self) -> Option<Arc<ControlConnection>> {
         let peers = self.lock();
         let leader = peers
@@ -63,8 +62,8 @@
             .map(Arc::clone)
     }
 
-    /// Asks the replica that is believed to lead; its answer and its address. Without an answer the next
-    /// replica is asked next time.
+    /// Calls the presumed leader; returns the reply and the address it came from. After a failure,
+    /// the next call goes to the next member.
     pub async fn call<T, F>(
         &self,
         subject: &'static str,
@@ -92,12 +91,12 @@
         }
     }
 
-    /// Notes that a replica leads.
+    /// Sets the presumed leader.
     pub fn set_leader(&self, leader: SocketAddr) {
         self.lock().leader = Some(leader);
     }
 
-    /// Goes on to the replica behind `address`.
+    /// Selects the member after `address`.
     pub fn advance_from(&self, address: SocketAddr) {
         let mut peers = self.lock();
         let mut later = peers
@@ -107,7 +106,7 @@
         peers.leader = later.next().copied();
     }
 
-    /// Goes by what a replica that does not lead said of the leader.
+    /// Follows a reply of `address` that it does not lead.
     pub fn follow_redirect(&self, address: SocketAddr, leader: Option<String>) {
         let redirect = leader.and_then(|leader| leader.parse().ok());
         match redirect {
--- a/crates/proxy/src/control_watch.rs
+++ b/crates/proxy/src/control_watch.rs
@@ -1,6 +1,8 @@
-//! Following the control group: one question at a time to one control replica, which answers when
-//! something changes. A replica that does not answer, or whose state is not confirmed any more, is
-//! left for another; one in the router's own zone is preferred.
+//! Watches the control group for changes.
+//!
+//! Sends one long-polling request at a time to one control replica, which replies when something
+//! changes. Switches to another control replica if one does not reply or its state is no longer
+//! confirmed, and prefers one in the router's own zone.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,28 +24,27 @@
     state::{ProxyState, lock},
 };
 
-/// Time for connecting to a control replica.
+/// Timeout for connecting to a control replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest time for which an answer may be held.
+/// Longest time for which a reply may be held.
 const MAX_HOLD_TIME: Duration = Duration::from_millis(500);
-/// Shortest time for which one may be held where the shared load is gone by: what this router meets
-/// goes with each question, and the digest of all routers comes with each answer. Half the age was
-/// worth 0.01 to 0.05 of what callers are owed, with 79 routers.
+/// Shortest hold time where shared load is used: requests and replies carry the observations and
+/// the fleet digest, so this bounds the age of the load figures.
 const MIN_HOLD_TIME: Duration = Duration::from_millis(250);
-/// Questions that all routers together ask in a second; with more routers each asks less often, so
-/// that control replicas are asked no more.
+/// Requests per second of all routers together. Routers increase their hold time with the size of
+/// the fleet to stay below it.
 const WATCHES_PER_SECOND: u32 = 400;
-/// Time beyond the wait after which a control replica counts as out of reach.
+/// Time beyond the hold time after which a control replica counts as unreachable.
 const REPLY_MARGIN: Duration = Duration::from_millis(400);
-/// Pause after a question that was not answered, and that after several in a row: control replicas that
-/// come back, or are behind, are asked by all routers.
+/// Pause after a failed request, and its maximum after several failures in a row. Without it, all
+/// routers would call a recovering control replica at once.
 const MIN_FAILURE_PAUSE: Duration = Duration::from_millis(50);
 const MAX_FAILURE_PAUSE: Duration = Duration::from_millis(800);
-/// Time between looks at resting connections.
+/// Interval of [`run_maintenance`].
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Follows the control group for as long as the process runs. `seeds` is asked for addresses
-/// whenever no known control replica answers.
+/// Watches the control group until the process exits. Calls `seeds` for addresses when no known
+/// control replica replies.
 pub async fn run_watch(state: Arc<ProxyState>, seeds: impl Fn() -> Vec<SocketAddr> + Send) {
     let mut targets = ControlTargets::new(seeds());
     let mut failures_in_a_row = 0;
@@ -90,8 +91,8 @@
         } else {
             targets.advance_from(address);
         }
-        // One that is answered at once without news, whatever the cause, does not ask again at once:
-        // hundreds of routers would leave a control replica no time for anything else.
+        // An immediate reply without an update must not be followed by an immediate request:
+        // hundreds of routers would overload the control replica.
         let moves_on = !targets.is_settled(&state.options.zone, address);
         if !has_update && held < MIN_FAILURE_PAUSE && !moves_on {
             sleep(MIN_FAILURE_PAUSE).await;
@@ -99,7 +100,7 @@
     }
 }
 
-/// Closes connections to replicas that have rested for too long, for as long as the process runs.
+/// Closes expired connections and updates the lease metrics until the process exits.
 pub async fn run_maintenance(state: Arc<ProxyState>) {
     let mut was_confirmed = false;
     loop {
@@ -118,15 +119,15 @@
     }
 }
 
-/// Pause after so many questions in a row that were not answered; drawn, so that routers do not ask all
-/// at once.
+/// Returns the pause after a number of failures in a row, with jitter to spread the routers'
+/// requests.
 fn failure_pause(failures: usize) -> Duration {
     let doublings = failures.saturating_sub(1).min(8) as u32;
     let longest = (MIN_FAILURE_PAUSE * 2_u32.pow(doublings)).min(MAX_FAILURE_PAUSE);
     longest.mul_f64(rand::random_range(0.5..1.0))
 }
 
-/// Time for which an answer may be held, with that many routers.
+/// Returns the time for which a reply may be held, given the number of routers.
 pub fn max_hold_time(routers: u32) -> Duration {
     if routers < MIN_ROUTERS_FOR_SHARED_LOAD {
         return MAX_HOLD_TIME;
@@ -141,7 +142,7 @@
     takes_records: bool,
 ) -> Option<WatchReply> {
     let known = state.view.load().known;
-    // Held only if there is nothing to tell: a router that lacks records gets the next ones at once.
+    // Replies are only held if there is nothing to send; missing records arrive immediately.
     let hold_time = max_hold_time(state.routers.load(Ordering::Relaxed));
     let request = WatchRequest {
         router: state.options.node.clone(),
@@ -174,9 +175,8 @@
     if let Some(update) = reply.update.take() {
         apply_update(state, update);
     }
-    // A lease vouches for what the router knows, so all changes of that are applied before it counts. It
-    // need not know all replicas: to be told ten thousand took routers that had all restarted 4 s longer than
-    // to be told the first ones.
+    // The lease covers what the router knows, so all updates are applied before the confirmation.
+    // Not all replicas have to be known: in a large fleet their records take seconds to arrive.
     if state.view.load().known.may_be_served_from() {
         state.apply_confirmation(&reply, requested_at);
     }
@@ -206,11 +206,11 @@
     state.set_view(next);
 }
 
-/// Control replicas that may be asked.
+/// Control replicas that can be contacted.
 struct ControlTargets {
     connections: BTreeMap<SocketAddr, Arc<ControlConnection>>,
     zones: BTreeMap<SocketAddr, String>,
-    /// Those that did not answer when they were asked last.
+    /// Control replicas that failed to reply last time.
     unresponsive: BTreeSet<SocketAddr>,
     current: Option<SocketAddr>,
 }
@@ -243,7 +243,7 @@
 
     fn current(&mut self) -> Option<SocketAddr> {
         if self.current.is_none() {
-            // Routers that start together spread over the control replicas.
+            // Spreads routers that start together over the control replicas.
             let position = rand::random_range(0..self.connections.len().max(1));
             self.current = self.connections.keys().nth(position).copied();
         }
@@ -258,7 +258,7 @@
         Arc::clone(connection)
     }
 
-    /// Goes on to the next control replica.
+    /// Switches to the next control replica.
     fn advance_from(&mut self, address: SocketAddr) {
         let later = self.connections.range((
             std::ops::Bound::Excluded(address),
@@ -290,15 +290,13 @@
         self.add(members);
     }
 
-    /// Whether there is no better control replica to go on to, as far as those that answer tell. The records
-    /// of a fleet are told by one that is settled on: told by each that was met on the way to one in the
-    /// router's zone, they were 0.37 of 0.94 GB between zones in 47 s with one restart of 985 routers that know
-    /// 10,000 replicas.
+    /// Whether no better control replica is known. Records are only requested from a settled
+    /// control replica; each one contacted on the way would send the first records of the fleet.
     fn is_settled(&self, zone: &str, address: SocketAddr) -> bool {
         self.zones.contains_key(&address) && self.preferred(zone, address).is_none()
     }
 
-    /// One that answers and is of the router's zone, or of one that is not known yet.
+    /// Returns a responsive control replica in the router's zone, or in one that is not known yet.
     fn preferred(&self, zone: &str, address: SocketAddr) -> Option<SocketAddr> {
         self.candidates(zone, address)
             .find(|candidate| !self.unresponsive.contains(candidate))
@@ -313,8 +311,8 @@
         })
     }
 
-    /// Moves to a control replica of the router's zone, or to one whose zone is not known yet; to one that
-    /// did not answer only if there is no other.
+    /// Switches to a control replica in the router's zone or in an unknown one. Unresponsive ones
+    /// are the last choice.
     fn prefer_zone(&mut self, zone: &str, address: SocketAddr) {
         let any = self.candidates(zone, address).next();
         if let Some(preferred) = self.preferred(zone, address).or(any) {
--- a/crates/proxy/src/entry.rs
+++ b/crates/proxy/src/entry.rs
@@ -1,10 +1,10 @@
-//! Taking a request in: the admission against what this router holds now.
+//! Admission of a request against the router's current state.
 //!
-//! A router that has just started knows no configuration for some hundred milliseconds. After many
-//! were killed at the same moment no other router does better, and a caller that is refused spends
-//! its only retry on another one that starts too. So a request that comes before the first lease of
-//! a process waits for it, for a bounded part of its time. A router that *lost* its lease refuses at
-//! once: it is cut off, and others are not.
+//! A router that has just started has no configuration for some hundred milliseconds. If many
+//! restart at once, the other routers are in the same state, and a refused caller wastes its only
+//! retry on one of them. Requests that arrive before the first lease of the process therefore wait
+//! for it, up to a part of their time. A router that *lost* its lease refuses immediately, because
+//! it is probably partitioned and the others are not.
 
 use std::time::Duration;
 
@@ -17,17 +17,17 @@
     state::ProxyState,
 };
 
-/// Part of a caller's time, as a divisor, for which a request waits for the first lease: the rest
-/// must do for serving it, or for a try elsewhere.
+/// Divisor of the client's timeout that gives the longest wait for the first lease. The rest must
+/// suffice for serving the request or retrying it elsewhere.
 const FIRST_LEASE_WAIT_DIVISOR: u32 = 3;
-/// Time assumed of a caller that states none.
+/// Timeout assumed for a client that declares none.
 const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause that a caller is told while the configuration cannot be confirmed.
+/// Retry delay while the configuration is not confirmed.
 const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Pause that a caller is told by a router that is about to end: others take the request at once.
+/// Retry delay during shutdown; other routers accept the request immediately.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Admits a request; one that comes before the first lease of this process waits for it.
+/// Admits a request. Before the first lease of the process, waits for the lease.
 pub async fn admit(
     state: &ProxyState,
     request: &ProxiedRequest,
@@ -52,7 +52,7 @@
     admitted
 }
 
-/// Whether a request that was looked at may be admitted later by this router.
+/// Whether the request can be admitted once the router gets its first lease.
 fn should_wait_for_lease(state: &ProxyState, admitted: &Result<Admitted, RefusalReason>) -> bool {
     admitted.as_ref().err() == Some(&RefusalReason::Unconfirmed)
         && state.options.policy.first_lease_wait
@@ -60,7 +60,7 @@
         && state.shutdown_plan().is_none()
 }
 
-/// What a caller is told of when to come back after a refusal on entry.
+/// Returns the retry delay after a refusal on admission.
 pub fn retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
         RefusalReason::Unconfirmed => Some(UNCONFIRMED_RETRY_AFTER),
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -1,14 +1,14 @@
-//! Cutting a stream into whole events and following their numbers. Pure.
+//! Splits a stream into complete events and tracks their ids. Pure.
 //!
-//! Only whole events are handed on, so that a stream that breaks inside one can be continued by
-//! another replica behind the last whole event.
+//! Only complete events are forwarded, so that a stream that breaks within one can be resumed by
+//! another replica after the last complete event.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event, bytes.
+/// Maximum size of an event, bytes.
 const EVENT_LIMIT: usize = 1024 * 1024;
 
-/// Takes bytes in as they come and hands whole events out.
+/// Buffers incoming bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     pending: BytesMut,
@@ -18,7 +18,7 @@
 }
 
 impl EventBuffer {
-    /// A buffer for a stream that goes on behind `last_event`.
+    /// Creates a buffer for a stream that continues after `last_event`.
     pub fn after(last_event: Option<u64>) -> Self {
         Self {
             last_event,
@@ -26,24 +26,24 @@
         }
     }
 
-    /// Number of the last event that was handed out.
+    /// Returns the id of the last event that was returned.
     pub fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// Whether bytes of an unfinished event wait.
+    /// Whether the buffer holds an incomplete event.
     pub fn is_inside_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Whether an event was larger than any that is taken.
+    /// Whether an event exceeded the maximum size.
     pub fn is_oversized(&self) -> bool {
         self.oversized
     }
 
-    /// Takes bytes in; hands out the whole events that they complete, in one piece.
+    /// Adds bytes and returns the events that they complete, concatenated.
     ///
-    /// Events whose number is not above the last one are dropped: the client has them.
+    /// Events whose id is not above the last one are dropped, as the client already has them.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.pending.extend_from_slice(bytes);
         let mut whole = BytesMut::new();
@@ -58,7 +58,7 @@
         whole.freeze()
     }
 
-    /// Forgets an unfinished event.
+    /// Discards an incomplete event.
     pub fn discard_partial(&mut self) {
         self.pending.clear();
         self.searched = 0;
@@ -75,7 +75,7 @@
         true
     }
 
-    /// End of the first whole event: the byte behind an empty line.
+    /// Returns the end of the first complete event, after the empty line.
     fn next_boundary(&mut self) -> Option<usize> {
         let bytes = &self.pending;
         let mut position = self.searched;
@@ -91,7 +91,7 @@
             }
             position += 1;
         }
-        // The last two bytes may begin a boundary.
+        // The last two bytes may be the start of a boundary.
         self.searched = bytes.len().saturating_sub(2);
         None
     }
--- a/crates/proxy/src/fleet_view.rs
+++ b/crates/proxy/src/fleet_view.rs
@@ -1,8 +1,8 @@
-//! What all routers together meet at the replicas, as a control replica last told it.
+//! Load of all routers at the replicas, from the digest of the control group.
 //!
-//! It is a second or so old. It replaces what this router could only guess from its own requests:
-//! how busy a replica is, and whether it is gone. Without news for a while the router goes by its
-//! own requests again.
+//! The digest is about a second old. It replaces estimates based on this router's own requests: how
+//! busy a replica is and whether it responds. Without a recent digest the router uses its own
+//! requests again.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -10,47 +10,45 @@
 use railtack_serving::{ReplicaKey, RequestLimit};
 use tokio::time::Instant;
 
-/// Age from which a digest is not gone by: load changes within seconds.
+/// Maximum age of a usable digest; load changes within seconds.
 const DIGEST_MAX_AGE: Duration = Duration::from_millis(3_000);
 
-/// Routers from which on a replica's load is taken from what all of them meet. A router that sees a
-/// good part of the traffic knows more from its own requests, which are newer: its own view was worth
-/// more with 7 or 8 routers, the shared one with 79 and 291 (`docs/EXPERIMENTS.md`,
-/// `docs/design/shifted-work.md`); between is not measured.
+/// Number of routers from which the shared load is used. In a smaller fleet each router sees a good
+/// part of the traffic, and its own figures are more recent.
 pub const MIN_ROUTERS_FOR_SHARED_LOAD: u32 = 20;
 
-/// Time for which a limit is gone by that digests do not name any more. A new leader knows of it only once a router
-/// asks, or tells what it heard itself, and those that have it from digests alone would send what they have until
-/// then; once it is over, their questions are answered so.
+/// Time for which a limit is used after digests no longer contain it. A new leader knows a limit
+/// only once a router reports it; until then, routers that know it from digests alone would exceed
+/// it. If the limit was removed, the replies to their permit requests say so.
 const LIMIT_MAX_AGE: Duration = Duration::from_millis(3_000);
 
-/// Time in which the most requests that were open lately count half as much: groups of replicas that are
-/// sized by them grow at once and shrink slowly, since each change moves homes.
+/// Half-life of the peak of open requests. Replica groups sized by the peak grow at once and shrink
+/// slowly, since every change moves homes.
 const PEAK_HALF_LIFE: Duration = Duration::from_secs(60);
 
-/// The digest received last.
+/// State derived from the received digests.
 #[derive(Debug, Default)]
 pub struct FleetView {
     digest_at: Option<Instant>,
     conditions: HashMap<ReplicaKey, ReplicaCondition>,
-    /// Replicas that name a limit, each with the time at which a digest named it last.
+    /// Rate-limited replicas, with the time at which a digest last contained each.
     limited: HashMap<ReplicaKey, (DigestLimit, Instant)>,
     unresponsive: usize,
-    /// Most requests that were open at all replicas lately, and when that was told.
+    /// Peak of open requests at all replicas, and the time at which it was updated.
     peak: Option<(f64, Instant)>,
 }
 
-/// A limit that the digest names.
+/// A rate limit contained in the digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DigestLimit {
     /// The limit.
     pub limit: RequestLimit,
-    /// When the replica named it last to any router, as far as the leader heard.
+    /// Time at which the replica last advertised it to any router, as reported to the leader.
     pub advertised_at: Instant,
 }
 
 impl FleetView {
-    /// Takes in a digest; tells how many replicas are dark, if that changed.
+    /// Applies a digest; returns the number of unresponsive replicas if it changed.
     pub fn apply(&mut self, digest: FleetDigest, now: Instant) -> Option<usize> {
         let before = self.unresponsive;
         self.digest_at = now.checked_sub(Duration::from_millis(u64::from(digest.age_ms)));
@@ -89,13 +87,13 @@
         (self.unresponsive != before).then_some(self.unresponsive)
     }
 
-    /// Whether the digest is new enough to go by.
+    /// Whether the digest is recent enough to be used.
     pub fn is_current(&self, now: Instant) -> bool {
         self.digest_at
             .is_some_and(|digest_at| now.saturating_duration_since(digest_at) < DIGEST_MAX_AGE)
     }
 
-    /// Most requests that were open lately at all replicas of all services.
+    /// Returns the decayed peak of open requests at the replicas of all services.
     pub fn peak_open_requests(&self, now: Instant) -> u64 {
         self.decayed_peak(now).round() as u64
     }
@@ -108,23 +106,23 @@
         decayed.unwrap_or_default()
     }
 
-    /// What is known of a replica; one that nobody uses has nothing open.
+    /// Returns the state of a replica; `None` if it is not in use.
     pub fn condition(&self, replica: ReplicaKey) -> Option<&ReplicaCondition> {
         self.conditions.get(&replica)
     }
 
-    /// The limit of a replica, as far as digests told lately.
+    /// Returns the limit of a replica, if a recent digest contained one.
     pub fn limit(&self, replica: ReplicaKey, now: Instant) -> Option<DigestLimit> {
         let (entry, received_at) = self.limited.get(&replica).copied()?;
         (now < received_at + LIMIT_MAX_AGE).then_some(entry)
     }
 
-    /// Whether any replica is dark.
+    /// Whether any replica is unresponsive.
     pub fn any_unresponsive(&self) -> bool {
         self.unresponsive > 0
     }
 
-    /// Whether some router heard from a replica after `since`, as far as the digest tells.
+    /// Whether any router received data from the replica after `since`, according to the digest.
     pub fn responded_since(&self, replica: ReplicaKey, since: Instant) -> bool {
         let last_response_at = self.digest_at.and_then(|digest_at| {
             let heard_ms = self.condition(replica)?.heard_ms;
--- a/crates/proxy/src/health.rs
+++ b/crates/proxy/src/health.rs
@@ -1,38 +1,38 @@
-//! Whether a replica seems to work, judged by what this router's own requests met. Pure.
+//! Health of a replica, derived from the outcomes of this router's exchanges. Pure.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// First pause after a replica was out of reach; it doubles with each further failure.
+/// First pause after a replica was unreachable; doubled by each further failure in a row.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 /// Longest pause.
 const LONGEST_PAUSE: Duration = Duration::from_secs(6);
-/// Pause after a replica said that it is full or busy.
+/// Pause after a replica declined a request.
 const DECLINED_PAUSE: Duration = Duration::from_millis(120);
-/// Weight of the newest outcome in the rate of failures.
+/// Weight of the latest outcome in the failure rate.
 const LATEST_WEIGHT: f64 = 0.2;
-/// Time in which a rate of failures fades by half, so that a replica gets another chance.
+/// Half-life of the failure rate, seconds; lets a failing replica receive requests again.
 const HALF_LIFE_S: f64 = 4.0;
 
-/// How an exchange with a replica ended.
+/// Outcome of an exchange with a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeEnd {
-    /// It gave a whole answer.
+    /// Complete response.
     Good,
-    /// It answered that the request failed.
+    /// Response with a server error.
     Failed,
-    /// It declined the request.
+    /// The replica declined the request.
     Declined,
-    /// The answer made no sense, or did not come in time.
+    /// Invalid response, or none in time.
     Broken,
-    /// The connection broke while the replica had the request.
+    /// The connection broke while the replica ran the request.
     ConnectionBroke,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
 }
 
-/// What is believed of one life of a replica.
+/// Health of one incarnation of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
     unreachable_in_a_row: u32,
@@ -42,7 +42,7 @@
 }
 
 impl Health {
-    /// A replica of which nothing bad is known.
+    /// Creates the state of a healthy replica.
     pub fn new(now: Instant) -> Self {
         Self {
             unreachable_in_a_row: 0,
@@ -52,23 +52,23 @@
         }
     }
 
-    /// Whether the replica may be sent work now.
+    /// Whether the replica may receive requests.
     pub fn is_available(&self, now: Instant) -> bool {
         self.paused_until.is_none_or(|until| now >= until)
     }
 
-    /// Share of recent exchanges that failed, faded by time.
+    /// Returns the share of recent exchanges that failed, decayed over time.
     pub fn failure_rate(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.rated_at).as_secs_f64();
         self.failure_rate * 0.5_f64.powf(age / HALF_LIFE_S)
     }
 
-    /// Whether the last exchange found the replica out of reach.
+    /// Whether the replica has been unreachable since its last response.
     pub fn is_suspected(&self) -> bool {
         self.unreachable_in_a_row > 0
     }
 
-    /// Notes how an exchange ended.
+    /// Records the outcome of an exchange.
     pub fn record(&mut self, end: ExchangeEnd, now: Instant) {
         let failed = match end {
             ExchangeEnd::Good => {
--- a/crates/proxy/src/idle_limit.rs
+++ b/crates/proxy/src/idle_limit.rs
@@ -1,16 +1,16 @@
-//! How long a connection to a replica may rest before it is taken up again. Pure.
+//! Idle limits of connections to replicas. Pure.
 //!
-//! A replica closes resting connections after a time, which it states in whole seconds if there are
-//! any. A request that is sent just then is lost, and one that may not be repeated with it.
+//! Replicas close idle connections after a time that they may declare in whole seconds. A request
+//! sent at that moment is lost, and if it must not be repeated, it fails.
 
 use std::time::Duration;
 
 use hyper::HeaderMap;
 
-/// Part of the time that a replica states in which a connection is taken up again.
+/// Share of the declared keep-alive timeout within which a connection is reused.
 const KEEP_ALIVE_SHARE: f64 = 0.8;
 
-/// Longest rest for requests of each kind.
+/// Longest idle times, for retryable and for other requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdleLimit {
     retryable: Duration,
@@ -18,14 +18,13 @@
 }
 
 impl IdleLimit {
-    /// For a replica that states no time: it may close connections that have rested for less than
-    /// a second.
+    /// Limits for a replica that declares no timeout; it may close connections within a second.
     pub const DEFAULT: Self = Self {
         retryable: Duration::from_secs(2),
         non_retryable: Duration::from_millis(400),
     };
 
-    /// What the head of an answer states; `None` if nothing.
+    /// Returns the limits declared by response headers; `None` without a valid `Keep-Alive` header.
     pub fn from_headers(headers: &HeaderMap) -> Option<Self> {
         let limit = keep_alive_timeout(headers)?.mul_f64(KEEP_ALIVE_SHARE);
         Some(Self {
@@ -34,7 +33,8 @@
         })
     }
 
-    /// The same where requests that must not be lost do not rely on what a replica states.
+    /// Caps the limit of non-retryable requests at the default, where the declared timeout is not
+    /// trusted for them.
     pub fn capped_for_non_retryable(self) -> Self {
         Self {
             non_retryable: self.retryable.min(Self::DEFAULT.non_retryable),
@@ -42,8 +42,7 @@
         }
     }
 
-    /// Longest rest for a request; one that must not be lost (`non_retryable`) has a shorter one
-    /// unless the replica states the time.
+    /// Returns the longest idle time of a connection for a request.
     pub fn limit(self, non_retryable: bool) -> Duration {
         if non_retryable {
             self.non_retryable
@@ -53,7 +52,7 @@
     }
 }
 
-/// The time in `Keep-Alive: timeout=SECONDS`.
+/// Parses the timeout of `Keep-Alive: timeout=SECONDS`.
 fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text
--- a/crates/proxy/src/lease.rs
+++ b/crates/proxy/src/lease.rs
@@ -1,20 +1,20 @@
-//! Until when a router may serve from the configuration that it holds.
+//! Lease on the configuration.
 //!
-//! A control replica tells how long ago its state was known to hold everything committed. Counted
-//! back from the moment at which the router asked, that gives a moment on the router's own clock
-//! by which everything accepted before is in force here. A revoked key must work nowhere after a
-//! bound, so the lease ends before the bound is over; a router that was frozen, or whose machine was
-//! suspended, finds it ended on waking, because this clock went on.
+//! A control replica reports how long ago its state was known to contain everything committed.
+//! Subtracted from the time of the router's request, that age gives a time on the router's own
+//! clock: every change committed before it is in effect here. Since a revoked key must stop working
+//! within a bound, the lease expires before that bound. The clock includes time in which the
+//! process or the machine was suspended.
 
 use std::time::Duration;
 
 use railtack_clock::BootInstant;
 use railtack_rpc::serving::WatchReply;
 
-/// Part of the bound that is left for carrying a decision out: a tenth.
+/// Divisor of the bound that is reserved for applying a change.
 const MARGIN_DIVISOR: u32 = 10;
 
-/// Tracks confirmations. Times are passed in.
+/// Tracks confirmations of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
     duration: Option<Duration>,
@@ -22,8 +22,8 @@
 }
 
 impl Lease {
-    /// A lease for a deployment in which a revoked key may work for `revoke` at most; without
-    /// `fail_closed` it never ends once it was confirmed.
+    /// Creates a lease for a deployment in which a revoked key may work for at most `revoke`.
+    /// Without `fail_closed`, the lease does not expire once confirmed.
     pub fn new(revoke: Duration, fail_closed: bool) -> Self {
         Self {
             duration: fail_closed.then_some(revoke - revoke / MARGIN_DIVISOR),
@@ -31,18 +31,18 @@
         }
     }
 
-    /// Takes in an answer to a question asked at `requested_at`.
+    /// Applies a reply to a request sent at `requested_at`.
     pub fn apply_reply(&mut self, reply: &WatchReply, requested_at: BootInstant) {
         let Some(age_ms) = reply.confirmed_age_ms else {
             return;
         };
-        // The answer was made `held_ms` after the question arrived, so not before this moment.
+        // The reply was made at least `held_ms` after the request was sent.
         let made_at = requested_at + Duration::from_millis(reply.held_ms);
         let confirmed_at = made_at.checked_sub(Duration::from_millis(age_ms));
         self.confirmed_at = self.confirmed_at.max(confirmed_at);
     }
 
-    /// Time since the configuration was known to be current; `None` if it never was.
+    /// Returns the time since the configuration was known to be current; `None` if it never was.
     pub fn age(&self, now: BootInstant) -> Option<Duration> {
         Some(now.saturating_duration_since(self.confirmed_at?))
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,31 +1,31 @@
-//! The data plane for requests that are passed on as they are.
+//! Data plane for requests that are forwarded without interpretation of their bodies.
 //!
-//! An adapter turns callers' HTTP into [`ProxiedRequest`]s and a [`BackendProtocol`] turns
-//! dispatches into replicas' HTTP; everything between is decided here. The pure parts take time
-//! and randomness as arguments.
+//! An adapter converts callers' HTTP requests into [`ProxiedRequest`]s, and a [`BackendProtocol`]
+//! encodes dispatches as HTTP requests to replicas. All decisions in between are made here. Pure
+//! modules receive time and randomness as arguments.
 //!
-//! | step | module | pure |
+//! | step | modules | pure |
 //! |---|---|---|
-//! | is the configuration current? | [`lease`], [`control_watch`] keeps it | yes |
-//! | which route, tenant, limits? | [`admission`] | yes |
-//! | taken now, later, or refused? | [`entry`] | |
-//! | does it end the replicas that run it? | [`quarantine`] (pure), [`crash_detection`] | |
-//! | is the tenant's quota used up? | [`quota`], by way of [`control_peers`] | |
-//! | which service? | [`traffic_split`] | yes |
-//! | which replica? | [`scoring`], with [`affinity`], [`health`], [`weight_versions`] and [`railtack_serving::availability`] | yes |
-//! | which replicas take prompts with this first part? | [`homes`] | yes |
-//! | what do all routers meet there? | [`fleet_view`] | yes |
-//! | will its first event be in time? | [`prefill_latency`] | yes |
-//! | has its limit room for the request? | [`permits`], [`limits`] | |
-//! | is its prompt sent to the store? | [`store_budget`] | yes |
-//! | when do those come back that no limit has room for? | [`retry_pacing`] | yes |
-//! | may it be tried again? | [`retry_decision`], [`budget`] | yes |
-//! | all of that for one request | [`selection`] | |
-//! | over which connection? | [`pool`], [`idle_limit`] (pure) | |
-//! | one exchange | [`attempt`] | |
-//! | all exchanges of a request | [`pipeline`] | |
-//! | what is logged of it | [`request_log`] | |
-//! | events of a stream | [`events`] (pure), [`stream`] | |
+//! | confirm that the configuration is current | [`lease`], updated by [`control_watch`] | yes |
+//! | resolve route, tenant and deadline | [`admission`] | yes |
+//! | admit the request, wait for the first lease, or refuse | [`entry`] | |
+//! | refuse requests that crash replicas | [`quarantine`] (pure), [`crash_detection`] | |
+//! | acquire a part of the tenant's quota | [`quota`], through [`control_peers`] | |
+//! | select the service | [`traffic_split`] | yes |
+//! | select the replica | [`scoring`], with [`affinity`], [`health`], [`weight_versions`] and [`railtack_serving::availability`] | yes |
+//! | place prompts in a large fleet | [`homes`] | yes |
+//! | combine the load seen by all routers | [`fleet_view`] | yes |
+//! | refuse prompts whose first event would be late | [`prefill_latency`] | yes |
+//! | acquire a permit for a rate-limited replica | [`permits`], [`limits`] | |
+//! | decide whether to save the prompt to the store | [`store_budget`] | yes |
+//! | space out the retries of rate-limited callers | [`retry_pacing`] | yes |
+//! | decide whether to retry | [`retry_decision`], [`budget`] | yes |
+//! | combine these for one request | [`selection`] | |
+//! | acquire a connection | [`pool`], [`idle_limit`] (pure) | |
+//! | run one exchange with a replica | [`attempt`] | |
+//! | run all exchanges of a request | [`pipeline`] | |
+//! | log the request | [`request_log`] | |
+//! | relay the events of a stream | [`events`] (pure), [`stream`] | |
 
 pub mod admission;
 pub mod affinity;
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -1,4 +1,4 @@
-//! What a router of opaque requests knows of the limits that replicas name, and how it reaches the leader.
+//! Access to advertised rate limits and to the leader, for [`permits`](crate::permits).
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
     state::{ProxyState, lock},
 };
 
-/// Time after a limit was heard in which the digest may not name it yet.
+/// Time after which the digest should contain an advertised limit.
 const DIGEST_LAG: Duration = Duration::from_secs(1);
 
 impl PermitClient for ProxyState {
@@ -79,8 +79,8 @@
     }
 }
 
-/// Tells the leader of limits that were named to this router and that the digest does not name: it may not have
-/// heard of them, or know that they are over.
+/// Reports limits that the digest lacks to the leader again. The leader may not know them, or may
+/// reply that they no longer exist.
 pub fn resend_unknown_limits(state: &Arc<ProxyState>) {
     let uptime = state.uptime();
     let now = Instant::now();
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the data plane.
+//! Metrics of the data plane.
 
 use std::sync::atomic::AtomicU64;
 
@@ -14,30 +14,30 @@
 };
 use railtack_serving::{ReplicaRecord, ReplicaState, RequestKind};
 
-/// Labels of a count by outcome.
+/// Labels of a counter by outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
-    /// How it ended.
+    /// Outcome.
     pub outcome: String,
 }
 
-/// Labels of a count of requests.
+/// Labels of the request counter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// Kind of the route; empty if there was none.
+    /// Kind of the route; empty if no route matched.
     pub kind: &'static str,
-    /// How it ended.
+    /// Outcome.
     pub outcome: String,
 }
 
-/// Labels of a count of replicas.
+/// Labels of the replica gauge.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReplicaLabels {
     /// `ready`, `loading` or `leaving`.
     pub state: &'static str,
 }
 
-/// Counters, gauges and histograms.
+/// All metrics of the data plane.
 #[derive(Clone, Debug)]
 pub struct ProxyMetrics {
     /// Requests by kind of route and outcome.
@@ -46,37 +46,37 @@
     pub exchanges: Family<OutcomeLabels, Counter>,
     /// Retries sent.
     pub retries: Counter,
-    /// Retries that the budget did not allow.
+    /// Retries denied by the retry budget.
     pub retries_denied: Counter,
-    /// Requests refused because no leader told about their quota.
+    /// Requests refused because no leader replied about their quota.
     pub quota_unanswered: Counter,
-    /// Answers in which a replica asked for no requests for a time.
+    /// Responses in which a replica asked for a back-off period.
     pub back_offs: Counter,
-    /// Answers in which a replica named a limit on requests.
+    /// Responses in which a replica advertised a rate limit.
     pub limits_named: Counter,
-    /// Requests that were not sent to a replica because its limit had no room.
+    /// Requests not sent to a replica because a permit was denied.
     pub permits_withheld: Counter,
-    /// Answers whose limit could not be read.
+    /// Responses with an invalid rate limit.
     pub limits_unread: Counter,
-    /// Replicas that ended while they had requests of this router.
+    /// Replicas that crashed while running requests of this router.
     pub replica_ends: Counter,
-    /// Requests that are sent to no replica because replicas ended under them.
+    /// Requests currently quarantined.
     pub quarantined: Gauge,
-    /// Streams continued at another replica.
+    /// Streams resumed at another replica.
     pub resumed: Counter,
-    /// Prompt tokens sent, and those presumed to be cached.
+    /// Prompt tokens sent.
     pub prompt_tokens: Counter,
-    /// Prompt tokens that the chosen replica was presumed to keep.
+    /// Prompt tokens presumably cached by the selected replica.
     pub presumed_cached_tokens: Counter,
-    /// Requests that are open.
+    /// Requests in progress.
     pub open_requests: Gauge,
-    /// Replicas that this router knows, by state.
+    /// Registered replicas by state.
     pub replicas: Family<ReplicaLabels, Gauge>,
-    /// Version of the configuration in force.
+    /// Revision of the current configuration.
     pub revision: Gauge<u64, AtomicU64>,
     /// Time since the configuration was known to be current, milliseconds.
     pub lease_age_ms: Gauge<u64, AtomicU64>,
-    /// Seconds from a request to its answer's head or first event.
+    /// Time from the request to the head or first event of its response, seconds.
     pub first_byte_seconds: Histogram,
 }
 
@@ -107,7 +107,7 @@
 }
 
 impl ProxyMetrics {
-    /// Makes the counters visible.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "proxy_requests",
@@ -202,7 +202,7 @@
         );
     }
 
-    /// Counts the end of a request.
+    /// Counts a finished request.
     pub fn record_request_end(&self, kind: Option<RequestKind>, outcome: &str) {
         let labels = RequestLabels {
             kind: kind.map_or("", kind_label),
@@ -211,7 +211,7 @@
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Notes the replicas that are known now.
+    /// Updates the number of replicas in each state.
     pub fn set_replicas<'a>(&self, records: impl Iterator<Item = &'a ReplicaRecord>) {
         let mut counts = [("ready", 0), ("loading", 0), ("leaving", 0)];
         for record in records {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Counts the end of an exchange.
+    /// Counts a finished exchange.
     pub fn record_exchange_end(&self, outcome: &str) {
         count(&self.exchanges, outcome);
     }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! All that happens to one request, from its admission to the head of its answer.
+//! Processing of one request, from admission to the response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -27,11 +27,12 @@
 
 mod final_response;
 
-/// Objectives after which an answer that may be had elsewhere is given up.
+/// Number of objectives after which a response is abandoned if another replica can be tried.
 const RESPONSE_TIMEOUT_OBJECTIVES: u64 = 2;
-/// Objectives after which a stream's first event is given up though its replica answers others.
+/// Number of objectives after which the first event of a stream is abandoned although the replica
+/// responds to other requests.
 const BUSY_TIMEOUT_OBJECTIVES: u32 = 4;
-/// Serves one request. Dropping the future, or the body of the response, cancels it.
+/// Serves one request. Dropping the future or the response body cancels it.
 pub async fn handle(state: Arc<ProxyState>, request: ProxiedRequest) -> Response<Body> {
     let mut log = RequestLog::begin(&state, &request);
     let admitted = match entry::admit(&state, &request).await {
@@ -62,7 +63,7 @@
     run.run().await
 }
 
-/// When the caller of a quarantined request should come back; `None` if it may be sent.
+/// Returns the retry delay if the request is quarantined; waits for pending crash checks first.
 async fn quarantine_retry_after(
     state: &ProxyState,
     admitted: &Admitted,
@@ -73,37 +74,37 @@
     state.quarantine_retry_after(content)
 }
 
-/// A request on its way, with everything that was tried for it.
+/// A request in progress, with the state of its attempts.
 pub struct RequestRun {
-    /// The router.
+    /// Shared state of the router.
     pub state: Arc<ProxyState>,
-    /// The request.
+    /// The caller's request.
     pub request: ProxiedRequest,
-    /// How it was admitted.
+    /// Result of admission.
     pub admitted: Admitted,
-    /// The service that runs it.
+    /// Name of the service that runs the request.
     pub service: String,
-    /// The line that is logged when it ends.
+    /// Log record, written when the request ends.
     pub log: RequestLog,
-    /// Names what the caller sent, the same each time it sends it again.
+    /// Key of the request's content; identical for repeated requests.
     pub content: ContentKey,
-    /// Shared beginnings of its prompt.
+    /// Shared prefixes of the prompt.
     pub path: PrefixPath,
-    /// Replicas that it was sent to.
+    /// Ids of the replicas that were tried.
     pub tried: Vec<String>,
     replicas_used: u32,
     declined: u32,
-    /// Exchanges whose connection broke while the replica had the request.
+    /// Exchanges whose connection broke while the replica ran the request.
     broken_connections: u32,
 }
 
-/// An answer that may be passed on, and the account of its request.
+/// An exchange whose response is being received.
 pub struct ActiveExchange {
-    /// The answer.
+    /// The response.
     pub answer: OpenResponse,
-    /// The replica.
+    /// The replica that responds.
     pub target: Target,
-    /// Closes the account of the request when dropped.
+    /// Load accounting of the request, released on drop.
     pub open: OpenRequest,
 }
 
@@ -169,7 +170,7 @@
         }
     }
 
-    /// One exchange and, for an answer that is no stream, the whole of it.
+    /// Runs one exchange and, unless the response is a stream, reads the complete body.
     async fn try_target(&mut self, target: Target) -> Result<ExchangeStep, FailedExchange> {
         let answered = self.exchange(target, self.request.last_event).await?;
         let is_stream = self.admitted.route.kind.is_stream();
@@ -182,7 +183,7 @@
             open,
         } = answered;
         let due = self.response_deadline();
-        let read = answer.read_body_whole(&target.handle, due).await;
+        let read = answer.read_complete(&target.handle, due).await;
         drop(open);
         let (head, content) = read.map_err(|failed| self.record_failure(&target, failed))?;
         let failed = head.status.is_server_error();
@@ -201,7 +202,7 @@
         Ok(ExchangeStep::Done(response))
     }
 
-    /// Sends the request to a replica and waits for the head of its answer.
+    /// Sends the request to a replica and waits for the head of the response.
     pub async fn exchange(
         &mut self,
         target: Target,
@@ -261,7 +262,8 @@
         })
     }
 
-    /// When an answer is given up: at the deadline, or earlier if another replica may be asked.
+    /// Returns the time at which a response is abandoned: the deadline, or earlier if another
+    /// replica can be tried.
     pub fn response_deadline(&self) -> Instant {
         let route = &self.admitted.route;
         let may_go_on = route.kind.may_repeat() && self.replicas_used + 1 < route.max_attempts;
@@ -272,8 +274,8 @@
         self.admitted.deadline.min(Instant::now() + timeout)
     }
 
-    /// When the head of an answer is given up. The head of a stream comes with its first event, and
-    /// a prompt that waits behind others would only be read once more elsewhere.
+    /// Returns the deadlines for the head of a response. The head of a stream arrives with its
+    /// first event; a prompt queued behind others would only be prefilled again elsewhere.
     fn head_deadline(&self) -> HeadDeadline {
         let due = self.response_deadline();
         let objective = Duration::from_millis(self.admitted.route.objective_ms);
@@ -287,13 +289,13 @@
         HeadDeadline { due, if_responding }
     }
 
-    /// Whether another replica may continue a stream, and the budget allows it.
+    /// Whether another replica may continue the stream. Withdraws a retry from the budget.
     pub async fn acquire_resume(&mut self) -> bool {
         self.state.options.policy.resume
             && self.next_step(ExchangeProof::MayHaveRun).await == NextStep::Retry
     }
 
-    /// Whether the route lets a stream be continued at one more replica.
+    /// Whether the route allows the stream to be continued at one more replica.
     pub fn can_resume(&self) -> bool {
         let route = &self.admitted.route;
         self.state.options.policy.resume
@@ -320,13 +322,13 @@
         if proof == ExchangeProof::Withheld {
             return step;
         }
-        let is_own = self.state.try_spend_retry(&self.service);
+        let is_own = self.state.try_withdraw_retry(&self.service);
         let in_budget = is_own || self.borrow_retry().await;
         spdlog::info!("retry", kv: {
             request = self.request.id.clone(),
             in_budget,
             is_lent = in_budget && !is_own,
-            // The replica of the exchange that failed.
+            // The replica of the failed exchange.
             replica = self.tried.last().cloned().unwrap_or_default(),
             proof = format!("{proof:?}"),
             replicas_used = self.replicas_used,
@@ -340,8 +342,8 @@
         retry_decision::without_retry(facts)
     }
 
-    /// Borrows a retry from the leader. If connections broke under this request, first waits until it is
-    /// known whether their replicas ended: what is lent to all must not let one request end many of them.
+    /// Borrows a retry from the leader. After a broken connection, first waits for the crash check:
+    /// shared retries must not let one request crash many replicas.
     async fn borrow_retry(&self) -> bool {
         let policy = self.state.options.policy;
         if !policy.retry || !policy.lent_retries {
@@ -355,15 +357,14 @@
             && quota::borrow_retry(&self.state, &self.service, objective).await
     }
 
-    /// Whether the request must not be sent to one more replica: it is quarantined, or will be if those
-    /// at which its connections broke have ended, which is being looked into.
+    /// Whether the request must not be sent to another replica, because it is quarantined or its
+    /// connections broke so often that it would be if those replicas crashed.
     fn may_crash_another(&self) -> bool {
         let broke_at_many = self.broken_connections >= ENDS_TO_QUARANTINE;
         broke_at_many || self.state.quarantine_retry_after(self.content).is_some()
     }
 
-    /// Whether the tenant's quota allows one more run after an exchange that ended with `proof`:
-    /// what may have run was used, and is used once more.
+    /// Acquires quota for one more run. An attempt that did not run has not used its quota yet.
     pub async fn acquire_quota_for_retry(&self, proof: ExchangeProof) -> bool {
         let is_paid = matches!(proof, ExchangeProof::Withheld | ExchangeProof::NotRun);
         is_paid
@@ -372,7 +373,7 @@
                 .is_ok()
     }
 
-    /// Notes how an exchange failed; logs it.
+    /// Records and logs the failure of an exchange.
     pub fn record_failure(&mut self, target: &Target, failed: FailedExchange) -> FailedExchange {
         if let Some(end) = failed.end {
             self.record_outcome(target, end);
@@ -395,7 +396,7 @@
         failed
     }
 
-    /// Notes what an exchange says of a replica.
+    /// Records the outcome of an exchange in the replica's health.
     pub fn record_outcome(&self, target: &Target, end: ExchangeEnd) {
         let Some(suspicion) = target.handle.record_outcome(end, Instant::now()) else {
             return;
@@ -411,7 +412,7 @@
         });
     }
 
-    /// The head of a response to the caller, without what concerns only the replica's connection.
+    /// Builds the response to the caller, without the hop-by-hop headers of the replica.
     pub fn response(&self, head: hyper::http::response::Parts, body: Body) -> Response<Body> {
         let mut response = Response::new(body);
         *response.status_mut() = head.status;
@@ -434,12 +435,12 @@
     })
 }
 
-/// What an exchange brought.
+/// Progress made by an exchange.
 pub enum ExchangeStep {
-    /// The whole answer.
+    /// A complete response.
     Done(Response<Body>),
     /// A stream with its first events.
     Stream(Box<(ActiveExchange, stream::FirstEvents)>),
-    /// The replica's failure, which may be passed on if no other replica does better.
+    /// A server error, forwarded if no other replica succeeds.
     Failure(Response<Body>),
 }
--- a/crates/proxy/src/pipeline/final_response.rs
+++ b/crates/proxy/src/pipeline/final_response.rs
@@ -1,4 +1,4 @@
-//! The last answer to a request that no replica has served.
+//! Responses to requests that were not served by a replica.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::RequestRun;
 use crate::{refusal::RefusalReason, selection::NoTarget};
 
-/// Shortest pause that a refused caller is told, milliseconds.
+/// Minimum retry delay of a refused request, milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 150;
 
 impl RequestRun {
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to one replica.
+//! Connection pool of one replica.
 //!
-//! A connection serves one request at a time. It goes back into the pool only after a whole answer
-//! that belongs to the request; dropped in any other state, it is closed at once, which also makes
-//! the replica stop working on the request.
+//! A connection serves one request at a time. It returns to the pool only after a complete response
+//! to that request. Dropped in any other state, it is closed immediately, which also makes the
+//! replica stop the request.
 
 use std::{
     io,
@@ -31,39 +31,39 @@
 
 use crate::idle_limit::IdleLimit;
 
-/// Time for a connection to come up.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Time after which a connection with unacknowledged bytes counts as broken.
+/// Time after which a connection with unacknowledged data is considered broken.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time after which a silent connection is probed, and between probes.
+/// Idle time before the first keep-alive probe, and the interval between probes.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(1);
 
-/// Why there is no connection.
+/// Reason why no connection is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// The limit of open connections is reached.
+    /// The maximum number of connections is open.
     Limit,
-    /// Nobody listens at the replica's address.
+    /// Nothing listens on the replica's port.
     Refused,
     /// The replica cannot be reached.
     Unreachable,
 }
 
-/// What a look at a replica's port shows.
+/// Result of a port probe.
 #[derive(Debug)]
 pub enum PortState {
-    /// Nobody listens there.
+    /// Nothing listens on the port.
     Refused,
-    /// Somebody does.
+    /// The connection was accepted.
     Open(ProbeConnection),
-    /// It cannot be told.
+    /// The probe was inconclusive.
     Unknown,
 }
 
-/// A connection that shows whether a port stays open. No request is sent over it meanwhile: one that may
-/// not be repeated would be lost with a replica that is just ending. Nor does it count against the limit of
-/// connections, which is one where routers are hundreds: a replica that lives would get no request from this
-/// router for up to a second.
+/// A connection that shows whether a port stays open. No request is sent over it, because one that
+/// must not be repeated could be lost with a crashing replica. It does not count against the
+/// connection limit, which may be one: a live replica would get no request from this router during
+/// the probe.
 #[derive(Debug)]
 pub struct ProbeConnection {
     connection: Connection,
@@ -71,14 +71,14 @@
 }
 
 impl ProbeConnection {
-    /// Ends when the other side closes the connection.
+    /// Completes when the peer closes the connection.
     pub async fn closed(&mut self) {
-        // How the connection ended makes no difference.
+        // The result of the connection is irrelevant here.
         let _ = (&mut self.task).await;
     }
 }
 
-/// Connections to one replica that rest.
+/// Idle connections to one replica, and the number of open ones.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: Mutex<Vec<IdleConnection>>,
@@ -91,10 +91,10 @@
     since: Instant,
 }
 
-/// One connection. Dropping it closes it.
+/// A connection, closed on drop.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends a request over it.
+    /// Sends requests over the connection.
     pub sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     open: Arc<AtomicU32>,
@@ -109,8 +109,8 @@
 }
 
 impl Connection {
-    /// Takes in what the head of an answer says of the connection; false if it is not to be used
-    /// again.
+    /// Applies the connection headers of a response; returns false if the connection must not be
+    /// reused.
     pub fn update_from_head(&mut self, headers: &HeaderMap, trust_keep_alive: bool) -> bool {
         if let Some(advertised) = IdleLimit::from_headers(headers) {
             self.idle_limit = if trust_keep_alive {
@@ -128,19 +128,18 @@
 }
 
 impl Pool {
-    /// Open connections, resting or in use.
+    /// Returns the number of open connections, idle or in use.
     pub fn open_connections(&self) -> u32 {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Whether a request would get a connection.
+    /// Whether a connection can be acquired.
     pub fn has_capacity(&self, limit: u32) -> bool {
         self.open_connections() < limit || !self.idle().is_empty()
     }
 
-    /// A connection: a resting one, or a new one if fewer than `limit` are open. A request that
-    /// must not be lost (`non_retryable`) is not sent over one that the replica may just be
-    /// closing.
+    /// Returns an idle connection, or a new one if fewer than `limit` are open. A `non_retryable`
+    /// request does not get a connection that the replica may be about to close.
     pub async fn acquire(
         &self,
         address: SocketAddr,
@@ -157,7 +156,7 @@
         Ok(connection)
     }
 
-    /// Whether somebody listens at the replica's port.
+    /// Checks whether the replica's port accepts connections.
     pub async fn probe_port(&self, address: SocketAddr) -> PortState {
         let uncounted = Arc::default();
         match connect(address, &uncounted).await {
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Keeps a watched connection for requests if fewer than `limit` are open.
+    /// Adds a probe connection to the pool unless `limit` connections are open.
     pub fn adopt(&self, probe: ProbeConnection, limit: u32) {
         if self.open_connections() >= limit {
             return;
@@ -179,7 +178,7 @@
         self.release(connection);
     }
 
-    /// Takes a connection back after a whole answer.
+    /// Returns a connection to the pool after a complete response.
     pub fn release(&self, connection: Connection) {
         if connection.sender.is_closed() {
             return;
@@ -190,7 +189,7 @@
         });
     }
 
-    /// Closes connections that have rested for too long.
+    /// Closes connections that exceeded their idle limit.
     pub fn close_expired(&self) {
         self.idle()
             .retain(|idle| idle.is_usable(idle.connection.idle_limit.limit(false)));
@@ -204,7 +203,7 @@
                 return Some(newest.connection);
             }
             if non_retryable && newest.is_usable(idle_limit.limit(false)) {
-                // Still good for others.
+                // Still usable for retryable requests.
                 idle.push(newest);
                 return None;
             }
@@ -223,7 +222,7 @@
     }
 }
 
-/// A new connection, and a handle that is done once that is closed. It counts in `open`.
+/// Opens a connection that is counted in `open`. The join handle completes when it is closed.
 async fn connect(
     address: SocketAddr,
     open: &Arc<AtomicU32>,
@@ -242,7 +241,7 @@
         .await
         .map_err(|_| ConnectError::Unreachable)?;
     let task = tokio::spawn(async move {
-        // How it ended shows in the exchange that used it.
+        // Errors are reported by the exchange that uses the connection.
         let _ = connection.await;
     });
     let connection = Connection {
@@ -254,7 +253,7 @@
     Ok((connection, task))
 }
 
-/// Counts a connection that is being made, also if its maker is dropped.
+/// Counts a connection while it is being established, even if the future is dropped.
 struct OpenGuard(Option<Arc<AtomicU32>>);
 
 impl OpenGuard {
--- a/crates/proxy/src/prefill_latency.rs
+++ b/crates/proxy/src/prefill_latency.rs
@@ -1,34 +1,32 @@
-//! How long a prompt takes to its first event, and whether that is too long. Pure.
+//! Predicts the time to the first event and refuses prompts that would exceed it. Pure.
 //!
-//! When more comes than the engines can read, every prompt waits behind those that came before it, and
-//! all of them come late. Then one that cannot be in time is refused at once, with when to come back,
-//! so that those behind it are served in time. The pace is learned from what this router's own prompts
-//! waited for; it holds whatever slows an engine: reading, running requests, memory.
+//! If more prompts arrive than the engines can prefill, all of them queue and miss their
+//! objectives. Refusing a prompt that would be late keeps those behind it in time. The latency per
+//! token is learned from this router's own prompts and covers whatever slows an engine.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time in which what was seen counts half as much, seconds: load changes within seconds.
+/// Half-life of samples, seconds; load changes within seconds.
 const HALF_LIFE_S: f64 = 5.0;
-/// Tokens that must have been read before the pace is gone by: a handful of long prompts.
+/// Prefilled tokens required before the latency is used.
 const MIN_SAMPLE_TOKENS: f64 = 20_000.0;
-/// Objectives that a prompt must be expected to take before it is refused. The load that is known is a
-/// second old; from one objective on, callers of two small deployments lost 0.01 and 0.03 of what they
-/// are owed.
+/// Expected latency, in objectives, above which a prompt is refused. The queue length is about a
+/// second old, so a lower value would refuse prompts that would be in time.
 const REFUSE_ABOVE_OBJECTIVES: f64 = 1.5;
-/// The same for the mean of a service's replicas: a queue at one replica alone is no overload.
+/// The same for the mean of the service's replicas: a queue at a single replica is not an overload.
 const OVERLOAD_ABOVE_OBJECTIVES: f64 = 0.75;
-/// Part of the objective, as a divisor, below which reading a prompt takes too little to refuse it:
-/// it would free nothing for others.
+/// Divisor of the objective; prompts that are prefilled in less are never refused, since that would
+/// free no capacity.
 const SHORT_PROMPT_DIVISOR: f64 = 16.0;
-/// Part of the objective, as a divisor, up to which a prompt's own reading counts: a very long prompt
-/// is not refused for its length alone.
+/// Divisor of the objective up to which the prompt's own prefill counts, so that a long prompt is
+/// not refused for its length alone.
 const MAX_OWN_PREFILL_DIVISOR: f64 = 4.0;
-/// Part of the objective, as a divisor, that must be left when a refused caller comes back.
+/// Divisor of the objective that must remain when a refused caller retries.
 const REMAINING_DIVISOR: f64 = 2.0;
 
-/// Time to the first event by the tokens that were to be read before it, as seen lately.
+/// Decayed average of the time to the first event per prefilled token.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrefillLatency {
     wait_s: f64,
@@ -36,19 +34,19 @@
     updated_at: Option<Instant>,
 }
 
-/// What a prompt has ahead of it, tokens.
+/// Tokens to be prefilled before the first event of a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PrefillBacklog {
-    /// Of the prompt itself, less what the replica is presumed to keep.
+    /// Tokens of the prompt itself that are presumably not cached.
     pub uncached_tokens: u64,
-    /// Of other prompts at the replica that have brought no event yet.
+    /// Tokens of other prompts at the replica that have not produced an event yet.
     pub queued_tokens: u64,
-    /// The same, as the mean of the service's replicas.
+    /// Mean of `queued_tokens` over the service's replicas.
     pub mean_queued_tokens: u64,
 }
 
 impl PrefillLatency {
-    /// Notes a first event that came `waited` after its prompt was sent.
+    /// Records a first event that arrived `waited` after the prompt was sent.
     pub fn record(&mut self, backlog: PrefillBacklog, waited: Duration, now: Instant) {
         let age = self
             .updated_at
@@ -59,7 +57,7 @@
         self.updated_at = Some(now);
     }
 
-    /// When the caller of a prompt that comes too late should come back; `None` if it is sent.
+    /// Returns the retry delay if the prompt is to be refused; `None` if it is to be sent.
     pub fn retry_after(&self, backlog: PrefillBacklog, objective: Duration) -> Option<Duration> {
         if self.tokens < MIN_SAMPLE_TOKENS {
             return None;
--- a/crates/proxy/src/replicas.rs
+++ b/crates/proxy/src/replicas.rs
@@ -1,4 +1,4 @@
-//! What this router knows of each replica from its own requests.
+//! Per-replica state that this router derives from its own requests.
 
 use std::{
     collections::HashMap,
@@ -19,16 +19,16 @@
     view::ServingView,
 };
 
-/// Time after its last sign in which a replica without open requests is told of.
+/// Time after the last response for which a replica without open requests is reported.
 const IDLE_OBSERVATION_MAX_AGE: Duration = Duration::from_millis(1_500);
-/// Time without any sign after which a replica with open requests is waited for in vain. A prompt
-/// that waits behind others may take as long; that others hear from the replica tells it apart.
+/// Time without a response after which a replica with open requests is reported as unresponsive. A
+/// queued prompt may take as long; responses to other routers show that the replica is alive.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(700);
 
-/// One life of a replica, as this router uses it.
+/// This router's connections to and load at one incarnation of a replica.
 #[derive(Debug)]
 pub struct ReplicaHandle {
-    /// Connections.
+    /// Connection pool.
     pub pool: Pool,
     load: Mutex<Load>,
     last_response_at: Mutex<Instant>,
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Load {
     open_requests: u32,
-    /// Since when some request has been open without a break.
+    /// Time since which at least one request has been open.
     busy_since: Instant,
     pending_prefill_tokens: u64,
     health: Health,
@@ -57,22 +57,22 @@
         }
     }
 
-    /// Notes that something came from the replica, on any connection.
+    /// Records that data was received from the replica on any connection.
     pub fn record_response(&self, now: Instant) {
         *lock(&self.last_response_at) = now;
     }
 
-    /// Whether anything came from the replica since `since`.
+    /// Whether data was received from the replica after `since`.
     pub fn responded_since(&self, since: Instant) -> bool {
         *lock(&self.last_response_at) > since
     }
 
-    /// Whether the replica may be sent work now.
+    /// Whether the replica is not in back-off after failures.
     pub fn is_available(&self, now: Instant) -> bool {
         self.load().health.is_available(now)
     }
 
-    /// What this router has met at the replica lately; `None` if it has not used it.
+    /// Returns the recent observations of the replica; `None` if it is not in use.
     fn observation(&self, replica: &str, now: Instant) -> Option<ReplicaSighting> {
         let last_response_at = *lock(&self.last_response_at);
         let load = *self.load();
@@ -94,8 +94,7 @@
         })
     }
 
-    /// Fills in what is known of the replica's load: `shared` is what all routers met there, if
-    /// that is known.
+    /// Adds the replica's load to a candidate. `shared` is the load of all routers, if known.
     pub fn fill_candidate(
         &self,
         candidate: Candidate,
@@ -116,7 +115,7 @@
         filled
     }
 
-    /// Notes how an exchange ended; tells whether the replica is suspected since, or no more.
+    /// Records the outcome of an exchange; returns a change of suspicion.
     pub fn record_outcome(&self, end: ExchangeEnd, now: Instant) -> Option<Suspicion> {
         let health = &mut self.load().health;
         let before = health.is_suspected();
@@ -133,16 +132,16 @@
     }
 }
 
-/// A change of belief about whether a replica can be reached.
+/// Change in the suspicion that a replica is unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It cannot be reached.
+    /// The replica became unreachable.
     Raised,
-    /// It answered again.
+    /// The replica responded again.
     Cleared,
 }
 
-/// A request that is open at a replica; dropping it closes the account.
+/// Load accounting of an open request, released on drop.
 #[derive(Debug)]
 pub struct OpenRequest {
     replica: Arc<ReplicaHandle>,
@@ -151,7 +150,7 @@
 }
 
 impl OpenRequest {
-    /// Notes a request that is sent with a prompt of which `unread_tokens` must be read.
+    /// Starts accounting for a request of which `pending_prefill_tokens` must be prefilled.
     pub fn begin(replica: Arc<ReplicaHandle>, pending_prefill_tokens: u64) -> Self {
         let began_at = Instant::now();
         {
@@ -169,12 +168,12 @@
         }
     }
 
-    /// Time since the request was sent.
+    /// Returns the time since the request was sent.
     pub fn elapsed(&self) -> Duration {
         self.began_at.elapsed()
     }
 
-    /// Notes that the prompt is read.
+    /// Removes the prompt from the pending prefill tokens.
     pub fn prefill_done(&mut self) {
         let mut load = self.replica.load();
         load.pending_prefill_tokens = load
@@ -192,17 +191,18 @@
     }
 }
 
-/// All replicas that this router uses.
+/// All replicas used by this router.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     handles: HashMap<String, Arc<ReplicaHandle>>,
     sent: SentPrefixes,
-    /// What replicas said of taking requests; outlasts their accounts, which a view without them ends.
+    /// Signals received from replicas. Kept independently of handles, which are removed with a
+    /// replica's record.
     pub availability: Availability,
 }
 
 impl ReplicaTable {
-    /// The account of a replica.
+    /// Returns the handle of a replica, creating it if necessary.
     pub fn handle(&mut self, replica: &str, now: Instant) -> Arc<ReplicaHandle> {
         let known = self.handles.get(replica);
         if let Some(known) = known {
@@ -213,21 +213,22 @@
         new
     }
 
-    /// What was sent where.
+    /// Returns the prefixes sent to each replica.
     pub fn sent(&self) -> &SentPrefixes {
         &self.sent
     }
 
-    /// Notes that a replica reads a prompt.
+    /// Records that a prompt was sent to a replica.
     pub fn record_sent(&mut self, replica: &str, path: &PrefixPath, now: Instant) {
         self.sent.record(replica, path, now);
     }
 
-    /// Forgets replicas that are gone, and what those keep that were given new weights.
+    /// Removes replicas that are no longer registered, and the prefixes of those whose weights
+    /// changed.
     pub fn apply_view(&mut self, before: &ServingView, after: &ServingView) {
         self.handles
             .retain(|replica, _| after.replicas.contains_key(replica));
-        // Both are in order, so that no replica is looked up.
+        // Both views are sorted, so they are merged without lookups.
         let mut present = after.replicas.iter().peekable();
         for (replica, record) in &before.replicas {
             while present.next_if(|(known, _)| *known < replica).is_some() {}
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Whether anything came from a replica other than this one within the `limit` before now.
+    /// Whether data was received from any other replica within `limit` before `now`.
     pub fn any_other_responded(&self, replica: &str, limit: Duration, now: Instant) -> bool {
         let Some(since) = now.checked_sub(limit) else {
             return false;
@@ -249,7 +250,7 @@
         others.any(|(_, handle)| handle.responded_since(since))
     }
 
-    /// What this router has met at the replicas lately.
+    /// Returns the recent observations of all replicas in use.
     pub fn observations(&self, now: Instant) -> Vec<ReplicaSighting> {
         let handles = self.handles.iter();
         handles
@@ -257,7 +258,7 @@
             .collect()
     }
 
-    /// Closes connections that have rested for too long, and forgets what holds no longer.
+    /// Closes expired connections and removes expired signals.
     pub fn remove_expired(&mut self, now: Moment) {
         self.availability.forget_past(now);
         for replica in self.handles.values() {
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, as far as the product needs to understand it.
+//! A caller's request, as far as the router interprets it.
 
 use std::time::Duration;
 
@@ -6,59 +6,59 @@
 use hyper::{HeaderMap, Method};
 use tokio::time::Instant;
 
-/// One part of a prompt, given by its hash.
+/// A segment of a prompt, identified by its hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Hash of the part's content, drawn by the caller.
+    /// Hash of the segment's content, computed by the caller.
     pub id: u64,
-    /// Its length, tokens.
+    /// Length of the segment, tokens.
     pub tokens: u64,
 }
 
-/// What a caller says of a prompt.
+/// Properties of a prompt, declared by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptInfo {
-    /// The model.
+    /// Name of the model.
     pub model: String,
     /// Length of the prompt, tokens.
     pub prompt_tokens: u64,
-    /// Longest answer, tokens.
+    /// Maximum length of the answer, tokens.
     pub answer_tokens: u64,
-    /// Parts of the prompt in order; the last one is the request's own or its session's.
+    /// Segments in order; the last one is unique to the request or its session.
     pub segments: Vec<PromptSegment>,
 }
 
-/// One request of a caller, read as a whole.
+/// A complete request of a caller.
 #[derive(Clone, Debug)]
 pub struct ProxiedRequest {
-    /// The caller's name for this request.
+    /// Request id, assigned by the caller.
     pub id: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query, as sent.
+    /// Path and query, as received.
     pub target: String,
-    /// Host, as sent.
+    /// Host, as received.
     pub host: String,
-    /// Headers that are passed on, those of one connection and of the system left out.
+    /// Headers to forward, without hop-by-hop headers and those of the router.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
-    /// The bearer key.
+    /// Bearer token.
     pub key: Option<String>,
-    /// When the head of the request was read.
+    /// Time at which the head of the request was received.
     pub received: Instant,
-    /// Time for which the caller waits, from `received`.
+    /// Client timeout, counted from `received`.
     pub client_timeout: Option<Duration>,
-    /// What the caller says of the prompt, if the request has one.
+    /// Properties of the prompt, if the request has one.
     pub prompt: Option<PromptInfo>,
-    /// Tokens of prompt and longest answer that the caller states.
+    /// Declared tokens of the prompt and the longest answer.
     pub stated_tokens: Option<u64>,
-    /// Last event of the stream that the caller has.
+    /// Last stream event received by the caller.
     pub last_event: Option<u64>,
 }
 
 impl ProxiedRequest {
-    /// The path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
--- a/crates/proxy/src/request_log.rs
+++ b/crates/proxy/src/request_log.rs
@@ -1,4 +1,4 @@
-//! One log line for each request, with everything that decided it.
+//! One log line per request, with the inputs of its decisions.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,11 +10,12 @@
     scoring::Candidate, state::ProxyState,
 };
 
-/// Collects what is logged of a request and logs it once, also if the caller goes away.
+/// Collects the fields of a request's log line and writes it on drop, even if the caller
+/// disconnects.
 pub struct RequestLog {
     state: Arc<ProxyState>,
     request: String,
-    /// Names what the caller sent, the same each time it sends it again.
+    /// Key of the request's content; identical for repeated requests.
     pub content: ContentKey,
     received: Instant,
     route: String,
@@ -23,18 +24,17 @@
     revision: u64,
     known: u64,
     replica: String,
-    /// What was known of the replica when it was chosen.
+    /// Inputs to the selection of the replica.
     candidate: Candidate,
-    /// Hash of the longest shared beginning of the prompt.
+    /// Hash of the longest shared prefix of the prompt.
     pub prefix: u64,
-    /// Length of that beginning, tokens.
+    /// Length of the longest shared prefix, tokens.
     pub shared_tokens: u64,
-    /// Weights that the replica was told to hold.
+    /// Version of the weights that the replica must hold.
     pub weights: u64,
     cost: f64,
-    /// What the prompt had to wait for there.
     backlog: PrefillBacklog,
-    /// Where the replica was told to fetch what it lacks; empty if nowhere.
+    /// Address from which the replica fetches cached prefixes; empty if none.
     fetch_from: String,
     attempts: u32,
     first_byte: Option<Duration>,
@@ -42,7 +42,7 @@
 }
 
 impl RequestLog {
-    /// Begins the account of a request.
+    /// Starts the log record of a request.
     pub fn begin(state: &Arc<ProxyState>, request: &ProxiedRequest) -> Self {
         state.metrics.open_requests.inc();
         Self {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Notes how the request was admitted.
+    /// Records the result of admission.
     pub fn admitted(&mut self, admitted: &Admitted) {
         self.route.clone_from(&admitted.route.name);
         self.kind = Some(admitted.route.kind);
@@ -77,7 +77,7 @@
         self.revision = admitted.revision;
     }
 
-    /// Notes the replica that was considered, with what speaks for and against it.
+    /// Records a replica and the inputs to its selection.
     pub fn considered(&mut self, target: &Target, candidate: &Candidate, cost: f64, known: u64) {
         self.replica.clone_from(&target.record.id);
         self.candidate = *candidate;
@@ -86,12 +86,12 @@
         self.backlog = target.backlog;
     }
 
-    /// Notes a choice, with what decided it.
+    /// Records the selected replica and logs repeated selections.
     pub fn selected(&mut self, target: &Target, candidate: &Candidate, cost: f64, known: u64) {
         self.considered(target, candidate, cost, known);
         self.fetch_from = target.fetch_from.clone().unwrap_or_default();
         self.attempts += 1;
-        // The line at the end tells of the last choice only.
+        // The final line only shows the last selection.
         if self.attempts > 1 {
             spdlog::info!("chosen again", kv: {
                 request = self.request.clone(),
@@ -105,14 +105,14 @@
         }
     }
 
-    /// Notes the whole answer of a replica.
+    /// Records a complete response.
     pub fn completed(&mut self, target: &Target, status: u16) {
         self.record_first_byte();
         self.replica.clone_from(&target.record.id);
         self.end(format!("answered_{status}"));
     }
 
-    /// Notes that the first byte of the answer is here.
+    /// Records the arrival of the response's first byte.
     pub fn record_first_byte(&mut self) {
         let waited = self.received.elapsed();
         self.first_byte = Some(waited);
@@ -122,7 +122,7 @@
             .observe(waited.as_secs_f64());
     }
 
-    /// Notes how the request ended; the first outcome counts.
+    /// Records the outcome of the request unless one was recorded before.
     pub fn end(&mut self, outcome: String) {
         self.outcome.get_or_insert(outcome);
     }
@@ -151,7 +151,7 @@
             rank = self.candidate.rank,
             open_requests = self.candidate.open_requests,
             unread_tokens = self.candidate.pending_prefill_tokens,
-            // What all routers had there, as far as this one was told.
+            // Load of all routers, as of the last digest.
             shared_open = self.candidate.shared_load.map_or(0, |load| load.open_requests),
             shared_unread = self.candidate.shared_load.map_or(0, |load| load.pending_prefill_tokens),
             has_shared_view = self.candidate.shared_load.is_some(),
--- a/crates/proxy/src/retry_decision.rs
+++ b/crates/proxy/src/retry_decision.rs
@@ -1,56 +1,56 @@
-//! What follows from how an exchange ended: pass the answer on, try again, or give up. Pure.
+//! Decision after a failed exchange: retry, forward the failure, or give up. Pure.
 //!
-//! A request that may not be repeated is sent again, or refused as "not run", only on proof that
-//! it has not run: the replica said so, or no byte of it left this process.
+//! A request that must not be repeated is retried, or refused as not run, only with proof that it
+//! has not run: the replica declined it, or no byte of it was sent.
 
-/// What is proved about one exchange.
+/// What is known about the execution of a request after an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeProof {
-    /// It was withheld before anything was sent, for a reason that is known since. Another replica may be asked
-    /// at no cost: no retry has arrived anywhere.
+    /// Not sent, for a reason that is recorded by now. Trying another replica does not count as a
+    /// retry.
     Withheld,
-    /// Nothing was sent, or the replica said that it did not run the request.
+    /// Not sent, or declined by the replica.
     NotRun,
-    /// The request may have run, and no usable answer came.
+    /// The request may have run, and no usable response was received.
     MayHaveRun,
-    /// The replica ran it and answered that it failed; that answer can be passed on.
+    /// The request ran and failed; the response can be forwarded.
     RanAndFailed,
 }
 
-/// What is known when an exchange has ended without a good answer.
+/// Facts the decision is based on.
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeFacts {
-    /// What is proved about it.
+    /// What the last exchange proves.
     pub proof: ExchangeProof,
     /// Whether the request may run more than once.
     pub may_repeat: bool,
-    /// Replicas that may have run the request so far.
+    /// Number of replicas that may have run the request.
     pub replicas_used: u32,
-    /// Most replicas that may run it.
+    /// Maximum number of replicas that may run it.
     pub max_attempts: u32,
-    /// Replicas that declined so far.
+    /// Number of replicas that declined it.
     pub declined: u32,
-    /// Whether time is left.
+    /// Whether the deadline has not passed and the lease is valid.
     pub in_time: bool,
 }
 
-/// What to do.
+/// The next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send it to another replica, if the budget allows.
+    /// Send the request to another replica, if the retry budget allows it.
     Retry,
-    /// Pass the replica's failure on.
+    /// Forward the replica's failure.
     ForwardFailure,
-    /// Refuse: it has not run and never will.
+    /// Refuse: the request has not run and never will.
     RefuseNotRun,
-    /// Tell that it may have run.
+    /// Fail: the request may have run.
     FailUnknown,
 }
 
-/// Replicas that may decline a request before it is refused.
+/// Number of declines after which a request is refused.
 const MAX_DECLINES: u32 = 3;
 
-/// Decides after an exchange that brought no good answer.
+/// Returns the next step after a failed exchange.
 pub fn next_step(facts: ExchangeFacts) -> NextStep {
     let can_retry = match facts.proof {
         ExchangeProof::Withheld => true,
@@ -65,7 +65,7 @@
     without_retry(facts)
 }
 
-/// Decides when no further try is possible.
+/// Returns the step if the request is not retried.
 pub fn without_retry(facts: ExchangeFacts) -> NextStep {
     match facts.proof {
         ExchangeProof::RanAndFailed => NextStep::ForwardFailure,
--- a/crates/proxy/src/retry_pacing.rs
+++ b/crates/proxy/src/retry_pacing.rs
@@ -1,28 +1,28 @@
-//! When callers are told to come back whose request no replica has room for under its limit. Pure: times and
-//! seeds are passed in.
+//! Retry delays of callers refused because all replicas reached their rate limits. Pure.
 //!
-//! Told the same moment, all of them come for the same permit, and all but one are refused again. So each is told
-//! a time behind the one before it, as far apart as this router's part of what the limits allow.
+//! If all were told the same delay, they would compete for the same permit and most would be
+//! refused again. Each caller therefore gets a later time than the one before, spaced by this
+//! router's part of the combined limits.
 
 use std::time::Duration;
 
 use railtack_serving::Moment;
 
-/// Longest pause that a caller is told: limits come and go within seconds.
+/// Longest retry delay; limits change within seconds.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
-/// Rate that is reckoned with where limits allow less, requests a second.
+/// Minimum rate used for the spacing, requests per second.
 const MIN_RATE: f64 = 0.25;
 
-/// The room that callers of one service were told to come back for.
+/// Retry times assigned to the callers of one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetryPacer {
-    /// When the next caller is told to come back at the earliest.
+    /// Earliest retry time of the next caller.
     next: Moment,
 }
 
 impl RetryPacer {
-    /// Pause for one more caller. The first replica has room in `opens_in`; together they allow `per_s` requests
-    /// a second to `routers` routers.
+    /// Returns the retry delay of one more caller. The first replica has room in `opens_in`;
+    /// together the replicas allow `per_s` requests per second to `routers` routers.
     pub fn next_retry_after(
         &mut self,
         now: Moment,
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a router share.
+//! State shared by the tasks of a router.
 
 use std::{
     collections::HashMap,
@@ -39,53 +39,53 @@
     weight_versions::WeightVersions,
 };
 
-/// Where a router runs and what it is told.
+/// Options of a router.
 #[derive(Clone, Debug)]
 pub struct ProxyOptions {
-    /// Name of the machine.
+    /// Name of the node.
     pub node: String,
-    /// Zone.
+    /// Availability zone of the router.
     pub zone: String,
-    /// Internal addresses of some control replicas.
+    /// Internal addresses of the control replicas to contact first.
     pub control: Vec<SocketAddr>,
-    /// Bounds of the deployment.
+    /// Time bounds and budgets of the deployment.
     pub bounds: Bounds,
-    /// Mechanisms that are on.
+    /// Enabled mechanisms.
     pub policy: Policy,
 }
 
-/// State of a router.
+/// Shared state of a router.
 pub struct ProxyState {
-    /// Options.
+    /// Options the router was started with.
     pub options: ProxyOptions,
-    /// The language of back ends.
+    /// Protocol spoken by replicas.
     pub backend: Box<dyn BackendProtocol>,
-    /// What is served from.
+    /// Configuration and replicas requests are served from.
     pub view: ArcSwap<ServingView>,
-    /// Whether it is current.
+    /// Lease on the configuration.
     pub lease: Mutex<Lease>,
-    /// Replicas as this router uses them.
+    /// Replicas as seen by this router.
     pub replicas: Mutex<ReplicaTable>,
-    /// What all routers together meet at the replicas.
+    /// Load of all routers at the replicas.
     pub fleet: Mutex<FleetView>,
-    /// Division of routes among services.
+    /// Weighted split of routes among services.
     pub splitter: Mutex<TrafficSplitter>,
-    /// The control replicas, for questions to their leader.
+    /// Connections to the control replicas, for calls to the leader.
     pub control_peers: ControlPeers,
-    /// Requests that the control group has quarantined.
+    /// Requests quarantined by the control group.
     pub quarantine: Mutex<QuarantineState>,
-    /// Ends of replicas that this router's requests met.
+    /// Replica crashes seen by this router's requests.
     pub crash_tracker: Mutex<CrashTracker>,
-    /// Told when an end that was looked into is settled.
+    /// Notified when a crash check finishes or may take long.
     pub crash_checks_done: Notify,
-    /// Places for reports that wait for the control group.
+    /// Limits concurrent reports to the control group.
     pub report_slots: Semaphore,
-    /// Counters.
+    /// Metrics of the data plane.
     pub metrics: ProxyMetrics,
-    /// Routers that are alive; 0 while unknown.
+    /// Number of live routers; 0 while unknown.
     pub routers: AtomicU32,
     budgets: Mutex<HashMap<String, RetryBudget>>,
-    /// Until when no permit is asked for, as no leader answered.
+    /// Time until which no permits are requested, because a call got no reply.
     pub permit_requests_suspended_until: Mutex<Moment>,
     retry_pacers: Mutex<HashMap<String, RetryPacer>>,
     save_budget: Mutex<SaveBudget>,
@@ -96,21 +96,22 @@
     started: BootInstant,
 }
 
-/// A planned stop of this router.
+/// Schedule of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownPlan {
-    /// Until when every request is taken: callers learn by then that others are to be asked.
+    /// Time until which every request is accepted, so that callers can switch to other routers.
     pub accept_all_until: Instant,
-    /// When the last answer must be over.
+    /// Time by which all responses must be complete.
     pub drain_deadline: Instant,
 }
 
-/// Time after the signal in which every request is taken, whatever time it may need; a third of the
-/// grace time if that is shorter.
+/// Longest time after the signal in which every request is accepted; bounded by a third of the
+/// grace period.
 const ACCEPT_ALL_TIME: Duration = Duration::from_millis(2_500);
 
 impl ShutdownPlan {
-    /// A plan for a router that is told to stop `now` and ended by force after `grace`.
+    /// Plans the shutdown of a router that receives the signal at `now` and is killed after
+    /// `grace`.
     pub fn new(now: Instant, grace: Duration) -> Self {
         Self {
             accept_all_until: now + ACCEPT_ALL_TIME.min(grace / 3),
@@ -118,24 +119,24 @@
         }
     }
 
-    /// The part of the grace time that is used for open requests.
+    /// Returns the part of the grace period that is available to open requests.
     pub fn drain_time(grace: Duration) -> Duration {
         grace * 15 / 16
     }
 
-    /// Whether a request that is to be answered by `deadline` is still taken.
+    /// Whether a request with this deadline is still accepted.
     pub fn accepts(&self, deadline: Instant, now: Instant) -> bool {
         now < self.accept_all_until || deadline <= self.drain_deadline
     }
 }
 
-/// Locks a mutex; a panic elsewhere while it was held does not stop the router.
+/// Locks a mutex; ignores poisoning, so that a panicking task does not stop the router.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl ProxyState {
-    /// State of a router that knows nothing yet.
+    /// Creates the state of a router without a configuration.
     pub fn new(options: ProxyOptions, backend: Box<dyn BackendProtocol>) -> Arc<Self> {
         let bounds = options.bounds;
         let revoke = Duration::from_millis(bounds.revoke_ms);
@@ -167,7 +168,7 @@
         })
     }
 
-    /// Time since the router started.
+    /// Returns the time since the router started.
     pub fn uptime(&self) -> Moment {
         self.started.elapsed()
     }
@@ -192,7 +193,7 @@
         self.changed.send_replace(known);
     }
 
-    /// Takes in what the control group has quarantined.
+    /// Applies a quarantine update from the control group.
     pub fn apply_quarantine(&self, update: &QuarantineUpdate) {
         let mut quarantine = lock(&self.quarantine);
         for change in quarantine.apply(update, Instant::now()) {
@@ -207,81 +208,81 @@
             .set(quarantine.quarantined() as i64);
     }
 
-    /// When the caller of a request that ends replicas should come back; `None` for all others.
+    /// Returns the retry delay of a quarantined request; `None` if it is not quarantined.
     pub fn quarantine_retry_after(&self, content: ContentKey) -> Option<Duration> {
         lock(&self.quarantine).retry_after(content, Instant::now())
     }
 
-    /// Tells of each new view.
+    /// Subscribes to new views.
     pub fn view_changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Whether the configuration may be served from now.
+    /// Whether the configuration may be served from.
     pub fn is_confirmed(&self) -> bool {
         let held = self.view.load().table.is_some();
         held && lock(&self.lease).is_valid(BootInstant::now())
     }
 
-    /// Whether the configuration was ever confirmed in the life of this process.
+    /// Whether the configuration was confirmed since the process started.
     pub fn was_confirmed(&self) -> bool {
         lock(&self.lease).age(BootInstant::now()).is_some()
     }
 
-    /// Takes in a confirmation; true if the router may serve since.
+    /// Applies a confirmation; returns true if the router may serve from now on.
     pub fn apply_confirmation(&self, reply: &WatchReply, requested_at: BootInstant) -> bool {
         let was_confirmed = self.is_confirmed();
         lock(&self.lease).apply_reply(reply, requested_at);
         let gained = !was_confirmed && self.is_confirmed();
         if gained {
-            // Requests wait for the first lease as they wait for a new view.
+            // Requests that wait for the first lease are woken like those that wait for a view.
             self.changed.send_replace(self.view.load().known.through);
         }
         gained
     }
 
-    /// What all routers together meet at the replicas, if it is new enough to go by.
+    /// Returns the load of all routers at the replicas, unless it is outdated.
     pub fn current_fleet(&self, now: Instant) -> Option<MutexGuard<'_, FleetView>> {
         let fleet = lock(&self.fleet);
         (self.options.policy.shared_view && fleet.is_current(now)).then_some(fleet)
     }
 
-    /// Whether callers should be sent here.
+    /// Whether the router accepts traffic.
     pub fn is_ready(&self) -> bool {
         self.is_confirmed() && self.shutdown_plan().is_none()
     }
 
-    /// Begins a planned stop.
+    /// Starts a graceful shutdown.
     pub fn begin_shutdown(&self, plan: ShutdownPlan) {
         *lock(&self.stop) = Some(plan);
     }
 
-    /// The planned stop, if one has begun.
+    /// Returns the shutdown plan, if a shutdown has started.
     pub fn shutdown_plan(&self) -> Option<ShutdownPlan> {
         *lock(&self.stop)
     }
 
-    /// The oldest weights of a model on which a request may start.
+    /// Returns the oldest version of a model's weights on which a request may start.
     pub fn oldest_usable_weights(&self, model: &str) -> u64 {
         let bound = Duration::from_millis(self.options.bounds.version_ms);
         lock(&self.weight_versions).oldest_usable(model, bound, Instant::now())
     }
 
-    /// What callers may send now.
+    /// Returns the limits on callers' requests.
     pub fn caller_limits(&self) -> CallerLimits {
         let view = self.view.load();
         let table = view.table.as_ref();
         table.map_or_else(CallerLimits::default, |table| table.configuration().limits)
     }
 
-    /// Notes a first arrival at a service.
+    /// Records the first attempt of a request, which adds to the retry budget of the service.
     pub fn record_request(&self, service: &str) {
         let routers = self.routers.load(Ordering::Relaxed);
         self.with_budget(service, |budget| budget.deposit(routers, Instant::now()));
     }
 
-    /// Takes a retry from a service's budget.
-    pub fn try_spend_retry(&self, service: &str) -> bool {
+    /// Withdraws a retry from the budget of a service; returns false if the budget is used up.
+    pub fn try_withdraw_retry(&self, service: &str) -> bool {
         if !self.options.policy.retry {
             return false;
         }
@@ -289,14 +290,14 @@
         self.with_budget(service, |budget| budget.withdraw(routers, Instant::now()))
     }
 
-    /// Notes how long a prompt waited for its first event.
+    /// Records the time from sending a prompt to its first event.
     pub fn record_first_event(&self, service: &str, backlog: PrefillBacklog, waited: Duration) {
         let mut prefill_latencies = lock(&self.prefill_latencies);
         let latency = prefill_latencies.entry(service.to_owned()).or_default();
         latency.record(backlog, waited, Instant::now());
     }
 
-    /// When the caller of a prompt that would come too late should come back.
+    /// Returns the retry delay of a prompt that would exceed its objective.
     pub fn overload_retry_after(
         &self,
         service: &str,
@@ -311,7 +312,7 @@
             .retry_after(backlog, objective)
     }
 
-    /// When one more caller of a service should come back whose replicas have no room under their limits.
+    /// Returns the retry delay for a service whose replicas have reached their rate limits.
     pub fn limit_retry_after(&self, service: &str, exhausted: ExhaustedLimits) -> Duration {
         let routers = self.routers.load(Ordering::Relaxed);
         let mut retry_pacers = lock(&self.retry_pacers);
@@ -325,7 +326,7 @@
         )
     }
 
-    /// Whether a prompt is sent to its store; all stores together hold `capacity_tokens`.
+    /// Whether to save a prompt to the store; all stores together hold `capacity_tokens`.
     pub fn try_save(&self, path: &PrefixPath, capacity_tokens: u64) -> bool {
         let policy = self.options.policy;
         let capacity = StoreCapacity {
--- a/crates/proxy/src/store_budget.rs
+++ b/crates/proxy/src/store_budget.rs
@@ -1,11 +1,10 @@
-//! Which prompts are sent to the store. Pure.
+//! Budget for saving prompts to the store. Pure.
 //!
-//! A save moves a whole prompt, also the part that no other request shares, and the store drops what
-//! was not used for longest. Too many saves fill it with parts that nobody asks for again, and what
-//! replicas evicted is gone there as well. So the routers together save only as many unshared
-//! tokens as leave the store time to keep the shared ones for longer than the window in which a
-//! part is usually asked for again. A short unshared part costs little, so such prompts are saved
-//! more often.
+//! Saving moves a whole prompt, including the part that no other request shares, and the store
+//! evicts the least recently used entries. Too many saves fill it with parts that are never used
+//! again. All routers together therefore save only as many unshared tokens as leave shared ones in
+//! the store for longer than the window in which they are usually reused. Prompts with a short
+//! unshared part cost little and are saved more often.
 
 use std::time::Duration;
 
@@ -13,30 +12,30 @@
 
 use crate::affinity::PrefixPath;
 
-/// Reuse windows in which unshared parts may fill the whole store.
+/// Reuse windows in which unshared tokens may fill the whole store.
 const WINDOWS_TO_FILL: f64 = 1.5;
-/// Reuse windows whose allowance is kept for a burst, as after new weights.
+/// Reuse windows whose allowance may accumulate for a burst, for example after new weights.
 const BURST_WINDOWS: f64 = 0.5;
 
-/// What the allowance follows from.
+/// Inputs to the allowance of one router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreCapacity {
-    /// Tokens that all stores hold together; 0 if not stated, which bounds nothing.
+    /// Capacity of all stores, tokens; 0 if not configured, which disables the bound.
     pub capacity_tokens: u64,
-    /// Routers that save to them.
+    /// Number of routers that save to the stores.
     pub routers: u32,
-    /// Time in which a part is usually asked for again.
+    /// Time within which a prefix is usually reused.
     pub reuse_window: Duration,
 }
 
 impl StoreCapacity {
-    /// Unshared tokens that one router may save in one reuse window.
+    /// Returns the unshared tokens that one router may save per reuse window.
     fn allowance(self) -> f64 {
         self.capacity_tokens as f64 / WINDOWS_TO_FILL / f64::from(self.routers.max(1))
     }
 }
 
-/// Unshared tokens that this router may still save. A router starts with none.
+/// Unshared tokens that this router may still save. Starts empty.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SaveBudget {
     available_tokens: f64,
@@ -44,7 +43,7 @@
 }
 
 impl SaveBudget {
-    /// Whether a prompt is saved; if so, its unshared part is taken from the allowance.
+    /// Whether to save a prompt; if so, withdraws its unshared tokens.
     pub fn try_save(&mut self, path: &PrefixPath, capacity: StoreCapacity, now: Instant) -> bool {
         if !is_worth_saving(path) {
             return false;
@@ -71,7 +70,7 @@
     }
 }
 
-/// Whether most of what a save would move can be used again: a whole prompt is saved.
+/// Whether at least half of the prompt can be reused; a save always moves the whole prompt.
 fn is_worth_saving(path: &PrefixPath) -> bool {
     path.shared_tokens() * 2 >= path.prompt_tokens
 }
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,7 +1,7 @@
-//! Relaying a stream of events, and continuing it at another replica.
+//! Relays event streams and resumes them at another replica.
 //!
-//! The caller gets whole events only, each once and in order. The answer ends as complete only
-//! when a replica ended it; otherwise the caller's connection is broken off.
+//! The caller receives complete events only, each exactly once and in order. The response ends
+//! normally only if a replica ended the stream; otherwise the caller's connection is aborted.
 
 use std::{io, time::Duration};
 
@@ -21,20 +21,19 @@
     retry_decision::ExchangeProof,
 };
 
-/// Longest pauses that a route allows between events after which a stream that can be continued
-/// elsewhere is given up.
+/// Multiple of the route's gap objective after which a silent stream is resumed elsewhere.
 const SILENCE_TIMEOUT_GAPS: u64 = 4;
-/// Shortest time after which it is.
+/// Minimum time after which a silent stream is resumed.
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The first events of a stream, or its end.
+/// First events of a stream, or its end.
 pub struct FirstEvents {
     events: Bytes,
     buffer: EventBuffer,
     ended: bool,
 }
 
-/// Waits for the first whole events, so that a failure before them can be mended unseen.
+/// Waits for the first complete events, so that an earlier failure can be retried unnoticed.
 pub async fn first_events(
     run: &mut RequestRun,
     mut answered: ActiveExchange,
@@ -79,7 +78,7 @@
     }
 }
 
-/// The response to the caller, whose body relays the rest.
+/// Returns the response to the caller; its body relays the rest of the stream.
 pub fn respond(run: RequestRun, answered: ActiveExchange, first: FirstEvents) -> Response<Body> {
     let head = clone_head(&answered);
     let relay = Relay {
@@ -105,7 +104,7 @@
     response.into_parts().0
 }
 
-/// A boxed body must be `Sync`; a relay is polled by one task only, behind a lock that is free.
+/// Makes a stream `Sync`, as a boxed body requires. One task polls it, so the lock is uncontended.
 struct SyncStream;
 
 impl SyncStream {
@@ -137,7 +136,7 @@
             Ok(None) => return Chunk::End,
             Ok(Some(Err(_))) => return Chunk::Broken,
             Ok(Some(Ok(frame))) => {
-                // Trailers carry nothing for callers.
+                // Trailers are not forwarded.
                 if let Ok(data) = frame.into_data() {
                     answered.target.handle.record_response(Instant::now());
                     return Chunk::Data(data);
@@ -149,7 +148,7 @@
 
 struct Relay {
     run: RequestRun,
-    /// The exchange that brings the stream; `None` once the stream has ended.
+    /// The current exchange; `None` once the stream has ended.
     answered: Option<ActiveExchange>,
     buffer: EventBuffer,
     pending: Option<Bytes>,
@@ -157,7 +156,8 @@
 }
 
 impl Relay {
-    /// The next whole events; `None` at the complete end, an error if the stream cannot go on.
+    /// Returns the next complete events, `None` at the end of the stream, or an error if it cannot
+    /// be continued.
     async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
         if let Some(events) = self.pending.take() {
             return Some(Ok(events));
@@ -198,7 +198,7 @@
         }
     }
 
-    /// When a silent stream is given up.
+    /// Returns the time at which a silent stream is abandoned.
     fn silence_deadline(&self) -> Instant {
         let deadline = self.run.admitted.deadline;
         if !self.run.can_resume() {
@@ -209,7 +209,7 @@
         deadline.min(Instant::now() + timeout)
     }
 
-    /// Ends the stream as complete.
+    /// Ends the response normally.
     fn finish(&mut self) -> Option<Result<Bytes, io::Error>> {
         if let Some(answered) = self.answered.take() {
             self.run.record_outcome(&answered.target, ExchangeEnd::Good);
@@ -232,7 +232,7 @@
         )))
     }
 
-    /// Continues the stream at another replica. The former connection is closed first, so that
+    /// Continues the stream at another replica. The previous connection is closed first, so that
     /// only one replica works on the stream.
     async fn resume(&mut self, answered: ActiveExchange, failed: FailedExchange) -> Option<()> {
         self.run.record_failure(&answered.target, failed);
--- a/crates/proxy/src/traffic_split.rs
+++ b/crates/proxy/src/traffic_split.rs
@@ -1,17 +1,17 @@
-//! Dividing a route's requests among its services by weight. Pure.
+//! Weighted split of a route's requests among services. Pure.
 //!
-//! Smooth weighted round robin: over any run of requests each service's share differs from its
-//! weight by less than one request. A router starts at a random place, so that many routers that
-//! each see few requests do not all begin with the same service.
+//! Smooth weighted round robin: over any run of requests, the share of each service differs from
+//! its weight by less than one request. Each router starts at a random position, so that routers
+//! with few requests do not all start with the same service.
 
 use std::collections::HashMap;
 
 use railtack_serving::{Route, WeightedService};
 
-/// Progress of the division on each route.
+/// State of the split of each route.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficSplitter {
-    /// For each route, the weights it was begun with and the balance of each service.
+    /// Weights and balances of each route.
     routes: HashMap<String, RouteBalance>,
 }
 
@@ -22,8 +22,8 @@
 }
 
 impl TrafficSplitter {
-    /// The service for the next request; `seed` is used when a route is seen for the first time or
-    /// after its weights changed. `None` if no service has a weight.
+    /// Returns the service for the next request. `seed` sets the position when a route is new or
+    /// its weights have changed. Returns `None` if all weights are zero.
     pub fn next<'a>(&mut self, route: &'a Route, seed: u64) -> Option<&'a str> {
         if let [only] = route.targets.as_slice() {
             return Some(&only.service);
@@ -40,7 +40,7 @@
             .map(|target| target.service.as_str())
     }
 
-    /// Forgets routes that are gone.
+    /// Removes routes that are no longer configured.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.routes.retain(|route, _| is_known(route));
     }
@@ -53,7 +53,7 @@
             balances: vec![0; targets.len()],
         };
         let total: u64 = targets.iter().map(|target| target.weight_milli).sum();
-        // The division has a period of at most the sum of the weights; a hundred steps spread it.
+        // The period is at most the sum of the weights; up to a hundred steps randomize the start.
         for _ in 0..seed % total.clamp(1, 100) {
             balance.next();
         }
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -1,4 +1,4 @@
-//! What this router serves from: the configuration in force and the replicas it knows.
+//! The configuration and replicas that a router serves from.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -11,24 +11,23 @@
 
 use crate::homes::Ring;
 
-/// One consistent state; a newer one replaces it as a whole. It never goes back.
+/// A consistent state, replaced as a whole by newer ones. Log positions never decrease.
 #[derive(Clone, Debug, Default)]
 pub struct ServingView {
-    /// Positions in the control group's log up to which it is known what is served from.
+    /// Positions in the control group's log up to which the view is complete.
     pub known: Known,
-    /// Routes, services and tenants; `None` before the first configuration.
+    /// Routes, services and tenants; `None` until the first configuration is received.
     pub table: Option<Arc<RouteTable>>,
-    /// Replicas by identity. Views share what did not change: a copy for each news would take a time
-    /// that grows with the fleet. Not measured by itself.
+    /// Replicas by incarnation id. A persistent map: views share unchanged records.
     pub replicas: RedBlackTreeMapSync<String, Arc<ReplicaRecord>>,
-    /// The version of weights that operators named for each model.
+    /// Target version of the weights of each model.
     pub weights: BTreeMap<String, u64>,
-    /// Replicas that take work, by service: found once for a view and not for each request.
+    /// Ready replicas by service, computed once per view.
     ready: OnceLock<HashMap<String, Ring>>,
 }
 
 impl ServingView {
-    /// The state after an update; `None` if the update brings nothing new.
+    /// Returns the view after an update; `None` if the update is not newer.
     pub fn updated(&self, update: ServingUpdate) -> Option<Self> {
         let received = update.known;
         let is_older = received.through < self.known.through;
@@ -58,7 +57,7 @@
         Some(next)
     }
 
-    /// Forgets a life of a replica and those before it, which are over with it: nothing else is told of them.
+    /// Removes an incarnation of a replica and all older ones.
     fn remove_incarnations_up_to(&mut self, name: &str) {
         let last = Life::named(name);
         let lives = Life::names_of(last.replica);
@@ -71,11 +70,11 @@
         for life in ended {
             self.replicas.remove_mut(&life);
         }
-        // One that does not say when it began is older than any that does.
+        // An id without a start time is older than any id with one.
         self.replicas.remove_mut(last.replica);
     }
 
-    /// Replicas of a service that take work; `None` if there are none.
+    /// Returns the ready replicas of a service; `None` if there are none.
     pub fn ready(&self, service: &str) -> Option<&Ring> {
         let ready = self.ready.get_or_init(|| self.ready_by_service());
         ready.get(service)
--- a/crates/proxy/src/weight_versions.rs
+++ b/crates/proxy/src/weight_versions.rs
@@ -1,26 +1,25 @@
-//! The oldest weights on which a request may still start. Pure.
+//! Oldest version of a model's weights on which a request may start. Pure.
 //!
-//! Some time after operators named newer weights, no request may start on older ones. The control
-//! group brings replicas to the new weights well before; this is the guard for those that it did
-//! not reach.
+//! Some time after operators set a new target version, no request may start on an older one. The
+//! control group updates replicas well before that; this check covers replicas it could not reach.
 
 use std::collections::BTreeMap;
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Part of the bound after which a router sends a replica with older weights nothing more; the
-/// rest is for requests that wait there before they start.
+/// Share of the bound after which no request is sent to a replica with older weights. The rest
+/// covers the time that requests are queued at the replica.
 const MAX_AGE_SHARE: f64 = 0.8;
 
-/// When this router learned of each version that was named.
+/// Target versions of each model, with the time at which this router learned of each.
 #[derive(Clone, Debug, Default)]
 pub struct WeightVersions {
     versions_by_model: BTreeMap<String, Vec<(u64, Instant)>>,
 }
 
 impl WeightVersions {
-    /// Takes in the versions that are named now.
+    /// Adds new target versions.
     pub fn update(&mut self, named: &BTreeMap<String, u64>, now: Instant) {
         for (model, version) in named {
             let versions = self.versions_by_model.entry(model.clone()).or_default();
@@ -30,8 +29,8 @@
         }
     }
 
-    /// The oldest version of a model that a request may be sent to, where older ones may be used
-    /// for `bound` after a newer one was named.
+    /// Returns the oldest version of a model that may receive requests, if older versions may be
+    /// used for `bound` after a new target was set.
     pub fn oldest_usable(&mut self, model: &str, bound: Duration, now: Instant) -> u64 {
         let Some(versions) = self.versions_by_model.get_mut(model) else {
             return 0;
