--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -1,4 +1,4 @@
-//! Access to advertised rate limits and to the leader, for [`permits`](crate::permits).
+//! Access to advertised rate limits and to the leader, for [`permits`].
 
 use std::{sync::Arc, time::Duration};
 
