--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -279,13 +279,13 @@
         .note(replica, notice, state.uptime());
     if let Some(back_off) = notice.back_off {
         state.metrics.back_offs.inc();
-        spdlog::info!("replica asked for rest", kv: {
+        spdlog::info!("replica requested back-off", kv: {
             replica = replica.clone(),
             back_off_ms = back_off.as_millis() as u64,
         });
     }
     if news.leaves {
-        spdlog::info!("replica says that it leaves", kv: { replica = replica.clone() });
+        spdlog::info!("replica announced its shutdown", kv: { replica = replica.clone() });
     }
     record_limit(state, replica, notice.limit, news.limit);
     news
@@ -305,14 +305,14 @@
         }
         StatedLimit::Unreadable(error) => {
             state.metrics.limits_unread.inc();
-            spdlog::info!("limit not read", kv: {
+            spdlog::info!("invalid rate limit", kv: {
                 replica = replica.to_owned(),
                 cause = error.to_string(),
             });
         }
     }
     if let Some(limit) = news {
-        spdlog::info!("replica names a limit", kv: {
+        spdlog::info!("replica advertised a rate limit", kv: {
             replica = replica.to_owned(),
             per_s = limit.requests_per_s(),
         });
--- a/crates/proxy/src/control_watch.rs
+++ b/crates/proxy/src/control_watch.rs
@@ -168,7 +168,7 @@
     state.routers.store(reply.routers, Ordering::Relaxed);
     if let Some(digest) = reply.fleet.take() {
         if let Some(dark) = lock(&state.fleet).apply(digest, Instant::now()) {
-            spdlog::info!("dark replicas told", kv: { dark });
+            spdlog::info!("unresponsive replicas changed", kv: { dark });
         }
         limits::resend_unknown_limits(state);
     }
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -137,7 +137,7 @@
         };
         propose_until_recorded(state, command).await;
     }
-    spdlog::info!("replica's end told", kv: {
+    spdlog::info!("replica crash reported", kv: {
         replica = replica.to_owned(),
         proof = proof.to_owned(),
         requests,
@@ -275,11 +275,11 @@
 /// Proposes a command until it is recorded, following changes of leader. Recording is idempotent.
 async fn propose_until_recorded(state: &ProxyState, command: ServingCommand) {
     if !state.control_peers.supports_grants() {
-        spdlog::info!("report kept back: the group does not record it yet");
+        spdlog::info!("report skipped: not supported by the control group yet");
         return;
     }
     let Ok(_permit) = state.report_slots.try_acquire() else {
-        spdlog::warn!("report dropped", kv: { waiting = MAX_CONCURRENT_REPORTS });
+        spdlog::warn!("report dropped: too many pending reports", kv: { waiting = MAX_CONCURRENT_REPORTS });
         return;
     };
     let until = Instant::now() + REPORT_TIMEOUT;
@@ -289,7 +289,7 @@
         }
         sleep(PROPOSE_RETRY_INTERVAL).await;
     }
-    spdlog::warn!("report given up", kv: { after_s = REPORT_TIMEOUT.as_secs() });
+    spdlog::warn!("report timed out", kv: { after_s = REPORT_TIMEOUT.as_secs() });
 }
 
 async fn propose(state: &ProxyState, command: &ServingCommand) -> bool {
--- a/crates/proxy/src/entry.rs
+++ b/crates/proxy/src/entry.rs
@@ -38,7 +38,7 @@
         return admitted;
     }
     let wait = first_lease_wait(request);
-    spdlog::info!("waits for the first lease", kv: {
+    spdlog::info!("waiting for the first lease", kv: {
         request = request.id.clone(),
         at_most_ms = wait.as_millis() as u64,
     });
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -112,7 +112,7 @@
         return PermitDecision::Granted(None);
     };
     let deny = |limit: RequestLimit, room_in: Duration| {
-        spdlog::info!("permit withheld", kv: {
+        spdlog::info!("permit denied", kv: {
             replica = life.to_owned(),
             per_s = limit.requests_per_s(),
             room_in_ms = room_in.as_millis() as u64,
@@ -234,7 +234,7 @@
     let Some(named) = named else {
         return;
     };
-    spdlog::info!("limit is over", kv: {
+    spdlog::info!("rate limit removed", kv: {
         replica = life.to_owned(),
         per_s = named.limit.requests_per_s(),
     });
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -157,7 +157,7 @@
             level,
             term,
         } => {
-            spdlog::info!("quota used up", kv: {
+            spdlog::info!("quota exhausted", kv: {
                 subject = format!("{:?}", grant_request.subject),
                 stated_tokens = grant_request.stated_tokens.unwrap_or_default(),
                 rate_per_s,
