--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -158,13 +158,13 @@
 }
 
 /// Processes the limit advertised by a response and reports it to the leader if the leader may not
-/// know it yet. `is_news` is true if the limit is new to this router.
+/// know it yet. `is_new` is true if the limit is new to this router.
 pub fn handle_response<R: PermitClient>(
     router: &Arc<R>,
     life: &str,
     permit: Option<Permit>,
     stated: StatedLimit,
-    is_news: bool,
+    is_new: bool,
 ) {
     let limit = match stated {
         StatedLimit::Named(limit) => Some(limit),
@@ -172,7 +172,7 @@
         StatedLimit::Unreadable(_) => return,
     };
     let differs = permit.is_some_and(|permit| permit.limit() != limit);
-    if !differs && !is_news {
+    if !differs && !is_new {
         return;
     }
     let statement = LimitStatement {
--- a/crates/proxy/src/retry_pacing.rs
+++ b/crates/proxy/src/retry_pacing.rs
@@ -21,17 +21,17 @@
 }
 
 impl RetryPacer {
-    /// Returns the retry delay of one more caller. The first replica has room in `opens_in`;
+    /// Returns the retry delay of one more caller. The first replica has room in `available_in`;
     /// together the replicas allow `per_s` requests per second to `routers` routers.
     pub fn next_retry_after(
         &mut self,
         now: Moment,
-        opens_in: Duration,
+        available_in: Duration,
         per_s: f64,
         routers: u32,
         seed: u64,
     ) -> Duration {
-        let at = self.next.max(now + opens_in);
+        let at = self.next.max(now + available_in);
         let pause = at.saturating_sub(now);
         if pause > MAX_RETRY_AFTER {
             let part = seed as f64 / u64::MAX as f64;
--- a/crates/proxy/tests/budget.rs
+++ b/crates/proxy/tests/budget.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn requests_earn_their_share_of_retries() {
+fn requests_add_to_the_retry_budget() {
     let rule = BudgetRule { slack: 0.0, ..RULE };
     let start = Instant::now();
     let mut budget = RetryBudget::new(rule, start);
@@ -59,7 +59,7 @@
 /// Found on Kochi's scale-2: replicas crashed together, and streams were cut although the routers
 /// had spent a small part of what their requests allow.
 #[test]
-fn what_the_last_window_earned_may_be_spent_at_once() {
+fn budget_of_the_last_window_can_be_spent_in_a_burst() {
     let start = Instant::now();
     let mut budget = RetryBudget::new(RULE, start);
     for step in 0..80_u64 {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_drop_in_the_number_of_routers_is_not_trusted_for_a_window() {
+fn a_lower_router_count_takes_effect_after_one_window() {
     let start = Instant::now();
     let mut budget = RetryBudget::new(RULE, start);
     let mut spent = 0;
@@ -87,7 +87,7 @@
 /// No trailing window holds more retries than its requests and the slack allow, whatever comes,
 /// also if all routers restart in it.
 #[test]
-fn no_window_holds_more_than_the_bound() {
+fn no_window_exceeds_the_retry_bound() {
     fn property(events: Vec<(u8, u8)>, restart: Option<u8>) -> TestResult {
         let routers = 8_u32;
         let start = Instant::now();
--- a/crates/proxy/tests/control_watch.rs
+++ b/crates/proxy/tests/control_watch.rs
@@ -39,25 +39,25 @@
 
 /// Questions of routers, and how many of them ask for the records of replicas.
 #[derive(Clone, Default)]
-struct Asked {
-    all: Arc<AtomicU32>,
+struct RequestCounts {
+    total: Arc<AtomicU32>,
     for_records: Arc<AtomicU32>,
 }
 
 /// A control replica that answers each question at once and is current; it tells the same each time.
 #[derive(Clone)]
-struct Confirmed {
-    asked: Asked,
+struct ControlStub {
+    counts: RequestCounts,
     zone: &'static str,
     members: Vec<String>,
     /// What it tells; `None` before the first configuration.
     update: Option<ServingUpdate>,
 }
 
-impl Default for Confirmed {
+impl Default for ControlStub {
     fn default() -> Self {
         Self {
-            asked: Asked::default(),
+            counts: RequestCounts::default(),
             zone: "a",
             members: Vec::new(),
             update: None,
@@ -65,11 +65,11 @@
     }
 }
 
-impl Control for Confirmed {
+impl Control for ControlStub {
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
-        self.asked.all.fetch_add(1, Ordering::Relaxed);
+        self.counts.total.fetch_add(1, Ordering::Relaxed);
         if request.takes_records {
-            self.asked.for_records.fetch_add(1, Ordering::Relaxed);
+            self.counts.for_records.fetch_add(1, Ordering::Relaxed);
         }
         WatchReply {
             confirmed_age_ms: Some(0),
@@ -148,7 +148,7 @@
     }
 }
 
-async fn serve(listener: TcpListener, service: Confirmed) {
+async fn serve(listener: TcpListener, service: ControlStub) {
     while let Ok((stream, _)) = listener.accept().await {
         let codec = ServerCodec::<ControlRequest, ControlResponse>::default();
         let channel = BaseChannel::with_defaults(Framed::new(stream, codec));
@@ -162,22 +162,22 @@
 /// Before the first configuration there is nothing to serve from and nothing to tell. Asking again at
 /// once, hundreds of routers left the control replicas no time to form their group.
 #[tokio::test]
-async fn a_router_that_has_nothing_to_serve_from_asks_at_a_bounded_pace() {
+async fn a_router_without_a_configuration_polls_at_a_bounded_rate() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
-    let control = Confirmed::default();
+    let control = ControlStub::default();
     tokio::spawn(serve(listener, control.clone()));
     let state = router(vec![address]);
     let following = tokio::spawn(run_watch(state, move || vec![address]));
     tokio::time::sleep(Duration::from_secs(1)).await;
     following.abort();
-    let questions = control.asked.all.load(Ordering::Relaxed);
-    assert!(questions >= 2, "{questions} questions in a second");
-    assert!(questions <= 25, "{questions} questions in a second");
+    let requests = control.counts.total.load(Ordering::Relaxed);
+    assert!(requests >= 2, "{requests} questions in a second");
+    assert!(requests <= 25, "{requests} questions in a second");
 }
 
 /// Whether a router that is told this holds a lease soon.
-async fn gains_a_lease(known: Known) -> bool {
+async fn gains_lease(known: Known) -> bool {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let update = ServingUpdate {
@@ -186,9 +186,9 @@
         configuration: Some(ServingConfiguration::default()),
         ..ServingUpdate::default()
     };
-    let control = Confirmed {
+    let control = ControlStub {
         update: Some(update),
-        ..Confirmed::default()
+        ..ControlStub::default()
     };
     tokio::spawn(serve(listener, control));
     let state = router(vec![address]);
@@ -201,24 +201,24 @@
 /// After all routers of a fleet restart together, the last of ten thousand replicas is told seconds after
 /// the first ones.
 #[tokio::test]
-async fn a_router_serves_from_the_replicas_that_it_knows_before_it_knows_all() {
+async fn a_router_serves_before_it_knows_all_replicas() {
     let first_of_many = Known {
         through: 980,
         changes_through: 980,
         records_through: 109,
     };
-    assert!(gains_a_lease(first_of_many).await);
+    assert!(gains_lease(first_of_many).await);
 }
 
 /// One of the replicas that it knows may have said that it leaves.
 #[tokio::test]
-async fn a_router_does_not_serve_while_what_it_knows_is_outdated() {
+async fn a_router_does_not_serve_from_outdated_records() {
     let lagging = Known {
         through: 980,
         changes_through: 975,
         records_through: 109,
     };
-    assert!(!gains_a_lease(lagging).await);
+    assert!(!gains_lease(lagging).await);
 }
 
 /// A control replica in another zone was asked on the way: it told the configuration, and no replica yet.
@@ -229,13 +229,13 @@
         changes_through: 980,
         records_through: 0,
     };
-    assert!(!gains_a_lease(without_records).await);
+    assert!(!gains_lease(without_records).await);
 }
 
 /// Each control replica that a router meets on the way to its own zone would tell it the first of ten
 /// thousand records.
 #[tokio::test]
-async fn only_a_control_replica_of_the_routers_zone_is_asked_for_records() {
+async fn records_are_requested_only_in_the_routers_zone() {
     let mut members = Vec::new();
     let mut listeners = Vec::new();
     for zone in ["b", "c", "a", "d"] {
@@ -243,16 +243,16 @@
         members.push(listener.local_addr().expect("its address"));
         listeners.push((zone, listener));
     }
-    let mut asked = Vec::new();
+    let mut counts_by_zone = Vec::new();
     for (zone, listener) in listeners {
-        let questions = Asked::default();
-        let control = Confirmed {
+        let counts = RequestCounts::default();
+        let control = ControlStub {
             zone,
             members: members.iter().map(ToString::to_string).collect(),
-            asked: questions.clone(),
-            ..Confirmed::default()
+            counts: counts.clone(),
+            ..ControlStub::default()
         };
-        asked.push((zone, questions));
+        counts_by_zone.push((zone, counts));
         tokio::spawn(serve(listener, control));
     }
     let state = router(vec![members[0]]);
@@ -260,37 +260,37 @@
     let following = tokio::spawn(run_watch(state, move || vec![seed]));
     tokio::time::sleep(Duration::from_millis(600)).await;
     following.abort();
-    for (zone, questions) in asked {
-        let for_records = questions.for_records.load(Ordering::Relaxed);
-        let all = questions.all.load(Ordering::Relaxed);
+    for (zone, counts) in counts_by_zone {
+        let for_records = counts.for_records.load(Ordering::Relaxed);
+        let total = counts.total.load(Ordering::Relaxed);
         if zone == "a" {
-            assert!(for_records > 0, "{all} questions");
+            assert!(for_records > 0, "{total} questions");
         } else {
-            assert_eq!(for_records, 0, "zone {zone}, {all} questions");
-            assert!(all <= 2, "zone {zone}, {all} questions");
+            assert_eq!(for_records, 0, "zone {zone}, {total} questions");
+            assert!(total <= 2, "zone {zone}, {total} questions");
         }
     }
 }
 
 /// Where the router's own zone has none that answers, another one tells it the records.
 #[tokio::test]
-async fn a_router_without_a_control_replica_in_its_zone_asks_another_for_records() {
+async fn records_are_requested_from_another_zone_without_a_local_control_replica() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let gone = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let closed = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
-    let silent = gone.local_addr().expect("its address");
-    drop(gone);
-    let questions = Asked::default();
-    let control = Confirmed {
+    let unresponsive = closed.local_addr().expect("its address");
+    drop(closed);
+    let counts = RequestCounts::default();
+    let control = ControlStub {
         zone: "b",
-        members: vec![address.to_string(), silent.to_string()],
-        asked: questions.clone(),
-        ..Confirmed::default()
+        members: vec![address.to_string(), unresponsive.to_string()],
+        counts: counts.clone(),
+        ..ControlStub::default()
     };
     tokio::spawn(serve(listener, control));
     let state = router(vec![address]);
     let following = tokio::spawn(run_watch(state, move || vec![address]));
     tokio::time::sleep(Duration::from_secs(1)).await;
     following.abort();
-    assert!(questions.for_records.load(Ordering::Relaxed) > 0);
+    assert!(counts.for_records.load(Ordering::Relaxed) > 0);
 }
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_lease_counts_from_what_was_confirmed_and_ends_before_the_bound() {
+fn a_lease_starts_at_the_confirmation_and_expires_before_the_bound() {
     let start = BootInstant::now();
     let mut lease = Lease::new(milliseconds(5_000), true);
     assert!(!lease.is_valid(start));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_lease_ends_while_the_machine_is_suspended() {
+fn a_lease_expires_while_the_machine_is_suspended() {
     let steady = Instant::now();
     let mut lease = Lease::new(milliseconds(5_000), true);
     lease.apply_reply(&reply(Some(0), 0), BootInstant::at(steady, milliseconds(0)));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_lease_that_fails_open_never_ends() {
+fn a_lease_that_fails_open_never_expires() {
     let start = BootInstant::now();
     let mut lease = Lease::new(milliseconds(5_000), false);
     assert!(!lease.is_valid(start));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn only_proof_that_it_did_not_run_lets_an_unrepeatable_request_go_on() {
+fn a_non_retryable_request_is_retried_only_if_proven_not_run() {
     let unrepeatable = |proof, replicas_used| ExchangeFacts {
         may_repeat: false,
         replicas_used,
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn not_run_is_promised_only_if_no_replica_may_have_run_it() {
+fn a_request_is_refused_as_not_run_only_if_no_replica_may_have_run_it() {
     assert_eq!(
         without_retry(ExchangeFacts {
             replicas_used: 0,
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn what_was_withheld_from_one_replica_goes_to_another_until_time_is_over() {
+fn a_request_that_was_not_sent_is_retried_until_the_deadline() {
     let withheld = ExchangeFacts {
         may_repeat: false,
         declined: 3,
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn attempts_declines_and_time_end_the_tries() {
+fn retries_stop_at_limits_of_attempts_declines_and_time() {
     assert_eq!(next_step(facts(ExchangeProof::MayHaveRun)), NextStep::Retry);
     let used_up = ExchangeFacts {
         replicas_used: 2,
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn shares_follow_the_weights_from_any_start() {
+fn the_split_follows_the_weights_from_any_start() {
     let route = split_route(&[90_000, 10_000, 0]);
     for seed in 0..20 {
         let mut splitter = TrafficSplitter::default();
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn only_whole_events_are_handed_on_each_once() {
+fn complete_events_are_forwarded_exactly_once() {
     let mut buffer = EventBuffer::after(Some(3));
     assert!(buffer.push(b"id: 3\ndata: x\n\nid: 4\nda").is_empty());
     assert!(buffer.is_inside_event());
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn events_are_found_however_the_bytes_are_cut() {
+fn events_are_found_in_chunks_of_any_size() {
     let text = b"note: 2\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
     for size in 1..text.len() {
         let mut buffer = EventBuffer::after(None);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn an_unreachable_replica_rests_longer_each_time() {
+fn the_pause_of_an_unreachable_replica_grows_each_time() {
     let start = Instant::now();
     let mut health = Health::new(start);
     assert!(health.is_available(start));
@@ -249,15 +249,15 @@
 }
 
 #[test]
-fn older_weights_are_not_used_once_the_bound_comes_near() {
+fn older_weights_are_not_used_near_the_bound() {
     let start = Instant::now();
     let bound = milliseconds(8_000);
     let mut named = WeightVersions::default();
-    let learn = |named: &mut WeightVersions, version, at| {
+    let update = |named: &mut WeightVersions, version, at| {
         named.update(&BTreeMap::from([("m".to_owned(), version)]), at);
     };
-    learn(&mut named, 2, start);
-    learn(&mut named, 3, start + milliseconds(3_000));
+    update(&mut named, 2, start);
+    update(&mut named, 3, start + milliseconds(3_000));
     let oldest =
         |named: &mut WeightVersions, at| named.oldest_usable("m", bound, start + milliseconds(at));
     assert_eq!(oldest(&mut named, 5_000), 0);
@@ -282,12 +282,12 @@
 }
 
 #[test]
-fn prompts_with_the_same_beginning_meet_and_namespaces_keep_them_apart() {
+fn prompts_with_the_same_prefix_share_a_key_within_a_namespace() {
     let first = PrefixPath::new(&prompt(&[1, 2, 3]), "");
     let second = PrefixPath::new(&prompt(&[1, 2, 4]), "");
-    let walled = PrefixPath::new(&prompt(&[1, 2, 3]), "tenant");
+    let isolated = PrefixPath::new(&prompt(&[1, 2, 3]), "tenant");
     assert_eq!(first.key(), second.key());
-    assert_ne!(first.key(), walled.key());
+    assert_ne!(first.key(), isolated.key());
     assert_eq!(first.shared_tokens(), 2_000);
     let mut sent = SentPrefixes::default();
     let now = Instant::now();
@@ -297,7 +297,7 @@
         sent.cached_tokens("r1", &PrefixPath::new(&prompt(&[1, 9, 3]), "")),
         1_000
     );
-    assert_eq!(sent.cached_tokens("r1", &walled), 0);
+    assert_eq!(sent.cached_tokens("r1", &isolated), 0);
     assert_eq!(sent.cached_tokens("r2", &first), 0);
     sent.remove_replica("r1");
     assert_eq!(sent.cached_tokens("r1", &first), 0);
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn the_favoured_replica_is_left_when_it_is_much_busier() {
+fn a_much_busier_home_replica_is_not_selected() {
     let idle = Candidate {
         same_zone: true,
         slots: 32,
@@ -342,7 +342,7 @@
 
 /// Found by a hunt: a stream that was taken 3.2 s after the signal was cut at the end.
 #[test]
-fn a_stopping_router_takes_only_what_it_can_finish() {
+fn a_router_shutting_down_accepts_only_requests_it_can_finish() {
     let start = Instant::now();
     let plan = ShutdownPlan::new(start, milliseconds(8_000));
     let long = start + milliseconds(15_000);
@@ -354,7 +354,7 @@
 /// One of three hundred routers sends a replica one request in a while; that it has one open there
 /// says nothing of how busy the replica is.
 #[test]
-fn a_limit_outlives_the_digests_that_name_it_by_the_time_that_a_new_leader_takes() {
+fn a_limit_is_kept_while_a_new_leader_does_not_know_it() {
     let start = Instant::now();
     let replica = ReplicaKey::of("a");
     let limit = RequestLimit::per_s(1.2).expect("a limit");
@@ -369,22 +369,22 @@
     let mut fleet = FleetView::default();
     assert_eq!(fleet.limit(replica, start), None);
     fleet.apply(naming, start);
-    let told = fleet.limit(replica, start).expect("a limit");
+    let known = fleet.limit(replica, start).expect("a limit");
     assert_eq!(
-        (told.limit, told.advertised_at),
+        (known.limit, known.advertised_at),
         (limit, start - milliseconds(40))
     );
     // That of a new leader names nothing yet.
     fleet.apply(FleetDigest::default(), start + milliseconds(500));
     assert_eq!(
         fleet.limit(replica, start + milliseconds(2_900)),
-        Some(told)
+        Some(known)
     );
     assert_eq!(fleet.limit(replica, start + milliseconds(3_000)), None);
 }
 
 #[test]
-fn a_shared_load_tells_more_than_a_routers_own_requests() {
+fn shared_load_takes_precedence_over_local_requests() {
     // Its beginning takes less than a hundredth of a replica's memory.
     let size = RequestSize {
         prompt_tokens: 5_000,
@@ -412,15 +412,15 @@
     let chosen = |home| choose(&[other, home], size, 0).map(|(position, _)| position);
     assert_eq!(chosen(home), Some(1));
     // Without the shared view the router guesses from its own request, and leaves.
-    let guessed = Candidate {
+    let local_only = Candidate {
         shared_load: None,
         ..home
     };
-    let guessed_other = Candidate {
+    let local_other = Candidate {
         shared_load: None,
         ..other
     };
-    let position = choose(&[guessed_other, guessed], size, 0).map(|(position, _)| position);
+    let position = choose(&[local_other, local_only], size, 0).map(|(position, _)| position);
     assert_eq!(position, Some(0));
     // Every slot is taken, and more wait.
     let full = Candidate {
@@ -435,7 +435,7 @@
 
 /// Where memory binds, a copy of a long beginning takes the place of another one, which is read again.
 #[test]
-fn a_prompt_with_a_long_beginning_stays_at_home_however_busy_that_is() {
+fn a_prompt_with_a_long_prefix_stays_at_its_home_replica() {
     let size = RequestSize {
         prompt_tokens: 9_200,
         shared_tokens: 6_300,
@@ -474,7 +474,7 @@
 /// All routers have the same figures: if each took the least busy replica of all, all would take
 /// the same one. A prompt goes beyond the replicas favoured most for it only where those are full.
 #[test]
-fn a_prompt_spreads_only_as_far_as_its_favoured_replicas_are_full() {
+fn a_prompt_spreads_only_beyond_full_replicas() {
     let size = RequestSize {
         prompt_tokens: 400,
         shared_tokens: 100,
@@ -504,7 +504,7 @@
 }
 
 #[test]
-fn a_digest_is_gone_by_only_while_it_is_new() {
+fn an_old_digest_is_not_used() {
     let start = Instant::now() + milliseconds(10_000);
     let condition = |replica: &str, is_dark| ReplicaCondition {
         replica: ReplicaKey::of(replica),
@@ -528,8 +528,8 @@
     assert_eq!(known.map(|condition| condition.open_requests), Some(3));
     assert_eq!(fleet.condition(ReplicaKey::of("c")), None);
     // Made a second ago, when somebody had heard from it 200 ms before.
-    let heard = |replica| ReplicaKey::of(replica);
-    assert!(fleet.responded_since(heard("a"), start - milliseconds(1_300)));
-    assert!(!fleet.responded_since(heard("a"), start - milliseconds(1_100)));
-    assert!(!fleet.responded_since(heard("c"), start - milliseconds(9_000)));
+    let key = |replica| ReplicaKey::of(replica);
+    assert!(fleet.responded_since(key("a"), start - milliseconds(1_300)));
+    assert!(!fleet.responded_since(key("a"), start - milliseconds(1_100)));
+    assert!(!fleet.responded_since(key("c"), start - milliseconds(9_000)));
 }
--- a/crates/proxy/tests/entry.rs
+++ b/crates/proxy/tests/entry.rs
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_comes_before_the_first_lease_waits_for_it() {
+async fn a_request_before_the_first_lease_waits_for_it() {
     let state = router(Vec::new());
     let starting = Arc::clone(&state);
     tokio::spawn(async move {
@@ -102,24 +102,24 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_lease_it_is_refused_while_time_is_left_for_another_try() {
+async fn the_wait_for_a_lease_leaves_time_for_a_retry() {
     let state = router(Vec::new());
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let refused = entry::admit(&state, &request()).await;
     assert_eq!(refused.err(), Some(RefusalReason::Unconfirmed));
-    let waited = begun.elapsed();
+    let waited = started_at.elapsed();
     assert!(waited >= Duration::from_millis(900), "{waited:?}");
     assert!(waited <= Duration::from_millis(1_500), "{waited:?}");
     assert!(entry::retry_after(RefusalReason::Unconfirmed).is_some());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_router_that_lost_its_lease_refuses_at_once() {
+async fn a_router_that_lost_its_lease_refuses_immediately() {
     let state = router(Vec::new());
     confirm(&state);
     sleep(Duration::from_millis(REVOKE_MS)).await;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let refused = entry::admit(&state, &request()).await;
     assert_eq!(refused.err(), Some(RefusalReason::Unconfirmed));
-    assert_eq!(begun.elapsed(), Duration::ZERO);
+    assert_eq!(started_at.elapsed(), Duration::ZERO);
 }
--- a/crates/proxy/tests/feature_level.rs
+++ b/crates/proxy/tests/feature_level.rs
@@ -12,15 +12,15 @@
 const OBJECTIVE: Duration = Duration::from_millis(800);
 
 #[tokio::test(start_paused = true)]
-async fn a_request_does_not_wait_for_a_retry_that_nobody_lends() {
+async fn borrowing_a_retry_fails_immediately_without_support() {
     let state = router(Vec::new());
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     assert!(!borrow_retry(&state, "pool", OBJECTIVE).await);
-    assert_eq!(began_at.elapsed(), Duration::ZERO);
+    assert_eq!(started_at.elapsed(), Duration::ZERO);
 }
 
 #[test]
-fn the_level_that_a_router_knows_never_falls() {
+fn the_known_feature_level_never_decreases() {
     let state = router(Vec::new());
     assert!(!state.control_peers.supports_grants());
     state
--- a/crates/proxy/tests/homes.rs
+++ b/crates/proxy/tests/homes.rs
@@ -24,10 +24,10 @@
 
 const FLEET: usize = 9_675;
 const ZONES: usize = 5;
-const FIRST_PARTS: u64 = 4;
-const FIRST_TOKENS: u64 = 2_520;
-const SECOND_PARTS: u64 = 2_336;
-const LONG_PROMPTS: u64 = 247;
+const FIRST_SEGMENTS: u64 = 4;
+const FIRST_SEGMENT_TOKENS: u64 = 2_520;
+const SECOND_SEGMENTS: u64 = 2_336;
+const PROMPTS_PER_SECOND: u64 = 247;
 
 fn record(number: usize) -> Arc<ReplicaRecord> {
     Arc::new(ReplicaRecord {
@@ -54,7 +54,7 @@
         model: "m".to_owned(),
         prompt_tokens: 9_190,
         segments: vec![
-            segment(second % FIRST_PARTS, FIRST_TOKENS),
+            segment(second % FIRST_SEGMENTS, FIRST_SEGMENT_TOKENS),
             segment(1_000 + second, 3_780),
             segment(u64::MAX, 2_890),
         ],
@@ -87,7 +87,7 @@
 /// Of ten thousand replicas only those of the group are put in order: the first ones on the ring, in the
 /// order in which all routers favour them for the deepest part.
 #[test]
-fn the_homes_are_the_first_on_the_ring_in_order() {
+fn homes_are_the_first_ring_members_ranked_by_hash() {
     let records: Vec<_> = (0..10_000).map(record).collect();
     let ring = ring(&records);
     for second in 1..50 {
@@ -104,12 +104,12 @@
 }
 
 #[test]
-fn a_first_part_is_kept_by_its_group_only() {
+fn a_first_segment_is_cached_in_its_group_only() {
     let ring = ring(&fleet());
     let mut groups: HashMap<u64, HashSet<String>> = HashMap::new();
-    for second in 0..SECOND_PARTS {
+    for second in 0..SECOND_SEGMENTS {
         let homes = homes(&ring, second, MIN_GROUP_SIZE);
-        let group = groups.entry(second % FIRST_PARTS).or_default();
+        let group = groups.entry(second % FIRST_SEGMENTS).or_default();
         group.insert(homes.ranked[0].id.clone());
     }
     for group in groups.values() {
@@ -135,7 +135,7 @@
 
 /// First parts read by replicas that another one could have handed them to, tokens, in the first seconds
 /// after all replicas came up empty.
-fn read_again(size: Option<usize>, seconds: u64, seed: u64) -> u64 {
+fn redundant_prefill(size: Option<usize>, seconds: u64, seed: u64) -> u64 {
     let records = fleet();
     let ring = ring(&records);
     let of_all = |second| {
@@ -143,17 +143,17 @@
         let all = records.iter();
         all.max_by_key(|record| rendezvous(home, &record.id))
     };
-    let mut keeps: HashSet<(u64, String)> = HashSet::new();
+    let mut cached: HashSet<(u64, String)> = HashSet::new();
     let mut in_use: HashSet<String> = HashSet::new();
-    let mut read = 0;
+    let mut prefilled = 0;
     let mut draw = seed;
     for _ in 0..seconds {
         // What routers are told is a second old.
-        let told = in_use.clone();
-        for _ in 0..LONG_PROMPTS {
+        let digest = in_use.clone();
+        for _ in 0..PROMPTS_PER_SECOND {
             draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            let second = (draw >> 33) % SECOND_PARTS;
-            let first = second % FIRST_PARTS;
+            let second = (draw >> 33) % SECOND_SEGMENTS;
+            let first = second % FIRST_SEGMENTS;
             let homes = match size {
                 Some(size) => homes(&ring, second, size),
                 None => Homes::of_all(None, of_all(second).into_iter().collect()),
@@ -161,29 +161,29 @@
             let home = homes.ranked[0];
             let source = homes.prefix_source(
                 home,
-                |record| told.contains(&record.id),
+                |record| digest.contains(&record.id),
                 |record| record.id != home.id,
             );
-            let is_kept = keeps.contains(&(first, home.id.clone()));
+            let is_cached = cached.contains(&(first, home.id.clone()));
             let is_fetched =
-                source.is_some_and(|source| keeps.contains(&(first, source.id.clone())));
-            if !is_kept && !is_fetched {
-                read += FIRST_TOKENS;
+                source.is_some_and(|source| cached.contains(&(first, source.id.clone())));
+            if !is_cached && !is_fetched {
+                prefilled += FIRST_SEGMENT_TOKENS;
             }
-            keeps.insert((first, home.id.clone()));
+            cached.insert((first, home.id.clone()));
             in_use.insert(home.id.clone());
         }
     }
-    read
+    prefilled
 }
 
 /// Homes of second parts over all replicas read the first part at each of them; within a group they fetch
 /// it once the digest names a member in use, so what is read does not grow with the fleet.
 #[test]
-fn a_group_reads_its_first_part_a_few_times_in_all() {
+fn a_group_prefills_its_first_segment_a_few_times() {
     for seed in [11, 12, 13] {
-        let flat = read_again(None, 6, seed);
-        let grouped = read_again(Some(MIN_GROUP_SIZE), 6, seed);
+        let flat = redundant_prefill(None, 6, seed);
+        let grouped = redundant_prefill(Some(MIN_GROUP_SIZE), 6, seed);
         assert!(
             grouped * 3 < flat,
             "seed {seed}: {grouped} of {flat} tokens"
@@ -193,22 +193,22 @@
 
 /// Share of second parts whose home differs.
 fn moved(before: &Ring, after: &Ring, sizes: (usize, usize)) -> f64 {
-    let parts = 200;
+    let segments = 200;
     let differs = |second: &u64| home(before, *second, sizes.0) != home(after, *second, sizes.1);
-    (0..parts).filter(differs).count() as f64 / parts as f64
+    (0..segments).filter(differs).count() as f64 / segments as f64
 }
 
 #[test]
-fn homes_move_by_about_the_share_of_replicas_that_changed() {
+fn homes_move_in_proportion_to_the_replicas_that_changed() {
     let records = fleet();
     let all = ring(&records);
-    let gone_each = 20;
+    let removed_every = 20;
     let kept = records.iter().enumerate();
-    let kept = kept.filter(|(number, _)| number % gone_each != 0);
+    let kept = kept.filter(|(number, _)| number % removed_every != 0);
     let kept = Ring::new(kept.map(|(_, record)| Arc::clone(record)));
     let share = moved(&all, &kept, (MIN_GROUP_SIZE, MIN_GROUP_SIZE));
     // Those at replicas that are gone, and those of their places in the group.
-    assert!(share < 3.0 / gone_each as f64, "{share}");
+    assert!(share < 3.0 / removed_every as f64, "{share}");
     // A group that doubles would leave half of them where they are; one that grows by its step a fourth.
     let doubled = moved(&all, &all, (MIN_GROUP_SIZE, MIN_GROUP_SIZE * 2));
     assert!(doubled < 0.6, "{doubled}");
@@ -217,31 +217,31 @@
 }
 
 #[test]
-fn the_loss_of_a_zone_leaves_the_work_within_the_slots_of_the_rest() {
+fn load_fits_the_remaining_slots_after_the_loss_of_a_zone() {
     let records = fleet();
     let left = records.iter().filter(|record| record.zone != "zone-0");
     let left = Ring::new(left.cloned());
     let mut load: HashMap<String, u64> = HashMap::new();
-    for second in 0..SECOND_PARTS {
+    for second in 0..SECOND_SEGMENTS {
         *load.entry(home(&left, second, MIN_GROUP_SIZE)).or_default() += 1;
     }
     // 247 prompts a second over 2,336 second parts, half a second each at a replica.
     let most = load.values().max().copied().unwrap_or_default() as f64;
-    let open = most * LONG_PROMPTS as f64 / SECOND_PARTS as f64 * 0.5;
+    let open = most * PROMPTS_PER_SECOND as f64 / SECOND_SEGMENTS as f64 * 0.5;
     assert!(open < 16.0 / 4.0, "{open}");
 }
 
 #[test]
-fn members_on_which_all_routers_agree_are_left_out_unless_all_are() {
+fn unusable_members_are_skipped_unless_all_are_unusable() {
     let ring = ring(&fleet());
     let usual = homes(&ring, 3, MIN_GROUP_SIZE);
-    let dark = usual.ranked[0].id.clone();
+    let unusable = usual.ranked[0].id.clone();
     let group = |is_usable: &dyn Fn(&ReplicaRecord) -> bool| {
         let candidates = ring.iter_from(first_segment_key(3));
         group_homes(home_key(3), candidates, MIN_GROUP_SIZE, is_usable)
     };
-    let others = group(&|record| record.id != dark);
-    assert!(others.ranked.iter().all(|record| record.id != dark));
+    let others = group(&|record| record.id != unusable);
+    assert!(others.ranked.iter().all(|record| record.id != unusable));
     assert_eq!(others.ranked.len(), MIN_GROUP_SIZE);
     let kept = others
         .ranked
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_group_grows_with_the_work() {
+fn a_group_grows_with_the_load() {
     assert_eq!(group_size(busy_replicas(0, 16)), MIN_GROUP_SIZE);
     // Work that comes and goes a little leaves homes where they are.
     for open_requests in [100, 345, 600, 1_000] {
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn what_was_open_lately_is_believed_at_once_and_forgotten_slowly() {
+fn the_peak_load_rises_at_once_and_decays_slowly() {
     let start = Instant::now();
     let digest = |open_requests| FleetDigest {
         limited: Vec::new(),
@@ -298,7 +298,7 @@
         let records: Vec<_> = numbers.iter().map(|number| record(usize::from(*number))).collect();
         let ring = ring(&records);
         let size = usize::from(size).max(1);
-        let homes = homes(&ring, second % SECOND_PARTS, size);
+        let homes = homes(&ring, second % SECOND_SEGMENTS, size);
         let expected = records.len().min(size);
         let known: HashSet<&String> = records.iter().map(|record| &record.id).collect();
         homes.ranked.len() == expected
--- a/crates/proxy/tests/idle_limit.rs
+++ b/crates/proxy/tests/idle_limit.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_stated_time_is_trusted_for_every_request_but_not_to_its_end() {
+fn a_declared_timeout_is_used_with_a_margin_for_all_requests() {
     for text in ["timeout=5", "timeout=5, max=100", "max=100, timeout=5"] {
         let idle_limit = stated(text).expect("a time");
         assert_eq!(idle_limit.limit(true), idle_limit.limit(false));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn without_one_a_request_that_must_not_be_lost_takes_only_a_fresh_connection() {
+fn without_a_declared_timeout_non_retryable_requests_use_fresh_connections() {
     assert_eq!(IdleLimit::from_headers(&HeaderMap::new()), None);
     assert_eq!(stated("timeout=soon"), None);
     assert_eq!(stated("max=100"), None);
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -15,7 +15,7 @@
 use railtack_serving::{Moment, NamedLimit, RequestLimit, StatedLimit};
 use tokio::time::{Instant, advance};
 
-const LIFE: &str = "i-1";
+const INCARNATION: &str = "i-1";
 const OBJECTIVE: Duration = Duration::from_millis(800);
 const STAMP: PermitStamp = PermitStamp { term: 3, at_ms: 70 };
 
@@ -34,7 +34,7 @@
     known: Option<RequestLimit>,
     /// What the leader answers; nothing if it is away.
     reply: Option<PermitReply>,
-    asked: Vec<PermitRequest>,
+    requests: Vec<PermitRequest>,
     permit_requests_suspended_until: Moment,
     room_at: Option<Moment>,
 }
@@ -89,94 +89,99 @@
         // Digests go on naming it for a while.
     }
 
-    async fn ask_leader(&self, question: PermitRequest, _: Duration) -> Option<PermitReply> {
+    async fn ask_leader(&self, request: PermitRequest, _: Duration) -> Option<PermitReply> {
         let mut state = self.state();
-        state.asked.push(question);
+        state.requests.push(request);
         state.reply.clone()
     }
 }
 
-fn given() -> Option<PermitReply> {
+fn granted() -> Option<PermitReply> {
     Some(PermitReply::Given {
         limit: limit(2.0),
         stamp: STAMP,
     })
 }
 
-async fn taken(router: &Arc<Router>) -> Option<Permit> {
-    match acquire(&**router, LIFE, OBJECTIVE).await {
+async fn acquired(router: &Arc<Router>) -> Option<Permit> {
+    match acquire(&**router, INCARNATION, OBJECTIVE).await {
         PermitDecision::Granted(permit) => permit,
         PermitDecision::Denied => panic!("withheld"),
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn where_no_limit_is_known_nobody_is_asked() {
+async fn no_permit_is_requested_without_a_limit() {
     let router = Router::new(None, None);
-    assert!(taken(&router).await.is_none());
-    assert!(!lacks_valid_permit(&*router, LIFE, None));
-    assert!(router.state().asked.is_empty());
+    assert!(acquired(&router).await.is_none());
+    assert!(!lacks_valid_permit(&*router, INCARNATION, None));
+    assert!(router.state().requests.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_permit_is_void_after_a_while() {
-    let router = Router::new(Some(limit(2.0)), given());
-    let permit = taken(&router).await;
-    assert!(lacks_valid_permit(&*router, LIFE, None));
-    assert!(!lacks_valid_permit(&*router, LIFE, permit));
+async fn a_permit_expires() {
+    let router = Router::new(Some(limit(2.0)), granted());
+    let permit = acquired(&router).await;
+    assert!(lacks_valid_permit(&*router, INCARNATION, None));
+    assert!(!lacks_valid_permit(&*router, INCARNATION, permit));
     advance(GRANT_LIFE + Duration::from_millis(1)).await;
-    assert!(lacks_valid_permit(&*router, LIFE, permit));
-    let asked = router.state().asked[0].clone();
-    assert!(asked.wants_permit);
-    assert_eq!(asked.statement.limit, Some(limit(2.0)));
-    assert_eq!(asked.statement.age_ms, 40);
+    assert!(lacks_valid_permit(&*router, INCARNATION, permit));
+    let request = router.state().requests[0].clone();
+    assert!(request.wants_permit);
+    assert_eq!(request.statement.limit, Some(limit(2.0)));
+    assert_eq!(request.statement.age_ms, 40);
 }
 
 /// The leader knows that a limit is over before digests stop naming it. Taken for no permit, its word had the
 /// request chosen and withheld again and again until then.
 #[tokio::test(start_paused = true)]
-async fn the_leaders_word_that_there_is_no_limit_lets_the_request_be_sent() {
+async fn a_request_is_sent_if_the_leader_replies_unlimited() {
     let router = Router::new(Some(limit(2.0)), Some(PermitReply::Unlimited));
-    let permit = taken(&router).await;
-    assert!(!lacks_valid_permit(&*router, LIFE, permit));
+    let permit = acquired(&router).await;
+    assert!(!lacks_valid_permit(&*router, INCARNATION, permit));
     advance(GRANT_LIFE + Duration::from_millis(1)).await;
     assert!(
-        lacks_valid_permit(&*router, LIFE, permit),
+        lacks_valid_permit(&*router, INCARNATION, permit),
         "it may have one again"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_leader_nothing_is_sent_and_others_do_not_ask_for_a_moment() {
+async fn without_a_leader_permits_are_denied_and_permit_requests_paused() {
     let router = Router::new(Some(limit(2.0)), None);
     for _ in 0..5 {
-        let permission = acquire(&*router, LIFE, OBJECTIVE).await;
+        let permission = acquire(&*router, INCARNATION, OBJECTIVE).await;
         assert!(matches!(permission, PermitDecision::Denied));
     }
-    assert_eq!(router.state().asked.len(), 1);
+    assert_eq!(router.state().requests.len(), 1);
     let room_at = router.state().room_at.expect("a moment");
     assert!(room_at > router.uptime());
     advance(room_at).await;
-    router.state().reply = given();
-    assert!(taken(&router).await.is_some());
+    router.state().reply = granted();
+    assert!(acquired(&router).await.is_some());
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_the_leader_knows_is_not_told_again_and_what_differs_is_at_once() {
-    let router = Router::new(Some(limit(2.0)), given());
-    let permit = taken(&router).await;
-    let told = async |stated, is_news| {
-        let before = router.state().asked.len();
-        handle_response(&router, LIFE, permit, stated, is_news);
+async fn only_changed_limits_are_reported_to_the_leader() {
+    let router = Router::new(Some(limit(2.0)), granted());
+    let permit = acquired(&router).await;
+    let report_for = async |stated, is_new| {
+        let before = router.state().requests.len();
+        handle_response(&router, INCARNATION, permit, stated, is_new);
         tokio::task::yield_now().await;
-        router.state().asked.get(before).cloned()
+        router.state().requests.get(before).cloned()
     };
-    assert_eq!(told(StatedLimit::Named(limit(2.0)), false).await, None);
-    let lower = told(StatedLimit::Named(limit(1.0)), true).await;
-    let statement = lower.expect("told").statement;
+    assert_eq!(
+        report_for(StatedLimit::Named(limit(2.0)), false).await,
+        None
+    );
+    let lowered = report_for(StatedLimit::Named(limit(1.0)), true).await;
+    let statement = lowered.expect("told").statement;
     assert_eq!(statement.limit, Some(limit(1.0)));
     assert_eq!(statement.permit, Some(STAMP));
-    let none = told(StatedLimit::NotNamed, false).await.expect("told");
+    let none = report_for(StatedLimit::NotNamed, false)
+        .await
+        .expect("told");
     assert_eq!(none.statement.limit, None);
     assert_eq!(none.statement.permit, Some(STAMP));
     assert!(!none.wants_permit);
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/pool.rs
@@ -14,7 +14,7 @@
 /// With hundreds of routers before a replica each may open one connection to it. While that one is watched to
 /// see whether the replica has ended, requests were not sent there for up to a second.
 #[tokio::test]
-async fn a_port_that_is_watched_takes_no_connection_from_requests() {
+async fn a_port_probe_does_not_count_against_the_connection_limit() {
     let (_listener, address) = listener().await;
     let pool = Pool::default();
     let PortState::Open(probe) = pool.probe_port(address).await else {
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn a_port_that_nobody_listens_at_refuses() {
+async fn a_probe_of_a_closed_port_is_refused() {
     let (listener, address) = listener().await;
     drop(listener);
     let look = Pool::default().probe_port(address).await;
--- a/crates/proxy/tests/prefill_latency.rs
+++ b/crates/proxy/tests/prefill_latency.rs
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn nothing_is_refused_before_the_pace_is_known() {
+fn nothing_is_refused_before_the_latency_is_known() {
     let unknown = PrefillLatency::default();
     let crowded = backlog(9_000, 1_000_000, 1_000_000);
     assert_eq!(unknown.retry_after(crowded, OBJECTIVE), None);
 }
 
 #[test]
-fn a_prompt_behind_a_long_queue_is_refused_and_told_when_it_has_drained() {
+fn a_prompt_behind_a_long_queue_is_refused_until_the_queue_drains() {
     // 60,000 tokens are 2.4 s, and the prompt's own 4,000 another 0.16 s.
     let refused = measured_latency().retry_after(backlog(4_000, 60_000, 40_000), OBJECTIVE);
     let pause = refused.expect("a refusal").as_secs_f64();
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn a_queue_at_one_replica_alone_is_no_overload() {
+fn a_queue_at_a_single_replica_is_not_an_overload() {
     let hot = backlog(4_000, 60_000, 5_000);
     assert_eq!(measured_latency().retry_after(hot, OBJECTIVE), None);
 }
 
 #[test]
-fn a_short_prompt_is_never_refused_for_the_queue() {
+fn a_short_prompt_is_never_refused() {
     let short = backlog(600, 200_000, 200_000);
     assert_eq!(measured_latency().retry_after(short, OBJECTIVE), None);
 }
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_old_pace_counts_less_than_a_new_one() {
+fn old_samples_count_less_than_new_ones() {
     let mut latency = measured_latency();
     let later = Instant::now() + Duration::from_secs(60);
     // Now 100 tokens a millisecond.
@@ -84,7 +84,7 @@
 
 quickcheck! {
     /// A longer queue never turns a refusal into a send, nor shortens the pause.
-    fn a_longer_queue_is_never_better(own: u16, others: u32, more: u16) -> TestResult {
+    fn a_longer_queue_never_helps(own: u16, others: u32, more: u16) -> TestResult {
         let (own, others) = (u64::from(own), u64::from(others));
         let shorter = measured_latency().retry_after(backlog(own, others, others), OBJECTIVE);
         let longer = others + u64::from(more);
--- a/crates/proxy/tests/quarantine.rs
+++ b/crates/proxy/tests/quarantine.rs
@@ -12,7 +12,7 @@
 const FATAL: ContentKey = ContentKey(1);
 const OTHER: ContentKey = ContentKey(2);
 
-fn told(changed_at: u64, quarantined: &[ContentKey]) -> QuarantineUpdate {
+fn update(changed_at: u64, quarantined: &[ContentKey]) -> QuarantineUpdate {
     QuarantineUpdate {
         changed_at,
         quarantined: quarantined.to_vec(),
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn a_caller_is_told_to_come_back_when_the_quarantine_may_end() {
+fn the_retry_delay_ends_when_the_quarantine_may_end() {
     let start = Instant::now();
     let mut state = QuarantineState::default();
     assert_eq!(state.retry_after(FATAL, start), None);
-    let changes = state.apply(&told(5, &[FATAL]), start);
+    let changes = state.apply(&update(5, &[FATAL]), start);
     assert_eq!(changes, [QuarantineChange::Quarantined(FATAL)]);
     assert!(state.should_report_success(FATAL) && state.should_report_success(OTHER));
     assert!(!state.should_report_success(OTHER), "told once");
@@ -33,7 +33,7 @@
     assert_eq!(state.retry_after(OTHER, start), None);
     // What is told again does not begin anew.
     let later = start + Duration::from_secs(100);
-    assert_eq!(state.apply(&told(6, &[FATAL]), later), []);
+    assert_eq!(state.apply(&update(6, &[FATAL]), later), []);
     let left = QUARANTINE_TIME - Duration::from_secs(100);
     assert_eq!(state.retry_after(FATAL, later), Some(left));
     assert!(
@@ -44,24 +44,24 @@
 }
 
 #[test]
-fn older_news_that_comes_late_changes_nothing() {
+fn a_late_older_update_is_ignored() {
     let now = Instant::now();
     let mut state = QuarantineState::default();
-    state.apply(&told(7, &[FATAL]), now);
-    assert_eq!(state.apply(&told(6, &[]), now), []);
+    state.apply(&update(7, &[FATAL]), now);
+    assert_eq!(state.apply(&update(6, &[]), now), []);
     assert!(state.retry_after(FATAL, now).is_some());
-    let changes = state.apply(&told(8, &[]), now);
+    let changes = state.apply(&update(8, &[]), now);
     assert_eq!(changes, [QuarantineChange::Released(FATAL)]);
     assert_eq!(state.retry_after(FATAL, now), None);
 }
 
 #[test]
-fn one_that_is_cleared_by_a_part_of_the_reports_waits_for_the_others() {
+fn a_request_cleared_by_a_partial_report_waits_for_the_others() {
     let start = Instant::now();
     let mut state = QuarantineState::default();
-    state.apply(&told(7, &[OTHER]), start);
+    state.apply(&update(7, &[OTHER]), start);
     let soon = start + REPORT_SETTLE_TIME / 4;
-    let changes = state.apply(&told(8, &[]), soon);
+    let changes = state.apply(&update(8, &[]), soon);
     assert_eq!(changes, [QuarantineChange::Released(OTHER)]);
     let settled = soon + REPORT_SETTLE_TIME;
     assert_eq!(state.reports_complete_at(OTHER, soon), Some(settled));
@@ -72,7 +72,7 @@
         "nobody suspects it"
     );
     // The next end begins the time anew, though the lists are the same.
-    assert_eq!(state.apply(&told(9, &[]), settled), []);
+    assert_eq!(state.apply(&update(9, &[]), settled), []);
     let settled_anew = settled + REPORT_SETTLE_TIME;
     assert_eq!(
         state.reports_complete_at(OTHER, settled),
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn all_requests_whose_connections_broke_are_reported_once() {
+fn each_request_with_a_broken_connection_is_reported_once() {
     let now = Instant::now();
     let mut tracker = CrashTracker::default();
     assert!(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn nobody_waits_for_what_may_take_long() {
+fn requests_do_not_wait_for_a_long_check() {
     let now = Instant::now();
     let mut tracker = CrashTracker::default();
     tracker.record_broken_connection("r", FATAL, now);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_has_just_run_well_is_not_blamed() {
+fn a_recently_successful_request_is_not_reported() {
     let start = Instant::now();
     let mut tracker = CrashTracker::default();
     tracker.record_success(OTHER, start);
--- a/crates/proxy/tests/store_budget.rs
+++ b/crates/proxy/tests/store_budget.rs
@@ -37,7 +37,7 @@
 /// Whatever comes, all routers together fill at most the store in one window and a half, and what
 /// was kept for a burst.
 #[test]
-fn unshared_parts_do_not_turn_the_store_over_within_the_reuse_window() {
+fn unshared_tokens_do_not_fill_the_store_within_the_reuse_window() {
     fn property(gaps_ms: Vec<u8>, own: u16, routers: u8) -> TestResult {
         let routers = u32::from(routers % 80) + 1;
         let capacity = 600_000;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_store_of_unknown_size_takes_every_prompt_worth_saving() {
+fn a_store_of_unknown_capacity_accepts_every_prompt_worth_saving() {
     let now = Instant::now();
     let mut budget = SaveBudget::default();
     for _ in 0..100 {
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -11,9 +11,9 @@
 use railtack_serving::{BackEndNotice, Bounds, Policy, QuotaBounds};
 
 /// A back end's language that no test here speaks.
-struct Unspoken;
+struct UnusedProtocol;
 
-impl BackendProtocol for Unspoken {
+impl BackendProtocol for UnusedProtocol {
     fn encode(&self, _: &Dispatch<'_>) -> Request<Full<Bytes>> {
         Request::default()
     }
@@ -62,5 +62,5 @@
         },
         policy: Policy::ALL,
     };
-    ProxyState::new(options, Box::new(Unspoken))
+    ProxyState::new(options, Box::new(UnusedProtocol))
 }
