--- a/crates/proxy/tests/budget.rs
+++ b/crates/proxy/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Retries of all routers together.
+//! Retry budgets of all routers together.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
     Duration::from_millis(count)
 }
 
-/// All routers together, whatever their number and however often they restart, stay below the
-/// slack in one window if no request is served.
+/// Without served requests, the retries of all routers stay within the slack of one window,
+/// regardless of their number and restarts.
 #[test]
 fn retries_of_all_routers_stay_below_the_slack() {
     for routers in [1_u32, 7, 79, 400] {
@@ -56,8 +56,8 @@
     assert!((100..=200).contains(&spent), "{spent}");
 }
 
-/// Found on Kochi's scale-2: replicas crashed together, and streams were cut although the routers
-/// had spent a small part of what their requests allow.
+/// Guards against streams being aborted, after simultaneous crashes, while the budget is mostly
+/// unused.
 #[test]
 fn budget_of_the_last_window_can_be_spent_in_a_burst() {
     let start = Instant::now();
@@ -68,7 +68,7 @@
     let now = start + milliseconds(9_700);
     let spent = (0..40).filter(|_| budget.withdraw(8, now)).count();
     assert!((14..=20).contains(&spent), "{spent}");
-    // Once; and again only after a window.
+    // The budget is available again only after a window.
     assert!(!budget.withdraw(8, start + milliseconds(12_000)));
 }
 
@@ -84,8 +84,8 @@
     assert!(spent <= 7, "{spent}");
 }
 
-/// No trailing window holds more retries than its requests and the slack allow, whatever comes,
-/// also if all routers restart in it.
+/// In any trailing window, retries stay within the ratio of its requests plus the slack, even if
+/// all routers restart within the window.
 #[test]
 fn no_window_exceeds_the_retry_bound() {
     fn property(events: Vec<(u8, u8)>, restart: Option<u8>) -> TestResult {
--- a/crates/proxy/tests/control_watch.rs
+++ b/crates/proxy/tests/control_watch.rs
@@ -1,4 +1,4 @@
-//! Following the control group.
+//! Watching the control group.
 
 mod support;
 
@@ -37,20 +37,20 @@
 use tokio::net::TcpListener;
 use tokio_util::codec::Framed;
 
-/// Questions of routers, and how many of them ask for the records of replicas.
+/// Numbers of watch requests, in total and for replica records.
 #[derive(Clone, Default)]
 struct RequestCounts {
     total: Arc<AtomicU32>,
     for_records: Arc<AtomicU32>,
 }
 
-/// A control replica that answers each question at once and is current; it tells the same each time.
+/// A control replica with a confirmed state that replies immediately with the same update.
 #[derive(Clone)]
 struct ControlStub {
     counts: RequestCounts,
     zone: &'static str,
     members: Vec<String>,
-    /// What it tells; `None` before the first configuration.
+    /// The update it sends; `None` before the first configuration.
     update: Option<ServingUpdate>,
 }
 
@@ -159,8 +159,7 @@
     }
 }
 
-/// Before the first configuration there is nothing to serve from and nothing to tell. Asking again at
-/// once, hundreds of routers left the control replicas no time to form their group.
+/// Guards against routers that overload the control replicas while these form their group.
 #[tokio::test]
 async fn a_router_without_a_configuration_polls_at_a_bounded_rate() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -176,7 +175,7 @@
     assert!(requests <= 25, "{requests} questions in a second");
 }
 
-/// Whether a router that is told this holds a lease soon.
+/// Whether a router that receives `known` gains a lease within 500 ms.
 async fn gains_lease(known: Known) -> bool {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
@@ -198,8 +197,7 @@
     state.is_confirmed()
 }
 
-/// After all routers of a fleet restart together, the last of ten thousand replicas is told seconds after
-/// the first ones.
+/// In a large fleet, the last records arrive seconds after the first ones.
 #[tokio::test]
 async fn a_router_serves_before_it_knows_all_replicas() {
     let first_of_many = Known {
@@ -210,7 +208,7 @@
     assert!(gains_lease(first_of_many).await);
 }
 
-/// One of the replicas that it knows may have said that it leaves.
+/// A known replica may have announced its shutdown since.
 #[tokio::test]
 async fn a_router_does_not_serve_from_outdated_records() {
     let lagging = Known {
@@ -221,7 +219,7 @@
     assert!(!gains_lease(lagging).await);
 }
 
-/// A control replica in another zone was asked on the way: it told the configuration, and no replica yet.
+/// A control replica in another zone sends the configuration without replica records.
 #[tokio::test]
 async fn a_router_does_not_serve_before_it_knows_any_replica() {
     let without_records = Known {
@@ -232,8 +230,8 @@
     assert!(!gains_lease(without_records).await);
 }
 
-/// Each control replica that a router meets on the way to its own zone would tell it the first of ten
-/// thousand records.
+/// Guards against every control replica contacted on the way sending the first records of the
+/// fleet.
 #[tokio::test]
 async fn records_are_requested_only_in_the_routers_zone() {
     let mut members = Vec::new();
@@ -272,7 +270,7 @@
     }
 }
 
-/// Where the router's own zone has none that answers, another one tells it the records.
+/// Without a responsive control replica in its zone, the router gets the records from another zone.
 #[tokio::test]
 async fn records_are_requested_from_another_zone_without_a_local_control_replica() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The data plane's pure decisions.
+//! Pure decisions of the data plane.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -47,11 +47,11 @@
     assert!(!lease.is_valid(start));
     lease.apply_reply(&reply(None, 0), start);
     assert!(!lease.is_valid(start));
-    // Asked now, held 400 ms, confirmed 300 ms before the answer: confirmed 100 ms from now.
+    // Sent now, held for 400 ms, confirmed 300 ms before the reply: confirmed 100 ms from now.
     lease.apply_reply(&reply(Some(300), 400), start);
     assert!(lease.is_valid(start + milliseconds(4_500)));
     assert!(!lease.is_valid(start + milliseconds(4_700)));
-    // An older confirmation that comes late changes nothing.
+    // A late reply with an older confirmation changes nothing.
     lease.apply_reply(&reply(Some(5_000), 0), start + milliseconds(200));
     assert!(lease.is_valid(start + milliseconds(4_500)));
 }
@@ -340,7 +340,7 @@
     assert_eq!(choose(&[], size, 0), None);
 }
 
-/// Found by a hunt: a stream that was taken 3.2 s after the signal was cut at the end.
+/// Guards against aborting streams accepted shortly before the end of the grace period.
 #[test]
 fn a_router_shutting_down_accepts_only_requests_it_can_finish() {
     let start = Instant::now();
@@ -351,8 +351,7 @@
     assert!(plan.accepts(start + milliseconds(5_000), start + milliseconds(3_000)));
 }
 
-/// One of three hundred routers sends a replica one request in a while; that it has one open there
-/// says nothing of how busy the replica is.
+/// Guards against exceeding a limit that is known from digests alone when the leader changes.
 #[test]
 fn a_limit_is_kept_while_a_new_leader_does_not_know_it() {
     let start = Instant::now();
@@ -374,7 +373,7 @@
         (known.limit, known.advertised_at),
         (limit, start - milliseconds(40))
     );
-    // That of a new leader names nothing yet.
+    // The digest of a new leader contains no limits yet.
     fleet.apply(FleetDigest::default(), start + milliseconds(500));
     assert_eq!(
         fleet.limit(replica, start + milliseconds(2_900)),
@@ -383,9 +382,10 @@
     assert_eq!(fleet.limit(replica, start + milliseconds(3_000)), None);
 }
 
+/// In a large fleet, the open requests of one router say little about a replica's load.
 #[test]
 fn shared_load_takes_precedence_over_local_requests() {
-    // Its beginning takes less than a hundredth of a replica's memory.
+    // The prefix takes less than one hundredth of a replica's KV cache.
     let size = RequestSize {
         prompt_tokens: 5_000,
         shared_tokens: 1_300,
@@ -411,7 +411,7 @@
     };
     let chosen = |home| choose(&[other, home], size, 0).map(|(position, _)| position);
     assert_eq!(chosen(home), Some(1));
-    // Without the shared view the router guesses from its own request, and leaves.
+    // Without the shared load, the router estimates it from its own request and leaves the home.
     let local_only = Candidate {
         shared_load: None,
         ..home
@@ -422,7 +422,7 @@
     };
     let position = choose(&[local_other, local_only], size, 0).map(|(position, _)| position);
     assert_eq!(position, Some(0));
-    // Every slot is taken, and more wait.
+    // Every slot is taken, and requests are queued.
     let full = Candidate {
         shared_load: Some(SharedLoad {
             open_requests: 14,
@@ -433,7 +433,7 @@
     assert_eq!(chosen(full), Some(0));
 }
 
-/// Where memory binds, a copy of a long beginning takes the place of another one, which is read again.
+/// Guards against duplicating long prefixes, which evicts others from the KV cache.
 #[test]
 fn a_prompt_with_a_long_prefix_stays_at_its_home_replica() {
     let size = RequestSize {
@@ -455,13 +455,13 @@
     let chosen = |candidates: &[Candidate]| choose(candidates, size, 0).map(|(at, _)| at);
     let full_home = replica(0, 40, 90_000);
     assert_eq!(chosen(&[replica(1, 0, 0), full_home]), Some(1));
-    // One that fails every request is left all the same.
+    // A replica that fails most requests is left even so.
     let failing_home = Candidate {
         failure_rate: 0.9,
         ..full_home
     };
     assert_eq!(chosen(&[replica(1, 0, 0), failing_home]), Some(0));
-    // The same load sends a prompt with a short beginning elsewhere.
+    // The same load moves a prompt with a short prefix.
     let short = RequestSize {
         prompt_tokens: 826,
         shared_tokens: 198,
@@ -471,8 +471,8 @@
     assert_eq!(position, Some(0));
 }
 
-/// All routers have the same figures: if each took the least busy replica of all, all would take
-/// the same one. A prompt goes beyond the replicas favoured most for it only where those are full.
+/// Guards against all routers selecting the replica that is least loaded in their identical
+/// figures.
 #[test]
 fn a_prompt_spreads_only_beyond_full_replicas() {
     let size = RequestSize {
@@ -496,7 +496,7 @@
         let candidates: Vec<Candidate> = loads.map(|(rank, open)| replica(rank, *open)).collect();
         choose(&candidates, size, 0).map(|(position, _)| position)
     };
-    // The fourth is idle, and stays out of it while the first ones have room.
+    // The fourth replica is idle but not considered while better-ranked ones have free slots.
     assert_eq!(rank_chosen(&[10, 11, 11, 0]), Some(0));
     assert_eq!(rank_chosen(&[14, 11, 11, 0]), Some(1));
     assert_eq!(rank_chosen(&[14, 14, 14, 0]), Some(3));
@@ -527,7 +527,7 @@
     let known = fleet.condition(ReplicaKey::of("a"));
     assert_eq!(known.map(|condition| condition.open_requests), Some(3));
     assert_eq!(fleet.condition(ReplicaKey::of("c")), None);
-    // Made a second ago, when somebody had heard from it 200 ms before.
+    // Made a second ago, 200 ms after the last response.
     let key = |replica| ReplicaKey::of(replica);
     assert!(fleet.responded_since(key("a"), start - milliseconds(1_300)));
     assert!(!fleet.responded_since(key("a"), start - milliseconds(1_100)));
--- a/crates/proxy/tests/entry.rs
+++ b/crates/proxy/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Requests that come to a router which has just started.
+//! Requests received by a router that has just started.
 
 mod support;
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// The router learns the configuration, and that it is current.
+/// Gives the router a configuration and a confirmation.
 fn confirm(state: &ProxyState) {
     let update = ServingUpdate {
         known: Known::all(1),
--- a/crates/proxy/tests/feature_level.rs
+++ b/crates/proxy/tests/feature_level.rs
@@ -1,4 +1,4 @@
-//! A router beside a control group that has members of a former build, which grants nothing.
+//! A router and a control group with members of a previous build that does not support grants.
 
 mod support;
 
@@ -26,7 +26,7 @@
     state
         .control_peers
         .update_level(FeatureLevel::SHARED_GRANTS);
-    // Told by a control replica that is behind.
+    // Reported by a lagging control replica.
     state.control_peers.update_level(FeatureLevel::FIRST);
     assert!(state.control_peers.supports_grants());
 }
--- a/crates/proxy/tests/homes.rs
+++ b/crates/proxy/tests/homes.rs
@@ -1,8 +1,7 @@
-//! Which of very many replicas take prompts with the same first part.
+//! Placement of prompts in a large fleet.
 //!
-//! The pattern of load: 247 long prompts a second before 9,675 engines. Four first parts of 2,520 tokens are
-//! shared by all of them, 2,336 second parts by some.
-//! Ten thousand replicas are values here; no process and no network is needed.
+//! The simulated load is 247 long prompts per second on 9,675 replicas, with four first segments of
+//! 2,520 tokens and 2,336 second segments. Replicas are plain values without processes or network.
 
 use std::{
     cmp::Reverse,
@@ -47,7 +46,7 @@
     (0..FLEET).map(record).collect()
 }
 
-/// The prompt with a second part; each second part has one first part.
+/// The prompt with a given second segment; each second segment belongs to one first segment.
 fn prompt(second: u64) -> PrefixPath {
     let segment = |id, tokens| PromptSegment { id, tokens };
     let shape = PromptInfo {
@@ -84,8 +83,7 @@
     homes(ring, second, size).ranked[0].id.clone()
 }
 
-/// Of ten thousand replicas only those of the group are put in order: the first ones on the ring, in the
-/// order in which all routers favour them for the deepest part.
+/// Guards against sorting the whole fleet for each request: only the group is sorted.
 #[test]
 fn homes_are_the_first_ring_members_ranked_by_hash() {
     let records: Vec<_> = (0..10_000).map(record).collect();
@@ -114,12 +112,12 @@
     }
     for group in groups.values() {
         assert!(group.len() <= MIN_GROUP_SIZE, "{}", group.len());
-        // Second parts spread over all of it.
+        // Second segments are spread over the whole group.
         assert!(group.len() > MIN_GROUP_SIZE * 3 / 4, "{}", group.len());
     }
 }
 
-/// Routers learn of replicas in any order.
+/// Routers learn of replicas in different orders.
 #[test]
 fn all_routers_find_the_same_homes() {
     let records = fleet();
@@ -133,8 +131,8 @@
     }
 }
 
-/// First parts read by replicas that another one could have handed them to, tokens, in the first seconds
-/// after all replicas came up empty.
+/// Simulates the first seconds of an empty fleet; returns the tokens of first segments that were
+/// prefilled although another replica could have supplied them.
 fn redundant_prefill(size: Option<usize>, seconds: u64, seed: u64) -> u64 {
     let records = fleet();
     let ring = ring(&records);
@@ -148,7 +146,7 @@
     let mut prefilled = 0;
     let mut draw = seed;
     for _ in 0..seconds {
-        // What routers are told is a second old.
+        // The digest is one second old.
         let digest = in_use.clone();
         for _ in 0..PROMPTS_PER_SECOND {
             draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
@@ -177,8 +175,9 @@
     prefilled
 }
 
-/// Homes of second parts over all replicas read the first part at each of them; within a group they fetch
-/// it once the digest names a member in use, so what is read does not grow with the fleet.
+/// With homes across all replicas, each home prefills the first segment. Within a group, the
+/// segment is fetched once the digest contains a member in use, so the cost does not grow with the
+/// fleet.
 #[test]
 fn a_group_prefills_its_first_segment_a_few_times() {
     for seed in [11, 12, 13] {
@@ -191,7 +190,7 @@
     }
 }
 
-/// Share of second parts whose home differs.
+/// Returns the share of second segments whose home differs.
 fn moved(before: &Ring, after: &Ring, sizes: (usize, usize)) -> f64 {
     let segments = 200;
     let differs = |second: &u64| home(before, *second, sizes.0) != home(after, *second, sizes.1);
@@ -207,9 +206,10 @@
     let kept = kept.filter(|(number, _)| number % removed_every != 0);
     let kept = Ring::new(kept.map(|(_, record)| Arc::clone(record)));
     let share = moved(&all, &kept, (MIN_GROUP_SIZE, MIN_GROUP_SIZE));
-    // Those at replicas that are gone, and those of their places in the group.
+    // Homes on removed replicas, and those displaced by the new members of the group.
     assert!(share < 3.0 / removed_every as f64, "{share}");
-    // A group that doubles would leave half of them where they are; one that grows by its step a fourth.
+    // Doubling the group would keep half of the homes; growing by the actual factor keeps a
+    // quarter.
     let doubled = moved(&all, &all, (MIN_GROUP_SIZE, MIN_GROUP_SIZE * 2));
     assert!(doubled < 0.6, "{doubled}");
     let grown = moved(&all, &all, (MIN_GROUP_SIZE, MIN_GROUP_SIZE * 4));
@@ -225,7 +225,7 @@
     for second in 0..SECOND_SEGMENTS {
         *load.entry(home(&left, second, MIN_GROUP_SIZE)).or_default() += 1;
     }
-    // 247 prompts a second over 2,336 second parts, half a second each at a replica.
+    // 247 prompts per second over 2,336 second segments; each takes half a second.
     let most = load.values().max().copied().unwrap_or_default() as f64;
     let open = most * PROMPTS_PER_SECOND as f64 / SECOND_SEGMENTS as f64 * 0.5;
     assert!(open < 16.0 / 4.0, "{open}");
@@ -255,14 +255,14 @@
 #[test]
 fn a_group_grows_with_the_load() {
     assert_eq!(group_size(busy_replicas(0, 16)), MIN_GROUP_SIZE);
-    // Work that comes and goes a little leaves homes where they are.
+    // Small changes in load do not change the size.
     for open_requests in [100, 345, 600, 1_000] {
         let size = group_size(busy_replicas(open_requests, 16));
         assert_eq!(size, MIN_GROUP_SIZE, "{open_requests}");
     }
-    // Ten times the work.
+    // Ten times the load.
     assert_eq!(group_size(busy_replicas(3_450, 16)), MIN_GROUP_SIZE * 4);
-    // Figures that make no sense are borne.
+    // Implausible figures do not overflow.
     assert!(group_size(busy_replicas(u64::MAX, 0)) > FLEET);
 }
 
@@ -293,7 +293,7 @@
 }
 
 quickcheck! {
-    /// Any view has a home for any prompt, and none that is not in the view.
+    /// Every view has homes for every prompt, and all of them are in the view.
     fn any_view_has_homes(numbers: HashSet<u16>, second: u64, size: u8) -> bool {
         let records: Vec<_> = numbers.iter().map(|number| record(usize::from(*number))).collect();
         let ring = ring(&records);
--- a/crates/proxy/tests/idle_limit.rs
+++ b/crates/proxy/tests/idle_limit.rs
@@ -1,4 +1,4 @@
-//! How long connections to replicas may rest.
+//! Idle limits of connections to replicas.
 
 use std::time::Duration;
 
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Asking the leader for permits.
+//! Permits requested from the leader.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -23,7 +23,7 @@
     RequestLimit::per_s(per_s).expect("a limit")
 }
 
-/// A router that knows of one limit, before a leader that answers as it is told.
+/// A router that knows one limit, with a stub of the leader.
 struct Router {
     started: Instant,
     state: Mutex<State>,
@@ -32,7 +32,7 @@
 #[derive(Default)]
 struct State {
     known: Option<RequestLimit>,
-    /// What the leader answers; nothing if it is away.
+    /// Reply of the leader; `None` if it is unavailable.
     reply: Option<PermitReply>,
     requests: Vec<PermitRequest>,
     permit_requests_suspended_until: Moment,
@@ -86,7 +86,7 @@
     }
 
     fn clear_limit(&self, _: &str, _: Moment) {
-        // Digests go on naming it for a while.
+        // Digests still contain the limit for a while.
     }
 
     async fn ask_leader(&self, request: PermitRequest, _: Duration) -> Option<PermitReply> {
@@ -132,8 +132,8 @@
     assert_eq!(request.statement.age_ms, 40);
 }
 
-/// The leader knows that a limit is over before digests stop naming it. Taken for no permit, its word had the
-/// request chosen and withheld again and again until then.
+/// Guards against a loop of selections and denied permits between the removal of a limit at the
+/// leader and in the digests.
 #[tokio::test(start_paused = true)]
 async fn a_request_is_sent_if_the_leader_replies_unlimited() {
     let router = Router::new(Some(limit(2.0)), Some(PermitReply::Unlimited));
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one replica.
+//! Connection pool of one replica.
 
 use std::net::SocketAddr;
 
@@ -11,8 +11,8 @@
     (listener, address)
 }
 
-/// With hundreds of routers before a replica each may open one connection to it. While that one is watched to
-/// see whether the replica has ended, requests were not sent there for up to a second.
+/// In a large fleet a router may open one connection per replica. Guards against a probe blocking
+/// requests to a live replica.
 #[tokio::test]
 async fn a_port_probe_does_not_count_against_the_connection_limit() {
     let (_listener, address) = listener().await;
@@ -23,7 +23,7 @@
     assert!(pool.has_capacity(1), "the only connection is left");
     let taken = pool.acquire(address, 1, true).await.expect("a connection");
     assert_eq!(pool.open_connections(), 1);
-    // Others took the last one meanwhile: the watched one is closed.
+    // The limit was reached in the meantime, so the probe connection is closed.
     pool.adopt(probe, 1);
     assert_eq!(pool.open_connections(), 1);
     drop(taken);
--- a/crates/proxy/tests/prefill_latency.rs
+++ b/crates/proxy/tests/prefill_latency.rs
@@ -1,4 +1,4 @@
-//! Prompts that are refused because their first event would come too late.
+//! Refusal of prompts whose first event would be late.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// A pace of 25 tokens a millisecond.
+/// A latency of 40 µs per token.
 fn measured_latency() -> PrefillLatency {
     let mut latency = PrefillLatency::default();
     let start = Instant::now();
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_prompt_behind_a_long_queue_is_refused_until_the_queue_drains() {
-    // 60,000 tokens are 2.4 s, and the prompt's own 4,000 another 0.16 s.
+    // 60,000 queued tokens take 2.4 s, the prompt's own 4,000 another 0.16 s.
     let refused = measured_latency().retry_after(backlog(4_000, 60_000, 40_000), OBJECTIVE);
     let pause = refused.expect("a refusal").as_secs_f64();
     assert!((pause - 2.16).abs() < 0.01, "{pause}");
@@ -68,7 +68,7 @@
 fn old_samples_count_less_than_new_ones() {
     let mut latency = measured_latency();
     let later = Instant::now() + Duration::from_secs(60);
-    // Now 100 tokens a millisecond.
+    // Now 10 µs per token.
     for _ in 0..10 {
         latency.record(
             backlog(5_000, 5_000, 5_000),
@@ -83,7 +83,7 @@
 }
 
 quickcheck! {
-    /// A longer queue never turns a refusal into a send, nor shortens the pause.
+    /// A longer queue neither lifts a refusal nor shortens the retry delay.
     fn a_longer_queue_never_helps(own: u16, others: u32, more: u16) -> TestResult {
         let (own, others) = (u64::from(own), u64::from(others));
         let shorter = measured_latency().retry_after(backlog(own, others, others), OBJECTIVE);
--- a/crates/proxy/tests/quarantine.rs
+++ b/crates/proxy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What a router knows of requests that end replicas.
+//! Quarantine state and crash reports of a router.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     assert!(!state.should_report_success(OTHER), "told once");
     assert_eq!(state.retry_after(FATAL, start), Some(QUARANTINE_TIME));
     assert_eq!(state.retry_after(OTHER, start), None);
-    // What is told again does not begin anew.
+    // Repeating a quarantine does not restart its time.
     let later = start + Duration::from_secs(100);
     assert_eq!(state.apply(&update(6, &[FATAL]), later), []);
     let left = QUARANTINE_TIME - Duration::from_secs(100);
@@ -71,7 +71,7 @@
         None,
         "nobody suspects it"
     );
-    // The next end begins the time anew, though the lists are the same.
+    // The next crash restarts the time, although the lists are the same.
     assert_eq!(state.apply(&update(9, &[]), settled), []);
     let settled_anew = settled + REPORT_SETTLE_TIME;
     assert_eq!(
@@ -94,7 +94,8 @@
     );
     assert!(tracker.is_crash_check_pending(FATAL));
     assert_eq!(tracker.take_unreported("r"), [FATAL, OTHER]);
-    // Still awaited while it is being reported; one that breaks meanwhile is reported next.
+    // Still pending while it is being reported; a request whose connection breaks now is reported
+    // next.
     assert!(tracker.is_crash_check_pending(FATAL));
     tracker.record_broken_connection("r", ContentKey(3), now);
     assert_eq!(tracker.take_unreported("r"), [ContentKey(3)]);
@@ -122,7 +123,7 @@
     tracker.record_broken_connection("r", OTHER, start + Duration::from_secs(10));
     tracker.record_broken_connection("r", FATAL, start + Duration::from_secs(10));
     assert_eq!(tracker.take_unreported("r"), [FATAL]);
-    // A good end long ago clears nothing.
+    // An old success does not clear a request.
     tracker.record_broken_connection("s", OTHER, start + Duration::from_secs(100));
     assert_eq!(tracker.take_unreported("s"), [OTHER]);
 }
--- a/crates/proxy/tests/retry_pacing.rs
+++ b/crates/proxy/tests/retry_pacing.rs
@@ -1,4 +1,4 @@
-//! When callers come back that no replica has room for.
+//! Retry delays of callers refused by rate limits.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 #[test]
 fn retries_are_spaced_by_the_rate_limits() {
     let mut pacer = RetryPacer::default();
-    // Two routers share ten requests a second: five a second each.
+    // Two routers share ten requests per second: five per second each.
     let pauses: Vec<Duration> = (0..4)
         .map(|_| pacer.next_retry_after(NOW, AVAILABLE_IN, 10.0, 2, 0))
         .collect();
     assert_eq!(pauses, [200, 400, 600, 800].map(Duration::from_millis));
-    // Room that nobody was told of is not kept for anybody.
+    // Unassigned capacity does not accumulate.
     let later = NOW + Duration::from_secs(60);
     assert_eq!(
         pacer.next_retry_after(later, AVAILABLE_IN, 10.0, 2, 0),
--- a/crates/proxy/tests/store_budget.rs
+++ b/crates/proxy/tests/store_budget.rs
@@ -1,4 +1,4 @@
-//! The bound on what routers send to the store.
+//! Budget for saving prompts to the store.
 
 use std::time::Duration;
 
@@ -34,8 +34,8 @@
     }
 }
 
-/// Whatever comes, all routers together fill at most the store in one window and a half, and what
-/// was kept for a burst.
+/// All routers together fill the store at most once in one and a half windows, plus the burst
+/// allowance.
 #[test]
 fn unshared_tokens_do_not_fill_the_store_within_the_reuse_window() {
     fn property(gaps_ms: Vec<u8>, own: u16, routers: u8) -> TestResult {
@@ -78,7 +78,7 @@
     };
     assert!(count(500) > 3 * count(5_000));
     assert!(count(5_000) > 0);
-    // Less than half of it is shared.
+    // Less than half of the prompt is shared.
     assert_eq!(count(7_000), 0);
 }
 
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -10,7 +10,7 @@
 };
 use railtack_serving::{BackEndNotice, Bounds, Policy, QuotaBounds};
 
-/// A back end's language that no test here speaks.
+/// A replica protocol that is never used.
 struct UnusedProtocol;
 
 impl BackendProtocol for UnusedProtocol {
@@ -31,10 +31,10 @@
     }
 }
 
-/// Time after which a revoked key may work no more, milliseconds.
+/// Time after which a revoked key must not work, milliseconds.
 pub const REVOKE_MS: u64 = 5_000;
 
-/// A router that knows nothing yet, and the addresses of some control replicas.
+/// A router without a configuration; `control` are its control replicas.
 pub fn router(control: Vec<SocketAddr>) -> Arc<ProxyState> {
     let options = ProxyOptions {
         node: "router".to_owned(),
