--- a/crates/proxy/tests/control_watch.rs
+++ b/crates/proxy/tests/control_watch.rs
@@ -171,8 +171,8 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     following.abort();
     let requests = control.counts.total.load(Ordering::Relaxed);
-    assert!(requests >= 2, "{requests} questions in a second");
-    assert!(requests <= 25, "{requests} questions in a second");
+    assert!(requests >= 2, "{requests} requests in one second");
+    assert!(requests <= 25, "{requests} requests in one second");
 }
 
 /// Whether a router that receives `known` gains a lease within 500 ms.
@@ -262,10 +262,10 @@
         let for_records = counts.for_records.load(Ordering::Relaxed);
         let total = counts.total.load(Ordering::Relaxed);
         if zone == "a" {
-            assert!(for_records > 0, "{total} questions");
+            assert!(for_records > 0, "{total} requests");
         } else {
-            assert_eq!(for_records, 0, "zone {zone}, {total} questions");
-            assert!(total <= 2, "zone {zone}, {total} questions");
+            assert_eq!(for_records, 0, "zone {zone}, {total} requests");
+            assert!(total <= 2, "zone {zone}, {total} requests");
         }
     }
 }
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -226,7 +226,7 @@
         for piece in text.chunks(size) {
             whole.extend_from_slice(&buffer.push(piece));
         }
-        assert_eq!(whole, text, "pieces of {size}");
+        assert_eq!(whole, text, "chunks of {size}");
         assert_eq!(buffer.last_event(), Some(3));
     }
 }
--- a/crates/proxy/tests/homes.rs
+++ b/crates/proxy/tests/homes.rs
@@ -67,11 +67,11 @@
 }
 
 fn first_segment_key(second: u64) -> u64 {
-    prompt(second).first_segment_key().expect("a first part")
+    prompt(second).first_segment_key().expect("a first segment")
 }
 
 fn home_key(second: u64) -> u64 {
-    prompt(second).key().expect("a shared part")
+    prompt(second).key().expect("a shared prefix")
 }
 
 fn homes(ring: &Ring, second: u64, size: usize) -> Homes<'_> {
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -106,7 +106,7 @@
 async fn acquired(router: &Arc<Router>) -> Option<Permit> {
     match acquire(&**router, INCARNATION, OBJECTIVE).await {
         PermitDecision::Granted(permit) => permit,
-        PermitDecision::Denied => panic!("withheld"),
+        PermitDecision::Denied => panic!("denied"),
     }
 }
 
@@ -142,7 +142,7 @@
     advance(GRANT_LIFE + Duration::from_millis(1)).await;
     assert!(
         lacks_valid_permit(&*router, INCARNATION, permit),
-        "it may have one again"
+        "a limit may exist again"
     );
 }
 
@@ -154,7 +154,7 @@
         assert!(matches!(permission, PermitDecision::Denied));
     }
     assert_eq!(router.state().requests.len(), 1);
-    let room_at = router.state().room_at.expect("a moment");
+    let room_at = router.state().room_at.expect("a time");
     assert!(room_at > router.uptime());
     advance(room_at).await;
     router.state().reply = granted();
@@ -176,12 +176,12 @@
         None
     );
     let lowered = report_for(StatedLimit::Named(limit(1.0)), true).await;
-    let statement = lowered.expect("told").statement;
+    let statement = lowered.expect("a report").statement;
     assert_eq!(statement.limit, Some(limit(1.0)));
     assert_eq!(statement.permit, Some(STAMP));
     let none = report_for(StatedLimit::NotNamed, false)
         .await
-        .expect("told");
+        .expect("a report");
     assert_eq!(none.statement.limit, None);
     assert_eq!(none.statement.permit, Some(STAMP));
     assert!(!none.wants_permit);
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/pool.rs
@@ -18,9 +18,9 @@
     let (_listener, address) = listener().await;
     let pool = Pool::default();
     let PortState::Open(probe) = pool.probe_port(address).await else {
-        panic!("somebody listens");
+        panic!("the port is closed");
     };
-    assert!(pool.has_capacity(1), "the only connection is left");
+    assert!(pool.has_capacity(1), "the probe is not counted");
     let taken = pool.acquire(address, 1, true).await.expect("a connection");
     assert_eq!(pool.open_connections(), 1);
     // The limit was reached in the meantime, so the probe connection is closed.
@@ -29,11 +29,11 @@
     drop(taken);
     assert_eq!(pool.open_connections(), 0);
     let PortState::Open(probe) = pool.probe_port(address).await else {
-        panic!("somebody listens");
+        panic!("the port is closed");
     };
     pool.adopt(probe, 1);
     assert_eq!(pool.open_connections(), 1);
-    assert!(pool.has_capacity(1), "it rests");
+    assert!(pool.has_capacity(1), "the connection is idle");
 }
 
 #[tokio::test]
--- a/crates/proxy/tests/quarantine.rs
+++ b/crates/proxy/tests/quarantine.rs
@@ -28,7 +28,7 @@
     let changes = state.apply(&update(5, &[FATAL]), start);
     assert_eq!(changes, [QuarantineChange::Quarantined(FATAL)]);
     assert!(state.should_report_success(FATAL) && state.should_report_success(OTHER));
-    assert!(!state.should_report_success(OTHER), "told once");
+    assert!(!state.should_report_success(OTHER), "reported once");
     assert_eq!(state.retry_after(FATAL, start), Some(QUARANTINE_TIME));
     assert_eq!(state.retry_after(OTHER, start), None);
     // Repeating a quarantine does not restart its time.
@@ -69,7 +69,7 @@
     assert_eq!(
         state.reports_complete_at(FATAL, soon),
         None,
-        "nobody suspects it"
+        "not suspected"
     );
     // The next crash restarts the time, although the lists are the same.
     assert_eq!(state.apply(&update(9, &[]), settled), []);
@@ -86,11 +86,11 @@
     let mut tracker = CrashTracker::default();
     assert!(
         tracker.record_broken_connection("r", FATAL, now),
-        "nobody looks yet"
+        "no check in progress"
     );
     assert!(
         !tracker.record_broken_connection("r", OTHER, now),
-        "somebody looks already"
+        "check in progress"
     );
     assert!(tracker.is_crash_check_pending(FATAL));
     assert_eq!(tracker.take_unreported("r"), [FATAL, OTHER]);
