--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -95,7 +95,7 @@
     }
 
     /// Adds the response that caused the failure.
-    fn answered(self, status: u16, notice: BackEndNotice) -> Self {
+    fn with_response(self, status: u16, notice: BackEndNotice) -> Self {
         Self {
             status: Some(status),
             notice,
@@ -104,7 +104,7 @@
     }
 
     /// The connection broke after the request may have been received.
-    pub fn connection_broke(cause: &'static str) -> Self {
+    pub fn broken_connection(cause: &'static str) -> Self {
         Self {
             end: Some(ExchangeEnd::ConnectionBroke),
             ..Self::may_have_run(cause)
@@ -127,7 +127,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HeadDeadline {
     /// Default deadline.
-    pub due: Instant,
+    pub deadline: Instant,
     /// Deadline if the replica is responding to other requests: it is busy rather than gone.
     pub if_responding: Instant,
 }
@@ -155,7 +155,7 @@
         }
         let sent_at = Instant::now();
         // The replica may have asked for back-off or announced its shutdown meanwhile.
-        if !takes_requests(state, target) {
+        if !accepts_requests(state, target) {
             return Err(FailedExchange::withheld("takes no requests"));
         }
         // A limit may have been advertised meanwhile, and a permit may have expired.
@@ -166,18 +166,18 @@
             .sender
             .try_send_request(state.backend.encode(dispatch));
         tokio::pin!(sent);
-        let mut answered = timeout_at(head_deadline.due, &mut sent).await;
-        if answered.is_err() && has_responded(state, target, sent_at) {
-            answered = timeout_at(head_deadline.if_responding, &mut sent).await;
+        let mut result = timeout_at(head_deadline.deadline, &mut sent).await;
+        if result.is_err() && has_responded(state, target, sent_at) {
+            result = timeout_at(head_deadline.if_responding, &mut sent).await;
         }
-        match answered {
+        match result {
             Err(_) => return Err(FailedExchange::may_have_run("no head in time")),
             Ok(Ok(response)) => {
                 return handle_response(state, target, dispatch, connection, response);
             }
             Ok(Err(mut error)) => {
                 if error.take_message().is_none() {
-                    return Err(FailedExchange::connection_broke("connection broke"));
+                    return Err(FailedExchange::broken_connection("connection broke"));
                 }
             }
         }
@@ -197,7 +197,7 @@
             && lock(&state.fleet).responded_since(replica, sent_at))
 }
 
-fn takes_requests(state: &ProxyState, target: &Target) -> bool {
+fn accepts_requests(state: &ProxyState, target: &Target) -> bool {
     let replicas = lock(&state.replicas);
     replicas
         .availability
@@ -228,14 +228,16 @@
 ) -> Result<OpenResponse, FailedExchange> {
     let (head, body) = response.into_parts();
     let reusable = connection.update_from_head(&head.headers, state.options.policy.stated_rest);
-    let answer = OpenResponse {
+    let open_response = OpenResponse {
         head,
         body,
         connection,
         reusable,
     };
-    let classified = state.backend.classify(dispatch.request, &answer.head);
-    let mut notice = state.backend.signals(&answer.head);
+    let classified = state
+        .backend
+        .classify(dispatch.request, &open_response.head);
+    let mut notice = state.backend.signals(&open_response.head);
     let is_from_target = matches!(classified, ResponseClass::Response | ResponseClass::NotRun);
     if !is_from_target {
         // The limit of another incarnation, or an outdated one.
@@ -258,14 +260,14 @@
         target.handle.record_response(Instant::now());
     }
     let failed = match classified {
-        ResponseClass::Response => return Ok(answer),
+        ResponseClass::Response => return Ok(open_response),
         ResponseClass::OtherRequest => FailedExchange::may_have_run("foreign answer"),
         ResponseClass::NotRun => FailedExchange::not_run(Some(ExchangeEnd::Declined), "declined"),
         ResponseClass::WrongReplica => {
             FailedExchange::not_run(Some(ExchangeEnd::Declined), "wrong replica or weights")
         }
     };
-    Err(failed.answered(answer.head.status.as_u16(), notice))
+    Err(failed.with_response(open_response.head.status.as_u16(), notice))
 }
 
 /// Applies the signals of a response head. Most have none and skip the lock on all replicas.
@@ -295,10 +297,10 @@
 fn record_limit(
     state: &ProxyState,
     replica: &str,
-    stated: StatedLimit,
+    advertised: StatedLimit,
     news: Option<RequestLimit>,
 ) {
-    match stated {
+    match advertised {
         StatedLimit::NotNamed => {}
         StatedLimit::Named(_) => {
             state.metrics.limits_named.inc();
@@ -324,12 +326,12 @@
     pub async fn read_complete(
         self,
         handle: &ReplicaHandle,
-        due: Instant,
+        deadline: Instant,
     ) -> Result<(response::Parts, Bytes), FailedExchange> {
-        let time = due.saturating_duration_since(Instant::now());
+        let time = deadline.saturating_duration_since(Instant::now());
         let read = read_body(self.body, MAX_RESPONSE_BYTES, time).await;
         let content = read.map_err(|error| match error {
-            ReceiveError::Broken => FailedExchange::connection_broke("answer broke off"),
+            ReceiveError::Broken => FailedExchange::broken_connection("answer broke off"),
             _ => FailedExchange::may_have_run("answer not read"),
         })?;
         if self.reusable {
--- a/crates/proxy/src/control_peers.rs
+++ b/crates/proxy/src/control_peers.rs
@@ -42,9 +42,9 @@
     /// Sets the members of the group; keeps connections to existing members.
     pub fn set_members(&self, members: impl Iterator<Item = SocketAddr>) {
         let mut peers = self.lock();
-        let former = std::mem::take(&mut peers.connections);
+        let previous = std::mem::take(&mut peers.connections);
         for address in members {
-            let kept = former.get(&address).map(Arc::clone);
+            let kept = previous.get(&address).map(Arc::clone);
             let connection =
                 kept.unwrap_or_else(|| Arc::new(ControlConnection::new(address, CONNECT_TIMEOUT)));
             peers.connections.insert(address, connection);
--- a/crates/proxy/src/control_watch.rs
+++ b/crates/proxy/src/control_watch.rs
@@ -303,11 +303,11 @@
     }
 
     fn candidates(&self, zone: &str, address: SocketAddr) -> impl Iterator<Item = SocketAddr> {
-        let is_there = self.zones.get(&address).is_some_and(|known| known == zone);
+        let in_zone = self.zones.get(&address).is_some_and(|known| known == zone);
         let others = self.connections.keys().copied();
         others.filter(move |candidate| {
             let known = self.zones.get(candidate);
-            !is_there && *candidate != address && known.is_none_or(|known| known == zone)
+            !in_zone && *candidate != address && known.is_none_or(|known| known == zone)
         })
     }
 
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -30,7 +30,7 @@
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time within which another replica must have responded before a crash report may remove a
 /// replica; a router of a large fleet receives several responses in it.
-const RECENT_RESPONSE: Duration = Duration::from_secs(3);
+const RECENT_RESPONSE_WINDOW: Duration = Duration::from_secs(3);
 /// Divisor of the objective that gives the longest wait of a request for a crash check. The
 /// remaining time must suffice for its response.
 const CRASH_CHECK_DIVISOR: u32 = 8;
@@ -64,7 +64,7 @@
 /// Records that the connection of a running request broke, and checks in the background whether the
 /// replica has crashed.
 pub fn connection_broken(state: &Arc<ProxyState>, target: &Target, content: ContentKey) {
-    if has_left(&state.view.load(), &target.record) {
+    if is_leaving(&state.view.load(), &target.record) {
         return;
     }
     let now = Instant::now();
@@ -87,7 +87,7 @@
 }
 
 /// Whether the replica announced its shutdown, or was removed without a successor.
-fn has_left(view: &ServingView, record: &ReplicaRecord) -> bool {
+fn is_leaving(view: &ServingView, record: &ReplicaRecord) -> bool {
     match view.replicas.get(&record.id) {
         Some(known) => known.state == ReplicaState::Leaving,
         None => !has_successor(view, record),
@@ -119,7 +119,7 @@
     state.metrics.replica_ends.inc();
     // Without responses from other replicas, this router's own network may have failed.
     let hears_others =
-        lock(&state.replicas).any_other_responded(replica, RECENT_RESPONSE, Instant::now());
+        lock(&state.replicas).any_other_responded(replica, RECENT_RESPONSE_WINDOW, Instant::now());
     let witness = hears_others.then(|| state.options.node.clone());
     let mut requests = 0;
     let mut has_reported = false;
@@ -153,10 +153,10 @@
 pub async fn wait_for_crash_checks(state: &ProxyState, content: ContentKey, objective: Duration) {
     let started_at = Instant::now();
     loop {
-        let settled = state.crash_checks_done.notified();
-        tokio::pin!(settled);
+        let notified = state.crash_checks_done.notified();
+        tokio::pin!(notified);
         // Enabled before the state is read, so that no notification is missed.
-        settled.as_mut().enable();
+        notified.as_mut().enable();
         let is_pending = lock(&state.crash_tracker).is_crash_check_pending(content);
         let now = Instant::now();
         let (is_suspected, complete_at) = {
@@ -177,7 +177,7 @@
         }
         let wake_at = complete_at.map_or(until, |at| at.min(until));
         // The state is checked again after a notification as well as after a timeout.
-        let _ = timeout_at(wake_at, settled).await;
+        let _ = timeout_at(wake_at, notified).await;
     }
 }
 
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Maximum size of an event, bytes.
-const EVENT_LIMIT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// Buffers incoming bytes and returns complete events.
 #[derive(Debug, Default)]
@@ -46,16 +46,16 @@
     /// Events whose id is not above the last one are dropped, as the client already has them.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.pending.extend_from_slice(bytes);
-        let mut whole = BytesMut::new();
+        let mut complete = BytesMut::new();
         while let Some(end) = self.next_boundary() {
             let event = self.pending.split_to(end);
             self.searched = 0;
             if self.accepts(&event) {
-                whole.extend_from_slice(&event);
+                complete.extend_from_slice(&event);
             }
         }
-        self.oversized |= self.pending.len() > EVENT_LIMIT;
-        whole.freeze()
+        self.oversized |= self.pending.len() > MAX_EVENT_BYTES;
+        complete.freeze()
     }
 
     /// Discards an incomplete event.
@@ -81,11 +81,11 @@
         let mut position = self.searched;
         while position < bytes.len() {
             if bytes[position] == b'\n' {
-                let rest = &bytes[position + 1..];
-                if rest.first() == Some(&b'\n') {
+                let remaining = &bytes[position + 1..];
+                if remaining.first() == Some(&b'\n') {
                     return Some(position + 2);
                 }
-                if rest.starts_with(b"\r\n") {
+                if remaining.starts_with(b"\r\n") {
                     return Some(position + 3);
                 }
             }
--- a/crates/proxy/src/health.rs
+++ b/crates/proxy/src/health.rs
@@ -7,7 +7,7 @@
 /// First pause after a replica was unreachable; doubled by each further failure in a row.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 /// Longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(6);
+const MAX_PAUSE: Duration = Duration::from_secs(6);
 /// Pause after a replica declined a request.
 const DECLINED_PAUSE: Duration = Duration::from_millis(120);
 /// Weight of the latest outcome in the failure rate.
@@ -89,7 +89,7 @@
             ExchangeEnd::Unreachable => {
                 let pause = FIRST_PAUSE * 2_u32.pow(self.unreachable_in_a_row.min(5));
                 self.unreachable_in_a_row += 1;
-                self.pause(pause.min(LONGEST_PAUSE), now);
+                self.pause(pause.min(MAX_PAUSE), now);
                 1.0
             }
         };
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -215,12 +215,12 @@
     pub fn set_replicas<'a>(&self, records: impl Iterator<Item = &'a ReplicaRecord>) {
         let mut counts = [("ready", 0), ("loading", 0), ("leaving", 0)];
         for record in records {
-            let place = match (record.state, &record.order) {
+            let index = match (record.state, &record.order) {
                 (ReplicaState::Leaving, _) => 2,
                 (ReplicaState::Ready, Some(_)) => 1,
                 (ReplicaState::Ready, None) => 0,
             };
-            counts[place].1 += 1;
+            counts[index].1 += 1;
         }
         for (state, count) in counts {
             self.replicas
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -163,10 +163,10 @@
     router: &Arc<R>,
     life: &str,
     permit: Option<Permit>,
-    stated: StatedLimit,
+    advertised: StatedLimit,
     is_new: bool,
 ) {
-    let limit = match stated {
+    let limit = match advertised {
         StatedLimit::Named(limit) => Some(limit),
         StatedLimit::NotNamed => None,
         StatedLimit::Unreadable(_) => return,
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -38,19 +38,19 @@
     let admitted = match entry::admit(&state, &request).await {
         Ok(admitted) => admitted,
         Err(reason) => {
-            log.end(reason.to_string());
+            log.record_outcome(reason.to_string());
             return reason.response(entry::retry_after(reason));
         }
     };
-    log.admitted(&admitted);
+    log.record_admission(&admitted);
     log.content = content_key(&request, &admitted);
     if let Some(pause) = quarantine_retry_after(&state, &admitted, log.content).await {
         let reason = RefusalReason::Quarantined;
-        log.end(reason.to_string());
+        log.record_outcome(reason.to_string());
         return reason.response(Some(pause));
     }
     if let Err(refusal) = quota::acquire(&state, &request, &admitted).await {
-        log.end(refusal.reason.to_string());
+        log.record_outcome(refusal.reason.to_string());
         return refusal.reason.response(refusal.retry_after);
     }
     let seed = rand::random();
@@ -101,7 +101,7 @@
 /// An exchange whose response is being received.
 pub struct ActiveExchange {
     /// The response.
-    pub answer: OpenResponse,
+    pub response: OpenResponse,
     /// The replica that responds.
     pub target: Target,
     /// Load accounting of the request, released on drop.
@@ -148,8 +148,8 @@
             let failed = match self.try_target(target).await {
                 Ok(ExchangeStep::Done(response)) => return response,
                 Ok(ExchangeStep::Stream(begun)) => {
-                    let (answered, first) = *begun;
-                    return stream::respond(self, answered, first);
+                    let (active, first) = *begun;
+                    return stream::respond(self, active, first);
                 }
                 Ok(ExchangeStep::Failure(response)) => {
                     failure = Some(response);
@@ -161,7 +161,7 @@
                 NextStep::Retry if self.acquire_quota_for_retry(failed).await => {}
                 NextStep::Retry => return self.fail(failure),
                 NextStep::ForwardFailure => {
-                    self.log.end("replica_failure".to_owned());
+                    self.log.record_outcome("replica_failure".to_owned());
                     return failure.unwrap_or_else(|| RefusalReason::AnswerLost.response(None));
                 }
                 NextStep::RefuseNotRun => return self.refuse(RefusalReason::Declined),
@@ -172,18 +172,18 @@
 
     /// Runs one exchange and, unless the response is a stream, reads the complete body.
     async fn try_target(&mut self, target: Target) -> Result<ExchangeStep, FailedExchange> {
-        let answered = self.exchange(target, self.request.last_event).await?;
+        let active = self.exchange(target, self.request.last_event).await?;
         let is_stream = self.admitted.route.kind.is_stream();
-        if is_stream && answered.answer.head.status.is_success() {
-            return stream::first_events(self, answered).await;
+        if is_stream && active.response.head.status.is_success() {
+            return stream::first_events(self, active).await;
         }
         let ActiveExchange {
-            answer,
+            response,
             target,
             open,
-        } = answered;
-        let due = self.response_deadline();
-        let read = answer.read_complete(&target.handle, due).await;
+        } = active;
+        let deadline = self.response_deadline();
+        let read = response.read_complete(&target.handle, deadline).await;
         drop(open);
         let (head, content) = read.map_err(|failed| self.record_failure(&target, failed))?;
         let failed = head.status.is_server_error();
@@ -194,11 +194,12 @@
         };
         self.record_outcome(&target, end);
         crash_detection::request_succeeded(&self.state, self.content);
-        let response = self.response(head, railtack_http::full(content));
+        let response = self.build_response(head, railtack_http::full(content));
         if failed && self.admitted.route.kind.may_repeat() {
             return Ok(ExchangeStep::Failure(response));
         }
-        self.log.completed(&target, response.status().as_u16());
+        self.log
+            .record_response(&target, response.status().as_u16());
         Ok(ExchangeStep::Done(response))
     }
 
@@ -233,13 +234,13 @@
             last_event,
         };
         let non_retryable = !self.admitted.route.kind.may_repeat();
-        let due = self.head_deadline();
+        let deadline = self.head_deadline();
         let sent = attempt::exchange(
             &self.state,
             &target,
             &dispatch,
             non_retryable,
-            due,
+            deadline,
             self.content,
         )
         .await;
@@ -250,13 +251,13 @@
             Err(ExchangeProof::NotRun) => self.declined += 1,
             _ => self.replicas_used += 1,
         }
-        let answer = sent.map_err(|failed| self.record_failure(&target, failed))?;
+        let response = sent.map_err(|failed| self.record_failure(&target, failed))?;
         if self.request.prompt.is_some() {
             let now = Instant::now();
             lock(&self.state.replicas).record_sent(&target.record.id, &self.path, now);
         }
         Ok(ActiveExchange {
-            answer,
+            response,
             target,
             open,
         })
@@ -266,8 +267,9 @@
     /// replica can be tried.
     pub fn response_deadline(&self) -> Instant {
         let route = &self.admitted.route;
-        let may_go_on = route.kind.may_repeat() && self.replicas_used + 1 < route.max_attempts;
-        if !may_go_on {
+        let can_retry_elsewhere =
+            route.kind.may_repeat() && self.replicas_used + 1 < route.max_attempts;
+        if !can_retry_elsewhere {
             return self.admitted.deadline;
         }
         let timeout = Duration::from_millis(route.objective_ms * RESPONSE_TIMEOUT_OBJECTIVES);
@@ -277,20 +279,24 @@
     /// Returns the deadlines for the head of a response. The head of a stream arrives with its
     /// first event; a prompt queued behind others would only be prefilled again elsewhere.
     fn head_deadline(&self) -> HeadDeadline {
-        let due = self.response_deadline();
+        let deadline = self.response_deadline();
         let objective = Duration::from_millis(self.admitted.route.objective_ms);
         let busy = Instant::now() + objective * BUSY_TIMEOUT_OBJECTIVES;
-        let waits = self.state.options.policy.busy_patience && self.admitted.route.kind.is_stream();
-        let if_responding = if waits {
-            busy.min(self.admitted.deadline).max(due)
+        let extends_deadline =
+            self.state.options.policy.busy_patience && self.admitted.route.kind.is_stream();
+        let if_responding = if extends_deadline {
+            busy.min(self.admitted.deadline).max(deadline)
         } else {
-            due
+            deadline
         };
-        HeadDeadline { due, if_responding }
+        HeadDeadline {
+            deadline,
+            if_responding,
+        }
     }
 
     /// Whether another replica may continue the stream. Withdraws a retry from the budget.
-    pub async fn acquire_resume(&mut self) -> bool {
+    pub async fn acquire_resume_retry(&mut self) -> bool {
         self.state.options.policy.resume
             && self.next_step(ExchangeProof::MayHaveRun).await == NextStep::Retry
     }
@@ -322,12 +328,12 @@
         if proof == ExchangeProof::Withheld {
             return step;
         }
-        let is_own = self.state.try_withdraw_retry(&self.service);
-        let in_budget = is_own || self.borrow_retry().await;
+        let is_local = self.state.try_withdraw_retry(&self.service);
+        let in_budget = is_local || self.borrow_retry().await;
         spdlog::info!("retry", kv: {
             request = self.request.id.clone(),
             in_budget,
-            is_lent = in_budget && !is_own,
+            is_lent = in_budget && !is_local,
             // The replica of the failed exchange.
             replica = self.tried.last().cloned().unwrap_or_default(),
             proof = format!("{proof:?}"),
@@ -360,14 +366,14 @@
     /// Whether the request must not be sent to another replica, because it is quarantined or its
     /// connections broke so often that it would be if those replicas crashed.
     fn may_crash_another(&self) -> bool {
-        let broke_at_many = self.broken_connections >= ENDS_TO_QUARANTINE;
-        broke_at_many || self.state.quarantine_retry_after(self.content).is_some()
+        let reached_crash_limit = self.broken_connections >= ENDS_TO_QUARANTINE;
+        reached_crash_limit || self.state.quarantine_retry_after(self.content).is_some()
     }
 
     /// Acquires quota for one more run. An attempt that did not run has not used its quota yet.
     pub async fn acquire_quota_for_retry(&self, proof: ExchangeProof) -> bool {
-        let is_paid = matches!(proof, ExchangeProof::Withheld | ExchangeProof::NotRun);
-        is_paid
+        let quota_unused = matches!(proof, ExchangeProof::Withheld | ExchangeProof::NotRun);
+        quota_unused
             || quota::acquire(&self.state, &self.request, &self.admitted)
                 .await
                 .is_ok()
@@ -413,7 +419,7 @@
     }
 
     /// Builds the response to the caller, without the hop-by-hop headers of the replica.
-    pub fn response(&self, head: hyper::http::response::Parts, body: Body) -> Response<Body> {
+    pub fn build_response(&self, head: hyper::http::response::Parts, body: Body) -> Response<Body> {
         let mut response = Response::new(body);
         *response.status_mut() = head.status;
         for (name, value) in &head.headers {
--- a/crates/proxy/src/pipeline/final_response.rs
+++ b/crates/proxy/src/pipeline/final_response.rs
@@ -19,7 +19,7 @@
         cause: NoTarget,
     ) -> Response<Body> {
         if let Some(failure) = failure {
-            self.log.end("replica_failure".to_owned());
+            self.log.record_outcome("replica_failure".to_owned());
             return failure;
         }
         if self.replicas_used > 0 {
@@ -37,7 +37,7 @@
             NoTarget::NoneAvailable => None,
         };
         if let Some((reason, pause)) = refusal {
-            self.log.end(reason.to_string());
+            self.log.record_outcome(reason.to_string());
             return reason.response(Some(pause));
         }
         let reason = if self.state.is_confirmed() {
@@ -54,13 +54,13 @@
             Some(pause) => (RefusalReason::Quarantined, pause),
             None => (reason, Duration::from_millis(pause_ms)),
         };
-        self.log.end(reason.to_string());
+        self.log.record_outcome(reason.to_string());
         reason.response(Some(pause))
     }
 
     pub(super) fn fail(mut self, failure: Option<Response<Body>>) -> Response<Body> {
         if let Some(failure) = failure {
-            self.log.end("replica_failure".to_owned());
+            self.log.record_outcome("replica_failure".to_owned());
             return failure;
         }
         let reason = if Instant::now() >= self.admitted.deadline {
@@ -68,7 +68,7 @@
         } else {
             RefusalReason::AnswerLost
         };
-        self.log.end(reason.to_string());
+        self.log.record_outcome(reason.to_string());
         reason.response(None)
     }
 }
--- a/crates/proxy/src/quarantine.rs
+++ b/crates/proxy/src/quarantine.rs
@@ -19,7 +19,7 @@
 /// expected to be without a leader.
 pub const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Minimum retry delay of a quarantined request; its release takes a moment.
-const SHORTEST_PAUSE: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Time for which suspected requests wait after an update. Routers report one crash in several
 /// parts, tens of milliseconds apart, and each part is evaluated on arrival. A part that names only
 /// a harmless request clears the harmful one until the next part arrives.
@@ -43,7 +43,7 @@
     /// All suspected requests.
     suspected: HashSet<ContentKey>,
     /// Time by which all reports of the latest crash have arrived.
-    settled_at: Option<Instant>,
+    reports_complete_at: Option<Instant>,
     /// Log position of the latest update.
     changed_at: u64,
 }
@@ -80,7 +80,7 @@
         changes.extend(released.map(QuarantineChange::Released));
         self.watched = update.watched.iter().copied().collect();
         self.suspected.clone_from(&self.watched);
-        self.settled_at = Some(now + REPORT_SETTLE_TIME);
+        self.reports_complete_at = Some(now + REPORT_SETTLE_TIME);
         changes
     }
 
@@ -88,7 +88,7 @@
     pub fn retry_after(&self, content: ContentKey, now: Instant) -> Option<Duration> {
         let since = self.quarantined.get(&content)?;
         let passed = now.saturating_duration_since(*since);
-        Some(QUARANTINE_TIME.saturating_sub(passed).max(SHORTEST_PAUSE))
+        Some(QUARANTINE_TIME.saturating_sub(passed).max(MIN_RETRY_AFTER))
     }
 
     /// Whether the request is suspected but not quarantined.
@@ -99,7 +99,7 @@
     /// Returns the time by which all reports of the latest crash have arrived, if the request is
     /// suspected and that time lies ahead.
     pub fn reports_complete_at(&self, content: ContentKey, now: Instant) -> Option<Instant> {
-        self.settled_at
+        self.reports_complete_at
             .filter(|at| self.is_suspected(content) && now < *at)
     }
 
@@ -124,7 +124,7 @@
 #[derive(Debug, Default)]
 pub struct CrashTracker {
     successes: VecDeque<(ContentKey, Instant)>,
-    broken: HashMap<String, BrokenConnections>,
+    broken_connections: HashMap<String, BrokenConnections>,
 }
 
 /// Requests whose connections to one replica broke.
@@ -135,7 +135,7 @@
     /// Requests being reported.
     reporting: Vec<ContentKey>,
     /// Whether the check of the replica is expected to finish soon.
-    is_awaited: bool,
+    blocks_requests: bool,
 }
 
 impl BrokenConnections {
@@ -143,7 +143,7 @@
         Self {
             unreported: Vec::new(),
             reporting: Vec::new(),
-            is_awaited: true,
+            blocks_requests: true,
         }
     }
 }
@@ -165,12 +165,12 @@
         content: ContentKey,
         now: Instant,
     ) -> bool {
-        let is_first = !self.broken.contains_key(replica);
+        let is_first = !self.broken_connections.contains_key(replica);
         let is_cleared = self.successes.iter().rev().any(|(success, at)| {
             *success == content && now.saturating_duration_since(*at) < SUCCESS_VALIDITY
         });
         let broken = self
-            .broken
+            .broken_connections
             .entry(replica.to_owned())
             .or_insert_with(BrokenConnections::pending);
         if !is_cleared && broken.unreported.len() < MAX_UNREPORTED {
@@ -181,22 +181,25 @@
 
     /// Whether a check that involves this request is expected to finish soon.
     pub fn is_crash_check_pending(&self, content: ContentKey) -> bool {
-        let awaited = self.broken.values().filter(|broken| broken.is_awaited);
+        let pending = self
+            .broken_connections
+            .values()
+            .filter(|broken| broken.blocks_requests);
         let mut contents =
-            awaited.flat_map(|broken| broken.unreported.iter().chain(&broken.reporting));
+            pending.flat_map(|broken| broken.unreported.iter().chain(&broken.reporting));
         contents.any(|known| *known == content)
     }
 
     /// Records that the check of a replica may take long, so that requests stop waiting for it.
     pub fn stop_blocking(&mut self, replica: &str) {
-        if let Some(broken) = self.broken.get_mut(replica) {
-            broken.is_awaited = false;
+        if let Some(broken) = self.broken_connections.get_mut(replica) {
+            broken.blocks_requests = false;
         }
     }
 
     /// Returns the next requests to report for a crashed replica; empty if all are reported.
     pub fn take_unreported(&mut self, replica: &str) -> Vec<ContentKey> {
-        let Some(broken) = self.broken.get_mut(replica) else {
+        let Some(broken) = self.broken_connections.get_mut(replica) else {
             return Vec::new();
         };
         broken.reporting = std::mem::take(&mut broken.unreported);
@@ -205,6 +208,6 @@
 
     /// Removes all records of a replica.
     pub fn forget(&mut self, replica: &str) {
-        self.broken.remove(replica);
+        self.broken_connections.remove(replica);
     }
 }
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -22,7 +22,7 @@
 /// Pause between calls while a leader is being elected.
 const GRANT_RETRY_INTERVAL: Duration = Duration::from_millis(30);
 /// Divisor of the objective that gives the longest wait for a grant.
-const WAIT_DIVISOR: u32 = 8;
+const MAX_WAIT_DIVISOR: u32 = 8;
 /// Divisor of the objective after which a request counts as late, for example after a restart.
 const LATE_DIVISOR: u32 = 2;
 /// Divisor of the remaining time that gives the longest wait of a late request. Late requests reach
@@ -92,7 +92,7 @@
     if !state.control_peers.supports_grants() {
         return false;
     }
-    let until = Instant::now() + objective / WAIT_DIVISOR;
+    let until = Instant::now() + objective / MAX_WAIT_DIVISOR;
     let grant_request = QuotaRequest {
         subject: QuotaSubject::Retries {
             service: service.to_owned(),
@@ -116,7 +116,7 @@
 fn max_wait(received: Instant, deadline: Instant, objective: Duration) -> Duration {
     let now = Instant::now();
     if now.saturating_duration_since(received) < objective / LATE_DIVISOR {
-        objective / WAIT_DIVISOR
+        objective / MAX_WAIT_DIVISOR
     } else {
         deadline.saturating_duration_since(now) / LATE_MAX_WAIT_DIVISOR
     }
--- a/crates/proxy/src/request_log.rs
+++ b/crates/proxy/src/request_log.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records the result of admission.
-    pub fn admitted(&mut self, admitted: &Admitted) {
+    pub fn record_admission(&mut self, admitted: &Admitted) {
         self.route.clone_from(&admitted.route.name);
         self.kind = Some(admitted.route.kind);
         self.tenant = admitted.tenant.clone().unwrap_or_default();
@@ -78,7 +78,13 @@
     }
 
     /// Records a replica and the inputs to its selection.
-    pub fn considered(&mut self, target: &Target, candidate: &Candidate, cost: f64, known: u64) {
+    pub fn record_candidate(
+        &mut self,
+        target: &Target,
+        candidate: &Candidate,
+        cost: f64,
+        known: u64,
+    ) {
         self.replica.clone_from(&target.record.id);
         self.candidate = *candidate;
         self.cost = cost;
@@ -87,8 +93,14 @@
     }
 
     /// Records the selected replica and logs repeated selections.
-    pub fn selected(&mut self, target: &Target, candidate: &Candidate, cost: f64, known: u64) {
-        self.considered(target, candidate, cost, known);
+    pub fn record_selection(
+        &mut self,
+        target: &Target,
+        candidate: &Candidate,
+        cost: f64,
+        known: u64,
+    ) {
+        self.record_candidate(target, candidate, cost, known);
         self.fetch_from = target.fetch_from.clone().unwrap_or_default();
         self.attempts += 1;
         // The final line only shows the last selection.
@@ -106,10 +118,10 @@
     }
 
     /// Records a complete response.
-    pub fn completed(&mut self, target: &Target, status: u16) {
+    pub fn record_response(&mut self, target: &Target, status: u16) {
         self.record_first_byte();
         self.replica.clone_from(&target.record.id);
-        self.end(format!("answered_{status}"));
+        self.record_outcome(format!("answered_{status}"));
     }
 
     /// Records the arrival of the response's first byte.
@@ -123,7 +135,7 @@
     }
 
     /// Records the outcome of the request unless one was recorded before.
-    pub fn end(&mut self, outcome: String) {
+    pub fn record_outcome(&mut self, outcome: String) {
         self.outcome.get_or_insert(outcome);
     }
 }
--- a/crates/proxy/src/retry_pacing.rs
+++ b/crates/proxy/src/retry_pacing.rs
@@ -37,8 +37,8 @@
             let part = seed as f64 / u64::MAX as f64;
             return MAX_RETRY_AFTER.mul_f64(0.5 + part / 2.0);
         }
-        let apart = f64::from(routers.max(1)) / per_s.max(MIN_RATE);
-        self.next = at + Duration::from_secs_f64(apart);
+        let spacing = f64::from(routers.max(1)) / per_s.max(MIN_RATE);
+        self.next = at + Duration::from_secs_f64(spacing);
         pause
     }
 }
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -30,7 +30,7 @@
 /// Interval at which an unsuccessful selection is repeated if the view does not change.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// Divisor of the route's objective that gives the longest wait for an available replica.
-const WAIT_DIVISOR: u64 = 5;
+const MAX_WAIT_DIVISOR: u64 = 5;
 /// Connections one router may open to a replica if the configuration sets no limit.
 const DEFAULT_CONNECTIONS: u32 = 32;
 
@@ -72,7 +72,7 @@
     /// Selects a replica; waits for one to become available, up to a part of the objective.
     pub async fn wait_for_target(&mut self) -> Result<Target, NoTarget> {
         let route = &self.admitted.route;
-        let wait = Duration::from_millis(route.objective_ms / WAIT_DIVISOR);
+        let wait = Duration::from_millis(route.objective_ms / MAX_WAIT_DIVISOR);
         let until = (self.request.received + wait).min(self.admitted.deadline);
         let mut changes = self.state.view_changes();
         loop {
@@ -145,7 +145,7 @@
         target.backlog = self.prefill_backlog(&candidate, &target, ranked);
         if let Some(retry_after) = self.overload_retry_after(target.backlog) {
             self.log
-                .considered(&target, &candidate, cost, view.known.through);
+                .record_candidate(&target, &candidate, cost, view.known.through);
             return Err(NoTarget::TooLate { retry_after });
         }
         let store = self.store(configuration);
@@ -158,7 +158,7 @@
             .filter(|_| self.should_save(target.cached_tokens, configuration))
             .map(|store| store.address.clone());
         self.log
-            .selected(&target, &candidate, cost, view.known.through);
+            .record_selection(&target, &candidate, cost, view.known.through);
         self.log.prefix = self.path.key().unwrap_or_default();
         self.log.shared_tokens = self.path.shared_tokens();
         self.log.weights = self.expected_weights(&target.record).unwrap_or_default();
@@ -225,8 +225,8 @@
         let fleet = self.state.current_fleet(now);
         let fleet = fleet.as_deref();
         let is_usable = |record: &ReplicaRecord| {
-            let is_dark = fleet.is_some_and(|fleet| is_dark(fleet, record));
-            !is_dark && availability.takes(&record.id, uptime)
+            let is_unresponsive = fleet.is_some_and(|fleet| is_unresponsive(fleet, record));
+            !is_unresponsive && availability.takes(&record.id, uptime)
         };
         let policy = self.state.options.policy;
         let home = self.path.key().filter(|_| policy.homes);
@@ -282,9 +282,9 @@
         for (rank, record) in ranked.iter().copied().enumerate() {
             let handle = table.handle(&record.id, now);
             let shared = fleet.as_ref().map(|fleet| shared_load(fleet, record));
-            let takes = table.availability.takes(&record.id, uptime);
+            let accepts = table.availability.takes(&record.id, uptime);
             let is_paused = policy.pauses && !handle.is_available(now);
-            if !takes || is_paused || !handle.pool.has_capacity(connection_limit) {
+            if !accepts || is_paused || !handle.pool.has_capacity(connection_limit) {
                 continue;
             }
             let cached_tokens = table.sent().cached_tokens(&record.id, &self.path);
@@ -458,7 +458,7 @@
 }
 
 /// Whether routers wait for responses of the replica and none of them has received any.
-fn is_dark(fleet: &FleetView, record: &ReplicaRecord) -> bool {
+fn is_unresponsive(fleet: &FleetView, record: &ReplicaRecord) -> bool {
     if !fleet.any_unresponsive() {
         return false;
     }
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -91,7 +91,7 @@
     save_budget: Mutex<SaveBudget>,
     weight_versions: Mutex<WeightVersions>,
     prefill_latencies: Mutex<HashMap<String, PrefillLatency>>,
-    changed: watch::Sender<u64>,
+    view_changed: watch::Sender<u64>,
     stop: Mutex<Option<ShutdownPlan>>,
     started: BootInstant,
 }
@@ -140,7 +140,7 @@
     pub fn new(options: ProxyOptions, backend: Box<dyn BackendProtocol>) -> Arc<Self> {
         let bounds = options.bounds;
         let revoke = Duration::from_millis(bounds.revoke_ms);
-        let (changed, _) = watch::channel(0);
+        let (view_changed, _) = watch::channel(0);
         Arc::new(Self {
             lease: Mutex::new(Lease::new(revoke, bounds.fail_closed)),
             options,
@@ -162,7 +162,7 @@
             save_budget: Mutex::default(),
             weight_versions: Mutex::default(),
             prefill_latencies: Mutex::default(),
-            changed,
+            view_changed,
             stop: Mutex::default(),
             started: BootInstant::now(),
         })
@@ -190,7 +190,7 @@
             lock(&self.splitter).retain(|name| routes.iter().any(|route| route.name == name));
         }
         self.view.store(Arc::new(next));
-        self.changed.send_replace(known);
+        self.view_changed.send_replace(known);
     }
 
     /// Applies a quarantine update from the control group.
@@ -215,7 +215,7 @@
 
     /// Subscribes to new views.
     pub fn view_changes(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.view_changed.subscribe()
     }
 
     /// Whether the configuration may be served from.
@@ -236,7 +236,8 @@
         let gained = !was_confirmed && self.is_confirmed();
         if gained {
             // Requests that wait for the first lease are woken like those that wait for a view.
-            self.changed.send_replace(self.view.load().known.through);
+            self.view_changed
+                .send_replace(self.view.load().known.through);
         }
         gained
     }
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -36,17 +36,17 @@
 /// Waits for the first complete events, so that an earlier failure can be retried unnoticed.
 pub async fn first_events(
     run: &mut RequestRun,
-    mut answered: ActiveExchange,
+    mut active: ActiveExchange,
 ) -> Result<ExchangeStep, FailedExchange> {
     let mut buffer = EventBuffer::after(run.request.last_event);
-    let due = run.response_deadline();
+    let deadline = run.response_deadline();
     loop {
-        match next_chunk(&mut answered, due).await {
+        match next_chunk(&mut active, deadline).await {
             Chunk::Data(bytes) => {
                 let events = buffer.push(&bytes);
                 if !events.is_empty() {
-                    answered.open.prefill_done();
-                    let (backlog, waited) = (answered.target.backlog, answered.open.elapsed());
+                    active.open.prefill_done();
+                    let (backlog, waited) = (active.target.backlog, active.open.elapsed());
                     run.state.record_first_event(&run.service, backlog, waited);
                     run.log.record_first_byte();
                     let first = FirstEvents {
@@ -54,7 +54,7 @@
                         buffer,
                         ended: false,
                     };
-                    return Ok(ExchangeStep::Stream(Box::new((answered, first))));
+                    return Ok(ExchangeStep::Stream(Box::new((active, first))));
                 }
             }
             Chunk::End if !buffer.is_inside_event() => {
@@ -63,32 +63,32 @@
                     buffer,
                     ended: true,
                 };
-                return Ok(ExchangeStep::Stream(Box::new((answered, first))));
+                return Ok(ExchangeStep::Stream(Box::new((active, first))));
             }
             Chunk::End | Chunk::Broken => {
                 let failed =
-                    FailedExchange::connection_broke("stream broke before its first event");
-                return Err(run.record_failure(&answered.target, failed));
+                    FailedExchange::broken_connection("stream broke before its first event");
+                return Err(run.record_failure(&active.target, failed));
             }
             Chunk::TimedOut => {
                 let failed = FailedExchange::may_have_run("no event in time");
-                return Err(run.record_failure(&answered.target, failed));
+                return Err(run.record_failure(&active.target, failed));
             }
         }
     }
 }
 
 /// Returns the response to the caller; its body relays the rest of the stream.
-pub fn respond(run: RequestRun, answered: ActiveExchange, first: FirstEvents) -> Response<Body> {
-    let head = clone_head(&answered);
+pub fn respond(run: RequestRun, active: ActiveExchange, first: FirstEvents) -> Response<Body> {
+    let head = clone_head(&active);
     let relay = Relay {
         pending: Some(first.events).filter(|events| !events.is_empty()),
         ended: first.ended,
         buffer: first.buffer,
-        answered: Some(answered),
+        active: Some(active),
         run,
     };
-    let response = relay.run.response(head, railtack_http::empty());
+    let response = relay.run.build_response(head, railtack_http::empty());
     let chunks = futures_stream::unfold(relay, |mut relay| async move {
         let item = relay.next().await?;
         Some((item.map(Frame::data), relay))
@@ -97,10 +97,10 @@
     Response::from_parts(parts, BodyExt::boxed(SyncStream::wrap(chunks)))
 }
 
-fn clone_head(answered: &ActiveExchange) -> hyper::http::response::Parts {
+fn clone_head(active: &ActiveExchange) -> hyper::http::response::Parts {
     let mut response = Response::new(());
-    *response.status_mut() = answered.answer.head.status;
-    *response.headers_mut() = answered.answer.head.headers.clone();
+    *response.status_mut() = active.response.head.status;
+    *response.headers_mut() = active.response.head.headers.clone();
     response.into_parts().0
 }
 
@@ -129,16 +129,16 @@
     TimedOut,
 }
 
-async fn next_chunk(answered: &mut ActiveExchange, due: Instant) -> Chunk {
+async fn next_chunk(active: &mut ActiveExchange, deadline: Instant) -> Chunk {
     loop {
-        match timeout_at(due, answered.answer.body.frame()).await {
+        match timeout_at(deadline, active.response.body.frame()).await {
             Err(_) => return Chunk::TimedOut,
             Ok(None) => return Chunk::End,
             Ok(Some(Err(_))) => return Chunk::Broken,
             Ok(Some(Ok(frame))) => {
                 // Trailers are not forwarded.
                 if let Ok(data) = frame.into_data() {
-                    answered.target.handle.record_response(Instant::now());
+                    active.target.handle.record_response(Instant::now());
                     return Chunk::Data(data);
                 }
             }
@@ -149,7 +149,7 @@
 struct Relay {
     run: RequestRun,
     /// The current exchange; `None` once the stream has ended.
-    answered: Option<ActiveExchange>,
+    active: Option<ActiveExchange>,
     buffer: EventBuffer,
     pending: Option<Bytes>,
     ended: bool,
@@ -166,12 +166,12 @@
             return self.finish();
         }
         loop {
-            let due = self.silence_deadline();
-            let mut answered = self.answered.take()?;
-            match next_chunk(&mut answered, due).await {
+            let deadline = self.silence_deadline();
+            let mut active = self.active.take()?;
+            match next_chunk(&mut active, deadline).await {
                 Chunk::Data(bytes) => {
                     let events = self.buffer.push(&bytes);
-                    self.answered = Some(answered);
+                    self.active = Some(active);
                     if self.buffer.is_oversized() {
                         return self.abort("event too large");
                     }
@@ -180,19 +180,19 @@
                     }
                 }
                 Chunk::End if !self.buffer.is_inside_event() => {
-                    self.answered = Some(answered);
+                    self.active = Some(active);
                     return self.finish();
                 }
                 Chunk::End | Chunk::Broken => {
-                    let failed = FailedExchange::connection_broke("stream broke");
-                    self.resume(answered, failed).await?;
+                    let failed = FailedExchange::broken_connection("stream broke");
+                    self.resume(active, failed).await?;
                 }
                 Chunk::TimedOut => {
                     let failed = FailedExchange::may_have_run("stream fell silent");
-                    self.resume(answered, failed).await?;
+                    self.resume(active, failed).await?;
                 }
             }
-            if self.answered.is_none() {
+            if self.active.is_none() {
                 return self.abort("stream cut");
             }
         }
@@ -211,21 +211,21 @@
 
     /// Ends the response normally.
     fn finish(&mut self) -> Option<Result<Bytes, io::Error>> {
-        if let Some(answered) = self.answered.take() {
-            self.run.record_outcome(&answered.target, ExchangeEnd::Good);
+        if let Some(active) = self.active.take() {
+            self.run.record_outcome(&active.target, ExchangeEnd::Good);
             crash_detection::request_succeeded(&self.run.state, self.run.content);
-            if answered.answer.reusable {
-                let handle = &answered.target.handle;
-                handle.pool.release(answered.answer.connection);
+            if active.response.reusable {
+                let handle = &active.target.handle;
+                handle.pool.release(active.response.connection);
             }
         }
-        self.run.log.end("streamed".to_owned());
+        self.run.log.record_outcome("streamed".to_owned());
         None
     }
 
     fn abort(&mut self, outcome: &str) -> Option<Result<Bytes, io::Error>> {
-        self.answered = None;
-        self.run.log.end(outcome.replace(' ', "_"));
+        self.active = None;
+        self.run.log.record_outcome(outcome.replace(' ', "_"));
         Some(Err(io::Error::new(
             io::ErrorKind::UnexpectedEof,
             outcome.to_owned(),
@@ -234,11 +234,11 @@
 
     /// Continues the stream at another replica. The previous connection is closed first, so that
     /// only one replica works on the stream.
-    async fn resume(&mut self, answered: ActiveExchange, failed: FailedExchange) -> Option<()> {
-        self.run.record_failure(&answered.target, failed);
-        drop(answered);
+    async fn resume(&mut self, active: ActiveExchange, failed: FailedExchange) -> Option<()> {
+        self.run.record_failure(&active.target, failed);
+        drop(active);
         self.buffer.discard_partial();
-        while self.run.acquire_resume().await {
+        while self.run.acquire_resume_retry().await {
             if !self
                 .run
                 .acquire_quota_for_retry(ExchangeProof::MayHaveRun)
@@ -250,16 +250,16 @@
                 return Some(());
             };
             let resumed = self.run.exchange(target, self.buffer.last_event()).await;
-            if let Ok(answered) = resumed
-                && answered.answer.head.status.is_success()
+            if let Ok(active) = resumed
+                && active.response.head.status.is_success()
             {
                 self.run.state.metrics.resumed.inc();
                 spdlog::info!("stream resumed", kv: {
                     request = self.run.request.id.clone(),
-                    replica = answered.target.record.id.clone(),
+                    replica = active.target.record.id.clone(),
                     last_event = self.buffer.last_event().unwrap_or_default(),
                 });
-                self.answered = Some(answered);
+                self.active = Some(active);
                 return Some(());
             }
         }
