--- a/crates/serving/src/limit.rs
+++ b/crates/serving/src/limit.rs
@@ -20,13 +20,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LimitError {
     /// The header occurs more than once.
-    #[error("named more than once")]
+    #[error("the header occurs more than once")]
     Repeated,
     /// The value is not text.
-    #[error("no text")]
+    #[error("not text")]
     NoText,
     /// The value is not a decimal number.
-    #[error("no decimal number")]
+    #[error("not a decimal number")]
     NoNumber,
     /// The value is infinite or not a number.
     #[error("not finite")]
@@ -35,7 +35,7 @@
     #[error("negative")]
     Negative,
     /// The value exceeds 1,000,000 requests per second.
-    #[error("over {MAX_REQUESTS_PER_S} requests a second")]
+    #[error("above {MAX_REQUESTS_PER_S} requests per second")]
     TooLarge,
 }
 
--- a/crates/serving/tests/availability.rs
+++ b/crates/serving/tests/availability.rs
@@ -57,10 +57,13 @@
         ..BackEndNotice::default()
     };
     let mut availability = Availability::default();
-    assert!(availability.note(REPLICA, leaving, start).leaves, "news");
+    assert!(
+        availability.note(REPLICA, leaving, start).leaves,
+        "first notice"
+    );
     assert!(
         !availability.note(REPLICA, leaving, start).leaves,
-        "no news"
+        "repeated notice"
     );
     availability.note(REPLICA, BackEndNotice::default(), start);
     let late = start + Duration::from_secs(60);
@@ -92,7 +95,7 @@
     let known = availability.limit(REPLICA).expect("a limit");
     assert_eq!((known.limit, known.named_at), (limit, later));
     availability.limit_is_over(REPLICA, start);
-    assert!(availability.limit(REPLICA).is_some(), "named since");
+    assert!(availability.limit(REPLICA).is_some(), "received later");
     availability.limit_is_over(REPLICA, later);
     assert_eq!(availability.limit(REPLICA), None);
     assert_eq!(availability.limit(OTHER), None);
--- a/crates/serving/tests/configuration.rs
+++ b/crates/serving/tests/configuration.rs
@@ -118,7 +118,9 @@
     for (position, (invalidate, expected)) in cases.iter().enumerate() {
         let mut configuration = valid();
         invalidate(&mut configuration);
-        let error = configuration.validate().expect_err("a fault");
+        let error = configuration
+            .validate()
+            .expect_err("an invalid configuration");
         assert!(expected(&error), "case {position}: {error}");
     }
 }
