--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -16,13 +16,13 @@
 /// Share of the limit from which tenants above their fair share are held back.
 const PRESSURE_START: f64 = 0.5;
 /// Lead over the fair share that is allowed when pressure begins, seconds of that share.
-const FAIR_LEAD_SECONDS: f64 = 2.0;
+const MAX_EXCESS_SECONDS: f64 = 2.0;
 /// Half-life of the measured use of a tenant, microseconds.
-const USE_HALF_LIFE_US: f64 = 5_000_000.0;
+const USAGE_HALF_LIFE_US: f64 = 5_000_000.0;
 /// Use below which a tenant does not count as active, tokens per second.
 const ACTIVE_RATE: f64 = 1.0;
 /// Shortest pause that a refused caller is asked for, microseconds.
-const SHORTEST_PAUSE_US: Micros = 100_000;
+const MIN_RETRY_AFTER_US: Micros = 100_000;
 
 /// A refusal, and how long the caller should wait before asking again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -67,12 +67,12 @@
 
 /// A tenant's standing at this router.
 #[derive(Clone, Debug)]
-pub struct TenantShare {
+pub struct TenantUsage {
     bucket_tokens: f64,
-    bucket_at: Micros,
+    bucket_updated_at: Micros,
     open_requests: u32,
-    used_rate: f64,
-    used_at: Micros,
+    usage_rate: f64,
+    usage_updated_at: Micros,
     weight: f64,
 }
 
@@ -98,7 +98,7 @@
 /// Limits and shares of all tenants at this router.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    tenants: HashMap<TenantName, TenantShare>,
+    tenants: HashMap<TenantName, TenantUsage>,
     routers: u32,
 }
 
@@ -124,92 +124,92 @@
         now: Micros,
     ) -> Result<(), AdmissionRefusal> {
         let routers = self.routers;
-        self.require_in_time(&request)?;
-        self.require_fair_share(&request, now)?;
-        let share = self.share(&request, now);
-        share.require_limits(&request, routers, now)?;
-        share.open_requests += 1;
-        share.bucket_tokens -= request.tokens as f64;
-        share.note_use(request.tokens, now);
+        self.check_first_token(&request)?;
+        self.check_fair_share(&request, now)?;
+        let usage = self.usage(&request, now);
+        usage.check_limits(&request, routers, now)?;
+        usage.open_requests += 1;
+        usage.bucket_tokens -= request.tokens as f64;
+        usage.record(request.tokens, now);
         Ok(())
     }
 
     /// Notes that an admitted request ended.
     pub fn release(&mut self, tenant: &TenantName) {
-        if let Some(share) = self.tenants.get_mut(tenant) {
-            share.open_requests = share.open_requests.saturating_sub(1);
+        if let Some(usage) = self.tenants.get_mut(tenant) {
+            usage.open_requests = usage.open_requests.saturating_sub(1);
         }
     }
 
-    fn require_in_time(&self, request: &AdmissionRequest<'_>) -> Result<(), AdmissionRefusal> {
-        let limit = limit_us(request);
+    fn check_first_token(&self, request: &AdmissionRequest<'_>) -> Result<(), AdmissionRefusal> {
+        let limit = first_token_limit_us(request);
         if request.first_token_us <= limit {
             return Ok(());
         }
-        let retry_after_us = (request.first_token_us - limit).max(SHORTEST_PAUSE_US);
+        let retry_after_us = (request.first_token_us - limit).max(MIN_RETRY_AFTER_US);
         Err(AdmissionRefusal::TooLate { retry_after_us })
     }
 
     /// Under pressure a tenant may lead its fair share by less and less, down to nothing when the
     /// fleet is full: whoever uses most is refused first.
-    fn require_fair_share(
+    fn check_fair_share(
         &mut self,
         request: &AdmissionRequest<'_>,
         now: Micros,
     ) -> Result<(), AdmissionRefusal> {
-        let pressure = request.first_token_us as f64 / limit_us(request).max(1) as f64;
+        let pressure = request.first_token_us as f64 / first_token_limit_us(request).max(1) as f64;
         if pressure < PRESSURE_START {
             return Ok(());
         }
-        let (total_rate, total_weight) = self.active(request, now);
-        let share = self.share(request, now);
-        let fair_rate = total_rate * share.weight / total_weight.max(share.weight);
-        let room = ((1.0 - pressure) / (1.0 - PRESSURE_START)).clamp(0.0, 1.0);
-        let lead_seconds = (share.rate(now) - fair_rate) / fair_rate.max(1.0);
-        if lead_seconds <= FAIR_LEAD_SECONDS * room {
+        let (total_rate, total_weight) = self.active_totals(request, now);
+        let usage = self.usage(request, now);
+        let fair_rate = total_rate * usage.weight / total_weight.max(usage.weight);
+        let tolerance = ((1.0 - pressure) / (1.0 - PRESSURE_START)).clamp(0.0, 1.0);
+        let excess_seconds = (usage.rate(now) - fair_rate) / fair_rate.max(1.0);
+        if excess_seconds <= MAX_EXCESS_SECONDS * tolerance {
             return Ok(());
         }
         Err(AdmissionRefusal::FairShare {
-            retry_after_us: SHORTEST_PAUSE_US * 5,
+            retry_after_us: MIN_RETRY_AFTER_US * 5,
         })
     }
 
     /// Rate and weight of all tenants that use the fleet now, the asking one included.
-    fn active(&self, request: &AdmissionRequest<'_>, now: Micros) -> (f64, f64) {
+    fn active_totals(&self, request: &AdmissionRequest<'_>, now: Micros) -> (f64, f64) {
         let mut total_rate = 0.0;
         let mut total_weight = 0.0;
-        for (tenant, share) in &self.tenants {
-            let rate = share.rate(now);
+        for (tenant, usage) in &self.tenants {
+            let rate = usage.rate(now);
             if rate >= ACTIVE_RATE || tenant == request.tenant {
                 total_rate += rate;
-                total_weight += share.weight;
+                total_weight += usage.weight;
             }
         }
         (total_rate, total_weight)
     }
 
-    fn share(&mut self, request: &AdmissionRequest<'_>, now: Micros) -> &mut TenantShare {
+    fn usage(&mut self, request: &AdmissionRequest<'_>, now: Micros) -> &mut TenantUsage {
         let burst = request.limits.burst_tokens as f64 / f64::from(self.routers);
-        let share = self.tenants.entry(request.tenant.clone());
-        let share = share.or_insert_with(|| TenantShare::idle(burst, now));
-        share.weight = f64::from(request.weight.max(1));
-        share
+        let usage = self.tenants.entry(request.tenant.clone());
+        let usage = usage.or_insert_with(|| TenantUsage::new(burst, now));
+        usage.weight = f64::from(request.weight.max(1));
+        usage
     }
 }
 
-impl TenantShare {
-    fn idle(bucket_tokens: f64, now: Micros) -> Self {
+impl TenantUsage {
+    fn new(bucket_tokens: f64, now: Micros) -> Self {
         Self {
             bucket_tokens,
-            bucket_at: now,
+            bucket_updated_at: now,
             open_requests: 0,
-            used_rate: 0.0,
-            used_at: now,
+            usage_rate: 0.0,
+            usage_updated_at: now,
             weight: 1.0,
         }
     }
 
-    fn require_limits(
+    fn check_limits(
         &mut self,
         request: &AdmissionRequest<'_>,
         routers: u32,
@@ -218,13 +218,13 @@
         let routers_f64 = f64::from(routers);
         let rate = request.limits.tokens_per_second as f64 / routers_f64;
         let burst = request.limits.burst_tokens as f64 / routers_f64;
-        let elapsed = now.saturating_sub(self.bucket_at) as f64 / 1e6;
+        let elapsed = now.saturating_sub(self.bucket_updated_at) as f64 / 1e6;
         self.bucket_tokens = (self.bucket_tokens + elapsed * rate).min(burst);
-        self.bucket_at = now;
+        self.bucket_updated_at = now;
         let concurrency = (request.limits.concurrent_requests / routers).max(1);
         if self.open_requests >= concurrency {
             return Err(AdmissionRefusal::ConcurrencyLimit {
-                retry_after_us: SHORTEST_PAUSE_US,
+                retry_after_us: MIN_RETRY_AFTER_US,
             });
         }
         // A request larger than the bucket passes when the bucket is full, and leaves a debt.
@@ -233,23 +233,23 @@
             return Ok(());
         }
         let wait_us = (needed - self.bucket_tokens) / rate.max(1e-9) * 1e6;
-        let retry_after_us = (wait_us as Micros).max(SHORTEST_PAUSE_US);
+        let retry_after_us = (wait_us as Micros).max(MIN_RETRY_AFTER_US);
         Err(AdmissionRefusal::RateLimit { retry_after_us })
     }
 
     fn rate(&self, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.used_at) as f64;
-        self.used_rate * 0.5_f64.powf(age / USE_HALF_LIFE_US)
+        let age = now.saturating_sub(self.usage_updated_at) as f64;
+        self.usage_rate * 0.5_f64.powf(age / USAGE_HALF_LIFE_US)
     }
 
-    fn note_use(&mut self, tokens: u64, now: Micros) {
-        let decay_per_second = std::f64::consts::LN_2 / (USE_HALF_LIFE_US / 1e6);
-        self.used_rate = self.rate(now) + tokens as f64 * decay_per_second;
-        self.used_at = now;
+    fn record(&mut self, tokens: u64, now: Micros) {
+        let decay_per_second = std::f64::consts::LN_2 / (USAGE_HALF_LIFE_US / 1e6);
+        self.usage_rate = self.rate(now) + tokens as f64 * decay_per_second;
+        self.usage_updated_at = now;
     }
 }
 
-fn limit_us(request: &AdmissionRequest<'_>) -> Micros {
+fn first_token_limit_us(request: &AdmissionRequest<'_>) -> Micros {
     match request.priority {
         Priority::Interactive => INTERACTIVE_LIMIT_US.min(request.deadline_us),
         Priority::Batch => request.deadline_us,
--- a/crates/routing/src/breaker.rs
+++ b/crates/routing/src/breaker.rs
@@ -7,15 +7,15 @@
 /// Failures in a row that open the breaker.
 const FAILURES_TO_OPEN: u32 = 3;
 /// First pause, microseconds; it doubles with each further failure.
-const FIRST_PAUSE: Micros = 500_000;
+const MIN_OPEN_TIME: Micros = 500_000;
 /// Longest pause, microseconds.
-const LONGEST_PAUSE: Micros = 30_000_000;
+const MAX_OPEN_TIME: Micros = 30_000_000;
 
 /// Whether an engine is kept from new work because of failures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CircuitBreaker {
     failures: u32,
-    closed_from: Micros,
+    open_until: Micros,
     probing: bool,
 }
 
@@ -25,7 +25,7 @@
         if self.failures < FAILURES_TO_OPEN {
             return true;
         }
-        now >= self.closed_from && !self.probing
+        now >= self.open_until && !self.probing
     }
 
     /// Notes that a request is sent.
@@ -43,7 +43,7 @@
         self.failures = self.failures.saturating_add(1);
         self.probing = false;
         let doublings = self.failures.saturating_sub(FAILURES_TO_OPEN).min(16);
-        let pause = (FIRST_PAUSE << doublings).min(LONGEST_PAUSE);
-        self.closed_from = now + pause;
+        let open_time = (MIN_OPEN_TIME << doublings).min(MAX_OPEN_TIME);
+        self.open_until = now + open_time;
     }
 }
--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -11,9 +11,9 @@
 };
 
 /// Engines ranked by rendezvous hashing for the deepest shared segment.
-const AFFINITY_DEEP: usize = 2;
+const AFFINITY_ENGINES: usize = 2;
 /// Engines drawn at random, so that load can move away from the favourites.
-const RANDOM_DRAWS: usize = 2;
+const RANDOM_ENGINES: usize = 2;
 /// Most candidates.
 pub const CANDIDATE_LIMIT: usize = 16;
 
@@ -51,12 +51,12 @@
             add(&mut candidates, *engine, *held_blocks, 0);
         }
     }
-    add_favourites(&mut candidates, group, chain, boundaries);
+    add_affinity(&mut candidates, group, chain, boundaries);
     add_random(&mut candidates, group, seed);
     candidates
 }
 
-fn add_favourites(
+fn add_affinity(
     candidates: &mut Candidates,
     group: &[Member],
     chain: &PrefixChain,
@@ -67,7 +67,7 @@
         let Some(hash) = chain.blocks.get(blocks as usize - 1) else {
             continue;
         };
-        let count = if rank == 0 { AFFINITY_DEEP } else { 1 };
+        let count = if rank == 0 { AFFINITY_ENGINES } else { 1 };
         for engine in top_by_rendezvous(group, hash.short(), count) {
             add(candidates, engine, 0, blocks);
         }
@@ -79,8 +79,8 @@
     group: &[Member],
     prefix: u64,
     count: usize,
-) -> SmallVec<[EngineSlot; AFFINITY_DEEP]> {
-    let mut best: SmallVec<[(u64, EngineSlot); AFFINITY_DEEP + 1]> = SmallVec::new();
+) -> SmallVec<[EngineSlot; AFFINITY_ENGINES]> {
+    let mut best: SmallVec<[(u64, EngineSlot); AFFINITY_ENGINES + 1]> = SmallVec::new();
     // Nearly every engine of a large group fails this one comparison.
     let mut floor = None;
     for member in group {
@@ -88,8 +88,8 @@
         if Some(weight) <= floor {
             continue;
         }
-        let place = best.partition_point(|(known, _)| *known > weight);
-        best.insert(place, (weight, member.slot));
+        let position = best.partition_point(|(known, _)| *known > weight);
+        best.insert(position, (weight, member.slot));
         best.truncate(count);
         if best.len() == count {
             floor = best.last().map(|(lowest, _)| *lowest);
@@ -111,7 +111,7 @@
         return;
     }
     let mut generator = ChaCha8Rng::seed_from_u64(seed);
-    for _ in 0..RANDOM_DRAWS {
+    for _ in 0..RANDOM_ENGINES {
         let engine = group[generator.random_range(0..group.len())].slot;
         add(candidates, engine, 0, 0);
     }
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -108,9 +108,9 @@
             return (slot, CacheKnowledge::Void);
         };
         let view = &mut self.views[usize::from(slot.0)];
-        let same_life = view.incarnation == description.incarnation;
+        let same_incarnation = view.incarnation == description.incarnation;
         let same_weights = view.key == description.key;
-        if !same_life {
+        if !same_incarnation {
             let listed = view.listed;
             *view = EngineView {
                 listed,
@@ -122,10 +122,10 @@
         if !same_weights {
             self.regroup();
         }
-        let kept = same_life && same_weights;
+        let is_valid = same_incarnation && same_weights;
         (
             slot,
-            if kept {
+            if is_valid {
                 CacheKnowledge::Kept
             } else {
                 CacheKnowledge::Void
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod scheduler;
 pub mod scoring;
 
-pub use admission::{Admission, AdmissionRefusal, TenantShare};
+pub use admission::{Admission, AdmissionRefusal, TenantUsage};
 pub use breaker::CircuitBreaker;
 pub use engines::{EngineSlot, EngineTable, EngineView, ModelKey};
 pub use index::{OverlapScores, PrefixIndex};
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,22 +1,22 @@
 //! A budget for second attempts, so that retries cannot multiply a failure.
 
 /// Tenths of a retry earned by each first attempt: one retry for ten requests in the long run.
-const EARNED_PER_REQUEST: u64 = 1;
+const CREDIT_PER_REQUEST: u64 = 1;
 /// Cost of a retry, in the same tenths.
 const RETRY_COST: u64 = 10;
 /// Most that can be saved up, in the same tenths.
-const SAVINGS_LIMIT: u64 = 100;
+const MAX_BALANCE: u64 = 100;
 
 /// Retries that may still be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
-    saved: u64,
+    balance: u64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            saved: SAVINGS_LIMIT,
+            balance: MAX_BALANCE,
         }
     }
 }
@@ -24,15 +24,15 @@
 impl RetryBudget {
     /// Notes a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED_PER_REQUEST).min(SAVINGS_LIMIT);
+        self.balance = (self.balance + CREDIT_PER_REQUEST).min(MAX_BALANCE);
     }
 
     /// Takes one retry from the budget, if there is one.
     pub fn spend(&mut self) -> bool {
-        if self.saved < RETRY_COST {
+        if self.balance < RETRY_COST {
             return false;
         }
-        self.saved -= RETRY_COST;
+        self.balance -= RETRY_COST;
         true
     }
 }
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -115,9 +115,9 @@
     pub fn opens_in(&self, key: &ModelKey, now: Micros) -> Option<Micros> {
         let group = self.engines.group(key).iter();
         let views = group.map(|member| self.engines.view(member.slot));
-        let resting = views.filter(|view| view.available && view.listed);
+        let usable = views.filter(|view| view.available && view.listed);
         let now = Moment::from_micros(now);
-        let waits = resting.filter_map(|view| view.announced.opens_in(now));
+        let waits = usable.filter_map(|view| view.announced.opens_in(now));
         let wait = waits.min()?.as_micros() as Micros;
         Some(wait).filter(|wait| *wait > 0)
     }
@@ -143,7 +143,7 @@
     fn score(&self, request: &RequestShape<'_>, candidate: Candidate) -> CandidateScore {
         let view = self.engines.view(candidate.engine);
         let same_zone = view.zone == self.options.zone;
-        let blind = self.index.is_empty();
+        let index_empty = self.index.is_empty();
         scoring::score(
             &self.options.weights,
             candidate,
@@ -151,7 +151,7 @@
             request.chain,
             request.priority,
             same_zone,
-            blind,
+            index_empty,
         )
     }
 
--- a/crates/routing/src/scoring.rs
+++ b/crates/routing/src/scoring.rs
@@ -10,7 +10,7 @@
 };
 
 /// Most places in the batch that interactive work is expected to wait for.
-const INTERACTIVE_PLACES_LIMIT: u32 = 3;
+const INTERACTIVE_SLOTS_LIMIT: u32 = 3;
 
 /// Costs of the engines as the router estimates them, and how the two aims are weighed.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,13 +27,13 @@
     pub batch_compute: f64,
     /// How far the favourite of rendezvous hashing is trusted to hold a prefix that no event
     /// mentions, 0 to 1, when the view of its cache is complete.
-    pub favourite_trust: f64,
+    pub affinity_trust: f64,
     /// The same when the view is empty or suspect, as after a restart of the router.
-    pub favourite_trust_blind: f64,
+    pub affinity_trust_unindexed: f64,
     /// Added for an engine in another zone, microseconds.
     pub other_zone_us: f64,
     /// Expected time to free one place in a full batch, microseconds.
-    pub batch_place_us: f64,
+    pub batch_slot_us: f64,
 }
 
 impl Default for ScoreWeights {
@@ -44,10 +44,10 @@
             interactive_compute: 0.5,
             batch_latency: 0.25,
             batch_compute: 1.0,
-            favourite_trust: 0.6,
-            favourite_trust_blind: 0.7,
+            affinity_trust: 0.6,
+            affinity_trust_unindexed: 0.7,
             other_zone_us: 2_500.0,
-            batch_place_us: 60_000.0,
+            batch_slot_us: 60_000.0,
         }
     }
 }
@@ -75,16 +75,16 @@
     chain: &PrefixChain,
     priority: Priority,
     same_zone: bool,
-    blind: bool,
+    index_empty: bool,
 ) -> CandidateScore {
     let held_tokens = chain.tokens_at(candidate.held_blocks as usize);
-    let favoured_tokens = chain.tokens_at(candidate.favoured_blocks as usize);
-    let trust = if blind || view.suspect {
-        weights.favourite_trust_blind
+    let affinity_tokens = chain.tokens_at(candidate.favoured_blocks as usize);
+    let trust = if index_empty || view.suspect {
+        weights.affinity_trust_unindexed
     } else {
-        weights.favourite_trust
+        weights.affinity_trust
     };
-    let expected = f64::from(held_tokens).max(f64::from(favoured_tokens) * trust);
+    let expected = f64::from(held_tokens).max(f64::from(affinity_tokens) * trust);
     let uncached = (f64::from(chain.total_tokens) - expected).max(1.0);
     let compute_us = uncached * weights.prefill_token_us;
     let queue_us = queue_us(weights, view, priority);
@@ -120,16 +120,16 @@
         Priority::Batch => load.queued_prefill_tokens.max(view.outstanding_tokens),
     };
     let batch_limit = load.batch_limit.max(1);
-    let present = load.running + load.waiting + view.sent_since_report;
-    let excess = (present + 1).saturating_sub(batch_limit);
-    let places = match priority {
+    let total = load.running + load.waiting + view.sent_since_report;
+    let excess = (total + 1).saturating_sub(batch_limit);
+    let slots = match priority {
         // Whoever waits below this class is overtaken; but a queue tells that steps are long, so
         // some of it counts.
-        Priority::Interactive => excess.min(INTERACTIVE_PLACES_LIMIT),
+        Priority::Interactive => excess.min(INTERACTIVE_SLOTS_LIMIT),
         Priority::Batch => excess,
     };
     let step_us = load.step_us as f64;
     queued_tokens as f64 * weights.prefill_token_us
         + step_us / 2.0
-        + f64::from(places) * weights.batch_place_us
+        + f64::from(slots) * weights.batch_slot_us
 }
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -26,10 +26,10 @@
     }
 }
 
-fn describe(id: u32, life: u64, version: u32) -> EngineDescription {
+fn describe(id: u32, incarnation: u64, version: u32) -> EngineDescription {
     EngineDescription {
         id: EngineId(id),
-        incarnation: EngineIncarnation(life),
+        incarnation: EngineIncarnation(incarnation),
         zone: "zone".into(),
         key: key(version),
         available: true,
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_holder_with_a_long_queue_is_passed_over() {
+fn a_holder_with_a_long_queue_is_not_chosen() {
     let mut scheduler = scheduler(40);
     let chain = chain(&"a long opening ".repeat(200));
     let holder = EngineSlot(17);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn waiting_batch_work_does_not_stand_before_interactive_work() {
+fn queued_batch_requests_do_not_delay_interactive_requests() {
     let mut scheduler = scheduler(1);
     let full = LoadReport {
         running: 32,
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn engines_that_left_are_never_chosen() {
+fn unavailable_and_unlisted_engines_are_never_chosen() {
     let mut scheduler = scheduler(3);
     let chain = chain("short");
     scheduler.engines.view_mut(EngineSlot(0)).available = false;
@@ -138,12 +138,12 @@
 }
 
 #[test]
-fn an_engine_that_asked_for_rest_is_not_chosen_in_that_life() {
-    const REST_US: u64 = 3_000_000;
+fn an_engine_in_back_off_is_not_chosen_until_it_restarts() {
+    const BACK_OFF_US: u64 = 3_000_000;
     let mut scheduler = scheduler(1);
     let chain = chain("short");
     let notice = BackEndNotice {
-        back_off: Some(Duration::from_micros(REST_US)),
+        back_off: Some(Duration::from_micros(BACK_OFF_US)),
         ..BackEndNotice::default()
     };
     let view = scheduler.engines.view_mut(EngineSlot(0));
@@ -156,23 +156,23 @@
     scheduler.engines.update(describe(0, 1, 1));
     assert_eq!(choose(&scheduler, &chain, &[]), None);
     assert_eq!(
-        scheduler.opens_in(&key(1), REST_US / 3),
-        Some(REST_US * 2 / 3)
+        scheduler.opens_in(&key(1), BACK_OFF_US / 3),
+        Some(BACK_OFF_US * 2 / 3)
     );
-    assert_eq!(scheduler.opens_in(&key(1), REST_US), None);
+    assert_eq!(scheduler.opens_in(&key(1), BACK_OFF_US), None);
     // What the former life asked for does not bind the next one.
     scheduler.engines.update(describe(0, 2, 1));
     assert_eq!(choose(&scheduler, &chain, &[]), Some(EngineSlot(0)));
 }
 
 #[test]
-fn a_new_life_or_new_weights_void_what_was_known() {
+fn a_restart_or_new_weights_invalidate_the_cache() {
     let mut scheduler = scheduler(1);
     let (_, same) = scheduler.engines.update(describe(0, 1, 1));
-    let (_, life) = scheduler.engines.update(describe(0, 2, 1));
+    let (_, restarted) = scheduler.engines.update(describe(0, 2, 1));
     let (_, weights) = scheduler.engines.update(describe(0, 2, 2));
     assert_eq!(same, CacheKnowledge::Kept);
-    assert_eq!(life, CacheKnowledge::Void);
+    assert_eq!(restarted, CacheKnowledge::Void);
     assert_eq!(weights, CacheKnowledge::Void);
     assert!(scheduler.engines.group(&key(1)).is_empty());
     let group = scheduler.engines.group(&key(2));
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn all_routers_agree_on_the_favourites_of_a_prefix_they_know_nothing_of() {
+fn all_routers_choose_the_same_engine_for_an_unknown_prefix() {
     let chain = chain(&"a long opening ".repeat(50));
     let mut one = scheduler(50);
     let other = scheduler(50);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn tenants_move_to_new_weights_with_the_share_of_replicas() {
+fn tenants_switch_to_new_weights_in_proportion_to_updated_replicas() {
     let mut scheduler = scheduler(4);
     let model = ModelName::from("model");
     let version = |scheduler: &Scheduler, point: f64| {
@@ -253,20 +253,20 @@
         check_overlaps(&holdings, &chain, &index)
     }
 
-    fn forgetting_an_engine_leaves_the_others(blocks: Vec<(u16, u64)>, gone: u16) -> bool {
+    fn removing_an_engine_keeps_the_blocks_of_others(blocks: Vec<(u16, u64)>, removed: u16) -> bool {
         let mut index = PrefixIndex::new(1_000_000);
         let mut kept = BTreeSet::new();
         for (engine, block) in &blocks {
             index.stored(EngineSlot(*engine), [BlockHash(u128::from(*block))]);
-            if *engine != gone {
+            if *engine != removed {
                 kept.insert(*block);
             }
         }
-        index.forget(EngineSlot(gone));
+        index.forget(EngineSlot(removed));
         index.len() == kept.len()
     }
 
-    fn a_full_index_refuses_instead_of_growing(blocks: Vec<u64>) -> bool {
+    fn a_full_index_does_not_grow(blocks: Vec<u64>) -> bool {
         let mut index = PrefixIndex::new(5);
         index.stored(EngineSlot(0), blocks.iter().map(|block| BlockHash(u128::from(*block))));
         index.len() <= 5
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_tenant_over_its_rate_is_told_when_to_come_back() {
+fn a_tenant_over_its_rate_is_refused_with_a_retry_time() {
     let tenant = TenantName::from("tenant");
     let limits = limits(1_000, 1_000, 100);
     let mut admission = Admission::default();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn work_that_would_begin_too_late_is_refused_at_once() {
+fn a_request_that_would_start_too_late_is_refused() {
     let tenant = TenantName::from("tenant");
     let limits = TenantLimits::default();
     let mut admission = Admission::default();
@@ -76,15 +76,15 @@
     };
     let refusal = admission.admit(late, 0).expect_err("too late");
     assert!(matches!(refusal, AdmissionRefusal::TooLate { .. }));
-    let patient = AdmissionRequest {
+    let batch = AdmissionRequest {
         priority: Priority::Batch,
         ..late
     };
-    assert_eq!(admission.admit(patient, 0), Ok(()));
+    assert_eq!(admission.admit(batch, 0), Ok(()));
 }
 
 #[test]
-fn under_pressure_the_greedy_tenant_is_refused_first() {
+fn under_load_the_tenant_with_the_highest_usage_is_refused_first() {
     let greedy = TenantName::from("greedy");
     let modest = TenantName::from("modest");
     let limits = limits(10_000_000, 10_000_000, 10_000);
@@ -93,17 +93,17 @@
         let _ = admission.admit(request(&greedy, &limits, 10_000), 0);
     }
     let _ = admission.admit(request(&modest, &limits, 10_000), 0);
-    let pressed = |tenant| AdmissionRequest {
+    let under_load = |tenant| AdmissionRequest {
         first_token_us: 590_000,
         ..request(tenant, &limits, 10_000)
     };
-    let refusal = admission.admit(pressed(&greedy), 0);
+    let refusal = admission.admit(under_load(&greedy), 0);
     assert!(matches!(refusal, Err(AdmissionRefusal::FairShare { .. })));
-    assert_eq!(admission.admit(pressed(&modest), 0), Ok(()));
+    assert_eq!(admission.admit(under_load(&modest), 0), Ok(()));
 }
 
 #[test]
-fn a_breaker_opens_lets_one_probe_through_and_closes() {
+fn an_open_breaker_allows_one_probe_and_closes_on_success() {
     let mut breaker = CircuitBreaker::default();
     for _ in 0..3 {
         assert!(breaker.allows(0));
