--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,6 +1,6 @@
-//! Who may run a request now: tenant limits, fair shares under load, and deadlines.
+//! Admission control: tenant limits, fair shares under load, and deadlines.
 //!
-//! A refusal is final and at once, with when to come back.
+//! Requests are never queued here: they are admitted or refused at once, with a time for the retry.
 
 use std::collections::HashMap;
 
@@ -10,24 +10,24 @@
 
 use crate::Micros;
 
-/// Estimated time to first token above which interactive work is refused, microseconds. The
-/// target is 760 ms; the rest covers the error of the estimate.
+/// Estimated time to first token above which interactive requests are refused, microseconds. The
+/// target is 760 ms; the difference covers the error of the estimate.
 const INTERACTIVE_LIMIT_US: Micros = 600_000;
-/// Share of the limit from which tenants above their fair share are held back.
+/// Fraction of the limit above which tenants that exceed their fair share are refused.
 const PRESSURE_START: f64 = 0.5;
-/// Lead over the fair share that is allowed when pressure begins, seconds of that share.
+/// Excess over the fair share that is tolerated at `PRESSURE_START`, in seconds of that share.
 const MAX_EXCESS_SECONDS: f64 = 2.0;
-/// Half-life of the measured use of a tenant, microseconds.
+/// Half-life of the measured usage of a tenant, microseconds.
 const USAGE_HALF_LIFE_US: f64 = 5_000_000.0;
-/// Use below which a tenant does not count as active, tokens per second.
+/// Usage below which a tenant does not count as active, tokens per second.
 const ACTIVE_RATE: f64 = 1.0;
-/// Shortest pause that a refused caller is asked for, microseconds.
+/// Minimum time after which a refused caller may retry, microseconds.
 const MIN_RETRY_AFTER_US: Micros = 100_000;
 
-/// A refusal, and how long the caller should wait before asking again.
+/// Reason why a request was refused, with the time after which the caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AdmissionRefusal {
-    /// The tenant's own rate is used up.
+    /// The token bucket of the tenant is empty.
     #[error("the tenant's rate is used up")]
     RateLimit {
         /// Pause, microseconds.
@@ -39,13 +39,13 @@
         /// Pause, microseconds.
         retry_after_us: Micros,
     },
-    /// The fleet is loaded and the tenant is above its fair share.
+    /// The fleet is under load and the tenant exceeds its fair share.
     #[error("the fleet is loaded and the tenant is above its fair share")]
     FairShare {
         /// Pause, microseconds.
         retry_after_us: Micros,
     },
-    /// The answer would begin too late.
+    /// The estimated time to first token exceeds the limit or the deadline.
     #[error("the answer would begin too late")]
     TooLate {
         /// Pause, microseconds.
@@ -54,7 +54,7 @@
 }
 
 impl AdmissionRefusal {
-    /// How long to wait, microseconds.
+    /// Time after which the caller may retry, microseconds.
     pub fn retry_after_us(self) -> Micros {
         match self {
             Self::RateLimit { retry_after_us }
@@ -65,7 +65,7 @@
     }
 }
 
-/// A tenant's standing at this router.
+/// Usage and token bucket of one tenant at this router.
 #[derive(Clone, Debug)]
 pub struct TenantUsage {
     bucket_tokens: f64,
@@ -76,26 +76,26 @@
     weight: f64,
 }
 
-/// What is asked.
+/// A request to be admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// The tenant.
+    /// Tenant that sent the request.
     pub tenant: &'a TenantName,
-    /// Its limits over the fleet.
+    /// Limits of the tenant over all routers.
     pub limits: &'a TenantLimits,
-    /// Its weight.
+    /// Weight of the tenant in fair shares; 0 counts as 1.
     pub weight: u32,
-    /// Tokens of prompt and answer.
+    /// Tokens of prompt and response.
     pub tokens: u64,
-    /// Class of the work.
+    /// Priority class.
     pub priority: Priority,
     /// Estimated time to first token.
     pub first_token_us: Micros,
-    /// Time left until the deadline.
+    /// Time until the deadline.
     pub deadline_us: Micros,
 }
 
-/// Limits and shares of all tenants at this router.
+/// Admission state of all tenants at this router.
 #[derive(Clone, Debug)]
 pub struct Admission {
     tenants: HashMap<TenantName, TenantUsage>,
@@ -112,12 +112,12 @@
 }
 
 impl Admission {
-    /// Sets over how many routers the tenants' limits are divided.
+    /// Sets the number of routers among which tenant limits are divided.
     pub fn set_routers(&mut self, routers: u32) {
         self.routers = routers.max(1);
     }
 
-    /// Takes a request in, or says why not. Call [`Admission::release`] when it ends.
+    /// Admits or refuses a request. [`Admission::release`] must be called when an admitted request ends.
     pub fn admit(
         &mut self,
         request: AdmissionRequest<'_>,
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    /// Notes that an admitted request ended.
+    /// Releases the concurrency slot of an admitted request that ended.
     pub fn release(&mut self, tenant: &TenantName) {
         if let Some(usage) = self.tenants.get_mut(tenant) {
             usage.open_requests = usage.open_requests.saturating_sub(1);
@@ -150,8 +150,8 @@
         Err(AdmissionRefusal::TooLate { retry_after_us })
     }
 
-    /// Under pressure a tenant may lead its fair share by less and less, down to nothing when the
-    /// fleet is full: whoever uses most is refused first.
+    /// The tolerated excess over the fair share shrinks with rising pressure and is zero when the
+    /// fleet is full, so that the tenants with the highest usage are refused first.
     fn check_fair_share(
         &mut self,
         request: &AdmissionRequest<'_>,
@@ -174,7 +174,7 @@
         })
     }
 
-    /// Rate and weight of all tenants that use the fleet now, the asking one included.
+    /// Total rate and weight of all active tenants, the requesting one included.
     fn active_totals(&self, request: &AdmissionRequest<'_>, now: Micros) -> (f64, f64) {
         let mut total_rate = 0.0;
         let mut total_weight = 0.0;
@@ -227,7 +227,7 @@
                 retry_after_us: MIN_RETRY_AFTER_US,
             });
         }
-        // A request larger than the bucket passes when the bucket is full, and leaves a debt.
+        // A request larger than the bucket is admitted when the bucket is full; the level becomes negative.
         let needed = (request.tokens as f64).min(burst);
         if self.bucket_tokens >= needed {
             return Ok(());
--- a/crates/routing/src/breaker.rs
+++ b/crates/routing/src/breaker.rs
@@ -1,17 +1,17 @@
-//! Circuit breaking for one life of an engine.
+//! Circuit breaker for one incarnation of an engine.
 //!
-//! A new incarnation starts with a closed breaker: what failed was the former process.
+//! A new incarnation starts with a closed breaker, since the failures were those of the former process.
 
 use crate::Micros;
 
-/// Failures in a row that open the breaker.
+/// Consecutive failures that open the breaker.
 const FAILURES_TO_OPEN: u32 = 3;
-/// First pause, microseconds; it doubles with each further failure.
+/// Time for which the breaker stays open at first, microseconds; it doubles with each further failure.
 const MIN_OPEN_TIME: Micros = 500_000;
-/// Longest pause, microseconds.
+/// Maximum time for which the breaker stays open, microseconds.
 const MAX_OPEN_TIME: Micros = 30_000_000;
 
-/// Whether an engine is kept from new work because of failures.
+/// Blocks requests to an engine after consecutive failures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CircuitBreaker {
     failures: u32,
@@ -20,7 +20,7 @@
 }
 
 impl CircuitBreaker {
-    /// Whether a request may be sent now. After a pause, one probe at a time may.
+    /// Whether a request may be sent now. Once the open time has passed, one probe at a time is allowed.
     pub fn allows(&self, now: Micros) -> bool {
         if self.failures < FAILURES_TO_OPEN {
             return true;
@@ -28,17 +28,17 @@
         now >= self.open_until && !self.probing
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request is sent.
     pub fn begin(&mut self) {
         self.probing = self.failures >= FAILURES_TO_OPEN;
     }
 
-    /// Notes an answer.
+    /// Records a response and closes the breaker.
     pub fn succeed(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a failure of the engine, not a refusal.
+    /// Records a failure of the engine. Refusals do not count as failures.
     pub fn fail(&mut self, now: Micros) {
         self.failures = self.failures.saturating_add(1);
         self.probing = false;
--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Which engines to consider for a request: a handful, however many there are.
+//! Selects a bounded number of engines to consider for a request.
 
 use railtack_core::PrefixChain;
 use rand::{RngExt, SeedableRng};
@@ -10,32 +10,32 @@
     index::OverlapScores,
 };
 
-/// Engines ranked by rendezvous hashing for the deepest shared segment.
+/// Engines chosen by rendezvous hashing for the deepest shared segment.
 const AFFINITY_ENGINES: usize = 2;
-/// Engines drawn at random, so that load can move away from the favourites.
+/// Engines drawn at random, so that load can move away from the affinity engines.
 const RANDOM_ENGINES: usize = 2;
-/// Most candidates.
+/// Maximum number of candidates.
 pub const CANDIDATE_LIMIT: usize = 16;
 
 /// An engine to consider.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The engine.
+    /// Slot of the engine.
     pub engine: EngineSlot,
-    /// Leading blocks that the index says it holds.
+    /// Leading blocks that the engine has cached according to the index.
     pub held_blocks: u32,
-    /// Leading blocks for which rendezvous hashing makes it a favourite: all routers send this
-    /// prefix there unless load keeps them, so it probably holds them even if no event says so.
+    /// Leading blocks for which rendezvous hashing selects the engine. All routers prefer it for
+    /// this prefix, so it has probably cached these blocks even without an event.
     pub favoured_blocks: u32,
 }
 
 /// Candidates of one decision.
 pub type Candidates = SmallVec<[Candidate; CANDIDATE_LIMIT]>;
 
-/// Collects holders, favourites and random draws from `group`. `belongs` tells whether an engine is
-/// in the group.
+/// Collects the engines of `group` that have cached the prefix, that rendezvous hashing selects, and
+/// that are drawn at random. `belongs` returns whether an engine is in the group.
 ///
-/// `boundaries` gives, in blocks, where the segments shared with other requests end, shallowest
+/// `boundaries` are the ends of the segments shared with other requests, in blocks, shallowest
 /// first.
 pub fn collect(
     group: &[Member],
@@ -74,14 +74,14 @@
     }
 }
 
-/// The `count` engines with the highest hash of prefix and engine, best first.
+/// Returns the `count` engines with the highest hash of prefix and engine, highest first.
 fn top_by_rendezvous(
     group: &[Member],
     prefix: u64,
     count: usize,
 ) -> SmallVec<[EngineSlot; AFFINITY_ENGINES]> {
     let mut best: SmallVec<[(u64, EngineSlot); AFFINITY_ENGINES + 1]> = SmallVec::new();
-    // Nearly every engine of a large group fails this one comparison.
+    // In a large group, most engines are rejected by this comparison alone.
     let mut floor = None;
     for member in group {
         let weight = mix(member.seed ^ prefix);
@@ -98,8 +98,8 @@
     best.into_iter().map(|(_, engine)| engine).collect()
 }
 
-/// Spreads the bits of a value over the whole result (the finalizer of SplitMix64). Every engine
-/// of a group is weighed in every decision, so this must be cheap.
+/// The finalizer of SplitMix64. It runs for every engine of a group in every decision, so it must be
+/// cheap.
 fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -1,4 +1,4 @@
-//! What the router knows of each engine.
+//! The router's view of the engines.
 
 use std::collections::HashMap;
 
@@ -9,57 +9,57 @@
 
 use crate::{Micros, breaker::CircuitBreaker};
 
-/// Position of an engine in the table; reused only by the same engine.
+/// Index of an engine in the table. A slot is never reassigned to another engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineSlot(pub u16);
 
-/// What an engine must have loaded to serve a request.
+/// Model and version of the weights, which an engine must have loaded to serve a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelKey {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Its weights.
+    /// Version of its weights.
     pub weights_version: WeightsVersion,
 }
 
-/// One engine, as the router sees it.
+/// State of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineView {
-    /// The engine.
+    /// Id of the engine.
     pub id: EngineId,
-    /// Its life; a change empties everything known about it.
+    /// Incarnation of the engine; all other state is reset when it changes.
     pub incarnation: EngineIncarnation,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: ZoneName,
-    /// What it has loaded.
+    /// Loaded model and weights.
     pub key: ModelKey,
-    /// Whether the engine itself takes new work.
+    /// Whether the engine reports that it accepts new requests.
     pub available: bool,
-    /// Whether the platform lists it as live.
+    /// Whether the platform lists the engine as live.
     pub listed: bool,
-    /// The last load report.
+    /// Latest load report.
     pub load: LoadReport,
-    /// When the report was taken in.
+    /// When the latest load report was received.
     pub reported_at: Micros,
-    /// When anything was last heard of the engine.
+    /// When any message was last received from the engine.
     pub heard_at: Micros,
-    /// Prompt tokens that this router has sent since and that have yielded no first token.
+    /// Prompt tokens of this router's requests that have not produced a first token.
     pub outstanding_tokens: u64,
-    /// The part of them above the lowest priority.
+    /// The part of `outstanding_tokens` above the lowest priority.
     pub outstanding_urgent_tokens: u64,
-    /// Requests of this router that are open there.
+    /// Open requests from this router.
     pub open_requests: u32,
-    /// Requests sent since the last report.
+    /// Requests sent since the last load report.
     pub sent_since_report: u32,
-    /// Whether recent requests failed.
+    /// Circuit breaker for requests to the engine.
     pub breaker: CircuitBreaker,
-    /// What the engine said of itself in answers. No other request's good end, and no report, takes that back.
+    /// State that the engine advertised in responses; successful requests and load reports do not reset it.
     pub announced: Announced,
-    /// Whether events were lost, so that the view of its cache may be wrong.
+    /// Whether cache events were lost, so that the prefix index may be wrong for this engine.
     pub suspect: bool,
 }
 
-/// All engines.
+/// All known engines, grouped by loaded model and weights.
 #[derive(Clone, Debug, Default)]
 pub struct EngineTable {
     views: Vec<EngineView>,
@@ -67,41 +67,41 @@
     groups: HashMap<ModelKey, Vec<Member>>,
 }
 
-/// An engine in a group, with what rendezvous hashing needs of it.
+/// An engine in a group, with its seed for rendezvous hashing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The engine.
+    /// Slot of the engine.
     pub slot: EngineSlot,
-    /// Hash of the engine's own number, not its slot, so that all routers agree.
+    /// Hash of the engine's id, which is the same at all routers, unlike the slot.
     pub seed: u64,
 }
 
-/// What an engine says about itself.
+/// State that an engine reports about itself.
 #[derive(Clone, Debug)]
 pub struct EngineDescription {
-    /// The engine.
+    /// Id of the engine.
     pub id: EngineId,
-    /// Its life.
+    /// Incarnation of the engine.
     pub incarnation: EngineIncarnation,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: ZoneName,
-    /// What it has loaded.
+    /// Loaded model and weights.
     pub key: ModelKey,
-    /// Whether it may get new work.
+    /// Whether the engine accepts new requests.
     pub available: bool,
 }
 
-/// Whether what was known of an engine's cache still holds.
+/// Whether the former contents of an engine's cache are still valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheKnowledge {
-    /// Same life, same weights.
+    /// Incarnation and weights are unchanged.
     Kept,
-    /// A new life or other weights: the cache is empty.
+    /// The engine restarted or loaded other weights, so its cache is empty.
     Void,
 }
 
 impl EngineTable {
-    /// Takes in what an engine says about itself.
+    /// Adds an engine or applies its reported state.
     pub fn update(&mut self, description: EngineDescription) -> (EngineSlot, CacheKnowledge) {
         let Some(slot) = self.slots.get(&description.id).copied() else {
             let slot = self.add(description);
@@ -133,7 +133,7 @@
         )
     }
 
-    /// Takes in a load report.
+    /// Applies a load report.
     pub fn report(&mut self, slot: EngineSlot, load: LoadReport, now: Micros) {
         let view = &mut self.views[usize::from(slot.0)];
         view.load = load;
@@ -142,30 +142,30 @@
         view.sent_since_report = 0;
     }
 
-    /// The engine at a slot.
+    /// Returns the engine in a slot.
     pub fn view(&self, slot: EngineSlot) -> &EngineView {
         &self.views[usize::from(slot.0)]
     }
 
-    /// The engine at a slot, for changing.
+    /// Returns the engine in a slot for changes.
     pub fn view_mut(&mut self, slot: EngineSlot) -> &mut EngineView {
         &mut self.views[usize::from(slot.0)]
     }
 
-    /// The slot of an engine.
+    /// Returns the slot of an engine, if it is known.
     pub fn slot(&self, id: EngineId) -> Option<EngineSlot> {
         self.slots.get(&id).copied()
     }
 
-    /// Engines that have a model's weights loaded.
+    /// Returns the engines that have this model and weights loaded.
     pub fn group(&self, key: &ModelKey) -> &[Member] {
         self.groups.get(key).map_or(&[], Vec::as_slice)
     }
 
-    /// The weights that a tenant's requests use while replicas change over to `target`.
+    /// Returns the weights for a tenant's requests while replicas are updated to `target`.
     ///
-    /// Tenants move in the order of `point` (0 to 1, fixed for each tenant) as the share of
-    /// replicas with the new weights grows, so that neither set of replicas is swamped.
+    /// Tenants switch in the order of `point` (0 to 1, fixed for each tenant) as the share of updated
+    /// replicas grows, so that neither set of replicas is overloaded.
     pub fn serving_version(
         &self,
         model: &ModelName,
@@ -198,13 +198,13 @@
         view.available && view.listed
     }
 
-    /// All engines.
+    /// Returns all engines in the order of their slots.
     pub fn views(&self) -> &[EngineView] {
         &self.views
     }
 
     fn add(&mut self, description: EngineDescription) -> EngineSlot {
-        // Engines number a few thousand at the most, far below the range of a slot.
+        // There are at most a few thousand engines, so the slot cannot overflow.
         let slot = EngineSlot(self.views.len() as u16);
         self.slots.insert(description.id, slot);
         self.views.push(EngineView::new(description));
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Notes a request that was sent.
+    /// Records a request that was sent to the engine.
     pub fn sent(&mut self, uncached_tokens: u64, urgent: bool) {
         self.open_requests += 1;
         self.sent_since_report += 1;
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Notes that a request yielded its first token, or will yield none.
+    /// Records that a request produced its first token, or will not produce one.
     pub fn prefilled(&mut self, uncached_tokens: u64, urgent: bool) {
         self.outstanding_tokens = self.outstanding_tokens.saturating_sub(uncached_tokens);
         if urgent {
@@ -268,12 +268,12 @@
         }
     }
 
-    /// Whether the engine takes requests, as far as it said.
+    /// Whether the engine's advertised state allows requests.
     pub fn takes_requests(&self, now: Micros) -> bool {
         self.announced.takes(Moment::from_micros(now))
     }
 
-    /// Notes that a request ended.
+    /// Records that a request ended.
     pub fn closed(&mut self) {
         self.open_requests = self.open_requests.saturating_sub(1);
     }
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -1,8 +1,7 @@
-//! Which engine holds how deep a prefix.
+//! Index of the prefixes that engines have cached.
 //!
-//! Engines evict the deepest blocks of a prefix first, so an engine that holds a block almost
-//! always holds those before it. A lookup therefore searches the depth by bisection instead of
-//! walking every block.
+//! Engines evict the deepest blocks of a prefix first, so an engine that has cached a block has
+//! almost always cached its predecessors. Lookups therefore use a binary search over the depth.
 
 use std::collections::HashMap;
 
@@ -12,38 +11,38 @@
 
 use crate::engines::EngineSlot;
 
-/// Engines whose depth is worked out in one lookup.
+/// Maximum number of engines whose depth is determined in one lookup.
 pub const HOLDER_LIMIT: usize = 8;
 
 type Holders = SmallVec<[EngineSlot; 4]>;
 
-/// The engines that hold a prefix, each with the number of leading blocks, deepest first.
+/// Engines that have cached a prefix, by the number of cached leading blocks, deepest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OverlapScores {
-    /// Engine and number of leading blocks held.
+    /// Engine and number of cached leading blocks.
     pub held: SmallVec<[(EngineSlot, u32); HOLDER_LIMIT]>,
 }
 
 impl OverlapScores {
-    /// Leading blocks that an engine holds.
+    /// Number of leading blocks that an engine has cached.
     pub fn blocks(&self, engine: EngineSlot) -> u32 {
         let known = self.held.iter().find(|(slot, _)| *slot == engine);
         known.map_or(0, |(_, blocks)| *blocks)
     }
 }
 
-/// A view of the engines' caches, built from their events.
+/// Cached blocks of all engines, built from their cache events.
 #[derive(Clone, Debug)]
 pub struct PrefixIndex {
-    /// Keyed by half of the hash: a false match only misjudges one cost, because the engine
-    /// decides by the whole hash within the tenant's namespace what it reuses.
+    /// Keyed by one half of the hash. A collision only distorts a cost estimate, because engines
+    /// match cached blocks by the whole hash within the tenant's namespace.
     holders: HashMap<u64, Holders, Xxh3Builder>,
     capacity: usize,
     refused: u64,
 }
 
 impl PrefixIndex {
-    /// An empty view that holds at most `capacity` blocks.
+    /// Creates an empty index of at most `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             holders: HashMap::default(),
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Notes that an engine holds blocks.
+    /// Adds blocks that an engine has cached.
     pub fn stored(&mut self, engine: EngineSlot, blocks: impl IntoIterator<Item = BlockHash>) {
         for block in blocks {
             if self.holders.len() >= self.capacity && !self.holders.contains_key(&block.short()) {
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Notes that an engine has evicted blocks.
+    /// Removes blocks that an engine has evicted.
     pub fn removed(&mut self, engine: EngineSlot, blocks: impl IntoIterator<Item = BlockHash>) {
         for block in blocks {
             let Some(holders) = self.holders.get_mut(&block.short()) else {
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Forgets everything about an engine, as after its restart.
+    /// Removes all blocks of an engine, for example after its restart.
     pub fn forget(&mut self, engine: EngineSlot) {
         self.holders.retain(|_, holders| {
             holders.retain(|known| *known != engine);
@@ -87,7 +86,7 @@
         });
     }
 
-    /// The engines that hold the chain's beginning.
+    /// Finds the engines that have cached a prefix of the chain.
     pub fn overlaps(&self, chain: &PrefixChain) -> OverlapScores {
         let mut scores = OverlapScores::default();
         let blocks = &chain.blocks;
@@ -103,17 +102,17 @@
         scores
     }
 
-    /// Blocks in the view.
+    /// Number of blocks in the index.
     pub fn len(&self) -> usize {
         self.holders.len()
     }
 
-    /// Whether the view is empty.
+    /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
 
-    /// Blocks that were not noted because the view was full.
+    /// Number of blocks that were not added because the index was full.
     pub fn refused(&self) -> u64 {
         self.refused
     }
@@ -143,7 +142,7 @@
     }
 }
 
-/// Number of leading positions that satisfy a monotone condition.
+/// Number of leading positions that satisfy a monotone condition, by binary search.
 fn deepest_where(length: usize, holds: impl Fn(usize) -> bool) -> usize {
     let mut low = 0;
     let mut high = length;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,11 +1,11 @@
-//! Pure routing decisions: prefix index, scoring, admission, retries and circuit breaking.
+//! Routing decisions: prefix index, scoring, admission, retries and circuit breaking.
 //!
-//! Nothing here reads a clock, draws unseeded random numbers or performs I/O. The router daemon
-//! and the simulator run the same code.
+//! This crate reads no clock, draws no unseeded random numbers and performs no I/O. The router
+//! daemon and the simulator run the same code.
 //!
-//! One decision goes through the modules in this order: [`admission`] asks whether the tenant may
-//! run it, [`index`] tells who holds its prefix, [`candidates`] picks whom to consider,
-//! [`scoring`] compares them, and [`scheduler`] joins the steps.
+//! [`admission`] checks the limits of the tenant. [`index`] finds the engines that have cached the
+//! prefix, [`candidates`] selects engines to consider, [`scoring`] estimates their cost, and
+//! [`scheduler`] combines these steps into a decision.
 
 pub mod admission;
 pub mod breaker;
@@ -24,5 +24,5 @@
 pub use scheduler::{Decision, RequestShape, Scheduler, SchedulerOptions};
 pub use scoring::{CandidateScore, ScoreWeights};
 
-/// Microseconds on the caller's monotonic clock.
+/// Time on the monotonic clock of the caller, or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,13 +1,13 @@
-//! A budget for second attempts, so that retries cannot multiply a failure.
+//! Retry budget, which bounds the load that retries add during a failure.
 
-/// Tenths of a retry earned by each first attempt: one retry for ten requests in the long run.
+/// Credit for each first attempt, in tenths of a retry: one retry per ten requests in the long run.
 const CREDIT_PER_REQUEST: u64 = 1;
-/// Cost of a retry, in the same tenths.
+/// Cost of a retry, in tenths of a retry.
 const RETRY_COST: u64 = 10;
-/// Most that can be saved up, in the same tenths.
+/// Maximum balance, in tenths of a retry.
 const MAX_BALANCE: u64 = 100;
 
-/// Retries that may still be made.
+/// Balance of retries that may still be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
     balance: u64,
@@ -22,12 +22,12 @@
 }
 
 impl RetryBudget {
-    /// Notes a first attempt.
+    /// Credits the budget for a first attempt.
     pub fn earn(&mut self) {
         self.balance = (self.balance + CREDIT_PER_REQUEST).min(MAX_BALANCE);
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Withdraws one retry. Returns false if the balance is too low.
     pub fn spend(&mut self) -> bool {
         if self.balance < RETRY_COST {
             return false;
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! One decision: who may serve, who holds what, what each would cost, and the choice.
+//! Chooses the engine for a request from the candidates and their scores.
 
 use railtack_core::{PrefixChain, ZoneName};
 use railtack_serving::Moment;
@@ -13,17 +13,17 @@
     scoring::{self, CandidateScore, ScoreWeights},
 };
 
-/// Blocks in the router's view of the caches. At about 40 bytes each this bounds the view to 24 MB.
+/// Default capacity of the prefix index, blocks; about 24 MB at 40 bytes each.
 const INDEX_CAPACITY: usize = 600_000;
 
-/// Settings of the scheduler.
+/// Options of a [`Scheduler`].
 #[derive(Clone, Debug)]
 pub struct SchedulerOptions {
-    /// The router's zone.
+    /// Zone of the router.
     pub zone: ZoneName,
     /// Weights of the score.
     pub weights: ScoreWeights,
-    /// Most blocks in the view of the caches.
+    /// Capacity of the prefix index, blocks.
     pub index_capacity: usize,
 }
 
@@ -37,42 +37,42 @@
     }
 }
 
-/// What a decision needs to know of a request.
+/// The properties of a request that a decision depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestShape<'a> {
-    /// What the engine must have loaded.
+    /// Model and weights that the engine must have loaded.
     pub key: &'a ModelKey,
-    /// The prompt.
+    /// Hash chain of the prompt.
     pub chain: &'a PrefixChain,
-    /// Where the segments shared with other requests end, in blocks, shallowest first.
+    /// Ends of the segments shared with other requests, in blocks, shallowest first.
     pub boundaries: &'a [u32],
-    /// Class of the work.
+    /// Priority class.
     pub priority: Priority,
-    /// Engines that failed this request before.
+    /// Engines at which earlier attempts of this request failed.
     pub excluded: &'a [EngineSlot],
 }
 
-/// The engine chosen, and why.
+/// The chosen engine with the scores of all candidates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// The choice.
+    /// Score of the chosen engine.
     pub chosen: CandidateScore,
-    /// All that were considered.
+    /// Scores of all candidates.
     pub considered: SmallVec<[CandidateScore; CANDIDATE_LIMIT]>,
 }
 
-/// The router's view of engines and caches.
+/// Chooses engines based on the router's view of their state and caches.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     options: SchedulerOptions,
-    /// Engines.
+    /// State of the engines.
     pub engines: EngineTable,
-    /// Caches.
+    /// Cached prefixes of the engines.
     pub index: PrefixIndex,
 }
 
 impl Scheduler {
-    /// A scheduler that knows no engine.
+    /// Creates a scheduler without engines.
     pub fn new(options: SchedulerOptions) -> Self {
         let index = PrefixIndex::new(options.index_capacity);
         Self {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Chooses an engine; `None` if none may serve the request.
+    /// Chooses an engine; `None` if no engine is available for the request.
     pub fn choose(&self, request: RequestShape<'_>, now: Micros, seed: u64) -> Option<Decision> {
         let overlaps = self.index.overlaps(request.chain);
         let group = self.engines.group(request.key);
@@ -96,7 +96,7 @@
         );
         candidates.retain(|candidate| self.may_serve(&request, candidate.engine, now));
         if candidates.is_empty() {
-            // Every favourite is away: consider anyone who is there.
+            // No candidate is available: consider any other engine of the group.
             candidates.extend(self.any_available(&request, group, now));
         }
         let considered: SmallVec<[CandidateScore; CANDIDATE_LIMIT]> = candidates
@@ -110,8 +110,8 @@
         Some(Decision { chosen, considered })
     }
 
-    /// Time until the first engine that could serve the request takes requests again; `None` if no engine
-    /// asked for rest.
+    /// Time until the first engine with this model accepts requests again; `None` if one accepts them
+    /// now, or none is going to.
     pub fn opens_in(&self, key: &ModelKey, now: Micros) -> Option<Micros> {
         let group = self.engines.group(key).iter();
         let views = group.map(|member| self.engines.view(member.slot));
@@ -122,13 +122,13 @@
         Some(wait).filter(|wait| *wait > 0)
     }
 
-    /// Notes that a prompt was sent to an engine: it will hold it long before its own events say
-    /// so, and requests with the same beginning should follow it there.
+    /// Records that an engine is going to cache a prompt that was sent to it, so that requests with the
+    /// same prefix are routed there before the engine's own events arrive.
     pub fn expect_cached(&mut self, engine: EngineSlot, chain: &PrefixChain) {
         self.index.stored(engine, chain.blocks.iter().copied());
     }
 
-    /// Takes back what [`Scheduler::expect_cached`] noted, for a prompt that was not computed.
+    /// Reverts [`Scheduler::expect_cached`] for a prompt that was not computed, except for `held_blocks`.
     pub fn withdraw_expectation(
         &mut self,
         engine: EngineSlot,
--- a/crates/routing/src/scoring.rs
+++ b/crates/routing/src/scoring.rs
@@ -1,4 +1,4 @@
-//! What it would cost to run a request on an engine.
+//! Estimates the cost of running a request on an engine.
 
 use railtack_core::PrefixChain;
 use railtack_settings::documents::Priority;
@@ -9,30 +9,30 @@
     engines::{EngineSlot, EngineView},
 };
 
-/// Most places in the batch that interactive work is expected to wait for.
+/// Maximum number of batch slots that an interactive request is expected to wait for.
 const INTERACTIVE_SLOTS_LIMIT: u32 = 3;
 
-/// Costs of the engines as the router estimates them, and how the two aims are weighed.
+/// Cost estimates of the engines, and the weights of latency and compute in the score.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScoreWeights {
-    /// Time to compute one prompt token, microseconds.
+    /// Time to process one prompt token, microseconds.
     pub prefill_token_us: f64,
-    /// Weight of the time to first token for interactive work.
+    /// Weight of the time to first token for interactive requests.
     pub interactive_latency: f64,
-    /// Weight of computing prompt tokens for interactive work.
+    /// Weight of the prefill time for interactive requests.
     pub interactive_compute: f64,
-    /// Weight of the time to first token for batch work.
+    /// Weight of the time to first token for batch requests.
     pub batch_latency: f64,
-    /// Weight of computing prompt tokens for batch work.
+    /// Weight of the prefill time for batch requests.
     pub batch_compute: f64,
-    /// How far the favourite of rendezvous hashing is trusted to hold a prefix that no event
-    /// mentions, 0 to 1, when the view of its cache is complete.
+    /// Assumed probability, 0 to 1, that an engine selected by rendezvous hashing has cached a prefix
+    /// that is not in the index, while the index is complete.
     pub affinity_trust: f64,
-    /// The same when the view is empty or suspect, as after a restart of the router.
+    /// The same while the index is empty or incomplete, as after a restart of the router.
     pub affinity_trust_unindexed: f64,
-    /// Added for an engine in another zone, microseconds.
+    /// Cost added for an engine in another zone, microseconds.
     pub other_zone_us: f64,
-    /// Expected time to free one place in a full batch, microseconds.
+    /// Expected time until a slot in a full batch is free, microseconds.
     pub batch_slot_us: f64,
 }
 
@@ -52,22 +52,22 @@
     }
 }
 
-/// A candidate with what it would cost.
+/// A candidate with its estimated cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CandidateScore {
-    /// The engine.
+    /// Slot of the engine.
     pub engine: EngineSlot,
-    /// Prompt tokens that it holds for certain, as far as events tell.
+    /// Prompt tokens that the engine has cached according to the index.
     pub held_tokens: u32,
-    /// Prompt tokens that it would have to compute, by estimate.
+    /// Estimated number of prompt tokens that the engine has to process.
     pub uncached_tokens: u32,
     /// Estimated time to first token.
     pub first_token_us: Micros,
-    /// Weighed cost; the lowest wins.
+    /// Weighted cost; the candidate with the lowest cost is chosen.
     pub cost: f64,
 }
 
-/// Estimates one candidate.
+/// Estimates the cost of one candidate.
 pub fn score(
     weights: &ScoreWeights,
     candidate: Candidate,
@@ -107,10 +107,11 @@
     }
 }
 
-/// Time until an engine would begin with the request.
+/// Estimated time until an engine starts to process the request.
 ///
-/// The report lags; what this router has sent and seen no first token of is certain, so the larger
-/// of the two counts. Interactive work overtakes batch work, so only urgent tokens stand before it.
+/// The load report lags behind, while the tokens that this router has sent without receiving a first
+/// token are exact, so the larger of the two is used. Interactive requests overtake batch requests, so
+/// only urgent tokens delay them.
 fn queue_us(weights: &ScoreWeights, view: &EngineView, priority: Priority) -> f64 {
     let load = &view.load;
     let queued_tokens = match priority {
@@ -123,8 +124,8 @@
     let total = load.running + load.waiting + view.sent_since_report;
     let excess = (total + 1).saturating_sub(batch_limit);
     let slots = match priority {
-        // Whoever waits below this class is overtaken; but a queue tells that steps are long, so
-        // some of it counts.
+        // Waiting batch requests are overtaken, but a queue indicates long steps, so a part of it
+        // counts.
         Priority::Interactive => excess.min(INTERACTIVE_SLOTS_LIMIT),
         Priority::Batch => excess,
     };
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The prefix index, candidates and the choice of an engine.
+//! Tests of the prefix index, of candidate selection and of the choice of an engine.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -148,7 +148,7 @@
     };
     let view = scheduler.engines.view_mut(EngineSlot(0));
     view.announced.note(notice, Duration::ZERO);
-    // Neither a good answer nor a report ends it.
+    // Neither a successful request nor a load report ends the back-off.
     scheduler.engines.view_mut(EngineSlot(0)).breaker.succeed();
     scheduler
         .engines
@@ -160,7 +160,7 @@
         Some(BACK_OFF_US * 2 / 3)
     );
     assert_eq!(scheduler.opens_in(&key(1), BACK_OFF_US), None);
-    // What the former life asked for does not bind the next one.
+    // The back-off of the former incarnation does not apply to the next one.
     scheduler.engines.update(describe(0, 2, 1));
     assert_eq!(choose(&scheduler, &chain, &[]), Some(EngineSlot(0)));
 }
@@ -213,7 +213,7 @@
     assert_eq!(version(&scheduler, 0.99), 2);
 }
 
-/// What an engine holds, as a set of leading blocks for each chain.
+/// Checks lookup results against `holdings`, the number of leading blocks that each engine has cached.
 fn check_overlaps(
     holdings: &BTreeMap<u16, usize>,
     chain: &PrefixChain,
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Admission, retry budgets and circuit breaking.
+//! Tests of admission, retry budgets and circuit breaking.
 
 use quickcheck::quickcheck;
 use railtack_core::TenantName;
@@ -128,7 +128,7 @@
                 retries += 1;
             }
         }
-        // Ten retries may be saved up from before.
+        // The initial balance allows ten retries.
         retries <= 10 + failures.len() / 10
     }
 }
