--- a/crates/backend-api/src/lib.rs
+++ b/crates/backend-api/src/lib.rs
@@ -20,7 +20,7 @@
 
 /// Header of an answer: requests a second, a decimal number, that the engine or service which answers takes from
 /// all routers together, for as long as its answers say so.
-pub const REQUEST_LIMIT: &str = "x-railtack-request-limit";
+pub const REQUEST_LIMIT_HEADER: &str = "x-railtack-request-limit";
 
 /// A block hash or attempt id as it travels in JSON: hexadecimal, because JSON numbers lose bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use railtack_core::{AttemptId, IdempotencyKey, TenantName};
-use railtack_rpc::protocol::{ClaimAnswer, ClaimOutcome, ClaimRequest, Outcome, UnixMillis};
+use railtack_rpc::protocol::{ClaimOutcome, ClaimReply, ClaimRequest, Outcome, UnixMillis};
 use speedy::{Readable, Writable};
 
 /// Age from which a claim that was never settled counts as ended without a known outcome. No
@@ -54,7 +54,7 @@
     }
 
     /// Grants the claim to the first attempt that asks; a resend by that attempt is granted again.
-    pub fn claim(&mut self, request: ClaimRequest, now: UnixMillis) -> ClaimAnswer {
+    pub fn claim(&mut self, request: ClaimRequest, now: UnixMillis) -> ClaimReply {
         let key = (request.tenant.clone(), request.key.clone());
         if let Some(record) = self.records.get(&key) {
             return answer_known(record, &request, now);
@@ -67,7 +67,7 @@
             outcome: None,
         };
         self.records.insert(key, record);
-        ClaimAnswer::Granted
+        ClaimReply::Granted
     }
 
     /// Records how a claim ended. Only its holder may, and only once.
@@ -100,16 +100,14 @@
     }
 }
 
-fn answer_known(record: &ClaimRecord, request: &ClaimRequest, now: UnixMillis) -> ClaimAnswer {
+fn answer_known(record: &ClaimRecord, request: &ClaimRequest, now: UnixMillis) -> ClaimReply {
     if record.fingerprint != request.fingerprint {
-        return ClaimAnswer::KeyReused;
+        return ClaimReply::KeyReused;
     }
     match &record.outcome {
-        Some(outcome) => ClaimAnswer::Ended(outcome.clone()),
-        None if record.attempt == request.attempt => ClaimAnswer::Granted,
-        None if now > record.claimed_at + HOLD_LIMIT_MS => {
-            ClaimAnswer::Ended(ClaimOutcome::Unknown)
-        }
-        None => ClaimAnswer::InProgress,
+        Some(outcome) => ClaimReply::Ended(outcome.clone()),
+        None if record.attempt == request.attempt => ClaimReply::Granted,
+        None if now > record.claimed_at + HOLD_LIMIT_MS => ClaimReply::Ended(ClaimOutcome::Unknown),
+        None => ClaimReply::InProgress,
     }
 }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -16,7 +16,7 @@
 use error_stack::Report;
 use railtack_clock::BootInstant;
 use railtack_consensus::{LogIndex, Message, Millis, ProposeError, ReplicaId, Role};
-use railtack_rpc::Sender;
+use railtack_rpc::PeerInfo;
 use railtack_rpc::protocol::{
     Configuration, MembershipChange, MembershipReply, PollReply, PollRequest, Proposal,
     ProposeReply, ReplicaIdentity, StatusReply,
@@ -47,7 +47,7 @@
 /// What the replica's thread is asked to do.
 pub enum Input {
     /// A message from another replica, and the address of its sender.
-    Deliver(Message, Sender),
+    Deliver(Message, PeerInfo),
     /// Commit a change.
     Propose(Proposal, oneshot::Sender<ProposeReply>),
     /// Answer a router.
@@ -92,7 +92,7 @@
 
 impl NodeHandle {
     /// Hands a message over; it is dropped if the thread is far behind, as a network may do.
-    pub fn deliver(&self, message: Message, sender: Sender) {
+    pub fn deliver(&self, message: Message, sender: PeerInfo) {
         let _ = self.inputs.try_send(Input::Deliver(message, sender));
     }
 
@@ -358,8 +358,8 @@
 
     fn propose(&mut self, proposal: &Proposal, answer: oneshot::Sender<ProposeReply>) {
         let group_level = self.group_level();
-        if !proposal.command.fits(group_level) {
-            let _ = answer.send(ProposeReply::LevelDiffers { group_level });
+        if !proposal.command.is_supported_at(group_level) {
+            let _ = answer.send(ProposeReply::LevelMismatch { group_level });
             return;
         }
         match self.replica.propose(proposal) {
--- a/crates/control/src/node/level.rs
+++ b/crates/control/src/node/level.rs
@@ -57,8 +57,8 @@
         });
         levels
             .min()
-            .unwrap_or(FeatureLevel::OF_THIS_BUILD)
-            .min(FeatureLevel::OF_THIS_BUILD)
+            .unwrap_or(FeatureLevel::SUPPORTED)
+            .min(FeatureLevel::SUPPORTED)
     }
 
     /// What each other member said last; those that were not heard yet are left out.
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -7,7 +7,7 @@
 };
 
 use railtack_consensus::{Membership, Message, ReplicaId};
-use railtack_rpc::{ControlConnection, Sender, call_deadline};
+use railtack_rpc::{ControlConnection, PeerInfo, call_context};
 use tokio::{runtime::Handle, sync::mpsc};
 
 use crate::metrics::ControlMetrics;
@@ -96,12 +96,12 @@
     runtime.spawn(async move {
         let connection = ControlConnection::new(address, CONNECT_TIMEOUT);
         while let Some(message) = receiver.recv().await {
-            let sender = Sender::of_this_build(own_address.clone());
+            let sender = PeerInfo::local(own_address.clone());
             // A lost message is sent again by the log's own timers.
             let delivered = connection
                 .call(|client| async move {
                     client
-                        .deliver(call_deadline(DELIVERY_TIMEOUT), message, sender)
+                        .deliver(call_context(DELIVERY_TIMEOUT), message, sender)
                         .await
                 })
                 .await;
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -16,7 +16,7 @@
 use railtack_core::{EngineId, ModelName};
 use railtack_http::{HttpClient, ServeOptions, body, observability};
 use railtack_rpc::{
-    Control, FeatureLevel, Sender,
+    Control, FeatureLevel, PeerInfo,
     codec::ServerCodec,
     permits::{PermitReply, PermitRequest},
     protocol::{
@@ -25,8 +25,8 @@
     },
     service::{ControlRequest, ControlResponse},
     serving::{
-        AliveNotice, AliveReply, JoinReply, JoinRequest, QuotaReply, QuotaRequest, ReadIndexReply,
-        SuspectStatus, WatchReply, WatchRequest,
+        JoinReply, JoinRequest, LivenessReply, LivenessReport, QuotaReply, QuotaRequest,
+        ReadIndexReply, SuspectStatus, WatchReply, WatchRequest,
     },
 };
 use railtack_settings::ControlSettings;
@@ -227,7 +227,7 @@
 }
 
 impl Control for ControlService {
-    async fn deliver(self, _: Context, message: Message, sender: Sender) {
+    async fn deliver(self, _: Context, message: Message, sender: PeerInfo) {
         self.handle.deliver(message, sender);
     }
 
@@ -305,9 +305,9 @@
         answer.unwrap_or(ReadIndexReply::NotLeader { leader: None })
     }
 
-    async fn alive(self, _: Context, notice: AliveNotice) -> AliveReply {
+    async fn alive(self, _: Context, notice: LivenessReport) -> LivenessReply {
         let group = self.group.as_ref();
-        group.map_or_else(AliveReply::default, |group| {
+        group.map_or_else(LivenessReply::default, |group| {
             group.liveness.take_notice(notice)
         })
     }
--- a/crates/control/src/serving/fleet.rs
+++ b/crates/control/src/serving/fleet.rs
@@ -14,7 +14,7 @@
 };
 
 use railtack_rpc::permits::LimitedReplica;
-use railtack_rpc::serving::{FleetDigest, ReplicaCondition, ReplicaSighting};
+use railtack_rpc::serving::{FleetDigest, ReplicaCondition, ReplicaObservation};
 use railtack_serving::ReplicaKey;
 use tokio::time::Instant;
 
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 struct Report {
     at: Instant,
-    sightings: Vec<ReplicaSighting>,
+    observations: Vec<ReplicaObservation>,
 }
 
 /// A change of belief about a replica.
@@ -67,26 +67,42 @@
     /// The replica.
     pub replica: ReplicaKey,
     /// Whether it is dark now.
-    pub is_dark: bool,
+    pub is_unresponsive: bool,
     /// What the routers had met.
-    pub sighting: ReplicaSighting,
+    pub sighting: ReplicaObservation,
 }
 
 impl FleetView {
     /// Takes in what a router that asks this control replica has met.
-    pub fn take_router(&mut self, router: &str, sightings: Vec<ReplicaSighting>, now: Instant) {
-        let report = Report { at: now, sightings };
+    pub fn take_router(
+        &mut self,
+        router: &str,
+        observations: Vec<ReplicaObservation>,
+        now: Instant,
+    ) {
+        let report = Report {
+            at: now,
+            observations,
+        };
         self.routers.insert(router.to_owned(), report);
     }
 
     /// Takes in what the routers that ask another control replica have met.
-    pub fn take_control(&mut self, control: String, sightings: Vec<ReplicaSighting>, now: Instant) {
-        let report = Report { at: now, sightings };
+    pub fn take_control(
+        &mut self,
+        control: String,
+        observations: Vec<ReplicaObservation>,
+        now: Instant,
+    ) {
+        let report = Report {
+            at: now,
+            observations,
+        };
         self.controls.insert(control, report);
     }
 
     /// What the routers that ask here have met, added up by replica.
-    pub fn own_sightings(&mut self, now: Instant) -> Vec<ReplicaSighting> {
+    pub fn own_sightings(&mut self, now: Instant) -> Vec<ReplicaObservation> {
         self.routers.retain(|_, report| is_fresh(report, now));
         added_up(self.routers.values(), now).into_values().collect()
     }
@@ -107,17 +123,17 @@
         self.routers.retain(|_, report| is_fresh(report, now));
         self.controls.retain(|_, report| is_fresh(report, now));
         let reports = self.routers.values().chain(self.controls.values());
-        let sightings = added_up(reports, now);
-        let changes = self.judge(&sightings, known, heartbeat, now);
+        let observations = added_up(reports, now);
+        let changes = self.judge(&observations, known, heartbeat, now);
         let conditions = known.iter().filter_map(|replica| {
-            let sighting = sightings.get(&replica.key);
-            let is_dark = self.dark.contains_key(&replica.key);
-            (sighting.is_some() || is_dark).then(|| ReplicaCondition {
+            let sighting = observations.get(&replica.key);
+            let is_unresponsive = self.dark.contains_key(&replica.key);
+            (sighting.is_some() || is_unresponsive).then(|| ReplicaCondition {
                 replica: replica.key,
                 open_requests: sighting.map_or(0, |met| met.open_requests),
-                unread_tokens: sighting.map_or(0, |met| met.unread_tokens),
-                heard_ms: sighting.map_or(u16::MAX, |met| met.heard_ms),
-                is_dark,
+                pending_prefill_tokens: sighting.map_or(0, |met| met.pending_prefill_tokens),
+                silent_ms: sighting.map_or(u16::MAX, |met| met.silent_ms),
+                is_unresponsive,
             })
         });
         let digest = FleetDigest {
@@ -147,7 +163,7 @@
 
     fn judge(
         &mut self,
-        sightings: &BTreeMap<ReplicaKey, ReplicaSighting>,
+        observations: &BTreeMap<ReplicaKey, ReplicaObservation>,
         known: &[KnownReplica<'_>],
         heartbeat: Duration,
         now: Instant,
@@ -162,7 +178,7 @@
         let mut in_order: Vec<&KnownReplica<'_>> = known.iter().collect();
         in_order.sort_by_key(|replica| !before.contains_key(&replica.key));
         for replica in in_order {
-            let sighting = sightings.get(&replica.key);
+            let sighting = observations.get(&replica.key);
             let since = before.get(&replica.key).copied();
             let stays = since.is_some_and(|since| {
                 let left_alone = now < since + heartbeat * DARK_HEARTBEATS;
@@ -176,7 +192,7 @@
             }
         }
         let keys = known.iter().map(|replica| replica.key);
-        keys.filter_map(|replica| self.change(&before, sightings, replica))
+        keys.filter_map(|replica| self.change(&before, observations, replica))
             .collect()
     }
 
@@ -184,14 +200,14 @@
     fn change(
         &self,
         before: &BTreeMap<ReplicaKey, Instant>,
-        sightings: &BTreeMap<ReplicaKey, ReplicaSighting>,
+        observations: &BTreeMap<ReplicaKey, ReplicaObservation>,
         replica: ReplicaKey,
     ) -> Option<DarkChange> {
-        let is_dark = self.dark.contains_key(&replica);
-        let sighting = sightings.get(&replica).copied();
-        (before.contains_key(&replica) != is_dark).then(|| DarkChange {
+        let is_unresponsive = self.dark.contains_key(&replica);
+        let sighting = observations.get(&replica).copied();
+        (before.contains_key(&replica) != is_unresponsive).then(|| DarkChange {
             replica,
-            is_dark,
+            is_unresponsive,
             sighting: sighting.unwrap_or_else(|| unseen(replica)),
         })
     }
@@ -201,40 +217,42 @@
     now.saturating_duration_since(report.at) < REPORT_KEPT
 }
 
-fn unseen(replica: ReplicaKey) -> ReplicaSighting {
-    ReplicaSighting {
+fn unseen(replica: ReplicaKey) -> ReplicaObservation {
+    ReplicaObservation {
         replica,
         open_requests: 0,
-        unread_tokens: 0,
-        heard_ms: u16::MAX,
-        waiting_in_vain: 0,
+        pending_prefill_tokens: 0,
+        silent_ms: u16::MAX,
+        stalled_routers: 0,
     }
 }
 
 /// Whether some router has just heard from the replica.
-fn heard(sighting: Option<&ReplicaSighting>) -> bool {
-    sighting.is_some_and(|met| met.heard_ms < DARK_SILENCE_MS)
+fn heard(sighting: Option<&ReplicaObservation>) -> bool {
+    sighting.is_some_and(|met| met.silent_ms < DARK_SILENCE_MS)
 }
 
-fn seems_dark(met: &ReplicaSighting) -> bool {
-    met.waiting_in_vain >= WITNESSES && met.heard_ms >= DARK_SILENCE_MS
+fn seems_dark(met: &ReplicaObservation) -> bool {
+    met.stalled_routers >= WITNESSES && met.silent_ms >= DARK_SILENCE_MS
 }
 
 fn added_up<'a>(
     reports: impl Iterator<Item = &'a Report>,
     now: Instant,
-) -> BTreeMap<ReplicaKey, ReplicaSighting> {
-    let mut sums: BTreeMap<ReplicaKey, ReplicaSighting> = BTreeMap::new();
+) -> BTreeMap<ReplicaKey, ReplicaObservation> {
+    let mut sums: BTreeMap<ReplicaKey, ReplicaObservation> = BTreeMap::new();
     for report in reports {
         let age_ms = now.saturating_duration_since(report.at).as_millis() as u16;
-        for met in &report.sightings {
+        for met in &report.observations {
             let sum = sums
                 .entry(met.replica)
                 .or_insert_with(|| unseen(met.replica));
             sum.open_requests = sum.open_requests.saturating_add(met.open_requests);
-            sum.unread_tokens = sum.unread_tokens.saturating_add(met.unread_tokens);
-            sum.heard_ms = sum.heard_ms.min(met.heard_ms.saturating_add(age_ms));
-            sum.waiting_in_vain = sum.waiting_in_vain.saturating_add(met.waiting_in_vain);
+            sum.pending_prefill_tokens = sum
+                .pending_prefill_tokens
+                .saturating_add(met.pending_prefill_tokens);
+            sum.silent_ms = sum.silent_ms.min(met.silent_ms.saturating_add(age_ms));
+            sum.stalled_routers = sum.stalled_routers.saturating_add(met.stalled_routers);
         }
     }
     sums
--- a/crates/control/src/serving/formation.rs
+++ b/crates/control/src/serving/formation.rs
@@ -9,7 +9,7 @@
 
 use railtack_consensus::{DiskId, ReplicaId};
 use railtack_rpc::{
-    FeatureLevel, call_deadline,
+    FeatureLevel, call_context,
     serving::{JoinReply, JoinRequest},
 };
 use tokio::time::{Instant, sleep};
@@ -49,7 +49,7 @@
                 replica,
                 disk,
                 address: link.own_address().to_owned(),
-                level: FeatureLevel::OF_THIS_BUILD,
+                level: FeatureLevel::SUPPORTED,
             };
             ask_all(&link, &request, &view.voters, &seeds).await;
         }
@@ -85,7 +85,7 @@
     let connection = link.connection(target)?;
     let request = request.clone();
     connection
-        .call(|client| async move { client.join(call_deadline(JOIN_TIMEOUT), request).await })
+        .call(|client| async move { client.join(call_context(JOIN_TIMEOUT), request).await })
         .await
         .ok()
 }
--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -4,11 +4,11 @@
 
 use railtack_consensus::ReplicaId;
 use railtack_rpc::{
-    FeatureLevel, call_deadline,
+    FeatureLevel, call_context,
     serving::{ConfigurationDocument, ServingCommand, ServingOutcome},
 };
 use railtack_serving::{
-    FaultTolerance, HeldWeights, Life, ReplicaKey, ReplicaRecord, ReplicaState,
+    FaultTolerance, Incarnation, ModelWeights, ReplicaKey, ReplicaRecord, ReplicaState,
 };
 
 use crate::{
@@ -86,7 +86,8 @@
     ) -> Result<ServingOutcome, Unavailable> {
         self.require_formed()?;
         let level = self.link.view().serving.level();
-        self.propose(ServingCommand::put(document, level)).await
+        self.propose(ServingCommand::put_document(document, level))
+            .await
     }
 
     /// The newest document, as it was sent.
@@ -98,9 +99,9 @@
     }
 
     /// Names the weights that a model's replicas are to hold.
-    pub async fn name_weights(&self, named: HeldWeights) -> Result<ServingOutcome, Unavailable> {
+    pub async fn name_weights(&self, named: ModelWeights) -> Result<ServingOutcome, Unavailable> {
         self.require_formed()?;
-        self.propose(ServingCommand::NameWeights(named)).await
+        self.propose(ServingCommand::SetTargetWeights(named)).await
     }
 
     /// Takes in a replica's heartbeat, and tells where later ones should go. That a replica is leaving is
@@ -182,7 +183,7 @@
         let replica = self.replica;
         // Without an answer the leader finds out by itself.
         let _ = connection
-            .call(|client| async move { client.leave(call_deadline(LEAVE_TIMEOUT), replica).await })
+            .call(|client| async move { client.leave(call_context(LEAVE_TIMEOUT), replica).await })
             .await;
     }
 
@@ -208,7 +209,7 @@
     if view.serving.level() >= FeatureLevel::SHARED_GRANTS {
         return name;
     }
-    Life::named(&name).replica.to_owned()
+    Incarnation::parse(&name).replica.to_owned()
 }
 
 /// Whether a heartbeat comes from a replica of a service that is named, or that was when the replica was
--- a/crates/control/src/serving/leader.rs
+++ b/crates/control/src/serving/leader.rs
@@ -9,7 +9,7 @@
 
 use railtack_consensus::LogIndex;
 use railtack_rpc::{
-    ControlConnection, call_deadline,
+    ControlConnection, call_context,
     protocol::{Command, Outcome, Proposal, ProposeReply},
     serving::{ReadIndexReply, ServingCommand, ServingOutcome},
 };
@@ -135,7 +135,7 @@
         let connection = self.connection(&leader)?;
         let proposal = proposal.clone();
         connection
-            .call(|client| async move { client.propose(call_deadline(limit), proposal).await })
+            .call(|client| async move { client.propose(call_context(limit), proposal).await })
             .await
             .ok()
     }
@@ -166,7 +166,7 @@
         } else {
             let connection = self.connection(&leader)?;
             connection
-                .call(|client| async move { client.read_index(call_deadline(TRY_TIMEOUT)).await })
+                .call(|client| async move { client.read_index(call_context(TRY_TIMEOUT)).await })
                 .await
                 .ok()?
         };
--- a/crates/control/src/serving/ledger.rs
+++ b/crates/control/src/serving/ledger.rs
@@ -126,7 +126,7 @@
         if account.quota != withdrawal.quota {
             // The time since the last request may lie on either side of the change.
             let before = self.bounds.bucket(&account.quota, self.times);
-            account.gain(before.smaller(bucket), now);
+            account.gain(before.min(bucket), now);
             account.quota = withdrawal.quota;
         }
         account.gain(bucket, now);
--- a/crates/control/src/serving/limits.rs
+++ b/crates/control/src/serving/limits.rs
@@ -84,7 +84,7 @@
 }
 
 /// The bucket from which permits for a limit are given, within what a back end may get in a window. Permits may
-/// be used [`GRANT_LIFE`](railtack_rpc::serving::GRANT_LIFE) after they were asked for, and a former leader may
+/// be used [`GRANT_TTL`](railtack_rpc::serving::GRANT_TTL) after they were asked for, and a former leader may
 /// give some beside a new one for a quarter of a second: with half a second for the way to the back end, a
 /// window takes what is given in 5.1 s, and the burst. At a limit of N that is 5.6 N + 1, of 6 N + 5 allowed.
 fn bucket(limit: RequestLimit) -> Bucket {
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -8,9 +8,12 @@
 
 use futures::future::join_all;
 use railtack_rpc::{
-    FeatureLevel, call_deadline,
+    FeatureLevel, call_context,
     permits::LimitedReplica,
-    serving::{AliveNotice, AliveReply, FleetDigest, ReplicaSighting, ServingCommand, SignOfLife},
+    serving::{
+        FleetDigest, LivenessReply, LivenessReport, ReplicaHeartbeat, ReplicaObservation,
+        ServingCommand,
+    },
 };
 use railtack_serving::ReplicaKey;
 use tokio::time::{Instant, sleep};
@@ -125,12 +128,12 @@
     }
 
     /// Takes in what another control replica has heard.
-    pub fn take_notice(&self, notice: AliveNotice) -> AliveReply {
+    pub fn take_notice(&self, notice: LivenessReport) -> LivenessReply {
         let now = Instant::now();
-        let signs = notice.signs();
+        let signs = notice.heartbeats();
         let fleet = {
             let mut fleet = self.fleet();
-            fleet.take_control(notice.sender, notice.sightings, now);
+            fleet.take_control(notice.sender, notice.observations, now);
             fleet.digest(now)
         };
         let mut heard = self.lock();
@@ -143,7 +146,7 @@
         for router in notice.routers {
             heard.asking_elsewhere.insert(router, now);
         }
-        AliveReply {
+        LivenessReply {
             routers: heard.live_routers(),
             fleet,
         }
@@ -156,9 +159,9 @@
     }
 
     /// Notes that a router asked, and what it has met at the replicas.
-    pub fn take_sightings(&self, router: &str, sightings: Vec<ReplicaSighting>) {
+    pub fn take_sightings(&self, router: &str, observations: Vec<ReplicaObservation>) {
         let now = Instant::now();
-        self.fleet().take_router(router, sightings, now);
+        self.fleet().take_router(router, observations, now);
     }
 
     /// What all routers together meet at the replicas.
@@ -201,9 +204,9 @@
                 .find(|replica| ReplicaKey::of(replica) == change.replica);
             spdlog::info!("replica judged by all routers", kv: {
                 replica = replica.cloned().unwrap_or_default(),
-                is_dark = change.is_dark,
-                waiting_in_vain = change.sighting.waiting_in_vain,
-                heard_ms = change.sighting.heard_ms,
+                is_dark = change.is_unresponsive,
+                waiting_in_vain = change.sighting.stalled_routers,
+                heard_ms = change.sighting.silent_ms,
                 open_requests = change.sighting.open_requests,
             });
         }
@@ -222,9 +225,9 @@
         sender: &str,
         leader: &str,
         group_level: FeatureLevel,
-    ) -> (AliveNotice, Instant) {
+    ) -> (LivenessReport, Instant) {
         let now = Instant::now();
-        let sightings = self.fleet().own_sightings(now);
+        let observations = self.fleet().own_sightings(now);
         let mut heard = self.lock();
         heard.leading_since = None;
         let told = heard.told.as_ref().filter(|(told, _)| told == leader);
@@ -242,25 +245,25 @@
         };
         let replicas = beats.map(|(replica, beat)| {
             let age = now.saturating_duration_since(beat.at);
-            SignOfLife {
+            ReplicaHeartbeat {
                 replica: ReplicaKey::of(replica),
                 age_ms: u16::try_from(age.as_millis()).unwrap_or(u16::MAX),
             }
         });
         let routers = heard.asking_here.iter();
         let recent = routers.filter(|(_, at)| at.elapsed() < TOLD_FOR);
-        let notice = AliveNotice {
+        let notice = LivenessReport {
             identities,
             replicas: replicas.collect(),
             routers: recent.map(|(router, _)| router.clone()).collect(),
             sender: sender.to_owned(),
-            sightings,
+            observations,
         };
         (notice, now)
     }
 
     /// Takes in the answer of a leader that knows since what came here before `through`.
-    fn told(&self, leader: String, through: Instant, reply: AliveReply) {
+    fn told(&self, leader: String, through: Instant, reply: LivenessReply) {
         let mut heard = self.lock();
         heard.told = Some((leader, through));
         heard.routers_of_leader = reply.routers;
@@ -400,7 +403,7 @@
     };
     let (notice, through) = liveness.notice(link.own_address(), &leader, group_level);
     let reply = connection
-        .call(|client| async move { client.alive(call_deadline(NOTICE_TIMEOUT), notice).await })
+        .call(|client| async move { client.alive(call_context(NOTICE_TIMEOUT), notice).await })
         .await;
     // What was not answered is told again.
     if let Ok(reply) = reply {
--- a/crates/control/src/serving/order_channel.rs
+++ b/crates/control/src/serving/order_channel.rs
@@ -2,7 +2,7 @@
 
 use std::{future::Future, pin::Pin, time::Duration};
 
-use railtack_serving::{HeldWeights, PendingOrder, ReplicaRecord};
+use railtack_serving::{ModelWeights, PendingOrder, ReplicaRecord};
 
 /// An order with everything that the back end needs to judge it.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightsReport {
     /// Weights that it holds.
-    pub weights: Vec<HeldWeights>,
+    pub weights: Vec<ModelWeights>,
     /// Whether an order is under way.
     pub busy: bool,
     /// Orders that it has taken.
--- a/crates/control/src/serving/order_giver.rs
+++ b/crates/control/src/serving/order_giver.rs
@@ -12,7 +12,7 @@
 use railtack_clock::BootInstant;
 use railtack_rpc::serving::{ServingCommand, ServingOutcome};
 use railtack_serving::{
-    Availability, BackEndNotice, Bounds, HeldWeights, Moment, PendingOrder, ReplicaRecord,
+    Availability, BackEndSignals, Bounds, ModelWeights, MonotonicTime, PendingOrder, ReplicaRecord,
 };
 use tokio::time::{Instant, sleep, timeout};
 
@@ -112,7 +112,8 @@
     /// Reserves a replica for a task; false if one deals with it already, or if it asked for rest.
     pub fn begin_work(&self, replica: &str) -> bool {
         let mut work = self.lock();
-        work.available.takes(replica, self.uptime()) && work.at_work.insert(replica.to_owned())
+        work.available.accepts_requests(replica, self.uptime())
+            && work.at_work.insert(replica.to_owned())
     }
 
     /// Forgets replicas that are gone.
@@ -122,7 +123,7 @@
         let mut work = self.lock();
         work.given
             .retain(|replica, _| replicas.contains_key(replica));
-        work.available.forget_past(now);
+        work.available.remove_expired(now);
     }
 
     /// Carries out a step for a replica that was reserved.
@@ -223,19 +224,19 @@
     /// A replica that turns this machine away is neither asked nor ordered until the time that it named is
     /// over: it sheds load, and each try is one more request there.
     fn note_back_off(&self, record: &ReplicaRecord, time: Duration) {
-        let notice = BackEndNotice {
+        let notice = BackEndSignals {
             back_off: Some(time),
-            ..BackEndNotice::default()
+            ..BackEndSignals::default()
         };
         spdlog::info!("replica asked for rest from orders", kv: {
             replica = record.id.clone(),
             back_off_ms = time.as_millis() as u64,
         });
         let now = self.uptime();
-        self.lock().available.note(&record.id, notice, now);
+        self.lock().available.record(&record.id, notice, now);
     }
 
-    async fn record_weights(&self, record: &ReplicaRecord, weights: Vec<HeldWeights>) {
+    async fn record_weights(&self, record: &ReplicaRecord, weights: Vec<ModelWeights>) {
         let known = ReplicaRecord {
             weights,
             ..record.clone()
@@ -297,7 +298,7 @@
     }
 
     /// Time since this process started.
-    fn uptime(&self) -> Moment {
+    fn uptime(&self) -> MonotonicTime {
         self.started.elapsed()
     }
 
--- a/crates/control/src/serving/orders.rs
+++ b/crates/control/src/serving/orders.rs
@@ -194,11 +194,11 @@
     }
 
     async fn acquire(&self, term: u64) -> Option<Right> {
-        let command = ServingCommand::AcquireOrders {
+        let command = ServingCommand::AcquireOrderLock {
             holder: self.node.clone(),
         };
         let outcome = self.link.propose_here(command).await?;
-        let ServingOutcome::OrdersAcquired { token, taken_over } = outcome else {
+        let ServingOutcome::OrderLockAcquired { token, taken_over } = outcome else {
             return None;
         };
         let wait_ms = if taken_over { self.bounds.lease_ms } else { 0 };
--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -7,9 +7,7 @@
 };
 
 use railtack_clock::BootInstant;
-use railtack_rpc::permits::{
-    LimitStatement, LimitedReplica, PermitReply, PermitRequest, PermitStamp,
-};
+use railtack_rpc::permits::{LimitReport, LimitedReplica, PermitReply, PermitRequest, PermitStamp};
 use railtack_serving::ReplicaKey;
 use tokio::time::Instant;
 
@@ -54,7 +52,7 @@
         }
     }
 
-    fn heard(&self, statement: LimitStatement, now: Instant) -> HeardLimit {
+    fn heard(&self, statement: LimitReport, now: Instant) -> HeardLimit {
         let age = Duration::from_millis(u64::from(statement.age_ms));
         let own = statement.permit.filter(|stamp| stamp.term == self.number);
         HeardLimit {
@@ -88,10 +86,10 @@
         let now = Instant::now();
         let mut held = self.lock();
         let term = of_term(&mut held, view.term, now);
-        let before = term.ledger.limit(&request.life);
-        let heard = term.heard(request.statement, now);
-        term.ledger.note(&request.life, heard, now);
-        let after = term.ledger.limit(&request.life);
+        let before = term.ledger.limit(&request.incarnation_id);
+        let heard = term.heard(request.report, now);
+        term.ledger.note(&request.incarnation_id, heard, now);
+        let after = term.ledger.limit(&request.incarnation_id);
         if before != after {
             log_change(
                 request,
@@ -103,20 +101,23 @@
             return PermitReply::Unlimited;
         };
         if !request.wants_permit {
-            let room_in_ms = 0;
-            return PermitReply::Withheld { limit, room_in_ms };
+            let retry_after_ms = 0;
+            return PermitReply::Denied {
+                limit,
+                retry_after_ms,
+            };
         }
         self.metrics.permits_asked.inc();
-        match term.ledger.take(&request.life, now) {
-            PermitDecision::Given(limit) => PermitReply::Given {
+        match term.ledger.take(&request.incarnation_id, now) {
+            PermitDecision::Given(limit) => PermitReply::Granted {
                 limit,
                 stamp: term.stamp(now),
             },
             PermitDecision::Withheld { limit, room_in } => {
                 self.metrics.permits_withheld.inc();
-                PermitReply::Withheld {
+                PermitReply::Denied {
                     limit,
-                    room_in_ms: room_in.as_millis() as u32 + 1,
+                    retry_after_ms: room_in.as_millis() as u32 + 1,
                 }
             }
             PermitDecision::Unlimited => PermitReply::Unlimited,
@@ -132,11 +133,11 @@
         };
         term.ledger.forget_past(now);
         let limited = term.ledger.limited(now).map(|(life, limit, age)| {
-            let named_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
+            let advertised_age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
             LimitedReplica {
                 replica: ReplicaKey::of(life),
                 limit,
-                named_ms,
+                advertised_age_ms,
             }
         });
         limited.collect()
@@ -155,10 +156,10 @@
 
 fn log_change(request: &PermitRequest, term: u64, per_s: Option<f64>) {
     spdlog::info!("limit of a back end changed", kv: {
-        replica = request.life.clone(),
+        replica = request.incarnation_id.clone(),
         per_s = per_s.unwrap_or_default(),
         is_lifted = per_s.is_none(),
-        heard_ms = request.statement.age_ms,
+        heard_ms = request.report.age_ms,
         term,
     });
 }
--- a/crates/control/src/serving/quarantine.rs
+++ b/crates/control/src/serving/quarantine.rs
@@ -10,7 +10,7 @@
 
 use futures::future::join_all;
 use railtack_consensus::LogIndex;
-use railtack_rpc::serving::{QUARANTINE_TIME, ServingCommand};
+use railtack_rpc::serving::{QUARANTINE_DURATION, ServingCommand};
 use railtack_serving::ContentKey;
 use tokio::time::{Instant, sleep};
 
@@ -44,7 +44,7 @@
             if seen.0 != suspect.changed_at() {
                 *seen = (suspect.changed_at(), now);
             }
-            if now.saturating_duration_since(seen.1) >= QUARANTINE_TIME {
+            if now.saturating_duration_since(seen.1) >= QUARANTINE_DURATION {
                 due.push((*content, seen.0));
             }
         }
--- a/crates/control/src/serving/quota.rs
+++ b/crates/control/src/serving/quota.rs
@@ -12,10 +12,10 @@
 };
 
 use railtack_clock::BootInstant;
-use railtack_rpc::serving::{GRANT_LIFE, QuotaReply, QuotaRequest, QuotaSubject};
+use railtack_rpc::serving::{GRANT_TTL, QuotaReply, QuotaRequest, QuotaSubject};
 use railtack_serving::{
     Bounds, GrantTimes, TenantQuota,
-    retries::{lent_bounds, lent_quota},
+    retries::{shared_retry_bounds, shared_retry_quota},
 };
 use tokio::time::{Instant, sleep};
 
@@ -61,7 +61,7 @@
         Self {
             term,
             tenants: begin(bounds.quota, grant_times(), now),
-            retries: begin(lent_bounds(bounds), grant_times(), now),
+            retries: begin(shared_retry_bounds(bounds), grant_times(), now),
         }
     }
 
@@ -109,7 +109,7 @@
             }
             QuotaSubject::Retries { service } => {
                 let is_known = view.serving.configuration().service(service).is_some();
-                let Some(quota) = lent_quota(&self.bounds).filter(|_| is_known) else {
+                let Some(quota) = shared_retry_quota(&self.bounds).filter(|_| is_known) else {
                     return self.refused(Duration::ZERO, 0, 0.0, view.term);
                 };
                 (service, quota)
@@ -118,7 +118,7 @@
         let withdrawal = Withdrawal {
             holder,
             quota,
-            cost: quota.cost(request.stated_tokens),
+            cost: quota.cost(request.declared_tokens),
             longest_wait: Duration::from_millis(u64::from(request.longest_wait_ms)),
         };
         let answer = self.withdraw(view.term, &request.subject, withdrawal);
@@ -185,7 +185,7 @@
 /// Times on which the room above a quota is spent.
 pub fn grant_times() -> GrantTimes {
     GrantTimes {
-        grant_life: GRANT_LIFE,
+        grant_ttl: GRANT_TTL,
         leader_overlap: LEADERSHIP_PROVED_WITHIN,
     }
 }
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -8,7 +8,7 @@
 
 use futures::future::join_all;
 use railtack_rpc::{
-    FeatureLevel, call_deadline,
+    FeatureLevel, call_context,
     serving::{Registration, ServingCommand, ServingOutcome},
 };
 use railtack_serving::{ReplicaRecord, ReplicaState};
@@ -251,7 +251,7 @@
             return false;
         };
         let holder = holder.to_owned();
-        let deadline = call_deadline(REMOVAL_TIMEOUT);
+        let deadline = call_context(REMOVAL_TIMEOUT);
         let asked = connection
             .call(|client| async move { client.remove_if_silent(deadline, holder).await })
             .await;
--- a/crates/control/src/serving/watch.rs
+++ b/crates/control/src/serving/watch.rs
@@ -77,21 +77,21 @@
         // The router subtracts the age of the confirmation from this time, so both count suspensions.
         let held_since = BootInstant::now();
         self.liveness.router_asked(&request.router);
-        let sightings = std::mem::take(&mut request.sightings);
-        self.liveness.take_sightings(&request.router, sightings);
+        let observations = std::mem::take(&mut request.observations);
+        self.liveness.take_sightings(&request.router, observations);
         self.update_times(|times| times.asked_at = Some(asked_at));
         let deadline = asked_at + Duration::from_millis(request.wait_ms.min(WAIT_LIMIT_MS));
         let mut receiver = self.link.node().view();
         // One that knows more than is applied here waits until that is applied here too.
         let known = request.known;
-        let lacks = if request.takes_records {
-            known.records_through
+        let lacks = if request.wants_records {
+            known.records
         } else {
-            known.changes_through
+            known.changes
         };
         let changed = receiver.wait_for(|view| {
             let changed_at = view.serving.changed_at();
-            changed_at > lacks && changed_at >= known.through
+            changed_at > lacks && changed_at >= known.state
         });
         let is_due = async {
             tokio::select! {
@@ -105,9 +105,9 @@
         let gathering = gathering_time(&request, asked_at.elapsed(), interval);
         sleep(gathering).await;
         let view = self.link.view();
-        let update = if !request.takes_parts {
+        let update = if !request.accepts_partial {
             view.serving.whole_update_after(known)
-        } else if request.takes_records {
+        } else if request.wants_records {
             view.serving.update_after(known)
         } else {
             view.serving.changes_after(known)
@@ -185,7 +185,7 @@
 /// calm moment is told at once. An answer never waits beyond the time that the router allows: one
 /// without a lease allows none.
 pub fn gathering_time(request: &WatchRequest, asked: Duration, interval: Duration) -> Duration {
-    let lacks_a_part = request.known.through == 0 || !request.known.is_whole();
+    let lacks_a_part = request.known.state == 0 || !request.known.is_complete();
     if lacks_a_part || !request.has_lease {
         return Duration::ZERO;
     }
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -24,8 +24,8 @@
     },
 };
 use railtack_serving::{
-    HeldWeights, Life, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState, ServingConfiguration,
-    TenantQuota,
+    Incarnation, ModelWeights, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState,
+    ServingConfiguration, TenantQuota,
 };
 
 mod departed;
@@ -64,7 +64,7 @@
 impl Default for ServingState {
     /// The state of a new group, of which all members have this build.
     fn default() -> Self {
-        Self::at(FeatureLevel::OF_THIS_BUILD)
+        Self::at(FeatureLevel::SUPPORTED)
     }
 }
 
@@ -113,16 +113,17 @@
 
     /// Whether a life has ended, or a newer one of its replica is known: what comes of it is late.
     pub fn has_departed(&self, replica: &str) -> bool {
-        let life = Life::named(replica);
+        let life = Incarnation::parse(replica);
         let present = self.replicas.life_of(life.replica);
-        let is_former = present.is_some_and(|present| Life::named(present).is_newer_than(&life));
+        let is_former =
+            present.is_some_and(|present| Incarnation::parse(present).is_newer_than(&life));
         is_former || self.departed.is_over(replica)
     }
 
     /// The life that a name means: of a replica that does not say in which of its lives it is, the one that
     /// is known.
     pub fn meant_life<'a>(&'a self, name: &'a str) -> &'a str {
-        if Life::named(name).born_ms.is_some() {
+        if Incarnation::parse(name).started_ms.is_some() {
             return name;
         }
         self.replicas.life_of(name).map_or(name, String::as_str)
@@ -146,7 +147,7 @@
     /// Applies one committed command.
     pub fn apply(&mut self, index: LogIndex, command: ServingCommand) -> ServingOutcome {
         // Some builds proposed what needs a level without raising it first; their groups had no other members.
-        self.level = self.level.max(command.needs_level());
+        self.level = self.level.max(command.required_level());
         match command {
             ServingCommand::PutDocument(document) => self.put_document(index, document),
             ServingCommand::PutDocumentWithQuotas {
@@ -173,27 +174,27 @@
             }
             ServingCommand::Deregister { replica } => self.deregister(index, &replica),
             ServingCommand::Expire { replica } => self.expire(index, &replica),
-            ServingCommand::NameWeights(named) => self.name_weights(index, named),
-            ServingCommand::AcquireOrders { holder } => self.acquire_orders(index, holder),
+            ServingCommand::SetTargetWeights(named) => self.name_weights(index, named),
+            ServingCommand::AcquireOrderLock { holder } => self.acquire_orders(index, holder),
             ServingCommand::BeginOrder {
                 token,
                 replica,
                 order,
             } => self.begin_order(index, token, &replica, order),
-            ServingCommand::RecordEnd {
+            ServingCommand::RecordCrash {
                 replica,
                 contents,
-                witness,
+                reporter,
             } => {
-                if let Some(witness) = witness {
-                    self.witness_end(index, replica, witness);
+                if let Some(reporter) = reporter {
+                    self.witness_end(index, replica, reporter);
                 }
                 let told = self.change_quarantine(|quarantine| {
                     quarantine.record_end(index, replica, &contents);
                 });
-                ServingOutcome::EndRecorded(told.clone())
+                ServingOutcome::CrashRecorded(told.clone())
             }
-            ServingCommand::ClearContents { contents } => {
+            ServingCommand::ClearSuspects { contents } => {
                 self.change_quarantine(|quarantine| quarantine.clear(index, &contents));
                 ServingOutcome::Done
             }
@@ -289,9 +290,9 @@
     /// silent first, as one of two at one address otherwise must; the replica itself says which of its lives
     /// is the newer one.
     fn former_life(&self, name: &str) -> Option<String> {
-        let life = Life::named(name);
+        let life = Incarnation::parse(name);
         let present = self.replicas.life_of(life.replica)?;
-        let is_former = life.is_newer_than(&Life::named(present));
+        let is_former = life.is_newer_than(&Incarnation::parse(present));
         is_former.then(|| present.clone())
     }
 
@@ -358,7 +359,7 @@
         self.departed.remove(index, replica);
     }
 
-    fn name_weights(&mut self, index: LogIndex, named: HeldWeights) -> ServingOutcome {
+    fn name_weights(&mut self, index: LogIndex, named: ModelWeights) -> ServingOutcome {
         let known = self.weights.get(&named.model).copied().unwrap_or(0);
         if named.version <= known {
             return ServingOutcome::Superseded;
@@ -383,7 +384,7 @@
             holder,
             token: index,
         });
-        ServingOutcome::OrdersAcquired {
+        ServingOutcome::OrderLockAcquired {
             token: index,
             taken_over,
         }
--- a/crates/control/src/serving_state/departed.rs
+++ b/crates/control/src/serving_state/departed.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use railtack_consensus::LogIndex;
-use railtack_serving::Life;
+use railtack_serving::Incarnation;
 use rpds::RedBlackTreeSetSync;
 
 /// Lives that are remembered.
@@ -15,16 +15,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Birth {
     replica: String,
-    born_ms: Option<u64>,
+    started_ms: Option<u64>,
     removed_at: LogIndex,
 }
 
 impl Birth {
     fn of(index: LogIndex, name: &str) -> Self {
-        let life = Life::named(name);
+        let life = Incarnation::parse(name);
         Self {
             replica: life.replica.to_owned(),
-            born_ms: life.born_ms,
+            started_ms: life.started_ms,
             removed_at: index,
         }
     }
@@ -85,7 +85,7 @@
     fn is_older_than_one_gone(&self, name: &str) -> bool {
         let behind = Birth::of(LogIndex::MAX, name);
         let next = self.by_birth.range(behind..).next();
-        next.is_some_and(|birth| birth.replica == Life::named(name).replica)
+        next.is_some_and(|birth| birth.replica == Incarnation::parse(name).replica)
     }
 
     /// Lives that were removed after a position.
--- a/crates/control/src/serving_state/quarantine.rs
+++ b/crates/control/src/serving_state/quarantine.rs
@@ -14,12 +14,12 @@
 };
 
 use railtack_consensus::LogIndex;
-use railtack_rpc::serving::{ENDS_TO_QUARANTINE, QuarantineUpdate, SuspectStatus};
+use railtack_rpc::serving::{CRASHES_TO_QUARANTINE, QuarantineUpdate, SuspectStatus};
 use railtack_serving::{ContentKey, ReplicaKey};
 use speedy::{Readable, Writable};
 
-/// [`ENDS_TO_QUARANTINE`] as a length.
-const ENDS_SHOWN: usize = ENDS_TO_QUARANTINE as usize;
+/// [`CRASHES_TO_QUARANTINE`] as a length.
+const ENDS_SHOWN: usize = CRASHES_TO_QUARANTINE as usize;
 /// Ends at which a request is quarantined though another one was there each time: by then replicas
 /// matter more than a request that may be innocent and has found no replica that outlived it.
 pub const ENDS_DESPITE_RIVAL: usize = 6;
@@ -77,7 +77,7 @@
             .iter()
             .map(|(content, suspect)| SuspectStatus {
                 content: *content,
-                ends: suspect.ends.len() as u32,
+                crashes: suspect.ends.len() as u32,
                 is_quarantined: suspect.is_quarantined,
                 changed_at: suspect.changed_at,
             })
@@ -181,7 +181,7 @@
             if suspect.is_quarantined {
                 told.quarantined.push(*content);
             } else if suspect.ends.len() >= ENDS_TO_WATCH {
-                told.watched.push(*content);
+                told.suspected.push(*content);
             }
         }
         if told != self.told {
--- a/crates/control/src/serving_state/registry.rs
+++ b/crates/control/src/serving_state/registry.rs
@@ -55,7 +55,7 @@
     pub fn keep(&mut self, record: ReplicaRecord) {
         self.remove(&record.id);
         let id = record.id.clone();
-        let replica = record.instance().to_owned();
+        let replica = record.replica_name().to_owned();
         self.lives.insert_mut(replica, id.clone());
         self.holders.insert_mut(record.address.clone(), id.clone());
         self.changes.insert_mut((record.changed_at, id.clone()));
@@ -70,8 +70,8 @@
         if self.holders.get(&record.address) == Some(&record.id) {
             self.holders.remove_mut(&record.address);
         }
-        if self.lives.get(record.instance()) == Some(&record.id) {
-            self.lives.remove_mut(record.instance());
+        if self.lives.get(record.replica_name()) == Some(&record.id) {
+            self.lives.remove_mut(record.replica_name());
         }
         self.changes.remove_mut(&(record.changed_at, record.id));
         self.records.remove_mut(replica);
--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -1,8 +1,8 @@
 //! What a router is told: what changed after what it knows, in answers of a bounded size.
 
 use railtack_consensus::LogIndex;
-use railtack_rpc::serving::{Known, ServingUpdate};
-use railtack_serving::{HeldWeights, Life, ReplicaRecord};
+use railtack_rpc::serving::{ServingUpdate, WatchPosition};
+use railtack_serving::{Incarnation, ModelWeights, ReplicaRecord};
 
 use super::ServingState;
 
@@ -24,7 +24,7 @@
     /// What a router lacks that knows so much; `None` if nothing, or if it knows more than is applied
     /// here. Everything but the records of replicas is told at once, and of these as many as one answer may
     /// hold.
-    pub fn update_after(&self, known: Known) -> Option<ServingUpdate> {
+    pub fn update_after(&self, known: WatchPosition) -> Option<ServingUpdate> {
         let limits = AnswerLimits {
             records: RECORDS_IN_ANSWER,
             new_records: RECORDS_IN_ANSWER,
@@ -33,7 +33,7 @@
     }
 
     /// The same without records that the router was never told.
-    pub fn changes_after(&self, known: Known) -> Option<ServingUpdate> {
+    pub fn changes_after(&self, known: WatchPosition) -> Option<ServingUpdate> {
         let limits = AnswerLimits {
             records: RECORDS_IN_ANSWER,
             new_records: 0,
@@ -44,68 +44,72 @@
 
     /// All that a router lacks, in one answer: for routers of a build that takes no parts, and that knows a
     /// replica by its identity alone.
-    pub fn whole_update_after(&self, known: Known) -> Option<ServingUpdate> {
+    pub fn whole_update_after(&self, known: WatchPosition) -> Option<ServingUpdate> {
         let limits = AnswerLimits {
             records: usize::MAX,
             new_records: usize::MAX,
         };
         let mut update = self.update_with(known, limits)?;
         for record in &mut update.replicas {
-            record.id = record.instance().to_owned();
+            record.id = record.replica_name().to_owned();
         }
         let ended = update.removed.into_iter();
-        let ended = ended.map(|name| Life::named(&name).replica.to_owned());
+        let ended = ended.map(|name| Incarnation::parse(&name).replica.to_owned());
         update.removed = ended
             .filter(|replica| self.replicas.life_of(replica).is_none())
             .collect();
         Some(update)
     }
 
-    fn update_with(&self, known: Known, limits: AnswerLimits) -> Option<ServingUpdate> {
-        if known.through > self.changed_at || known.records_through >= self.changed_at {
+    fn update_with(&self, known: WatchPosition, limits: AnswerLimits) -> Option<ServingUpdate> {
+        if known.state > self.changed_at || known.records >= self.changed_at {
             return None;
         }
-        let complete = known.through == 0 || known.through < self.departed.complete_after();
+        let complete = known.state == 0 || known.state < self.departed.complete_after();
         let (replicas, reached) = if complete {
             self.first_records(limits)
         } else {
             self.records_after(known, limits)
         };
         let configuration =
-            (self.configuration_at > known.through).then(|| self.configuration().clone());
+            (self.configuration_at > known.state).then(|| self.configuration().clone());
         let quarantine = Some(self.quarantine.told())
-            .filter(|told| told.changed_at > known.through)
+            .filter(|told| told.changed_at > known.state)
             .cloned();
         Some(ServingUpdate {
             known: reached,
             configuration,
             complete,
             replicas,
-            removed: self.removed_after(known.through),
+            removed: self.removed_after(known.state),
             weights: self.named_weights(),
             quarantine,
         })
     }
 
     /// The first records for a router that knows none: nothing that it knows can be outdated.
-    fn first_records(&self, limits: AnswerLimits) -> (Vec<ReplicaRecord>, Known) {
+    fn first_records(&self, limits: AnswerLimits) -> (Vec<ReplicaRecord>, WatchPosition) {
         let (records, records_through) =
             self.records_between(0, self.changed_at, limits.new_records);
-        let reached = Known {
-            through: self.changed_at,
-            changes_through: self.changed_at,
-            records_through,
+        let reached = WatchPosition {
+            state: self.changed_at,
+            changes: self.changed_at,
+            records: records_through,
         };
         (records, reached)
     }
 
     /// The records for one answer: first those that changed, and of those that the router was never told
     /// as many as there is room for.
-    fn records_after(&self, known: Known, limits: AnswerLimits) -> (Vec<ReplicaRecord>, Known) {
+    fn records_after(
+        &self,
+        known: WatchPosition,
+        limits: AnswerLimits,
+    ) -> (Vec<ReplicaRecord>, WatchPosition) {
         let (mut records, changes_through) =
-            self.records_between(known.changes_through, self.changed_at, limits.records);
-        let was_whole = known.records_through >= known.changes_through;
-        let mut records_through = known.records_through;
+            self.records_between(known.changes, self.changed_at, limits.records);
+        let was_whole = known.records >= known.changes;
+        let mut records_through = known.records;
         let room = limits
             .records
             .saturating_sub(records.len())
@@ -113,20 +117,19 @@
         if was_whole {
             records_through = changes_through;
         } else if changes_through == self.changed_at && room > 0 {
-            let (others, told_through) =
-                self.records_between(known.records_through, known.changes_through, room);
+            let (others, told_through) = self.records_between(known.records, known.changes, room);
             records.extend(others);
             // With the last of them, the router knows all.
-            records_through = if told_through == known.changes_through {
+            records_through = if told_through == known.changes {
                 changes_through
             } else {
                 told_through
             };
         }
-        let reached = Known {
-            through: self.changed_at,
-            changes_through,
-            records_through,
+        let reached = WatchPosition {
+            state: self.changed_at,
+            changes: changes_through,
+            records: records_through,
         };
         (records, reached)
     }
@@ -157,8 +160,8 @@
         self.departed.after(known).cloned().collect()
     }
 
-    fn named_weights(&self) -> Vec<HeldWeights> {
-        let named = self.weights.iter().map(|(model, version)| HeldWeights {
+    fn named_weights(&self) -> Vec<ModelWeights> {
+        let named = self.weights.iter().map(|(model, version)| ModelWeights {
             model: model.clone(),
             version: *version,
         });
--- a/crates/control/tests/first_level.rs
+++ b/crates/control/tests/first_level.rs
@@ -11,8 +11,8 @@
     serving::{ConfigurationDocument, ServingCommand, ServingOutcome},
 };
 use railtack_serving::{
-    HeldWeights, PendingOrder, QuotaUnit, ReplicaRecord, ReplicaState, ServingConfiguration,
-    TenantQuota, TenantShape,
+    ModelWeights, PendingOrder, QuotaUnit, ReplicaRecord, ReplicaState, ServingConfiguration,
+    TenantConfig, TenantQuota,
 };
 use speedy::{Readable, Writable};
 
@@ -20,7 +20,7 @@
     unit: QuotaUnit::Requests,
     rate_per_s: 5,
     burst: 10,
-    unstated_tokens: 0,
+    default_tokens: 0,
 };
 
 fn document(revision: u64) -> ConfigurationDocument {
@@ -29,7 +29,7 @@
         content: revision.to_le_bytes().to_vec(),
         configuration: ServingConfiguration {
             revision,
-            tenants: vec![TenantShape {
+            tenants: vec![TenantConfig {
                 name: "registry".to_owned(),
                 api_keys: vec!["key".to_owned()],
                 priority: None,
@@ -63,7 +63,7 @@
             } else {
                 ReplicaState::Ready
             },
-            weights: vec![HeldWeights {
+            weights: vec![ModelWeights {
                 model: model.clone(),
                 version,
             }],
@@ -80,8 +80,8 @@
                 replica,
                 order: PendingOrder { model, version },
             },
-            _ if leaves => ServingCommand::AcquireOrders { holder: replica },
-            _ => ServingCommand::NameWeights(HeldWeights { model, version }),
+            _ if leaves => ServingCommand::AcquireOrderLock { holder: replica },
+            _ => ServingCommand::SetTargetWeights(ModelWeights { model, version }),
         })
     }
 }
@@ -113,7 +113,7 @@
 
 fn raise(revision: u64) -> ServingCommand {
     ServingCommand::RaiseLevel {
-        level: FeatureLevel::OF_THIS_BUILD,
+        level: FeatureLevel::SUPPORTED,
         revision,
         quotas: document(revision).configuration.quotas(),
     }
@@ -122,15 +122,15 @@
 #[test]
 fn quotas_come_into_force_with_the_level() {
     let mut state = ServingState::at(FeatureLevel::FIRST);
-    let put = ServingCommand::put(document(3), state.level());
-    assert!(put.fits(FeatureLevel::FIRST));
+    let put = ServingCommand::put_document(document(3), state.level());
+    assert!(put.is_supported_at(FeatureLevel::FIRST));
     state.apply(1, from_log(&put));
     assert_eq!(state.configuration().tenants[0].quota, None);
     // What was read of a document that is held no more raises nothing.
     assert_eq!(state.apply(2, raise(2)), ServingOutcome::Superseded);
     assert_eq!(state.level(), FeatureLevel::FIRST);
     assert_eq!(state.apply(3, from_log(&raise(3))), ServingOutcome::Done);
-    assert_eq!(state.level(), FeatureLevel::OF_THIS_BUILD);
+    assert_eq!(state.level(), FeatureLevel::SUPPORTED);
     assert_eq!(state.configuration().tenants[0].quota, Some(QUOTA));
     assert_eq!(state.apply(4, raise(3)), ServingOutcome::Superseded);
     let bytes = state.write_to_vec().expect("encoded");
@@ -139,8 +139,8 @@
         state
     );
     // A document that was made before would take them back.
-    assert!(!put.fits(state.level()));
-    let put = ServingCommand::put(document(4), state.level());
+    assert!(!put.is_supported_at(state.level()));
+    let put = ServingCommand::put_document(document(4), state.level());
     state.apply(5, from_log(&put));
     assert_eq!(state.configuration().tenants[0].quota, Some(QUOTA));
 }
@@ -167,7 +167,7 @@
 #[test]
 fn the_level_is_raised_only_once_all_members_have_said_that_they_can() {
     let own = ReplicaId(1);
-    let high = FeatureLevel::OF_THIS_BUILD;
+    let high = FeatureLevel::SUPPORTED;
     let group = membership(3, 1);
     let mut levels = MemberLevels::default();
     for member in 2..=4 {
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -4,19 +4,19 @@
 
 use quickcheck::{TestResult, quickcheck};
 use railtack_control::serving::fleet::{FleetView, KnownReplica};
-use railtack_rpc::serving::{FleetDigest, ReplicaSighting};
+use railtack_rpc::serving::{FleetDigest, ReplicaObservation};
 use railtack_serving::ReplicaKey;
 use tokio::time::Instant;
 
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
 
-fn sighting(replica: u32, open_requests: u16, heard_ms: u16, in_vain: bool) -> ReplicaSighting {
-    ReplicaSighting {
+fn sighting(replica: u32, open_requests: u16, silent_ms: u16, in_vain: bool) -> ReplicaObservation {
+    ReplicaObservation {
         replica: ReplicaKey(replica),
         open_requests,
-        unread_tokens: u32::from(open_requests) * 100,
-        heard_ms,
-        waiting_in_vain: u16::from(in_vain),
+        pending_prefill_tokens: u32::from(open_requests) * 100,
+        silent_ms,
+        stalled_routers: u16::from(in_vain),
     }
 }
 
@@ -37,7 +37,7 @@
 fn dark(digest: &FleetDigest) -> Vec<u32> {
     let replicas = digest.replicas.iter();
     replicas
-        .filter(|condition| condition.is_dark)
+        .filter(|condition| condition.is_unresponsive)
         .map(|condition| condition.replica.0)
         .collect()
 }
@@ -55,7 +55,7 @@
     let digest = leader.digest(start).expect("a digest");
     assert_eq!(digest.replicas.len(), 1);
     assert_eq!(digest.replicas[0].open_requests, 6);
-    assert_eq!(digest.replicas[0].unread_tokens, 600);
+    assert_eq!(digest.replicas[0].pending_prefill_tokens, 600);
 }
 
 #[test]
@@ -99,7 +99,7 @@
     leader.take_router("r3", vec![sighting(1, 1, 1_100, true)], now);
     let changes = leader.make_digest(&replicas, HEARTBEAT, now);
     assert_eq!(changes.len(), 1);
-    assert!(changes[0].is_dark);
+    assert!(changes[0].is_unresponsive);
     assert_eq!(dark(&leader.digest(now).expect("a digest")), [1]);
     // Nobody sends there any more, so nobody waits: it stays dark.
     let now = after(start, 3_500);
@@ -107,7 +107,7 @@
     assert!(leader.make_digest(&replicas, HEARTBEAT, now).is_empty());
     leader.take_router("r2", vec![sighting(1, 0, 20, false)], now);
     let changes = leader.make_digest(&replicas, HEARTBEAT, now);
-    assert!(!changes[0].is_dark);
+    assert!(!changes[0].is_unresponsive);
 }
 
 #[test]
--- a/crates/control/tests/former_build.rs
+++ b/crates/control/tests/former_build.rs
@@ -106,20 +106,17 @@
     let ControlRequest::Watch { request: watch } = request("watch-request") else {
         panic!("no question");
     };
-    assert_eq!(
-        (watch.router.as_str(), watch.known.through),
-        ("router-1", 7)
-    );
-    assert!(watch.known.is_whole() && watch.known.is_current());
-    assert_eq!((watch.wait_ms, watch.sightings.len()), (500, 1));
+    assert_eq!((watch.router.as_str(), watch.known.state), ("router-1", 7));
+    assert!(watch.known.is_complete() && watch.known.is_current());
+    assert_eq!((watch.wait_ms, watch.observations.len()), (500, 1));
 
     let ControlResponse::Watch(reply) = response("watch-reply") else {
         panic!("no answer");
     };
     assert_eq!((reply.confirmed_age_ms, reply.routers), (Some(35), 2));
     let update = reply.update.expect("an update");
-    assert!(update.known.is_whole() && update.complete);
-    assert_eq!((update.known.through, update.replicas.len()), (9, 1));
+    assert!(update.known.is_complete() && update.complete);
+    assert_eq!((update.known.state, update.replicas.len()), (9, 1));
     assert_eq!(
         update.configuration.expect("a configuration").tenants.len(),
         2
@@ -130,7 +127,7 @@
         panic!("no notice");
     };
     assert_eq!(notice.sender, "127.0.0.1:2");
-    assert_eq!((notice.routers.len(), notice.sightings.len()), (1, 1));
+    assert_eq!((notice.routers.len(), notice.observations.len()), (1, 1));
 
     let ControlResponse::Alive(reply) = response("alive-reply") else {
         panic!("no answer");
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -9,7 +9,7 @@
     limits::{ALLOWED_REQUESTS, ALLOWED_SHARE, HeardLimit, LimitLedger, PermitDecision, WINDOW},
     quota::LEADERSHIP_PROVED_WITHIN,
 };
-use railtack_rpc::serving::GRANT_LIFE;
+use railtack_rpc::serving::GRANT_TTL;
 use railtack_serving::RequestLimit;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use tokio::time::Instant;
@@ -301,7 +301,7 @@
     }
 
     fn permit(&mut self, router: usize, asked_ms: u64, given: Option<Given>) {
-        let is_fresh = self.now_ms <= asked_ms + milliseconds(GRANT_LIFE);
+        let is_fresh = self.now_ms <= asked_ms + milliseconds(GRANT_TTL);
         if is_fresh || self.mutant == Mutant::LatePermitsUsed {
             self.send(router, given);
         }
--- a/crates/control/tests/lives.rs
+++ b/crates/control/tests/lives.rs
@@ -2,26 +2,30 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use railtack_control::serving_state::ServingState;
-use railtack_rpc::serving::{Known, ServingCommand, ServingOutcome};
-use railtack_serving::{HeldWeights, Life, PendingOrder, ReplicaRecord, ReplicaState};
+use railtack_rpc::serving::{ServingCommand, ServingOutcome, WatchPosition};
+use railtack_serving::{Incarnation, ModelWeights, PendingOrder, ReplicaRecord, ReplicaState};
 use speedy::{Readable, Writable};
 
 const REPLICA: &str = "i-1";
 
-fn name(born_ms: Option<u64>) -> String {
+fn name(started_ms: Option<u64>) -> String {
     let replica = REPLICA;
-    Life { replica, born_ms }.to_string()
+    Incarnation {
+        replica,
+        started_ms,
+    }
+    .to_string()
 }
 
-fn record(born_ms: Option<u64>, address: &str) -> ReplicaRecord {
+fn record(started_ms: Option<u64>, address: &str) -> ReplicaRecord {
     ReplicaRecord {
-        id: name(born_ms),
+        id: name(started_ms),
         service: "pool".to_owned(),
         address: address.to_owned(),
         zone: "a".to_owned(),
         slots: 4,
         state: ReplicaState::Ready,
-        weights: vec![HeldWeights {
+        weights: vec![ModelWeights {
             model: "m".to_owned(),
             version: 3,
         }],
@@ -30,31 +34,39 @@
     }
 }
 
-fn register(born_ms: u64) -> ServingCommand {
-    ServingCommand::Register(record(Some(born_ms), "h:1"))
+fn register(started_ms: u64) -> ServingCommand {
+    ServingCommand::Register(record(Some(started_ms), "h:1"))
 }
 
 /// The births of the replica's lives that the state holds.
 fn present(state: &ServingState) -> Vec<Option<u64>> {
     let names = state.replicas().keys();
-    names.map(|name| Life::named(name).born_ms).collect()
+    names
+        .map(|name| Incarnation::parse(name).started_ms)
+        .collect()
 }
 
 #[test]
 fn a_life_is_named_by_its_replica_and_its_birth() {
-    let life = Life {
+    let life = Incarnation {
         replica: REPLICA,
-        born_ms: Some(17),
+        started_ms: Some(17),
     };
     assert_eq!(life.to_string(), "i-1#17");
-    assert_eq!(Life::named("i-1#17"), life);
+    assert_eq!(Incarnation::parse("i-1#17"), life);
     for replica in ["i-1", "i-1#", "i-1#x", "i-1#-1", ""] {
-        let born_ms = None;
-        assert_eq!(Life::named(replica), Life { replica, born_ms });
+        let started_ms = None;
+        assert_eq!(
+            Incarnation::parse(replica),
+            Incarnation {
+                replica,
+                started_ms
+            }
+        );
     }
-    assert!(life.is_newer_than(&Life::named(REPLICA)));
-    assert!(!life.is_newer_than(&Life::named("i-1#17")));
-    assert!(!life.is_newer_than(&Life::named("i-2#16")));
+    assert!(life.is_newer_than(&Incarnation::parse(REPLICA)));
+    assert!(!life.is_newer_than(&Incarnation::parse("i-1#17")));
+    assert!(!life.is_newer_than(&Incarnation::parse("i-2#16")));
 }
 
 #[test]
@@ -65,11 +77,11 @@
     state.apply(1, ServingCommand::Register(leaving));
     let right = state.apply(
         2,
-        ServingCommand::AcquireOrders {
+        ServingCommand::AcquireOrderLock {
             holder: "c".to_owned(),
         },
     );
-    assert!(matches!(right, ServingOutcome::OrdersAcquired { .. }));
+    assert!(matches!(right, ServingOutcome::OrderLockAcquired { .. }));
     let order = PendingOrder {
         model: "m".to_owned(),
         version: 9,
@@ -92,7 +104,7 @@
     assert_eq!(known.weights, anew.weights);
     assert_eq!(present(&state), [Some(2)]);
     // Routers that knew the former life end it with the record of the newer one.
-    let update = state.update_after(Known::all(3)).expect("news");
+    let update = state.update_after(WatchPosition::at(3)).expect("news");
     let told: Vec<&str> = update
         .replicas
         .iter()
@@ -175,7 +187,7 @@
     /// Whatever comes of several lives of one replica, and in whatever order: a life that a newer one has
     /// followed is never there again, and a replica that starts from a snapshot decides like the others.
     fn a_former_life_never_comes_back(steps: Vec<Step>) -> bool {
-        let acquire = ServingCommand::AcquireOrders { holder: "c".to_owned() };
+        let acquire = ServingCommand::AcquireOrderLock { holder: "c".to_owned() };
         let mut state = ServingState::default();
         state.apply(1, acquire.clone());
         let mut other = ServingState::default();
--- a/crates/control/tests/members.rs
+++ b/crates/control/tests/members.rs
@@ -23,7 +23,7 @@
         replica: ReplicaId(number),
         disk: DiskId(u64::from(number)),
         address: format!("10.0.0.{address_of}:1"),
-        level: FeatureLevel::OF_THIS_BUILD,
+        level: FeatureLevel::SUPPORTED,
     };
     (ReplicaId(number), request)
 }
--- a/crates/control/tests/production_state/mod.rs
+++ b/crates/control/tests/production_state/mod.rs
@@ -6,7 +6,7 @@
 use railtack_consensus::LogIndex;
 use railtack_rpc::serving::{ConfigurationDocument, ServingCommand, ServingOutcome};
 use railtack_serving::{
-    HeldWeights, PendingOrder, ReplicaRecord, ReplicaState, ServingConfiguration,
+    ModelWeights, PendingOrder, ReplicaRecord, ReplicaState, ServingConfiguration,
 };
 use rpds::{RedBlackTreeMapSync, RedBlackTreeSetSync};
 
@@ -65,8 +65,8 @@
             ServingCommand::Register(record) => self.register(index, record),
             ServingCommand::Deregister { replica } => self.deregister(index, &replica),
             ServingCommand::Expire { replica } => self.expire(index, &replica),
-            ServingCommand::NameWeights(named) => self.name_weights(index, named),
-            ServingCommand::AcquireOrders { holder } => self.acquire_orders(index, holder),
+            ServingCommand::SetTargetWeights(named) => self.name_weights(index, named),
+            ServingCommand::AcquireOrderLock { holder } => self.acquire_orders(index, holder),
             ServingCommand::BeginOrder {
                 token,
                 replica,
@@ -154,7 +154,7 @@
         }
     }
 
-    fn name_weights(&mut self, index: LogIndex, named: HeldWeights) -> ServingOutcome {
+    fn name_weights(&mut self, index: LogIndex, named: ModelWeights) -> ServingOutcome {
         let known = self.weights.get(&named.model).copied().unwrap_or(0);
         if named.version <= known {
             return ServingOutcome::Superseded;
@@ -171,7 +171,7 @@
             holder,
             token: index,
         });
-        ServingOutcome::OrdersAcquired {
+        ServingOutcome::OrderLockAcquired {
             token: index,
             taken_over,
         }
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -10,7 +10,7 @@
 };
 use railtack_rpc::{
     FeatureLevel,
-    serving::{ENDS_TO_QUARANTINE, Known, QUARANTINE_TIME, ServingCommand},
+    serving::{CRASHES_TO_QUARANTINE, QUARANTINE_DURATION, ServingCommand, WatchPosition},
 };
 use railtack_serving::{ContentKey, ReplicaKey};
 use speedy::{Readable, Writable};
@@ -117,7 +117,7 @@
 #[test]
 fn a_good_end_clears_a_request() {
     let mut quarantine = after(&[&[FATAL], &[FATAL]]);
-    assert_eq!(quarantine.told().watched, [FATAL]);
+    assert_eq!(quarantine.told().suspected, [FATAL]);
     quarantine.clear(8, &[FATAL]);
     assert!(quarantine.suspects().is_empty());
     quarantine.record_end(9, ReplicaKey(9), &[FATAL]);
@@ -159,12 +159,12 @@
     let mut timers = ReleaseTimers::default();
     let mut quarantine = after(&[&[FATAL], &[FATAL], &[FATAL]]);
     assert_eq!(timers.due(&quarantine, start), []);
-    assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME / 2), []);
+    assert_eq!(timers.due(&quarantine, start + QUARANTINE_DURATION / 2), []);
     // One more end begins the time anew.
     quarantine.record_end(9, ReplicaKey(9), &[FATAL]);
-    assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME / 2), []);
-    assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME), []);
-    let over = start + QUARANTINE_TIME + QUARANTINE_TIME / 2;
+    assert_eq!(timers.due(&quarantine, start + QUARANTINE_DURATION / 2), []);
+    assert_eq!(timers.due(&quarantine, start + QUARANTINE_DURATION), []);
+    let over = start + QUARANTINE_DURATION + QUARANTINE_DURATION / 2;
     assert_eq!(timers.due(&quarantine, over), [(FATAL, 9)]);
     // A new leader measures from when it first sees it.
     assert_eq!(ReleaseTimers::default().due(&quarantine, over), []);
@@ -184,26 +184,28 @@
 #[test]
 fn routers_are_told_only_what_changed_for_them() {
     let mut state = ServingState::default();
-    let end = |replica: u32| ServingCommand::RecordEnd {
+    let end = |replica: u32| ServingCommand::RecordCrash {
         replica: ReplicaKey(replica),
         contents: vec![FATAL],
-        witness: None,
+        reporter: None,
     };
     state.apply(1, end(1));
     assert_eq!(
-        state.update_after(Known::all(0)),
+        state.update_after(WatchPosition::at(0)),
         None,
         "one end is no news for routers"
     );
     state.apply(2, end(2));
     state.apply(3, end(3));
-    let update = state.update_after(Known::all(2)).expect("news");
+    let update = state.update_after(WatchPosition::at(2)).expect("news");
     let told = update.quarantine.expect("a quarantine");
     assert_eq!(told.quarantined, [FATAL]);
     // A router that has just started learns all of it; one that knows it hears nothing more.
-    let first = state.update_after(Known::all(0)).expect("everything");
+    let first = state
+        .update_after(WatchPosition::at(0))
+        .expect("everything");
     assert_eq!(first.quarantine, Some(told));
-    assert_eq!(state.update_after(Known::all(3)), None);
+    assert_eq!(state.update_after(WatchPosition::at(3)), None);
 }
 
 #[test]
@@ -211,7 +213,7 @@
     let mut quarantine = after(&[&[FATAL, OTHER], &[FATAL, OTHER]]);
     let before = quarantine.told().clone();
     quarantine.record_end(3, ReplicaKey(3), &[FATAL, OTHER]);
-    assert_eq!(quarantine.told().watched, before.watched);
+    assert_eq!(quarantine.told().suspected, before.suspected);
     assert_eq!(quarantine.told().changed_at, 3);
     // The same report again is none.
     quarantine.record_end(4, ReplicaKey(3), &[FATAL, OTHER]);
@@ -230,10 +232,10 @@
         let replica = ReplicaKey(replica);
         state.apply(
             u64::from(replica.0),
-            ServingCommand::RecordEnd {
+            ServingCommand::RecordCrash {
                 replica,
                 contents,
-                witness: None,
+                reporter: None,
             },
         );
     }
@@ -281,7 +283,7 @@
             quarantine.record_end(index, ReplicaKey(index as u32), &contents);
         }
         let found = quarantined(&quarantine);
-        let few = |content: &ContentKey| counts.get(content).copied().unwrap_or(0) < ENDS_TO_QUARANTINE;
+        let few = |content: &ContentKey| counts.get(content).copied().unwrap_or(0) < CRASHES_TO_QUARANTINE;
         let wronged = found.iter().any(|content| *content != FATAL && few(content));
         TestResult::from_bool(found.contains(&FATAL) && !wronged)
     }
--- a/crates/control/tests/quota.rs
+++ b/crates/control/tests/quota.rs
@@ -9,7 +9,7 @@
     ledger::{LedgerAnswer, QuotaLedger, Withdrawal},
     quota::{LEADERSHIP_PROVED_WITHIN, grant_times},
 };
-use railtack_rpc::serving::GRANT_LIFE;
+use railtack_rpc::serving::GRANT_TTL;
 use railtack_serving::{QuotaBounds, QuotaUnit, TenantQuota};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use tokio::time::Instant;
@@ -49,7 +49,7 @@
         unit: QuotaUnit::Tokens,
         rate_per_s,
         burst,
-        unstated_tokens: 200,
+        default_tokens: 200,
     }
 }
 
@@ -179,7 +179,7 @@
         };
         let answered_ms = now_ms + self.delay();
         let used_ms = answered_ms + wait_ms;
-        let in_time = used_ms <= question.asked_ms + wait_ms + GRANT_LIFE.as_millis() as u64;
+        let in_time = used_ms <= question.asked_ms + wait_ms + GRANT_TTL.as_millis() as u64;
         if in_time || self.mutant == Mutant::LateGrantsUsed {
             self.uses.push(Use {
                 at_ms: used_ms,
--- a/crates/control/tests/registrations.rs
+++ b/crates/control/tests/registrations.rs
@@ -7,7 +7,9 @@
     serving::registrations::{BATCH, Registrations},
     serving_state::ServingState,
 };
-use railtack_rpc::serving::{Known, Registration, ServingCommand, ServingOutcome, ServingUpdate};
+use railtack_rpc::serving::{
+    Registration, ServingCommand, ServingOutcome, ServingUpdate, WatchPosition,
+};
 use railtack_serving::{ReplicaRecord, ReplicaState};
 
 fn record(number: usize) -> ReplicaRecord {
@@ -155,7 +157,7 @@
         state.apply(position as u64 + 1, ServingCommand::RegisterAll(batch));
     }
     let mut index = 100;
-    let mut known = Known::default();
+    let mut known = WatchPosition::default();
     let mut told = BTreeMap::new();
     let mut answers = 0;
     while let Some(update) = state.update_after(known) {
@@ -182,17 +184,21 @@
         }
     }
     assert!(answers > 10, "{answers}");
-    assert_eq!(known, Known::all(state.changed_at()));
+    assert_eq!(known, WatchPosition::at(state.changed_at()));
     let recorded = state.replicas().iter();
     let recorded = recorded.map(|(id, record)| (id.clone(), record.clone()));
     assert_eq!(told, recorded.collect());
     // Whoever lags behind what a router knows tells it nothing.
-    assert_eq!(state.update_after(Known::all(index + 1)), None);
+    assert_eq!(state.update_after(WatchPosition::at(index + 1)), None);
 }
 
-fn apply(told: &mut BTreeMap<String, ReplicaRecord>, update: ServingUpdate, known: Known) -> Known {
-    assert!(update.known.through >= known.through);
-    assert!(update.complete == (known.through == 0));
+fn apply(
+    told: &mut BTreeMap<String, ReplicaRecord>,
+    update: ServingUpdate,
+    known: WatchPosition,
+) -> WatchPosition {
+    assert!(update.known.state >= known.state);
+    assert!(update.complete == (known.state == 0));
     for replica in &update.removed {
         told.remove(replica);
     }
@@ -221,7 +227,7 @@
             let batch = (first..first + 100).map(record).collect();
             state.apply(index, ServingCommand::RegisterAll(batch));
         }
-        let mut known = Known::default();
+        let mut known = WatchPosition::default();
         let mut told = BTreeMap::new();
         let mut holds = true;
         for (kind, number, asks) in events {
--- a/crates/control/tests/serving_state.rs
+++ b/crates/control/tests/serving_state.rs
@@ -1,9 +1,9 @@
 //! The replicated state that routers serve from.
 
 use railtack_control::serving_state::ServingState;
-use railtack_rpc::serving::{ConfigurationDocument, Known, ServingCommand, ServingOutcome};
+use railtack_rpc::serving::{ConfigurationDocument, ServingCommand, ServingOutcome, WatchPosition};
 use railtack_serving::{
-    ContentKey, HeldWeights, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState,
+    ContentKey, ModelWeights, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState,
     ServingConfiguration,
 };
 use speedy::{Readable, Writable};
@@ -27,7 +27,7 @@
         zone: "a".to_owned(),
         slots: 4,
         state: ReplicaState::Ready,
-        weights: vec![HeldWeights {
+        weights: vec![ModelWeights {
             model: "m".to_owned(),
             version,
         }],
@@ -97,7 +97,7 @@
         state.apply(3, register("r", "h:1", 1)),
         ServingOutcome::Done
     );
-    let update = state.update_after(Known::all(1)).expect("news");
+    let update = state.update_after(WatchPosition::at(1)).expect("news");
     assert_eq!(update.replicas.len(), 1);
 }
 
@@ -112,7 +112,7 @@
     };
     assert_eq!(state.apply(2, register("new", "h:1", 1)), held);
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["old"]);
-    assert_eq!(state.update_after(Known::all(1)), None);
+    assert_eq!(state.update_after(WatchPosition::at(1)), None);
     let removed = ServingCommand::Deregister {
         replica: "old".to_owned(),
     };
@@ -124,7 +124,7 @@
     let late = state.apply(5, register("old", "h:1", 1));
     assert_eq!(late, ServingOutcome::UnknownReplica);
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["new"]);
-    let update = state.update_after(Known::all(1)).expect("news");
+    let update = state.update_after(WatchPosition::at(1)).expect("news");
     assert_eq!(update.removed, ["old"]);
 }
 
@@ -146,10 +146,10 @@
 }
 
 fn ended(replica: &str, witness: Option<&str>) -> ServingCommand {
-    ServingCommand::RecordEnd {
+    ServingCommand::RecordCrash {
         replica: ReplicaKey::of(replica),
         contents: vec![ContentKey(7)],
-        witness: witness.map(str::to_owned),
+        reporter: witness.map(str::to_owned),
     }
 }
 
@@ -166,7 +166,7 @@
     assert_eq!(state.replicas().size(), 2);
     state.apply(4, ended("r", Some("router-2")));
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["other"]);
-    let update = state.update_after(Known::all(3)).expect("news");
+    let update = state.update_after(WatchPosition::at(3)).expect("news");
     assert_eq!(update.removed, ["r"]);
     // Its next life may take the address at once.
     assert_eq!(
@@ -224,11 +224,11 @@
     state.apply(1, register("r", "h:1", 1));
     let acquired = state.apply(
         2,
-        ServingCommand::AcquireOrders {
+        ServingCommand::AcquireOrderLock {
             holder: "n1".to_owned(),
         },
     );
-    let ServingOutcome::OrdersAcquired { token, taken_over } = acquired else {
+    let ServingOutcome::OrderLockAcquired { token, taken_over } = acquired else {
         panic!("{acquired:?}");
     };
     assert!(!taken_over);
@@ -249,13 +249,13 @@
 
     let other = state.apply(
         7,
-        ServingCommand::AcquireOrders {
+        ServingCommand::AcquireOrderLock {
             holder: "n2".to_owned(),
         },
     );
     assert!(matches!(
         other,
-        ServingOutcome::OrdersAcquired {
+        ServingOutcome::OrderLockAcquired {
             token: 7,
             taken_over: true
         }
@@ -269,19 +269,26 @@
     state.apply(1, document(1, "one"));
     state.apply(2, register("a", "h:1", 1));
     state.apply(3, register("b", "h:2", 1));
-    let first = state.update_after(Known::all(0)).expect("everything");
+    let first = state
+        .update_after(WatchPosition::at(0))
+        .expect("everything");
     assert!(first.complete && first.configuration.is_some() && first.replicas.len() == 2);
-    let next = state.update_after(Known::all(2)).expect("one replica");
+    let next = state
+        .update_after(WatchPosition::at(2))
+        .expect("one replica");
     assert!(!next.complete && next.configuration.is_none());
     assert_eq!(next.replicas.len(), 1);
-    assert_eq!(state.update_after(Known::all(3)), None);
-    let named = HeldWeights {
+    assert_eq!(state.update_after(WatchPosition::at(3)), None);
+    let named = ModelWeights {
         model: "m".to_owned(),
         version: 2,
     };
-    state.apply(4, ServingCommand::NameWeights(named.clone()));
+    state.apply(4, ServingCommand::SetTargetWeights(named.clone()));
     assert_eq!(
-        state.update_after(Known::all(3)).expect("weights").weights,
+        state
+            .update_after(WatchPosition::at(3))
+            .expect("weights")
+            .weights,
         [named]
     );
 }
@@ -325,7 +332,7 @@
         ServingOutcome::Done
     );
     assert_eq!(state.changed_at(), 1);
-    assert_eq!(state.update_after(Known::all(1)), None);
+    assert_eq!(state.update_after(WatchPosition::at(1)), None);
     state.apply(3, register("r", "h:1", 2));
     assert_eq!(state.changed_at(), 3);
 }
@@ -334,10 +341,10 @@
 fn an_order_that_is_recorded_already_is_no_news() {
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
-    let acquired = ServingCommand::AcquireOrders {
+    let acquired = ServingCommand::AcquireOrderLock {
         holder: "c".to_owned(),
     };
-    let ServingOutcome::OrdersAcquired { token, .. } = state.apply(2, acquired) else {
+    let ServingOutcome::OrderLockAcquired { token, .. } = state.apply(2, acquired) else {
         panic!("the right was not acquired");
     };
     let begin = || ServingCommand::BeginOrder {
--- a/crates/control/tests/watch.rs
+++ b/crates/control/tests/watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use railtack_control::serving::watch::{gathering_interval, gathering_time, longest_gathering};
-use railtack_rpc::serving::{Known, WatchRequest};
+use railtack_rpc::serving::{WatchPosition, WatchRequest};
 use railtack_serving::{Bounds, QuotaBounds};
 
 const LONGEST: Duration = Duration::from_millis(400);
@@ -11,12 +11,12 @@
 fn question(known: u64, wait_ms: u64) -> WatchRequest {
     WatchRequest {
         router: "r".to_owned(),
-        known: Known::all(known),
-        takes_records: true,
-        takes_parts: true,
+        known: WatchPosition::at(known),
+        wants_records: true,
+        accepts_partial: true,
         wait_ms,
         has_lease: true,
-        sightings: Vec::new(),
+        observations: Vec::new(),
     }
 }
 
@@ -56,10 +56,10 @@
         Duration::ZERO
     );
     let in_pieces = WatchRequest {
-        known: Known {
-            through: 9,
-            changes_through: 5,
-            records_through: 5,
+        known: WatchPosition {
+            state: 9,
+            changes: 5,
+            records: 5,
         },
         ..question(7, 500)
     };
--- a/crates/control/tests/weights.rs
+++ b/crates/control/tests/weights.rs
@@ -8,12 +8,12 @@
     serving_state::ServingState,
 };
 use railtack_rpc::serving::ServingCommand;
-use railtack_serving::{HeldWeights, PendingOrder, ReplicaRecord, ReplicaState};
+use railtack_serving::{ModelWeights, PendingOrder, ReplicaRecord, ReplicaState};
 
 const VERSION_MS: u64 = 8_000;
 
-fn held(version: u64) -> HeldWeights {
-    HeldWeights {
+fn held(version: u64) -> ModelWeights {
+    ModelWeights {
         model: "m".to_owned(),
         version,
     }
@@ -36,8 +36,8 @@
         };
         state.apply(position as u64 + 1, ServingCommand::Register(record));
     }
-    state.apply(100, ServingCommand::NameWeights(held(named)));
-    let acquire = ServingCommand::AcquireOrders {
+    state.apply(100, ServingCommand::SetTargetWeights(held(named)));
+    let acquire = ServingCommand::AcquireOrderLock {
         holder: "n".to_owned(),
     };
     state.apply(101, acquire);
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -5,7 +5,7 @@
 use error_stack::Report;
 use railtack_core::OperationId;
 use railtack_rpc::{
-    ConnectionError, ControlConnection, call_deadline,
+    ConnectionError, ControlConnection, call_context,
     protocol::{
         Command, Configuration, ConfigurationChange, MembershipChange, MembershipReply, Outcome,
         Proposal, ProposeReply, ReplicaIdentity, StatusReply,
@@ -62,7 +62,7 @@
         for connection in &self.connections {
             let configuration = connection
                 .call(
-                    |client| async move { client.configuration(call_deadline(CALL_TIMEOUT)).await },
+                    |client| async move { client.configuration(call_context(CALL_TIMEOUT)).await },
                 )
                 .await;
             let known: Option<&Configuration> = newest.as_ref();
@@ -81,7 +81,7 @@
         let mut statuses = Vec::new();
         for connection in &self.connections {
             let status = connection
-                .call(|client| async move { client.status(call_deadline(CALL_TIMEOUT)).await })
+                .call(|client| async move { client.status(call_context(CALL_TIMEOUT)).await })
                 .await;
             statuses.push((connection.address(), status.ok()));
         }
@@ -96,8 +96,8 @@
         for connection in &self.connections {
             let asked = connection
                 .call(|client| async move {
-                    let commit = client.status(call_deadline(CALL_TIMEOUT)).await?.commit;
-                    let suspects = client.suspects(call_deadline(CALL_TIMEOUT)).await?;
+                    let commit = client.status(call_context(CALL_TIMEOUT)).await?.commit;
+                    let suspects = client.suspects(call_context(CALL_TIMEOUT)).await?;
                     Ok((commit, suspects))
                 })
                 .await;
@@ -116,7 +116,7 @@
         let mut positions = Vec::new();
         for connection in &self.connections {
             let position = connection
-                .call(|client| async move { client.snapshot(call_deadline(CALL_TIMEOUT)).await })
+                .call(|client| async move { client.snapshot(call_context(CALL_TIMEOUT)).await })
                 .await;
             positions.push((connection.address(), position.ok()));
         }
@@ -127,7 +127,7 @@
     pub async fn identify(address: SocketAddr) -> Result<ReplicaIdentity, Report<CtlError>> {
         let connection = ControlConnection::new(address, CONNECT_TIMEOUT);
         let identity = connection
-            .call(|client| async move { client.identify(call_deadline(CALL_TIMEOUT)).await })
+            .call(|client| async move { client.identify(call_context(CALL_TIMEOUT)).await })
             .await;
         identity.map_err(|report| report.change_context(CtlError::Unavailable))
     }
@@ -145,7 +145,7 @@
                 let reply = connection
                     .call(|client| async move {
                         client
-                            .change_membership(call_deadline(CALL_TIMEOUT), change)
+                            .change_membership(call_context(CALL_TIMEOUT), change)
                             .await
                     })
                     .await;
@@ -181,16 +181,16 @@
                 };
                 let reply = connection
                     .call(|client| async move {
-                        client.propose(call_deadline(CALL_TIMEOUT), proposal).await
+                        client.propose(call_context(CALL_TIMEOUT), proposal).await
                     })
                     .await;
                 match reply {
                     Ok(ProposeReply::Done(outcome)) => return Ok(outcome),
-                    Ok(ProposeReply::NotLeader { .. } | ProposeReply::LevelDiffers { .. }) => {}
+                    Ok(ProposeReply::NotLeader { .. } | ProposeReply::LevelMismatch { .. }) => {}
                     Ok(ProposeReply::Unknown) => maybe_changed = true,
                     Err(report) => {
                         let reached = report.current_context();
-                        maybe_changed |= matches!(reached, ConnectionError::NoAnswer { .. });
+                        maybe_changed |= matches!(reached, ConnectionError::NoResponse { .. });
                     }
                 }
             }
--- a/crates/ctl/src/quarantine.rs
+++ b/crates/ctl/src/quarantine.rs
@@ -30,13 +30,13 @@
 
 async fn list(client: &ControlClient, format: OutputFormat) -> Result<(), Report<CtlError>> {
     let mut suspects = client.suspects().await?;
-    suspects.sort_by_key(|suspect| Reverse((suspect.is_quarantined, suspect.ends)));
+    suspects.sort_by_key(|suspect| Reverse((suspect.is_quarantined, suspect.crashes)));
     let mut table = Table::new(["content", "quarantined", "ends", "changed_at"]);
     for suspect in suspects {
         table.row([
             suspect.content.to_string(),
             suspect.is_quarantined.to_string(),
-            suspect.ends.to_string(),
+            suspect.crashes.to_string(),
             suspect.changed_at.to_string(),
         ]);
     }
@@ -51,7 +51,7 @@
         return Err(Report::new(CtlError::NotFound { name }));
     }
     let contents = vec![content];
-    let command = Command::Serving(ServingCommand::ClearContents { contents });
+    let command = Command::Serving(ServingCommand::ClearSuspects { contents });
     client.propose(command, "").await?;
     println!("request {content} is released");
     Ok(())
--- a/crates/emulator/src/limit.rs
+++ b/crates/emulator/src/limit.rs
@@ -8,7 +8,7 @@
     Response,
     header::{HeaderName, HeaderValue},
 };
-use railtack_backend_api::REQUEST_LIMIT;
+use railtack_backend_api::REQUEST_LIMIT_HEADER;
 use railtack_http::Body;
 use tokio::time::Instant;
 
@@ -160,7 +160,7 @@
     pub fn named_in(&self, mut response: Response<Body>) -> Response<Body> {
         let named = self.record.next_named().map(|per_s| per_s.to_string());
         if let Some(value) = named.and_then(|text| HeaderValue::from_str(&text).ok()) {
-            let name = HeaderName::from_static(REQUEST_LIMIT);
+            let name = HeaderName::from_static(REQUEST_LIMIT_HEADER);
             response.headers_mut().insert(name, value);
         }
         response
--- a/crates/lab/src/experiment/disturbances.rs
+++ b/crates/lab/src/experiment/disturbances.rs
@@ -112,7 +112,7 @@
             state.excluded.push(EngineSlot(number as u16));
             let has_attempts = state.excluded.len() < ATTEMPTS;
             let router = &mut self.routers[state.router];
-            if has_attempts && router.budget.spend() {
+            if has_attempts && router.budget.withdraw() {
                 self.dispatch(open, false);
             } else {
                 state.done = true;
--- a/crates/lab/src/experiment/fleet.rs
+++ b/crates/lab/src/experiment/fleet.rs
@@ -265,7 +265,7 @@
             done: false,
         });
         let open = self.open.len() - 1;
-        self.routers[router].budget.earn();
+        self.routers[router].budget.deposit();
         self.dispatch(open, true);
     }
 
@@ -299,7 +299,7 @@
         router
             .engines()
             .view_mut(choice.engine)
-            .sent(choice.uncached_tokens, urgent);
+            .record_sent(choice.uncached_tokens, urgent);
         if self.policy == Policy::Railtack {
             router.scheduler.expect_cached(choice.engine, &state.chain);
         }
@@ -409,7 +409,7 @@
         router
             .engines()
             .view_mut(choice.engine)
-            .prefilled(choice.uncached_tokens, urgent);
+            .record_prefilled(choice.uncached_tokens, urgent);
     }
 
     fn finish(&mut self, open: usize, at_us: u64) {
@@ -420,7 +420,7 @@
         self.recorder.finished(request, tokens, at_us);
         if let Some(choice) = state.choice {
             let router = &mut self.routers[state.router];
-            router.engines().view_mut(choice.engine).closed();
+            router.engines().view_mut(choice.engine).record_closed();
         }
     }
 }
--- a/crates/lab/src/experiment/router.rs
+++ b/crates/lab/src/experiment/router.rs
@@ -5,8 +5,8 @@
     BlockHash, EngineId, EngineIncarnation, ModelName, PrefixChain, WeightsVersion,
 };
 use railtack_routing::{
-    Admission, AdmissionRefusal, CandidateScore, EngineSlot, EngineTable, ModelKey, RequestShape,
-    RetryBudget, Scheduler, SchedulerOptions, ScoreWeights, admission::AdmissionRequest,
+    Admission, AdmissionRefusal, CandidateScore, EngineSlot, EngineTable, ModelKey, RetryBudget,
+    RoutingRequest, Scheduler, SchedulerOptions, ScoreWeights, admission::AdmissionRequest,
     candidates::Candidate, engines::EngineDescription, scoring,
 };
 use railtack_settings::documents::{Priority, TenantLimits};
@@ -97,8 +97,8 @@
     /// Hears of a crash, a restart, or that an engine is there.
     pub fn hear_status(&mut self, engine: u32, life: u64, up: bool) {
         let (slot, knowledge) = self.scheduler.engines.update(description(engine, life, up));
-        if knowledge == railtack_routing::engines::CacheKnowledge::Void {
-            self.scheduler.index.forget(slot);
+        if knowledge == railtack_routing::engines::CacheValidity::Invalidated {
+            self.scheduler.index.remove_engine(slot);
             self.heard[engine as usize] = 0;
         }
     }
@@ -118,10 +118,10 @@
         let follows = sequence == *heard + 1;
         *heard = sequence;
         let slot = EngineSlot(engine as u16);
-        self.scheduler.index.stored(slot, stored.iter().copied());
-        self.scheduler.index.removed(slot, removed.iter().copied());
+        self.scheduler.index.insert(slot, stored.iter().copied());
+        self.scheduler.index.remove(slot, removed.iter().copied());
         if !follows {
-            self.scheduler.engines.view_mut(slot).suspect = true;
+            self.scheduler.engines.view_mut(slot).cache_view_stale = true;
         }
         follows
     }
@@ -130,9 +130,9 @@
     pub fn resynchronise(&mut self, engine: u32, sequence: EventSequence, blocks: &[BlockHash]) {
         let slot = EngineSlot(engine as u16);
         self.heard[engine as usize] = sequence;
-        self.scheduler.index.forget(slot);
-        self.scheduler.index.stored(slot, blocks.iter().copied());
-        self.scheduler.engines.view_mut(slot).suspect = false;
+        self.scheduler.index.remove_engine(slot);
+        self.scheduler.index.insert(slot, blocks.iter().copied());
+        self.scheduler.engines.view_mut(slot).cache_view_stale = false;
     }
 
     /// Chooses an engine.
@@ -164,7 +164,7 @@
                 self.unscored(engine, chain)
             }
             Policy::Railtack => {
-                let shape = RequestShape {
+                let shape = RoutingRequest {
                     key: &key,
                     chain,
                     boundaries,
@@ -274,7 +274,7 @@
             let candidate = Candidate {
                 engine: slot,
                 held_blocks: engine.held_blocks,
-                favoured_blocks: 0,
+                affinity_blocks: 0,
             };
             Some(scoring::score(
                 &weights, candidate, &view, chain, class, true, false,
--- a/crates/lab/src/scale/cluster.rs
+++ b/crates/lab/src/scale/cluster.rs
@@ -14,7 +14,7 @@
 use railtack_http::HttpClient;
 use railtack_router::{control_link::ControlLink, proposal::Proposed};
 use railtack_rpc::{
-    ControlConnection, call_deadline,
+    ControlConnection, call_context,
     protocol::{ClaimRequest, Command, PollReply, PollRequest},
 };
 use railtack_settings::router::ControlAddress;
@@ -150,7 +150,7 @@
             };
             let reply = connection
                 .call(|client| async move {
-                    let deadline = call_deadline(Duration::from_secs(1));
+                    let deadline = call_context(Duration::from_secs(1));
                     client.poll(deadline, request).await
                 })
                 .await;
--- a/crates/lab/src/scale/decisions.rs
+++ b/crates/lab/src/scale/decisions.rs
@@ -8,7 +8,7 @@
     BlockHash, CacheNamespace, EngineId, EngineIncarnation, PrefixChain, WeightsVersion,
 };
 use railtack_routing::{
-    EngineSlot, ModelKey, PrefixIndex, RequestShape, Scheduler, SchedulerOptions,
+    EngineSlot, ModelKey, PrefixIndex, RoutingRequest, Scheduler, SchedulerOptions,
     engines::EngineDescription,
 };
 use railtack_settings::documents::Priority;
@@ -124,7 +124,7 @@
     let key = key();
     for number in 0..DECISIONS {
         let prompt = &prompts[number % prompts.len()];
-        let shape = RequestShape {
+        let shape = RoutingRequest {
             key: &key,
             chain: &prompt.chain,
             boundaries: &prompt.boundaries,
@@ -152,13 +152,13 @@
         let mut index = PrefixIndex::new(size);
         let started = Instant::now();
         for (position, block) in blocks.iter().enumerate() {
-            index.stored(EngineSlot((position % 730) as u16), [*block]);
+            index.insert(EngineSlot((position % 730) as u16), [*block]);
         }
         let stored = started.elapsed();
         let bytes = resident_bytes("self").saturating_sub(before);
         let started = Instant::now();
         for (position, block) in blocks.iter().enumerate() {
-            index.removed(EngineSlot((position % 730) as u16), [*block]);
+            index.remove(EngineSlot((position % 730) as u16), [*block]);
         }
         let removed = started.elapsed();
         kept.push(index);
--- a/crates/lab/src/scale/state.rs
+++ b/crates/lab/src/scale/state.rs
@@ -7,7 +7,7 @@
 use railtack_router::resolved::{Resolved, key_hash};
 use railtack_rpc::protocol::{
     ClaimOutcome, ClaimRequest, Command, ConfigurationChange, ConfigurationUpdate, Proposal,
-    StoredAnswer,
+    StoredResponse,
 };
 use railtack_settings::documents::{Document, Service, Target, Template, Tenant, TenantLimits};
 use speedy::Writable;
@@ -172,7 +172,7 @@
         tenant,
         key,
         attempt,
-        outcome: ClaimOutcome::Completed(StoredAnswer {
+        outcome: ClaimOutcome::Completed(StoredResponse {
             status: 200,
             content_type: "application/json".to_owned(),
             body: Some(vec![0; 200]),
--- a/crates/lab/src/simulate/control/checks.rs
+++ b/crates/lab/src/simulate/control/checks.rs
@@ -4,7 +4,7 @@
 
 use railtack_control::replica::Applied;
 use railtack_core::{AttemptId, Execution, OperationId, Revision};
-use railtack_rpc::protocol::{ClaimAnswer, Command, ConfigurationChange, Outcome, Proposal};
+use railtack_rpc::protocol::{ClaimReply, Command, ConfigurationChange, Outcome, Proposal};
 use railtack_settings::documents::Document;
 use speedy::Readable;
 
@@ -194,7 +194,7 @@
                 self.check_change(index, &change, outcome)
             }
             Command::Claim(request) => {
-                if *outcome != Outcome::Claim(ClaimAnswer::Granted) {
+                if *outcome != Outcome::Claim(ClaimReply::Granted) {
                     return Ok(());
                 }
                 let holder = self.granted.entry(request.key.0.clone());
--- a/crates/lab/src/simulate/control/routers.rs
+++ b/crates/lab/src/simulate/control/routers.rs
@@ -9,7 +9,7 @@
     proposal::{ProposalAnswer, ProposalRun, Proposed},
     resolved::Resolved,
 };
-use railtack_rpc::protocol::{Command, PollReply, PollRequest, Proposal, StoredAnswer};
+use railtack_rpc::protocol::{Command, PollReply, PollRequest, Proposal, StoredResponse};
 use rand::RngExt;
 
 use crate::simulate::{
@@ -378,7 +378,7 @@
 
     /// The service's answer arrives.
     pub fn service_answered(&mut self, arrival: u64) -> Result<(), Broken> {
-        let answer = StoredAnswer {
+        let answer = StoredResponse {
             status: 200,
             content_type: "text/plain".to_owned(),
             body: Some(Vec::new()),
@@ -394,7 +394,7 @@
     fn service_result_if_waiting(
         &mut self,
         arrival: u64,
-        result: Result<StoredAnswer, SendError>,
+        result: Result<StoredResponse, SendError>,
     ) -> Result<(), Broken> {
         let waiting = self
             .arrivals
@@ -409,7 +409,7 @@
     fn service_result(
         &mut self,
         arrival: u64,
-        result: Result<StoredAnswer, SendError>,
+        result: Result<StoredResponse, SendError>,
     ) -> Result<(), Broken> {
         let Some(state) = self.arrivals.get_mut(&arrival) else {
             return Ok(());
--- a/crates/lab/src/simulate/streams/requests.rs
+++ b/crates/lab/src/simulate/streams/requests.rs
@@ -126,7 +126,7 @@
         };
         let number = self.number();
         self.requests.insert(number, request);
-        self.budget.earn();
+        self.budget.deposit();
         self.schedule
             .after(DEADLINE, Event::Deadline { request: number });
         self.dispatch(number)
@@ -290,7 +290,7 @@
             return Ok(());
         };
         let budget = &mut self.budget;
-        let after = request.attempts.ended(end, || budget.spend());
+        let after = request.attempts.ended(end, || budget.withdraw());
         request.excluded.push(request.engine);
         let (engine, attempt) = (request.engine, request.attempt);
         if !matches!(end, AttemptEnd::Whole(_)) {
--- a/crates/lab/tests/lent_retries.rs
+++ b/crates/lab/tests/lent_retries.rs
@@ -15,7 +15,7 @@
 use railtack_proxy::budget::{BudgetRule, RetryBudget};
 use railtack_serving::{
     Bounds, QuotaBounds,
-    retries::{LENT_SLACK, OWN_SLACK, lent_bounds, lent_quota},
+    retries::{LOCAL_SLACK_SHARE, SHARED_SLACK_SHARE, shared_retry_bounds, shared_retry_quota},
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use tokio::time::Instant;
@@ -66,7 +66,7 @@
     fn first(bounds: Bounds, now: Instant) -> Self {
         Self {
             bounds,
-            ledger: QuotaLedger::first(lent_bounds(&bounds), grant_times(), now),
+            ledger: QuotaLedger::first(shared_retry_bounds(&bounds), grant_times(), now),
         }
     }
 
@@ -74,12 +74,12 @@
     fn later(bounds: Bounds, now: Instant) -> Self {
         Self {
             bounds,
-            ledger: QuotaLedger::new(lent_bounds(&bounds), grant_times(), now),
+            ledger: QuotaLedger::new(shared_retry_bounds(&bounds), grant_times(), now),
         }
     }
 
     fn lend(&mut self, now: Instant) -> bool {
-        let Some(quota) = lent_quota(&self.bounds) else {
+        let Some(quota) = shared_retry_quota(&self.bounds) else {
             return false;
         };
         let withdrawal = Withdrawal {
@@ -197,6 +197,8 @@
 /// What routers may spend twice and a leader once, as a restart forgets it, fits the slack.
 #[test]
 fn the_parts_of_the_slack_add_up() {
-    let parts: f64 = [OWN_SLACK, OWN_SLACK, LENT_SLACK].iter().sum();
+    let parts: f64 = [LOCAL_SLACK_SHARE, LOCAL_SLACK_SHARE, SHARED_SLACK_SHARE]
+        .iter()
+        .sum();
     assert!(parts <= 1.0, "{parts}");
 }
--- a/crates/lab/tests/lives.rs
+++ b/crates/lab/tests/lives.rs
@@ -7,7 +7,7 @@
 use railtack_control::{serving::registrations::BATCH, serving_state::ServingState};
 use railtack_proxy::view::ServingView;
 use railtack_rpc::serving::{ServingCommand, ServingUpdate};
-use railtack_serving::{HeldWeights, Life, ReplicaRecord, ReplicaState};
+use railtack_serving::{Incarnation, ModelWeights, ReplicaRecord, ReplicaState};
 use speedy::Writable;
 
 /// Replicas of the fleet, and those that come back at once.
@@ -17,11 +17,11 @@
 /// Largest record, bytes: 140 and the birth of the life.
 const RECORD_LIMIT: usize = 160;
 
-fn record(number: usize, born_ms: u64) -> ReplicaRecord {
+fn record(number: usize, started_ms: u64) -> ReplicaRecord {
     let replica = format!("i-{number:010x}");
-    let life = Life {
+    let life = Incarnation {
         replica: &replica,
-        born_ms: Some(born_ms),
+        started_ms: Some(started_ms),
     };
     ReplicaRecord {
         id: life.to_string(),
@@ -35,7 +35,7 @@
         zone: "hala-a".to_owned(),
         slots: 16,
         state: ReplicaState::Ready,
-        weights: vec![HeldWeights {
+        weights: vec![ModelWeights {
             model: "daka510000".to_owned(),
             version: 1,
         }],
@@ -103,13 +103,13 @@
         let mut steps = (1_u64..).zip(steps);
         steps.all(|(index, (kind, number, asks))| {
             let replica = usize::from(number) % 4;
-            let born_ms = FIRST_BORN + u64::from(number) / 4 % 5;
-            let name = record(replica, born_ms).id;
+            let started_ms = FIRST_BORN + u64::from(number) / 4 % 5;
+            let name = record(replica, started_ms).id;
             state.apply(index, match kind % 4 {
                 0 => ServingCommand::Deregister { replica: name },
                 1 => ServingCommand::Expire { replica: name },
                 _ => {
-                    let mut said = record(replica, born_ms);
+                    let mut said = record(replica, started_ms);
                     said.address = format!("10.0.0.{}:1", kind / 4 % 3);
                     ServingCommand::Register(said)
                 }
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -31,10 +31,10 @@
     let route = table
         .route(&request.host, request.path())
         .ok_or(RefusalReason::UnknownRoute)?;
-    let owner = table.owner(request.key.as_deref());
+    let owner = table.key_owner(request.key.as_deref());
     let tenant = match owner {
         KeyOwner::Tenant(tenant) => Some(tenant),
-        KeyOwner::NotAsked => None,
+        KeyOwner::NotRequired => None,
         // A key that nobody holds is refused even where none is needed.
         KeyOwner::Unknown if route.allows_anonymous && request.key.is_none() => None,
         KeyOwner::Unknown => return Err(RefusalReason::UnknownKey),
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, body::Incoming, http::response};
 use railtack_http::{ReceiveError, read_body};
 use railtack_serving::{
-    BackEndNotice, ContentKey, News, ReplicaKey, ReplicaRecord, RequestLimit, StatedLimit,
+    BackEndSignals, ContentKey, LimitHeader, ReplicaKey, ReplicaRecord, RequestLimit, SignalChanges,
 };
 use tokio::time::{Instant, timeout_at};
 
@@ -72,7 +72,7 @@
     /// Status of the answer, if one came.
     pub status: Option<u16>,
     /// What the answer says of the replica.
-    pub notice: BackEndNotice,
+    pub notice: BackEndSignals,
 }
 
 impl FailedExchange {
@@ -82,7 +82,7 @@
             proof: ExchangeProof::NotRun,
             cause,
             status: None,
-            notice: BackEndNotice::default(),
+            notice: BackEndSignals::default(),
         }
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// The same failure, with the answer that shows it.
-    fn answered(self, status: u16, notice: BackEndNotice) -> Self {
+    fn answered(self, status: u16, notice: BackEndSignals) -> Self {
         Self {
             status: Some(status),
             notice,
@@ -118,7 +118,7 @@
             proof: ExchangeProof::MayHaveRun,
             cause,
             status: None,
-            notice: BackEndNotice::default(),
+            notice: BackEndSignals::default(),
         }
     }
 }
@@ -198,7 +198,7 @@
     let replicas = lock(&state.replicas);
     replicas
         .availability
-        .takes(&target.record.id, state.uptime())
+        .accepts_requests(&target.record.id, state.uptime())
 }
 
 async fn connect(target: &Target, must_not_be_lost: bool) -> Result<Connection, FailedExchange> {
@@ -236,7 +236,7 @@
     let is_own = matches!(classified, AnswerHead::Answer | AnswerHead::NotRun);
     if !is_own {
         // Another life's limit, or one of another moment.
-        notice.limit = StatedLimit::NotNamed;
+        notice.limit = LimitHeader::Absent;
     }
     let news = take_notice(state, target, notice);
     if is_own {
@@ -266,14 +266,14 @@
 }
 
 /// Takes in what a replica says of itself. Most answers say nothing, and leave before the lock on all replicas.
-fn take_notice(state: &ProxyState, target: &Target, notice: BackEndNotice) -> News {
-    if notice == BackEndNotice::default() {
-        return News::default();
+fn take_notice(state: &ProxyState, target: &Target, notice: BackEndSignals) -> SignalChanges {
+    if notice == BackEndSignals::default() {
+        return SignalChanges::default();
     }
     let replica = &target.record.id;
     let news = lock(&state.replicas)
         .availability
-        .note(replica, notice, state.uptime());
+        .record(replica, notice, state.uptime());
     if let Some(back_off) = notice.back_off {
         state.metrics.back_offs.inc();
         spdlog::info!("replica asked for rest", kv: {
@@ -281,7 +281,7 @@
             back_off_ms = back_off.as_millis() as u64,
         });
     }
-    if news.leaves {
+    if news.is_leaving {
         spdlog::info!("replica says that it leaves", kv: { replica = replica.clone() });
     }
     take_limit(state, replica, notice.limit, news.limit);
@@ -289,13 +289,13 @@
 }
 
 /// Counts what an answer says of a limit, and logs what is new.
-fn take_limit(state: &ProxyState, replica: &str, stated: StatedLimit, news: Option<RequestLimit>) {
+fn take_limit(state: &ProxyState, replica: &str, stated: LimitHeader, news: Option<RequestLimit>) {
     match stated {
-        StatedLimit::NotNamed => {}
-        StatedLimit::Named(_) => {
+        LimitHeader::Absent => {}
+        LimitHeader::Present(_) => {
             state.metrics.limits_named.inc();
         }
-        StatedLimit::Unreadable(error) => {
+        LimitHeader::Invalid(error) => {
             state.metrics.limits_unread.inc();
             spdlog::info!("limit not read", kv: {
                 replica = replica.to_owned(),
--- a/crates/proxy/src/backend.rs
+++ b/crates/proxy/src/backend.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, http::response};
-use railtack_serving::{BackEndNotice, LimitError, ReplicaRecord, RequestLimit, StatedLimit};
+use railtack_serving::{BackEndSignals, LimitError, LimitHeader, ReplicaRecord, RequestLimit};
 
 use crate::request::ProxiedRequest;
 
@@ -48,17 +48,17 @@
 }
 
 /// What the headers of an answer say of a limit on requests, under this name.
-pub fn stated_limit(headers: &HeaderMap, name: &str) -> StatedLimit {
+pub fn stated_limit(headers: &HeaderMap, name: &str) -> LimitHeader {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
-        return StatedLimit::NotNamed;
+        return LimitHeader::Absent;
     };
     if values.next().is_some() {
-        return StatedLimit::Unreadable(LimitError::Repeated);
+        return LimitHeader::Invalid(LimitError::Repeated);
     }
     match RequestLimit::parse(value.as_bytes()) {
-        Ok(limit) => StatedLimit::Named(limit),
-        Err(error) => StatedLimit::Unreadable(error),
+        Ok(limit) => LimitHeader::Present(limit),
+        Err(error) => LimitHeader::Invalid(error),
     }
 }
 
@@ -69,7 +69,7 @@
     /// What the head of an answer proves.
     fn classify(&self, request: &ProxiedRequest, head: &response::Parts) -> AnswerHead;
     /// What the head of an answer says of the replica itself.
-    fn notice(&self, head: &response::Parts) -> BackEndNotice;
+    fn notice(&self, head: &response::Parts) -> BackEndSignals;
     /// Whether a header of an answer concerns only one connection and is not passed on.
     fn is_hop_by_hop(&self, name: &str) -> bool;
 }
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use railtack_serving::retries::OWN_SLACK;
+use railtack_serving::retries::LOCAL_SLACK_SHARE;
 use tokio::time::Instant;
 
 /// Part of the share that is spent; the rest covers requests that are counted elsewhere.
@@ -97,7 +97,7 @@
         let routers = most.filter(|most| *most > 0).unwrap_or(ROUTERS_ASSUMED);
         let age = now.saturating_duration_since(self.started_at);
         let grown = age.as_secs_f64() / self.window_s();
-        self.rule.slack * OWN_SLACK / f64::from(routers) * grown.min(1.0)
+        self.rule.slack * LOCAL_SLACK_SHARE / f64::from(routers) * grown.min(1.0)
     }
 
     fn retries(&self) -> u32 {
--- a/crates/proxy/src/control_peers.rs
+++ b/crates/proxy/src/control_peers.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use railtack_rpc::{ControlClient, ControlConnection, FeatureLevel, KnownLevel, RpcError};
+use railtack_rpc::{ControlClient, ControlConnection, FeatureLevel, GroupLevel, RpcError};
 
 use crate::state::lock;
 
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub struct ControlPeers {
     known: Mutex<Known>,
-    level: KnownLevel,
+    level: GroupLevel,
 }
 
 #[derive(Debug, Default)]
@@ -31,7 +31,7 @@
 impl ControlPeers {
     /// Takes in what the group does together.
     pub fn learn_level(&self, told: FeatureLevel) {
-        self.level.learn(told);
+        self.level.raise(told);
     }
 
     /// Whether the group grants parts and records ends. A member of a build that does not would close the
--- a/crates/proxy/src/control_watch.rs
+++ b/crates/proxy/src/control_watch.rs
@@ -11,7 +11,7 @@
 
 use railtack_clock::BootInstant;
 use railtack_rpc::{
-    ControlConnection, call_deadline,
+    ControlConnection, call_context,
     serving::{CONFIRMATION_LIMIT_MS, ServingUpdate, WatchReply, WatchRequest},
 };
 use tokio::time::{Instant, sleep};
@@ -54,8 +54,8 @@
             continue;
         };
         let asked_at = BootInstant::now();
-        let takes_records = targets.is_settled(&state.options.zone, address);
-        let reply = ask(&state, targets.connection(address), takes_records).await;
+        let wants_records = targets.is_settled(&state.options.zone, address);
+        let reply = ask(&state, targets.connection(address), wants_records).await;
         let Some(reply) = reply else {
             if failures_in_a_row == 0 {
                 spdlog::warn!("control lost", kv: { address = address.to_string() });
@@ -111,7 +111,7 @@
         state.metrics.lease_age_ms.set(age.as_millis() as u64);
         let is_confirmed = state.is_confirmed();
         if was_confirmed && !is_confirmed {
-            let known = state.view.load().known.through;
+            let known = state.view.load().known.state;
             spdlog::warn!("lease lost", kv: { known, age_ms = age.as_millis() as u64 });
         }
         was_confirmed = is_confirmed;
@@ -138,7 +138,7 @@
 async fn ask(
     state: &ProxyState,
     connection: Arc<ControlConnection>,
-    takes_records: bool,
+    wants_records: bool,
 ) -> Option<WatchReply> {
     let known = state.view.load().known;
     // Held only if there is nothing to tell: a router that lacks records gets the next ones at once.
@@ -147,15 +147,15 @@
         router: state.options.node.clone(),
         known,
         wait_ms: wait.as_millis() as u64,
-        takes_records,
-        takes_parts: true,
+        wants_records,
+        accepts_partial: true,
         has_lease: lock(&state.lease).is_valid(BootInstant::now()),
-        sightings: lock(&state.replicas).sightings(Instant::now()),
+        observations: lock(&state.replicas).observations(Instant::now()),
     };
     connection
         .call(|client| async move {
             client
-                .watch(call_deadline(wait + ANSWER_MARGIN), request)
+                .watch(call_context(wait + ANSWER_MARGIN), request)
                 .await
         })
         .await
@@ -177,12 +177,12 @@
     // A lease vouches for what the router knows, so all changes of that are applied before it counts. It
     // need not know all replicas: to be told ten thousand took routers that had all restarted 4 s longer than
     // to be told the first ones.
-    if state.view.load().known.may_be_served_from() {
+    if state.view.load().known.can_serve() {
         state.take_confirmation(&reply, asked_at);
     }
     if !was_confirmed && state.is_confirmed() {
         let known = state.view.load().known;
-        spdlog::info!("lease gained", kv: { known = known.through, is_whole = known.is_whole() });
+        spdlog::info!("lease gained", kv: { known = known.state, is_whole = known.is_complete() });
     }
 }
 
@@ -196,9 +196,9 @@
     let table = next.table.as_ref();
     let revision = table.map_or(0, |table| table.configuration().revision);
     spdlog::info!("view updated", kv: {
-        known = next.known.through,
-        changes_known = next.known.changes_through,
-        records_known = next.known.records_through,
+        known = next.known.state,
+        changes_known = next.known.changes,
+        records_known = next.known.records,
         revision,
         replicas = next.replicas.size(),
     });
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -61,7 +61,7 @@
             .collect();
         let made_at = self.made_at.unwrap_or(now);
         let limited = digest.limited.into_iter().map(|told| {
-            let age = Duration::from_millis(u64::from(told.named_ms));
+            let age = Duration::from_millis(u64::from(told.advertised_age_ms));
             let named_at = made_at.checked_sub(age).unwrap_or(made_at);
             let limit = told.limit;
             (told.replica, (ToldLimit { limit, named_at }, now))
@@ -75,7 +75,7 @@
             .map(|told| u64::from(told.open_requests));
         let open = open.sum::<u64>() as f64;
         self.busiest = Some((open.max(self.busiest_faded(now)), now));
-        let dark = self.conditions.values().filter(|told| told.is_dark);
+        let dark = self.conditions.values().filter(|told| told.is_unresponsive);
         self.dark = dark.count();
         (self.dark != dark_before).then_some(self.dark)
     }
@@ -118,7 +118,7 @@
     /// Whether some router heard from a replica after `since`, as far as the digest tells.
     pub fn heard_since(&self, replica: ReplicaKey, since: Instant) -> bool {
         let heard_at = self.made_at.and_then(|made_at| {
-            let heard_ms = self.condition(replica)?.heard_ms;
+            let heard_ms = self.condition(replica)?.silent_ms;
             made_at.checked_sub(Duration::from_millis(u64::from(heard_ms)))
         });
         heard_at.is_some_and(|heard_at| heard_at > since)
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -3,10 +3,10 @@
 use std::{sync::Arc, time::Duration};
 
 use railtack_rpc::{
-    call_deadline,
+    call_context,
     permits::{PermitReply, PermitRequest},
 };
-use railtack_serving::{Moment, NamedLimit, ReplicaKey, RequestLimit};
+use railtack_serving::{AdvertisedLimit, MonotonicTime, ReplicaKey, RequestLimit};
 use tokio::time::Instant;
 
 use crate::{
@@ -18,7 +18,7 @@
 const DIGEST_LAG: Duration = Duration::from_secs(1);
 
 impl LimitedRouter for ProxyState {
-    fn uptime(&self) -> Moment {
+    fn uptime(&self) -> MonotonicTime {
         ProxyState::uptime(self)
     }
 
@@ -26,7 +26,7 @@
         let own = lock(&self.replicas).availability.limit(life);
         let own = own.map(|own| KnownLimit {
             limit: own.limit,
-            age: self.uptime().saturating_sub(own.named_at),
+            age: self.uptime().saturating_sub(own.advertised_at),
             own: Some(own),
         });
         let now = Instant::now();
@@ -39,30 +39,32 @@
         own.into_iter().chain(told).min_by_key(|known| known.age)
     }
 
-    fn unanswered_until(&self) -> Moment {
+    fn unanswered_until(&self) -> MonotonicTime {
         *lock(&self.permits_unanswered_until)
     }
 
-    fn note_unanswered(&self, until: Moment) {
+    fn note_unanswered(&self, until: MonotonicTime) {
         *lock(&self.permits_unanswered_until) = until;
     }
 
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment) {
+    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
         self.metrics.permits_withheld.inc();
         let mut replicas = lock(&self.replicas);
-        replicas.availability.has_room_at(life, limit, room_at);
+        replicas
+            .availability
+            .set_limited_until(life, limit, room_at);
     }
 
-    fn note_over(&self, life: &str, named_at: Moment) {
+    fn note_over(&self, life: &str, named_at: MonotonicTime) {
         let mut replicas = lock(&self.replicas);
-        replicas.availability.limit_is_over(life, named_at);
+        replicas.availability.clear_limit(life, named_at);
     }
 
     async fn ask_leader(&self, question: PermitRequest, limit: Duration) -> Option<PermitReply> {
         let asked = self
             .control_peers
             .ask("permit", |client| async move {
-                client.take_permit(call_deadline(limit), question).await
+                client.take_permit(call_context(limit), question).await
             })
             .await;
         let (reply, address) = asked?;
@@ -79,12 +81,13 @@
 pub fn tell_unknown(state: &Arc<ProxyState>) {
     let uptime = state.uptime();
     let now = Instant::now();
-    let untold: Vec<(String, NamedLimit)> = {
+    let untold: Vec<(String, AdvertisedLimit)> = {
         let replicas = lock(&state.replicas);
         let fleet = lock(&state.fleet);
         let own = replicas.availability.limits();
         own.filter(|(life, own)| {
-            own.named_at + DIGEST_LAG < uptime && fleet.limit(ReplicaKey::of(life), now).is_none()
+            own.advertised_at + DIGEST_LAG < uptime
+                && fleet.limit(ReplicaKey::of(life), now).is_none()
         })
         .map(|(life, own)| (life.to_owned(), own))
         .collect()
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -9,10 +9,10 @@
 
 use railtack_clock::BootInstant;
 use railtack_rpc::{
-    permits::{LimitStatement, PermitReply, PermitRequest, PermitStamp},
-    serving::GRANT_LIFE,
+    permits::{LimitReport, PermitReply, PermitRequest, PermitStamp},
+    serving::GRANT_TTL,
 };
-use railtack_serving::{Moment, NamedLimit, RequestLimit, StatedLimit};
+use railtack_serving::{AdvertisedLimit, LimitHeader, MonotonicTime, RequestLimit};
 use tokio::time::sleep;
 
 /// Longest time for one question.
@@ -39,7 +39,7 @@
 impl Permit {
     /// Whether it may still be used.
     fn is_fresh(&self) -> bool {
-        self.asked_at.elapsed() <= GRANT_LIFE
+        self.asked_at.elapsed() <= GRANT_TTL
     }
 
     fn limit(&self) -> Option<RequestLimit> {
@@ -68,23 +68,23 @@
     /// Time since.
     pub age: Duration,
     /// What the back end named to this router itself.
-    pub own: Option<NamedLimit>,
+    pub own: Option<AdvertisedLimit>,
 }
 
 /// A router, as far as limits need it: what it knows of them, and how it reaches the leader.
 pub trait LimitedRouter: Send + Sync + 'static {
     /// Time since it started.
-    fn uptime(&self) -> Moment;
+    fn uptime(&self) -> MonotonicTime;
     /// What it knows of a back end's limit; `None` if it has none.
     fn known_limit(&self, life: &str) -> Option<KnownLimit>;
     /// Until when no permit is asked for, as no leader answered.
-    fn unanswered_until(&self) -> Moment;
+    fn unanswered_until(&self) -> MonotonicTime;
     /// Notes that no leader answered.
-    fn note_unanswered(&self, until: Moment);
+    fn note_unanswered(&self, until: MonotonicTime);
     /// Notes that a limit has no room before a moment.
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment);
+    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime);
     /// Notes that a limit is over that was named to this router no later than at `named_at`.
-    fn note_over(&self, life: &str, named_at: Moment);
+    fn note_over(&self, life: &str, named_at: MonotonicTime);
     /// Asks the control replica that is believed to lead; `None` without an answer.
     fn ask_leader(
         &self,
@@ -120,8 +120,8 @@
     }
     let asked_at = BootInstant::now();
     let question = PermitRequest {
-        life: life.to_owned(),
-        statement: LimitStatement {
+        incarnation_id: life.to_owned(),
+        report: LimitReport {
             limit: Some(known.limit),
             age_ms: milliseconds(known.age),
             permit: None,
@@ -130,13 +130,14 @@
     };
     let limit = LONGEST_ASK.min(objective / ASK_DIVISOR);
     match router.ask_leader(question, limit).await {
-        Some(PermitReply::Given { limit, stamp }) => Permission::Given(Some(Permit {
+        Some(PermitReply::Granted { limit, stamp }) => Permission::Given(Some(Permit {
             asked_at,
             given: Some((limit, stamp)),
         })),
-        Some(PermitReply::Withheld { limit, room_in_ms }) => {
-            withheld(limit, Duration::from_millis(u64::from(room_in_ms)))
-        }
+        Some(PermitReply::Denied {
+            limit,
+            retry_after_ms,
+        }) => withheld(limit, Duration::from_millis(u64::from(retry_after_ms))),
         Some(PermitReply::Unlimited) => {
             limit_is_over(router, life, known.own);
             let given = None;
@@ -155,19 +156,19 @@
     router: &Arc<R>,
     life: &str,
     permit: Option<Permit>,
-    stated: StatedLimit,
+    stated: LimitHeader,
     is_news: bool,
 ) {
     let limit = match stated {
-        StatedLimit::Named(limit) => Some(limit),
-        StatedLimit::NotNamed => None,
-        StatedLimit::Unreadable(_) => return,
+        LimitHeader::Present(limit) => Some(limit),
+        LimitHeader::Absent => None,
+        LimitHeader::Invalid(_) => return,
     };
     let differs = permit.is_some_and(|permit| permit.limit() != limit);
     if !differs && !is_news {
         return;
     }
-    let statement = LimitStatement {
+    let statement = LimitReport {
         limit,
         age_ms: 0,
         permit: permit.and_then(|permit| permit.stamp()),
@@ -177,22 +178,22 @@
 
 /// Tells the leader again of a limit that was named to this router: others may not know of it, or know that it
 /// is over.
-pub fn tell_again<R: LimitedRouter>(router: &Arc<R>, life: String, own: NamedLimit) {
-    let statement = LimitStatement {
+pub fn tell_again<R: LimitedRouter>(router: &Arc<R>, life: String, own: AdvertisedLimit) {
+    let statement = LimitReport {
         limit: Some(own.limit),
-        age_ms: milliseconds(router.uptime().saturating_sub(own.named_at)),
+        age_ms: milliseconds(router.uptime().saturating_sub(own.advertised_at)),
         permit: None,
     };
     tokio::spawn(tell(Arc::clone(router), life, statement));
 }
 
-async fn tell<R: LimitedRouter>(router: Arc<R>, life: String, heard: LimitStatement) {
+async fn tell<R: LimitedRouter>(router: Arc<R>, life: String, heard: LimitReport) {
     let began_at = router.uptime();
     let heard_at = began_at.saturating_sub(Duration::from_millis(u64::from(heard.age_ms)));
     for _ in 0..TELL_TRIES {
         let question = PermitRequest {
-            life: life.clone(),
-            statement: LimitStatement {
+            incarnation_id: life.clone(),
+            report: LimitReport {
                 age_ms: milliseconds(router.uptime().saturating_sub(heard_at)),
                 ..heard
             },
@@ -202,7 +203,11 @@
             Some(PermitReply::NotLeader { .. }) | None => sleep(UNANSWERED_PAUSE).await,
             Some(PermitReply::Unlimited) => {
                 let own = router.known_limit(&life).and_then(|known| known.own);
-                limit_is_over(&*router, &life, own.filter(|own| own.named_at <= began_at));
+                limit_is_over(
+                    &*router,
+                    &life,
+                    own.filter(|own| own.advertised_at <= began_at),
+                );
                 return;
             }
             Some(_) => return,
@@ -215,7 +220,7 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn limit_is_over(router: &impl LimitedRouter, life: &str, own: Option<NamedLimit>) {
+fn limit_is_over(router: &impl LimitedRouter, life: &str, own: Option<AdvertisedLimit>) {
     let Some(own) = own else {
         return;
     };
@@ -223,5 +228,5 @@
         replica = life.to_owned(),
         per_s = own.limit.requests_per_s(),
     });
-    router.note_over(life, own.named_at);
+    router.note_over(life, own.advertised_at);
 }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -4,7 +4,7 @@
 
 use hyper::Response;
 use railtack_http::Body;
-use railtack_rpc::serving::ENDS_TO_QUARANTINE;
+use railtack_rpc::serving::CRASHES_TO_QUARANTINE;
 use railtack_serving::{ContentKey, RequestContent};
 use tokio::time::Instant;
 
@@ -358,7 +358,7 @@
     /// Whether the request must not be sent to one more replica: it is quarantined, or will be if those
     /// at which its connections broke have ended, which is being looked into.
     fn may_end_another(&self) -> bool {
-        let broke_at_many = self.broken >= ENDS_TO_QUARANTINE;
+        let broke_at_many = self.broken >= CRASHES_TO_QUARANTINE;
         broke_at_many || self.state.quarantine_pause(self.content).is_some()
     }
 
@@ -389,7 +389,7 @@
             proof = format!("{:?}", failed.proof),
             status = failed.status.unwrap_or_default(),
             back_off_ms = failed.notice.back_off.map_or(0, |time| time.as_millis() as u64),
-            known = self.state.view.load().known.through,
+            known = self.state.view.load().known.state,
         });
         self.state.metrics.exchange_ended(failed.cause);
         failed
--- a/crates/proxy/src/quarantine.rs
+++ b/crates/proxy/src/quarantine.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use railtack_rpc::serving::{QUARANTINE_TIME, QuarantineUpdate};
+use railtack_rpc::serving::{QUARANTINE_DURATION, QuarantineUpdate};
 use railtack_serving::ContentKey;
 use tokio::time::Instant;
 
@@ -79,7 +79,7 @@
             .into_keys()
             .filter(|content| !self.quarantined.contains_key(content));
         changes.extend(released.map(QuarantineChange::Released));
-        self.watched = told.watched.iter().copied().collect();
+        self.watched = told.suspected.iter().copied().collect();
         self.suspected.clone_from(&self.watched);
         self.settled_at = Some(now + REPORTS_COME_IN);
         changes
@@ -89,7 +89,11 @@
     pub fn pause(&self, content: ContentKey, now: Instant) -> Option<Duration> {
         let since = self.quarantined.get(&content)?;
         let passed = now.saturating_duration_since(*since);
-        Some(QUARANTINE_TIME.saturating_sub(passed).max(SHORTEST_PAUSE))
+        Some(
+            QUARANTINE_DURATION
+                .saturating_sub(passed)
+                .max(SHORTEST_PAUSE),
+        )
     }
 
     /// Whether replicas have ended under the request, and it is not quarantined.
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -8,8 +8,8 @@
 
 use railtack_clock::BootInstant;
 use railtack_rpc::{
-    call_deadline,
-    serving::{GRANT_LIFE, QuotaReply, QuotaRequest, QuotaSubject},
+    call_context,
+    serving::{GRANT_TTL, QuotaReply, QuotaRequest, QuotaSubject},
 };
 use tokio::time::{Instant, sleep};
 
@@ -62,7 +62,7 @@
         subject: QuotaSubject::Tenant {
             name: tenant.clone(),
         },
-        stated_tokens: request.stated_tokens,
+        declared_tokens: request.stated_tokens,
         longest_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
     };
     loop {
@@ -100,7 +100,7 @@
         subject: QuotaSubject::Retries {
             service: service.to_owned(),
         },
-        stated_tokens: None,
+        declared_tokens: None,
         longest_wait_ms: 0,
     };
     loop {
@@ -137,7 +137,7 @@
     let answered = state
         .control_peers
         .ask("quota", |client| async move {
-            client.take_quota(call_deadline(limit), sent).await
+            client.take_quota(call_context(limit), sent).await
         })
         .await;
     let Some((reply, asked)) = answered else {
@@ -156,7 +156,7 @@
         } => {
             spdlog::info!("quota used up", kv: {
                 subject = format!("{:?}", question.subject),
-                stated_tokens = question.stated_tokens.unwrap_or_default(),
+                stated_tokens = question.declared_tokens.unwrap_or_default(),
                 rate_per_s,
                 level,
                 // Whose ledger it is, and how old its answer.
@@ -179,7 +179,7 @@
 async fn wait_for_part(asked_at: BootInstant, wait_ms: u32) -> Asked {
     let wait = Duration::from_millis(u64::from(wait_ms));
     sleep(wait).await;
-    if asked_at.elapsed() <= wait + GRANT_LIFE {
+    if asked_at.elapsed() <= wait + GRANT_TTL {
         Asked::Granted
     } else {
         Asked::Unanswered
--- a/crates/proxy/src/replica_end.rs
+++ b/crates/proxy/src/replica_end.rs
@@ -8,7 +8,7 @@
 use std::{sync::Arc, time::Duration};
 
 use railtack_rpc::{
-    call_deadline,
+    call_context,
     protocol::{Command, Outcome, Proposal, ProposeReply},
     serving::{ServingCommand, ServingOutcome},
 };
@@ -79,7 +79,7 @@
         let contents = vec![content];
         spdlog::info!("suspected request ran well", kv: { content = content.to_string() });
         let state = Arc::clone(state);
-        let command = ServingCommand::ClearContents { contents };
+        let command = ServingCommand::ClearSuspects { contents };
         tokio::spawn(async move { record(&state, command).await });
     }
 }
@@ -125,10 +125,10 @@
         }
         requests += contents.len();
         is_told = true;
-        let command = ServingCommand::RecordEnd {
+        let command = ServingCommand::RecordCrash {
             replica: ReplicaKey::of(replica),
             contents,
-            witness: witness.clone(),
+            reporter: witness.clone(),
         };
         record(state, command).await;
     }
@@ -298,9 +298,7 @@
     let answered = state
         .control_peers
         .ask("report", |client| async move {
-            client
-                .propose(call_deadline(RECORD_TIMEOUT), proposal)
-                .await
+            client.propose(call_context(RECORD_TIMEOUT), proposal).await
         })
         .await;
     let Some((reply, asked)) = answered else {
@@ -309,13 +307,13 @@
     match reply {
         ProposeReply::Done(outcome) => {
             state.control_peers.leads(asked);
-            if let Outcome::Serving(ServingOutcome::EndRecorded(told)) = outcome {
+            if let Outcome::Serving(ServingOutcome::CrashRecorded(told)) = outcome {
                 state.learn_quarantine(&told);
             }
             return true;
         }
         ProposeReply::NotLeader { leader } => state.control_peers.follow(asked, leader),
-        ProposeReply::Unknown | ProposeReply::LevelDiffers { .. } => {}
+        ProposeReply::Unknown | ProposeReply::LevelMismatch { .. } => {}
     }
     false
 }
--- a/crates/proxy/src/replicas.rs
+++ b/crates/proxy/src/replicas.rs
@@ -6,8 +6,8 @@
     time::Duration,
 };
 
-use railtack_rpc::serving::ReplicaSighting;
-use railtack_serving::{Availability, Moment, Policy, ReplicaKey};
+use railtack_rpc::serving::ReplicaObservation;
+use railtack_serving::{Availability, MonotonicTime, Policy, ReplicaKey};
 use tokio::time::Instant;
 
 use crate::{
@@ -73,7 +73,7 @@
     }
 
     /// What this router has met at the replica lately; `None` if it has not used it.
-    fn sighting(&self, replica: &str, now: Instant) -> Option<ReplicaSighting> {
+    fn sighting(&self, replica: &str, now: Instant) -> Option<ReplicaObservation> {
         let heard_at = *lock(&self.heard_at);
         let load = *self.load();
         let silence = now.saturating_duration_since(heard_at);
@@ -84,12 +84,12 @@
         }
         let last_sign = heard_at.max(load.busy_since);
         let in_vain = is_waiting && now.saturating_duration_since(last_sign) > IN_VAIN_AFTER;
-        Some(ReplicaSighting {
+        Some(ReplicaObservation {
             replica: ReplicaKey::of(replica),
             open_requests: u16::try_from(load.open_requests).unwrap_or(u16::MAX),
-            unread_tokens: u32::try_from(load.unread_tokens).unwrap_or(u32::MAX),
-            heard_ms: u16::try_from(silence.as_millis()).unwrap_or(u16::MAX),
-            waiting_in_vain: u16::from(in_vain || unreachable),
+            pending_prefill_tokens: u32::try_from(load.unread_tokens).unwrap_or(u32::MAX),
+            silent_ms: u16::try_from(silence.as_millis()).unwrap_or(u16::MAX),
+            stalled_routers: u16::from(in_vain || unreachable),
         })
     }
 
@@ -247,15 +247,15 @@
     }
 
     /// What this router has met at the replicas lately.
-    pub fn sightings(&self, now: Instant) -> Vec<ReplicaSighting> {
+    pub fn observations(&self, now: Instant) -> Vec<ReplicaObservation> {
         let uses = self.uses.iter();
         uses.filter_map(|(replica, usage)| usage.sighting(replica, now))
             .collect()
     }
 
     /// Closes connections that have rested for too long, and forgets what holds no longer.
-    pub fn discard_old(&mut self, now: Moment) {
-        self.availability.forget_past(now);
+    pub fn discard_old(&mut self, now: MonotonicTime) {
+        self.availability.remove_expired(now);
         for replica in self.uses.values() {
             replica.pool.close_old();
         }
--- a/crates/proxy/src/returns.rs
+++ b/crates/proxy/src/returns.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use railtack_serving::Moment;
+use railtack_serving::MonotonicTime;
 
 /// Longest pause that a caller is told: limits come and go within seconds.
 const LONGEST_PAUSE: Duration = Duration::from_secs(4);
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReturnTimes {
     /// When the next caller is told to come back at the earliest.
-    next: Moment,
+    next: MonotonicTime,
 }
 
 impl ReturnTimes {
@@ -25,7 +25,7 @@
     /// a second to `routers` routers.
     pub fn pause(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         opens_in: Duration,
         per_s: f64,
         routers: u32,
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -13,7 +13,7 @@
 use arc_swap::ArcSwap;
 use railtack_clock::BootInstant;
 use railtack_rpc::serving::{QuarantineUpdate, WatchReply};
-use railtack_serving::{Bounds, CallerLimits, ContentKey, Moment, Policy};
+use railtack_serving::{Bounds, CallerLimits, ContentKey, MonotonicTime, Policy};
 use tokio::{
     sync::{Notify, Semaphore, watch},
     time::Instant,
@@ -86,7 +86,7 @@
     pub routers: AtomicU32,
     budgets: Mutex<HashMap<String, RetryBudget>>,
     /// Until when no permit is asked for, as no leader answered.
-    pub permits_unanswered_until: Mutex<Moment>,
+    pub permits_unanswered_until: Mutex<MonotonicTime>,
     returns: Mutex<HashMap<String, ReturnTimes>>,
     saves: Mutex<SaveBudget>,
     named: Mutex<NamedWeights>,
@@ -168,7 +168,7 @@
     }
 
     /// Time since the router started.
-    pub fn uptime(&self) -> Moment {
+    pub fn uptime(&self) -> MonotonicTime {
         self.started.elapsed()
     }
 
@@ -177,7 +177,7 @@
         let before = self.view.load_full();
         lock(&self.replicas).follow(&before, &next);
         lock(&self.named).learn(&next.weights, Instant::now());
-        let known = next.known.through;
+        let known = next.known.state;
         self.metrics
             .replicas_known(next.replicas.values().map(|record| &**record));
         if let Some(table) = &next.table {
@@ -234,7 +234,7 @@
         let gained = !was_confirmed && self.is_confirmed();
         if gained {
             // Requests wait for the first lease as they wait for a new view.
-            self.changed.send_replace(self.view.load().known.through);
+            self.changed.send_replace(self.view.load().known.state);
         }
         gained
     }
--- a/crates/proxy/src/targeting.rs
+++ b/crates/proxy/src/targeting.rs
@@ -7,7 +7,8 @@
 };
 
 use railtack_serving::{
-    Availability, Moment, ReplicaKey, ReplicaRecord, RequestLimit, ServingConfiguration, StoreShape,
+    Availability, MonotonicTime, ReplicaKey, ReplicaRecord, RequestLimit, ServingConfiguration,
+    StoreConfig,
 };
 use tokio::time::{Instant, sleep, timeout_at};
 
@@ -141,7 +142,7 @@
         target.ahead = self.tokens_ahead(&candidate, &target, ranked);
         if let Some(retry_after) = self.late_refusal(target.ahead) {
             self.log
-                .considered(&target, &candidate, cost, view.known.through);
+                .considered(&target, &candidate, cost, view.known.state);
             return Err(NoTarget::TooLate { retry_after });
         }
         let store = self.store(configuration);
@@ -153,8 +154,7 @@
         target.save_to = store
             .filter(|_| self.is_saved(target.kept_tokens, configuration))
             .map(|store| store.address.clone());
-        self.log
-            .chose(&target, &candidate, cost, view.known.through);
+        self.log.chose(&target, &candidate, cost, view.known.state);
         self.log.prefix = self.path.key().unwrap_or_default();
         self.log.shared_tokens = self.path.shared_tokens();
         self.log.weights = self.expected_weights(&target.record).unwrap_or_default();
@@ -219,8 +219,8 @@
         let fleet = self.state.current_fleet(now);
         let fleet = fleet.as_deref();
         let is_usable = |record: &ReplicaRecord| {
-            let is_dark = fleet.is_some_and(|fleet| is_dark(fleet, record));
-            !is_dark && availability.takes(&record.id, uptime)
+            let is_unresponsive = fleet.is_some_and(|fleet| is_unresponsive(fleet, record));
+            !is_unresponsive && availability.accepts_requests(&record.id, uptime)
         };
         let policy = self.state.options.policy;
         let home = self.path.key().filter(|_| policy.homes);
@@ -276,7 +276,7 @@
         for (rank, record) in ranked.iter().copied().enumerate() {
             let usage = table.of(&record.id, now);
             let shared = fleet.as_ref().map(|fleet| shared_load(fleet, record));
-            let takes = table.availability.takes(&record.id, uptime);
+            let takes = table.availability.accepts_requests(&record.id, uptime);
             let is_paused = policy.pauses && !usage.allows(now);
             if !takes || is_paused || !usage.pool.has_room(connection_limit) {
                 continue;
@@ -377,7 +377,7 @@
     }
 
     /// The store for this prompt's beginning; the same in every router.
-    fn store<'a>(&self, configuration: &'a ServingConfiguration) -> Option<&'a StoreShape> {
+    fn store<'a>(&self, configuration: &'a ServingConfiguration) -> Option<&'a StoreConfig> {
         let key = self.path.key()?;
         stores(configuration).max_by_key(|store| rendezvous(key, &store.address))
     }
@@ -419,7 +419,7 @@
     }
 }
 
-fn stores(configuration: &ServingConfiguration) -> impl Iterator<Item = &StoreShape> {
+fn stores(configuration: &ServingConfiguration) -> impl Iterator<Item = &StoreConfig> {
     let services = configuration.services.iter();
     services.filter_map(|service| service.store.as_ref())
 }
@@ -428,18 +428,18 @@
 fn without_offer(
     ranked: &[&Arc<ReplicaRecord>],
     availability: &Availability,
-    now: Moment,
+    now: MonotonicTime,
 ) -> NoTarget {
     let waits = ranked
         .iter()
-        .filter_map(|record| availability.opens_in(&record.id, now));
+        .filter_map(|record| availability.available_in(&record.id, now));
     let opens_in = waits.min().unwrap_or_default();
     if opens_in.is_zero() {
         return NoTarget::Nobody;
     }
     let full = ranked
         .iter()
-        .filter_map(|record| availability.full_limit(&record.id, now));
+        .filter_map(|record| availability.exhausted_limit(&record.id, now));
     let per_s: f64 = full.clone().map(RequestLimit::requests_per_s).sum();
     if full.count() == 0 {
         return NoTarget::BackingOff { opens_in };
@@ -448,12 +448,12 @@
 }
 
 /// Whether no router hears anything from a replica though some wait for it.
-fn is_dark(fleet: &FleetKnowledge, record: &ReplicaRecord) -> bool {
+fn is_unresponsive(fleet: &FleetKnowledge, record: &ReplicaRecord) -> bool {
     if !fleet.any_dark() {
         return false;
     }
     let condition = fleet.condition(ReplicaKey::of(&record.id));
-    condition.is_some_and(|condition| condition.is_dark)
+    condition.is_some_and(|condition| condition.is_unresponsive)
 }
 
 /// What all routers have open at a replica; one that the digest leaves out is not in use.
@@ -461,6 +461,6 @@
     let condition = fleet.condition(ReplicaKey::of(&record.id));
     condition.map_or_else(SharedLoad::default, |condition| SharedLoad {
         open_requests: u32::from(condition.open_requests),
-        unread_tokens: u64::from(condition.unread_tokens),
+        unread_tokens: u64::from(condition.pending_prefill_tokens),
     })
 }
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -5,8 +5,8 @@
     sync::{Arc, OnceLock},
 };
 
-use railtack_rpc::serving::{Known, ServingUpdate};
-use railtack_serving::{Life, ReplicaRecord, ReplicaState, RouteTable};
+use railtack_rpc::serving::{ServingUpdate, WatchPosition};
+use railtack_serving::{Incarnation, ReplicaRecord, ReplicaState, RouteTable};
 use rpds::RedBlackTreeMapSync;
 
 use crate::homes::Ring;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ServingView {
     /// Positions in the control group's log up to which it is known what is served from.
-    pub known: Known,
+    pub known: WatchPosition,
     /// Routes, services and tenants; `None` before the first configuration.
     pub table: Option<Arc<RouteTable>>,
     /// Replicas by identity. Views share what did not change: a copy for each news would take a time
@@ -31,7 +31,7 @@
     /// The state after an update; `None` if the update brings nothing new.
     pub fn updated(&self, update: ServingUpdate) -> Option<Self> {
         let brings = update.known;
-        let is_older = brings.through < self.known.through;
+        let is_older = brings.state < self.known.state;
         if is_older || brings == self.known {
             return None;
         }
@@ -60,12 +60,12 @@
 
     /// Forgets a life of a replica and those before it, which are over with it: nothing else is told of them.
     fn end_lives_up_to(&mut self, name: &str) {
-        let last = Life::named(name);
-        let lives = Life::names_of(last.replica);
+        let last = Incarnation::parse(name);
+        let lives = Incarnation::id_range(last.replica);
         let known = self.replicas.range(lives).map(|(name, _)| name);
         let over = known.filter(|known| {
-            let life = Life::named(known);
-            life.replica == last.replica && life.born_ms <= last.born_ms
+            let life = Incarnation::parse(known);
+            life.replica == last.replica && life.started_ms <= last.started_ms
         });
         let over: Vec<String> = over.cloned().collect();
         for life in over {
--- a/crates/proxy/tests/control_watch.rs
+++ b/crates/proxy/tests/control_watch.rs
@@ -15,7 +15,7 @@
 use railtack_consensus::{Message, ReplicaId};
 use railtack_proxy::control_watch::follow;
 use railtack_rpc::{
-    Control, FeatureLevel, Sender,
+    Control, FeatureLevel, PeerInfo,
     codec::ServerCodec,
     permits::{PermitReply, PermitRequest},
     protocol::{
@@ -24,8 +24,8 @@
     },
     service::{ControlRequest, ControlResponse},
     serving::{
-        AliveNotice, AliveReply, JoinReply, JoinRequest, Known, QuotaReply, QuotaRequest,
-        ReadIndexReply, ServingUpdate, SuspectStatus, WatchReply, WatchRequest,
+        JoinReply, JoinRequest, LivenessReply, LivenessReport, QuotaReply, QuotaRequest,
+        ReadIndexReply, ServingUpdate, SuspectStatus, WatchPosition, WatchReply, WatchRequest,
     },
 };
 use railtack_serving::ServingConfiguration;
@@ -68,7 +68,7 @@
 impl Control for Confirmed {
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
         self.asked.all.fetch_add(1, Ordering::Relaxed);
-        if request.takes_records {
+        if request.wants_records {
             self.asked.for_records.fetch_add(1, Ordering::Relaxed);
         }
         WatchReply {
@@ -79,11 +79,11 @@
             routers: 1_000,
             update: self.update,
             fleet: None,
-            group_level: FeatureLevel::OF_THIS_BUILD,
+            group_level: FeatureLevel::SUPPORTED,
         }
     }
 
-    async fn deliver(self, _: Context, _: Message, _: Sender) {
+    async fn deliver(self, _: Context, _: Message, _: PeerInfo) {
         pending().await
     }
 
@@ -119,7 +119,7 @@
         pending().await
     }
 
-    async fn alive(self, _: Context, _: AliveNotice) -> AliveReply {
+    async fn alive(self, _: Context, _: LivenessReport) -> LivenessReply {
         pending().await
     }
 
@@ -177,7 +177,7 @@
 }
 
 /// Whether a router that is told this holds a lease soon.
-async fn gains_a_lease(known: Known) -> bool {
+async fn gains_a_lease(known: WatchPosition) -> bool {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let update = ServingUpdate {
@@ -202,10 +202,10 @@
 /// the first ones.
 #[tokio::test]
 async fn a_router_serves_from_the_replicas_that_it_knows_before_it_knows_all() {
-    let first_of_many = Known {
-        through: 980,
-        changes_through: 980,
-        records_through: 109,
+    let first_of_many = WatchPosition {
+        state: 980,
+        changes: 980,
+        records: 109,
     };
     assert!(gains_a_lease(first_of_many).await);
 }
@@ -213,10 +213,10 @@
 /// One of the replicas that it knows may have said that it leaves.
 #[tokio::test]
 async fn a_router_does_not_serve_while_what_it_knows_is_outdated() {
-    let lagging = Known {
-        through: 980,
-        changes_through: 975,
-        records_through: 109,
+    let lagging = WatchPosition {
+        state: 980,
+        changes: 975,
+        records: 109,
     };
     assert!(!gains_a_lease(lagging).await);
 }
@@ -224,10 +224,10 @@
 /// A control replica in another zone was asked on the way: it told the configuration, and no replica yet.
 #[tokio::test]
 async fn a_router_does_not_serve_before_it_knows_any_replica() {
-    let without_records = Known {
-        through: 980,
-        changes_through: 980,
-        records_through: 0,
+    let without_records = WatchPosition {
+        state: 980,
+        changes: 980,
+        records: 0,
     };
     assert!(!gains_a_lease(without_records).await);
 }
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -36,7 +36,7 @@
         routers: 1,
         update: None,
         fleet: None,
-        group_level: FeatureLevel::OF_THIS_BUILD,
+        group_level: FeatureLevel::SUPPORTED,
     }
 }
 
@@ -365,7 +365,7 @@
         limited: vec![LimitedReplica {
             replica,
             limit,
-            named_ms: 40,
+            advertised_age_ms: 40,
         }],
         ..FleetDigest::default()
     };
@@ -509,12 +509,12 @@
 #[test]
 fn a_digest_is_gone_by_only_while_it_is_new() {
     let start = Instant::now() + milliseconds(10_000);
-    let condition = |replica: &str, is_dark| ReplicaCondition {
+    let condition = |replica: &str, is_unresponsive| ReplicaCondition {
         replica: ReplicaKey::of(replica),
         open_requests: 3,
-        unread_tokens: 500,
-        heard_ms: 200,
-        is_dark,
+        pending_prefill_tokens: 500,
+        silent_ms: 200,
+        is_unresponsive,
     };
     let digest = FleetDigest {
         limited: Vec::new(),
--- a/crates/proxy/tests/entry.rs
+++ b/crates/proxy/tests/entry.rs
@@ -10,10 +10,10 @@
 use railtack_proxy::{ProxiedRequest, ProxyState, entry, refusal::RefusalReason};
 use railtack_rpc::{
     FeatureLevel,
-    serving::{Known, ServingUpdate, WatchReply},
+    serving::{ServingUpdate, WatchPosition, WatchReply},
 };
 use railtack_serving::{
-    CallerLimits, RequestKind, Route, ServiceShape, ServingConfiguration, WeightedService,
+    CallerLimits, RequestKind, Route, ServiceConfig, ServingConfiguration, WeightedService,
 };
 use support::{REVOKE_MS, router};
 use tokio::time::{Instant, sleep};
@@ -38,7 +38,7 @@
             allows_anonymous: true,
             sticky: false,
         }],
-        services: vec![ServiceShape {
+        services: vec![ServiceConfig {
             name: "app".to_owned(),
             max_connections: 0,
             engine: None,
@@ -69,7 +69,7 @@
 /// The router learns the configuration, and that it is current.
 fn confirm(state: &ProxyState) {
     let update = ServingUpdate {
-        known: Known::all(1),
+        known: WatchPosition::at(1),
         configuration: Some(configuration()),
         complete: true,
         ..ServingUpdate::default()
@@ -84,7 +84,7 @@
         routers: 1,
         update: None,
         fleet: None,
-        group_level: FeatureLevel::OF_THIS_BUILD,
+        group_level: FeatureLevel::SUPPORTED,
     };
     assert!(state.take_confirmation(&reply, BootInstant::now()));
 }
--- a/crates/proxy/tests/homes.rs
+++ b/crates/proxy/tests/homes.rs
@@ -275,9 +275,9 @@
         replicas: vec![ReplicaCondition {
             replica: ReplicaKey(1),
             open_requests,
-            unread_tokens: 0,
-            heard_ms: 0,
-            is_dark: false,
+            pending_prefill_tokens: 0,
+            silent_ms: 0,
+            is_unresponsive: false,
         }],
     };
     let mut fleet = FleetKnowledge::default();
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -10,9 +10,9 @@
 };
 use railtack_rpc::{
     permits::{PermitReply, PermitRequest, PermitStamp},
-    serving::GRANT_LIFE,
+    serving::GRANT_TTL,
 };
-use railtack_serving::{Moment, NamedLimit, RequestLimit, StatedLimit};
+use railtack_serving::{AdvertisedLimit, LimitHeader, MonotonicTime, RequestLimit};
 use tokio::time::{Instant, advance};
 
 const LIFE: &str = "i-1";
@@ -35,8 +35,8 @@
     /// What the leader answers; nothing if it is away.
     reply: Option<PermitReply>,
     asked: Vec<PermitRequest>,
-    unanswered_until: Moment,
-    room_at: Option<Moment>,
+    unanswered_until: MonotonicTime,
+    room_at: Option<MonotonicTime>,
 }
 
 impl Router {
@@ -57,7 +57,7 @@
 }
 
 impl LimitedRouter for Router {
-    fn uptime(&self) -> Moment {
+    fn uptime(&self) -> MonotonicTime {
         self.started.elapsed()
     }
 
@@ -66,26 +66,26 @@
         Some(KnownLimit {
             limit,
             age: Duration::from_millis(40),
-            own: Some(NamedLimit {
+            own: Some(AdvertisedLimit {
                 limit,
-                named_at: self.uptime(),
+                advertised_at: self.uptime(),
             }),
         })
     }
 
-    fn unanswered_until(&self) -> Moment {
+    fn unanswered_until(&self) -> MonotonicTime {
         self.state().unanswered_until
     }
 
-    fn note_unanswered(&self, until: Moment) {
+    fn note_unanswered(&self, until: MonotonicTime) {
         self.state().unanswered_until = until;
     }
 
-    fn note_withheld(&self, _: &str, _: RequestLimit, room_at: Moment) {
+    fn note_withheld(&self, _: &str, _: RequestLimit, room_at: MonotonicTime) {
         self.state().room_at = Some(room_at);
     }
 
-    fn note_over(&self, _: &str, _: Moment) {
+    fn note_over(&self, _: &str, _: MonotonicTime) {
         // Digests go on naming it for a while.
     }
 
@@ -97,7 +97,7 @@
 }
 
 fn given() -> Option<PermitReply> {
-    Some(PermitReply::Given {
+    Some(PermitReply::Granted {
         limit: limit(2.0),
         stamp: STAMP,
     })
@@ -124,12 +124,12 @@
     let permit = taken(&router).await;
     assert!(is_lacking(&*router, LIFE, None));
     assert!(!is_lacking(&*router, LIFE, permit));
-    advance(GRANT_LIFE + Duration::from_millis(1)).await;
+    advance(GRANT_TTL + Duration::from_millis(1)).await;
     assert!(is_lacking(&*router, LIFE, permit));
     let asked = router.state().asked[0].clone();
     assert!(asked.wants_permit);
-    assert_eq!(asked.statement.limit, Some(limit(2.0)));
-    assert_eq!(asked.statement.age_ms, 40);
+    assert_eq!(asked.report.limit, Some(limit(2.0)));
+    assert_eq!(asked.report.age_ms, 40);
 }
 
 /// The leader knows that a limit is over before digests stop naming it. Taken for no permit, its word had the
@@ -139,7 +139,7 @@
     let router = Router::new(Some(limit(2.0)), Some(PermitReply::Unlimited));
     let permit = taken(&router).await;
     assert!(!is_lacking(&*router, LIFE, permit));
-    advance(GRANT_LIFE + Duration::from_millis(1)).await;
+    advance(GRANT_TTL + Duration::from_millis(1)).await;
     assert!(is_lacking(&*router, LIFE, permit), "it may have one again");
 }
 
@@ -168,13 +168,13 @@
         tokio::task::yield_now().await;
         router.state().asked.get(before).cloned()
     };
-    assert_eq!(told(StatedLimit::Named(limit(2.0)), false).await, None);
-    let lower = told(StatedLimit::Named(limit(1.0)), true).await;
-    let statement = lower.expect("told").statement;
+    assert_eq!(told(LimitHeader::Present(limit(2.0)), false).await, None);
+    let lower = told(LimitHeader::Present(limit(1.0)), true).await;
+    let statement = lower.expect("told").report;
     assert_eq!(statement.limit, Some(limit(1.0)));
     assert_eq!(statement.permit, Some(STAMP));
-    let none = told(StatedLimit::NotNamed, false).await.expect("told");
-    assert_eq!(none.statement.limit, None);
-    assert_eq!(none.statement.permit, Some(STAMP));
+    let none = told(LimitHeader::Absent, false).await.expect("told");
+    assert_eq!(none.report.limit, None);
+    assert_eq!(none.report.permit, Some(STAMP));
     assert!(!none.wants_permit);
 }
--- a/crates/proxy/tests/quarantine.rs
+++ b/crates/proxy/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use railtack_proxy::quarantine::{EndsMet, QuarantineChange, QuarantineKnowledge, REPORTS_COME_IN};
-use railtack_rpc::serving::{QUARANTINE_TIME, QuarantineUpdate};
+use railtack_rpc::serving::{QUARANTINE_DURATION, QuarantineUpdate};
 use railtack_serving::ContentKey;
 use tokio::time::Instant;
 
@@ -14,7 +14,7 @@
     QuarantineUpdate {
         changed_at,
         quarantined: quarantined.to_vec(),
-        watched: vec![OTHER],
+        suspected: vec![OTHER],
     }
 }
 
@@ -27,14 +27,18 @@
     assert_eq!(changes, [QuarantineChange::Quarantined(FATAL)]);
     assert!(known.take_good_end(FATAL) && known.take_good_end(OTHER));
     assert!(!known.take_good_end(OTHER), "told once");
-    assert_eq!(known.pause(FATAL, start), Some(QUARANTINE_TIME));
+    assert_eq!(known.pause(FATAL, start), Some(QUARANTINE_DURATION));
     assert_eq!(known.pause(OTHER, start), None);
     // What is told again does not begin anew.
     let later = start + Duration::from_secs(100);
     assert_eq!(known.learn(&told(6, &[FATAL]), later), []);
-    let left = QUARANTINE_TIME - Duration::from_secs(100);
+    let left = QUARANTINE_DURATION - Duration::from_secs(100);
     assert_eq!(known.pause(FATAL, later), Some(left));
-    assert!(known.pause(FATAL, start + QUARANTINE_TIME * 2).is_some());
+    assert!(
+        known
+            .pause(FATAL, start + QUARANTINE_DURATION * 2)
+            .is_some()
+    );
 }
 
 #[test]
--- a/crates/proxy/tests/returns.rs
+++ b/crates/proxy/tests/returns.rs
@@ -4,9 +4,9 @@
 
 use quickcheck::quickcheck;
 use railtack_proxy::returns::ReturnTimes;
-use railtack_serving::Moment;
+use railtack_serving::MonotonicTime;
 
-const NOW: Moment = Moment::from_secs(100);
+const NOW: MonotonicTime = MonotonicTime::from_secs(100);
 const OPENS_IN: Duration = Duration::from_millis(200);
 
 #[test]
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use railtack_proxy::{
     AnswerHead, BackendProtocol, Dispatch, ProxiedRequest, ProxyOptions, ProxyState,
 };
-use railtack_serving::{BackEndNotice, Bounds, Policy, QuotaBounds};
+use railtack_serving::{BackEndSignals, Bounds, Policy, QuotaBounds};
 
 /// A back end's language that no test here speaks.
 struct Unspoken;
@@ -22,8 +22,8 @@
         AnswerHead::Foreign
     }
 
-    fn notice(&self, _: &response::Parts) -> BackEndNotice {
-        BackEndNotice::default()
+    fn notice(&self, _: &response::Parts) -> BackEndSignals {
+        BackEndSignals::default()
     }
 
     fn is_hop_by_hop(&self, _: &str) -> bool {
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -4,7 +4,7 @@
 
 use railtack_backend_api::StreamEnd;
 use railtack_core::{Execution, RefusalCode};
-use railtack_rpc::serving::ENDS_TO_QUARANTINE;
+use railtack_rpc::serving::CRASHES_TO_QUARANTINE;
 
 use crate::refusal::Refusal;
 
@@ -73,7 +73,7 @@
                 self.may_have_run = true;
                 self.lost += 1;
                 // As many ends show that the request is to blame for them.
-                self.lost < ENDS_TO_QUARANTINE && spend_retry()
+                self.lost < CRASHES_TO_QUARANTINE && spend_retry()
             }
         };
         if may_repeat && self.made < ATTEMPT_LIMIT {
--- a/crates/router/src/completions.rs
+++ b/crates/router/src/completions.rs
@@ -12,7 +12,7 @@
 };
 use railtack_http::Body;
 use railtack_routing::{
-    AdmissionRefusal, Decision, ModelKey, RequestShape, admission::AdmissionRequest,
+    AdmissionRefusal, Decision, ModelKey, RoutingRequest, admission::AdmissionRequest,
 };
 use railtack_serving::{ContentKey, RequestContent};
 use railtack_settings::documents::Target;
@@ -172,13 +172,13 @@
     lock(&state.retry_budgets)
         .entry(job.tenant.clone())
         .or_default()
-        .earn();
+        .deposit();
     job.first_decision = Some(decision);
     Ok(job)
 }
 
 fn choose_first(state: &RouterState, job: &Job, now: u64) -> Result<Decision, Refusal> {
-    let shape = RequestShape {
+    let shape = RoutingRequest {
         key: &job.key,
         chain: &job.chain,
         boundaries: &job.boundaries,
@@ -191,7 +191,7 @@
 
 /// What the caller of a request is told that no engine takes now.
 pub fn without_engine(state: &RouterState, key: &ModelKey) -> Refusal {
-    let opens_in = lock(&state.scheduler).opens_in(key, state.now_us());
+    let opens_in = lock(&state.scheduler).available_in(key, state.now_us());
     let pause_ms = opens_in.map_or(NO_ENGINE_PAUSE_MS, |wait| wait.div_ceil(1_000));
     let detail = format!("no engine runs {} {}", key.model, key.weights_version);
     Refusal::not_run(RefusalCode::NoBackend, detail).retry_after_ms(pause_ms)
--- a/crates/router/src/control_link.rs
+++ b/crates/router/src/control_link.rs
@@ -9,7 +9,7 @@
 
 use railtack_consensus::ReplicaId;
 use railtack_rpc::{
-    ControlConnection, FeatureLevel, KnownLevel, call_deadline,
+    ControlConnection, FeatureLevel, GroupLevel, call_context,
     permits::{PermitReply, PermitRequest},
     protocol::{Command, PollReply, PollRequest, Proposal, ProposeReply, VoterAddress},
 };
@@ -41,7 +41,7 @@
 pub struct ControlLink {
     connections: Mutex<Connections>,
     leader: Mutex<Option<SocketAddr>>,
-    level: KnownLevel,
+    level: GroupLevel,
 }
 
 impl ControlLink {
@@ -54,7 +54,7 @@
         Self {
             connections: Mutex::new(connections.collect()),
             leader: Mutex::new(None),
-            level: KnownLevel::default(),
+            level: GroupLevel::default(),
         }
     }
 
@@ -128,7 +128,7 @@
             let left = deadline.saturating_duration_since(Instant::now());
             let sent = question.clone();
             let answer = connection
-                .call(|client| async move { client.take_permit(call_deadline(left), sent).await })
+                .call(|client| async move { client.take_permit(call_context(left), sent).await })
                 .await;
             let leader = match answer {
                 Ok(PermitReply::NotLeader { leader }) => leader.and_then(|told| told.parse().ok()),
@@ -183,7 +183,7 @@
     let answer = connection
         .call(|client| async move {
             client
-                .propose(call_deadline(PROPOSE_TIMEOUT), proposal)
+                .propose(call_context(PROPOSE_TIMEOUT), proposal)
                 .await
         })
         .await;
@@ -191,7 +191,7 @@
         Ok(reply) => ProposalAnswer::Reply(reply),
         Err(report) => match report.current_context() {
             railtack_rpc::ConnectionError::Unreachable { .. } => ProposalAnswer::Unreachable,
-            railtack_rpc::ConnectionError::NoAnswer { .. } => ProposalAnswer::NoAnswer,
+            railtack_rpc::ConnectionError::NoResponse { .. } => ProposalAnswer::NoAnswer,
         },
     }
 }
@@ -246,7 +246,7 @@
         quarantine_known: lock(&state.quarantine).changed_at(),
     };
     let reply = connection
-        .call(|client| async move { client.poll(call_deadline(POLL_TIMEOUT), request).await })
+        .call(|client| async move { client.poll(call_context(POLL_TIMEOUT), request).await })
         .await
         .ok()?;
     let told = reply.last_configuration_index;
@@ -267,7 +267,7 @@
     if let Some(told) = &reply.quarantine {
         quarantine::learn(state, told);
     }
-    state.control.level.learn(reply.group_level);
+    state.control.level.raise(reply.group_level);
     if reply.voter {
         lock(&state.admission).set_routers(reply.routers);
     }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -12,7 +12,7 @@
     AttemptId, CacheNamespace, EngineIncarnation, PrefixChain, RequestId, TemplateName, TenantName,
 };
 use railtack_proxy::permits::{Permission, Permit};
-use railtack_routing::{Decision, EngineSlot, ModelKey, RequestShape};
+use railtack_routing::{Decision, EngineSlot, ModelKey, RoutingRequest};
 use railtack_serving::ContentKey;
 use railtack_settings::documents::Priority;
 use tokio::{sync::mpsc, time::Instant};
@@ -143,7 +143,7 @@
     }
 
     fn choose(&self) -> Option<Decision> {
-        let shape = RequestShape {
+        let shape = RoutingRequest {
             key: &self.job.key,
             chain: &self.job.chain,
             boundaries: &self.job.boundaries,
@@ -168,7 +168,7 @@
         let life = {
             let scheduler = lock(&self.state.scheduler);
             let view = scheduler.engines.view(decision.chosen.engine);
-            let is_limited = view.announced.limit().is_some();
+            let is_limited = view.advertised.limit().is_some();
             is_limited.then(|| engine_life(view.id, view.incarnation))
         };
         let Some(life) = life else {
@@ -254,8 +254,8 @@
     fn begin(&self, attempt: &Attempt) {
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
-        view.breaker.begin();
-        view.sent(attempt.uncached_tokens, self.is_urgent());
+        view.breaker.record_attempt();
+        view.record_sent(attempt.uncached_tokens, self.is_urgent());
         if view.incarnation == attempt.incarnation {
             scheduler.expect_cached(attempt.engine, &self.job.chain);
         }
@@ -273,20 +273,20 @@
         }
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
-        view.prefilled(attempt.uncached_tokens, self.is_urgent());
-        view.breaker.succeed();
+        view.record_prefilled(attempt.uncached_tokens, self.is_urgent());
+        view.breaker.record_success();
     }
 
     fn finish(&self, attempt: &Attempt, end: &AttemptEnd) {
         let now = self.state.now_us();
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
-        view.closed();
+        view.record_closed();
         if matches!(end, AttemptEnd::Lost | AttemptEnd::NotSent) {
-            view.breaker.fail(now);
+            view.breaker.record_failure(now);
         }
         if attempt.waits_for_token {
-            view.prefilled(attempt.uncached_tokens, self.is_urgent());
+            view.record_prefilled(attempt.uncached_tokens, self.is_urgent());
             scheduler.withdraw_expectation(attempt.engine, &self.job.chain, attempt.held_blocks);
         }
     }
@@ -359,5 +359,5 @@
 /// Repeats that cost an engine work come out of the tenant's budget.
 fn spend_retry(state: &RouterState, tenant: &TenantName) -> bool {
     let mut budgets = lock(&state.retry_budgets);
-    budgets.entry(tenant.clone()).or_default().spend()
+    budgets.entry(tenant.clone()).or_default().withdraw()
 }
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, Response, body::Incoming};
 use railtack_backend_api::{EngineError, EngineRefusal, EngineRequest, StreamFrame};
 use railtack_http::{SendError, back_off, lines, read_body};
-use railtack_serving::BackEndNotice;
+use railtack_serving::BackEndSignals;
 use tokio::time::{sleep, timeout, timeout_at};
 
 use super::{Attempt, Run};
@@ -176,14 +176,14 @@
     /// Notes that the engine asked for no requests for a time.
     fn note_back_off(&self, attempt: &Attempt, time: Duration) {
         let now = self.state.uptime();
-        let notice = BackEndNotice {
+        let notice = BackEndSignals {
             back_off: Some(time),
-            ..BackEndNotice::default()
+            ..BackEndSignals::default()
         };
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
         if view.incarnation == attempt.incarnation {
-            view.announced.note(notice, now);
+            view.advertised.record(notice, now);
         }
         spdlog::info!("engine asked for rest", kv: {
             engine = view.id.to_string(),
--- a/crates/router/src/engine_link.rs
+++ b/crates/router/src/engine_link.rs
@@ -16,7 +16,7 @@
 };
 use railtack_core::{BlockHash, EngineId, EngineIncarnation};
 use railtack_http::lines;
-use railtack_routing::engines::{CacheKnowledge, EngineDescription, EngineSlot, ModelKey};
+use railtack_routing::engines::{CacheValidity, EngineDescription, EngineSlot, ModelKey};
 use tokio::time::{sleep, timeout};
 
 use crate::state::{RouterState, ServiceBackends, lock};
@@ -193,8 +193,8 @@
         },
         available: !status.draining && !status.loading && !drained,
     });
-    if knowledge == CacheKnowledge::Void {
-        scheduler.index.forget(slot);
+    if knowledge == CacheValidity::Invalidated {
+        scheduler.index.remove_engine(slot);
     }
     scheduler.engines.report(slot, status.load, now);
     slot
@@ -228,7 +228,10 @@
         }
         if is_cache_event && event.sequence != sequence + 1 {
             state.metrics.event_gaps.inc();
-            lock(&state.scheduler).engines.view_mut(slot).suspect = true;
+            lock(&state.scheduler)
+                .engines
+                .view_mut(slot)
+                .cache_view_stale = true;
             match resynchronise(state, address, slot).await {
                 Some((same, resumed_at)) if same == incarnation => sequence = resumed_at,
                 _ => return,
@@ -257,9 +260,9 @@
     if scheduler.engines.view(slot).incarnation != listing.incarnation {
         return None;
     }
-    scheduler.index.forget(slot);
-    scheduler.index.stored(slot, hashes(&listing.blocks));
-    scheduler.engines.view_mut(slot).suspect = false;
+    scheduler.index.remove_engine(slot);
+    scheduler.index.insert(slot, hashes(&listing.blocks));
+    scheduler.engines.view_mut(slot).cache_view_stale = false;
     Some((listing.incarnation, listing.sequence))
 }
 
@@ -270,8 +273,8 @@
         return;
     }
     match event.event {
-        EngineEventKind::Stored { blocks } => scheduler.index.stored(slot, hashes(&blocks)),
-        EngineEventKind::Removed { blocks } => scheduler.index.removed(slot, hashes(&blocks)),
+        EngineEventKind::Stored { blocks } => scheduler.index.insert(slot, hashes(&blocks)),
+        EngineEventKind::Removed { blocks } => scheduler.index.remove(slot, hashes(&blocks)),
         EngineEventKind::Load(load) => scheduler.engines.report(slot, load, now),
     }
     state
@@ -288,7 +291,7 @@
 pub async fn engine_is_silent(state: &RouterState, engine: EngineSlot) {
     loop {
         sleep(SILENCE_CHECK).await;
-        let heard_at = lock(&state.scheduler).engines.view(engine).heard_at;
+        let heard_at = lock(&state.scheduler).engines.view(engine).last_seen_at;
         if state.now_us().saturating_sub(heard_at) > ENGINE_SILENCE_US {
             return;
         }
--- a/crates/router/src/keyed.rs
+++ b/crates/router/src/keyed.rs
@@ -15,7 +15,7 @@
 use railtack_core::{AttemptId, IdempotencyKey, RefusalCode, TenantName};
 use railtack_http::SendError;
 use railtack_rpc::protocol::{
-    ClaimAnswer, ClaimOutcome, ClaimRequest, Command, Outcome, StoredAnswer,
+    ClaimOutcome, ClaimReply, ClaimRequest, Command, Outcome, StoredResponse,
 };
 
 use crate::{proposal::Proposed, refusal::Refusal};
@@ -41,7 +41,7 @@
     /// Answer the caller.
     Answer {
         /// The answer.
-        answer: Result<StoredAnswer, Refusal>,
+        answer: Result<StoredResponse, Refusal>,
         /// To be committed in the background within [`SETTLE_TIMEOUT`].
         later: Option<Command>,
     },
@@ -52,7 +52,7 @@
     Claiming,
     Sending,
     Settling {
-        answer: Result<StoredAnswer, Refusal>,
+        answer: Result<StoredResponse, Refusal>,
         outcome: ClaimOutcome,
     },
     Answered,
@@ -111,7 +111,7 @@
     }
 
     /// Takes in what came of sending; `NotSent` must be proven.
-    pub fn sent(&mut self, sent: Result<StoredAnswer, SendError>) -> KeyedStep {
+    pub fn sent(&mut self, sent: Result<StoredResponse, SendError>) -> KeyedStep {
         match sent {
             Ok(answer) => {
                 let outcome = ClaimOutcome::Completed(storable(&answer));
@@ -139,32 +139,32 @@
         }
     }
 
-    fn claimed(&mut self, answer: ClaimAnswer) -> KeyedStep {
+    fn claimed(&mut self, answer: ClaimReply) -> KeyedStep {
         match answer {
-            ClaimAnswer::Granted => {
+            ClaimReply::Granted => {
                 self.stage = Stage::Sending;
                 KeyedStep::Send
             }
-            ClaimAnswer::InProgress => refuse(
+            ClaimReply::InProgress => refuse(
                 Refusal::unknown(
                     RefusalCode::InProgress,
                     "an earlier arrival of this key has not ended",
                 )
                 .retry_after_ms(IN_PROGRESS_PAUSE_MS),
             ),
-            ClaimAnswer::KeyReused => refuse(Refusal::unknown(
+            ClaimReply::KeyReused => refuse(Refusal::unknown(
                 RefusalCode::IdempotencyKeyReused,
                 "the key was used for another request",
             )),
-            ClaimAnswer::Ended(ClaimOutcome::Completed(stored)) => KeyedStep::Answer {
+            ClaimReply::Ended(ClaimOutcome::Completed(stored)) => KeyedStep::Answer {
                 answer: Ok(stored),
                 later: None,
             },
-            ClaimAnswer::Ended(ClaimOutcome::NotRun { code }) => refuse(Refusal::not_run(
+            ClaimReply::Ended(ClaimOutcome::NotRun { code }) => refuse(Refusal::not_run(
                 code,
                 "an earlier arrival of this key was refused before it ran; use a new key",
             )),
-            ClaimAnswer::Ended(ClaimOutcome::Unknown) => refuse(Refusal::unknown(
+            ClaimReply::Ended(ClaimOutcome::Unknown) => refuse(Refusal::unknown(
                 RefusalCode::OutcomeUnknown,
                 "an earlier arrival of this key ended without a known outcome",
             )),
@@ -173,7 +173,7 @@
 
     fn settle(
         &mut self,
-        answer: Result<StoredAnswer, Refusal>,
+        answer: Result<StoredResponse, Refusal>,
         outcome: ClaimOutcome,
     ) -> KeyedStep {
         let command = self.settlement(outcome.clone());
@@ -183,7 +183,11 @@
 
     /// Without the record a second arrival could not be told from one that may run, so "not run"
     /// becomes "unknown"; an answer is an answer all the same.
-    fn unsettled(&self, answer: Result<StoredAnswer, Refusal>, outcome: ClaimOutcome) -> KeyedStep {
+    fn unsettled(
+        &self,
+        answer: Result<StoredResponse, Refusal>,
+        outcome: ClaimOutcome,
+    ) -> KeyedStep {
         let answer = answer.map_err(|refusal| Refusal {
             execution: railtack_core::Execution::Unknown,
             ..refusal
@@ -211,12 +215,12 @@
     }
 }
 
-fn storable(answer: &StoredAnswer) -> StoredAnswer {
+fn storable(answer: &StoredResponse) -> StoredResponse {
     let body = answer
         .body
         .clone()
         .filter(|content| content.len() <= STORED_ANSWER_LIMIT);
-    StoredAnswer {
+    StoredResponse {
         body,
         ..answer.clone()
     }
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -3,13 +3,15 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use hyper::HeaderMap;
-use railtack_backend_api::REQUEST_LIMIT;
+use railtack_backend_api::REQUEST_LIMIT_HEADER;
 use railtack_proxy::{
     backend::stated_limit,
     permits::{self, KnownLimit, LimitedRouter, Permission, Permit},
 };
 use railtack_rpc::permits::{PermitReply, PermitRequest};
-use railtack_serving::{Announced, BackEndNotice, Moment, News, RequestLimit, StatedLimit};
+use railtack_serving::{
+    AdvertisedState, BackEndSignals, LimitHeader, MonotonicTime, RequestLimit, SignalChanges,
+};
 
 use crate::{
     quarantine::engine_life,
@@ -21,7 +23,7 @@
 
 impl RouterState {
     /// Looks at what an engine or a back end of a service announced, by the name of its life or its address.
-    fn with_announced<T>(&self, life: &str, look: impl FnOnce(&mut Announced) -> T) -> T {
+    fn with_announced<T>(&self, life: &str, look: impl FnOnce(&mut AdvertisedState) -> T) -> T {
         if life.parse::<SocketAddr>().is_ok() {
             return look(lock(&self.back_ends_available).of(life));
         }
@@ -35,15 +37,15 @@
             scheduler.engines.slot(id)
         });
         match slot {
-            Some(slot) => look(&mut scheduler.engines.view_mut(slot).announced),
+            Some(slot) => look(&mut scheduler.engines.view_mut(slot).advertised),
             // A former life: nothing is kept of it.
-            None => look(&mut Announced::default()),
+            None => look(&mut AdvertisedState::default()),
         }
     }
 }
 
 impl LimitedRouter for RouterState {
-    fn uptime(&self) -> Moment {
+    fn uptime(&self) -> MonotonicTime {
         RouterState::uptime(self)
     }
 
@@ -54,26 +56,28 @@
         }?;
         Some(KnownLimit {
             limit: own.limit,
-            age: self.uptime().saturating_sub(own.named_at),
+            age: self.uptime().saturating_sub(own.advertised_at),
             own: Some(own),
         })
     }
 
-    fn unanswered_until(&self) -> Moment {
+    fn unanswered_until(&self) -> MonotonicTime {
         *lock(&self.permits_unanswered_until)
     }
 
-    fn note_unanswered(&self, until: Moment) {
+    fn note_unanswered(&self, until: MonotonicTime) {
         *lock(&self.permits_unanswered_until) = until;
     }
 
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment) {
+    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
         self.metrics.permits_withheld.inc();
-        self.with_announced(life, |announced| announced.has_room_at(limit, room_at));
+        self.with_announced(life, |announced| {
+            announced.set_limited_until(limit, room_at)
+        });
     }
 
-    fn note_over(&self, life: &str, named_at: Moment) {
-        self.with_announced(life, |announced| announced.limit_is_over(named_at));
+    fn note_over(&self, life: &str, named_at: MonotonicTime) {
+        self.with_announced(life, |announced| announced.clear_limit(named_at));
     }
 
     async fn ask_leader(&self, question: PermitRequest, limit: Duration) -> Option<PermitReply> {
@@ -93,10 +97,10 @@
     permit: Option<Permit>,
     headers: &HeaderMap,
 ) {
-    let stated = stated_limit(headers, REQUEST_LIMIT);
+    let stated = stated_limit(headers, REQUEST_LIMIT_HEADER);
     let news = match stated {
-        StatedLimit::NotNamed => News::default(),
-        StatedLimit::Unreadable(error) => {
+        LimitHeader::Absent => SignalChanges::default(),
+        LimitHeader::Invalid(error) => {
             state.metrics.limits_unread.inc();
             spdlog::info!("limit not read", kv: {
                 replica = life.to_owned(),
@@ -104,22 +108,22 @@
             });
             return;
         }
-        StatedLimit::Named(_) => {
-            let notice = BackEndNotice {
+        LimitHeader::Present(_) => {
+            let notice = BackEndSignals {
                 limit: stated,
-                ..BackEndNotice::default()
+                ..BackEndSignals::default()
             };
             let now = state.uptime();
             log_news(
                 life,
-                state.with_announced(life, |said| said.note(notice, now)),
+                state.with_announced(life, |said| said.record(notice, now)),
             )
         }
     };
     permits::note_answer(state, life, permit, stated, news.limit.is_some());
 }
 
-fn log_news(life: &str, news: News) -> News {
+fn log_news(life: &str, news: SignalChanges) -> SignalChanges {
     if let Some(limit) = news.limit {
         spdlog::info!("back end names a limit", kv: {
             replica = life.to_owned(),
--- a/crates/router/src/proposal.rs
+++ b/crates/router/src/proposal.rs
@@ -38,7 +38,7 @@
         match answer {
             ProposalAnswer::Reply(ProposeReply::Done(outcome)) => Some(Proposed::Done(outcome)),
             ProposalAnswer::Reply(
-                ProposeReply::NotLeader { .. } | ProposeReply::LevelDiffers { .. },
+                ProposeReply::NotLeader { .. } | ProposeReply::LevelMismatch { .. },
             )
             | ProposalAnswer::Unreachable => None,
             ProposalAnswer::Reply(ProposeReply::Unknown) | ProposalAnswer::NoAnswer => {
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -66,7 +66,7 @@
         let state = Arc::clone(state);
         let contents = vec![content];
         tokio::spawn(
-            async move { record(&state, ServingCommand::ClearContents { contents }).await },
+            async move { record(&state, ServingCommand::ClearSuspects { contents }).await },
         );
     }
 }
@@ -102,11 +102,11 @@
             return;
         }
         let replica = ReplicaKey::of(&life.name);
-        let command = ServingCommand::RecordEnd {
+        let command = ServingCommand::RecordCrash {
             replica,
             contents,
             // Engines and back ends are listed by the platform.
-            witness: None,
+            reporter: None,
         };
         record(state, command).await;
     }
@@ -122,7 +122,9 @@
         .propose(Command::Serving(command), RECORD_LIMIT)
         .await;
     match proposed {
-        Proposed::Done(Outcome::Serving(ServingOutcome::EndRecorded(told))) => learn(state, &told),
+        Proposed::Done(Outcome::Serving(ServingOutcome::CrashRecorded(told))) => {
+            learn(state, &told)
+        }
         Proposed::Done(_) => {}
         other => spdlog::warn!("report given up", kv: { outcome = format!("{other:?}") }),
     }
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -12,8 +12,8 @@
 use railtack_core::{AttemptId, IdempotencyKey, RefusalCode, TemplateName, TenantName};
 use railtack_http::{Body, SendError, back_off, body, read_body, send_on_new_connection};
 use railtack_proxy::permits::{Permission, Permit};
-use railtack_rpc::protocol::StoredAnswer;
-use railtack_serving::{BackEndNotice, ContentKey, RequestContent};
+use railtack_rpc::protocol::StoredResponse;
+use railtack_serving::{BackEndSignals, ContentKey, RequestContent};
 use railtack_settings::documents::Target;
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_128;
@@ -81,7 +81,10 @@
     }
 }
 
-async fn run(state: &Arc<RouterState>, request: &ServiceRequest) -> Result<StoredAnswer, Refusal> {
+async fn run(
+    state: &Arc<RouterState>,
+    request: &ServiceRequest,
+) -> Result<StoredResponse, Refusal> {
     let key = checked_key(request)?;
     // Before anything is known of the key, "not run" would be a guess about its other arrivals.
     state
@@ -152,7 +155,7 @@
 async fn run_repeatable(
     state: &Arc<RouterState>,
     forwarded: &Forwarded<'_>,
-) -> Result<StoredAnswer, Refusal> {
+) -> Result<StoredResponse, Refusal> {
     let mut may_have_run = false;
     for _ in 0..REPEATABLE_ATTEMPTS {
         if may_have_run && quarantine::refusal(state, forwarded.content).is_some() {
@@ -178,7 +181,7 @@
     state: &Arc<RouterState>,
     forwarded: &Forwarded<'_>,
     key: IdempotencyKey,
-) -> Result<StoredAnswer, Refusal> {
+) -> Result<StoredResponse, Refusal> {
     let (run, first) = KeyedRun::begin(
         forwarded.tenant.clone(),
         key,
@@ -215,7 +218,7 @@
     forwarded: &Forwarded<'_>,
     mut run: KeyedRun,
     first: KeyedStep,
-) -> Result<StoredAnswer, Refusal> {
+) -> Result<StoredResponse, Refusal> {
     let mut step = first;
     loop {
         step = match step {
@@ -238,7 +241,7 @@
 async fn send_once(
     state: &Arc<RouterState>,
     forwarded: &Forwarded<'_>,
-) -> Result<StoredAnswer, SendError> {
+) -> Result<StoredResponse, SendError> {
     let chosen = permitted_backend(state, &forwarded.service).await;
     forward(state, chosen.ok_or(SendError::NotSent)?, forwarded).await
 }
@@ -247,7 +250,7 @@
     state: &Arc<RouterState>,
     Chosen { address, permit }: Chosen,
     forwarded: &Forwarded<'_>,
-) -> Result<StoredAnswer, SendError> {
+) -> Result<StoredResponse, SendError> {
     let request = outgoing(forwarded)?;
     let exchange = async {
         let response = send_on_new_connection(address, request, CONNECT_TIMEOUT).await?;
@@ -291,7 +294,7 @@
 async fn read_answer(
     response: Response<Incoming>,
     limit: Duration,
-) -> Result<StoredAnswer, SendError> {
+) -> Result<StoredResponse, SendError> {
     let status = response.status().as_u16();
     let content_type = response
         .headers()
@@ -302,14 +305,14 @@
     let content = read_body(response.into_body(), ANSWER_LIMIT, limit)
         .await
         .map_err(|_| SendError::MaybeSent)?;
-    Ok(StoredAnswer {
+    Ok(StoredResponse {
         status,
         content_type,
         body: Some(content.to_vec()),
     })
 }
 
-fn response(answer: StoredAnswer) -> Response<Body> {
+fn response(answer: StoredResponse) -> Response<Body> {
     let mut response = Response::new(body::full(answer.body.unwrap_or_default()));
     if let Ok(status) = hyper::StatusCode::from_u16(answer.status) {
         *response.status_mut() = status;
@@ -341,13 +344,13 @@
 fn next_backend(state: &RouterState, service: &str) -> Option<SocketAddr> {
     let now = state.uptime();
     let mut available = lock(&state.back_ends_available);
-    available.forget_past(now);
+    available.remove_expired(now);
     let mut services = lock(&state.services);
     let backends = services.get_mut(service)?;
     for _ in 0..backends.live.len() {
         backends.next = (backends.next + 1) % backends.live.len();
         let address = backends.live[backends.next];
-        if available.takes(&address.to_string(), now) {
+        if available.accepts_requests(&address.to_string(), now) {
             return Some(address);
         }
     }
@@ -360,12 +363,12 @@
         address = address.to_string(),
         back_off_ms = time.as_millis() as u64,
     });
-    let notice = BackEndNotice {
+    let notice = BackEndSignals {
         back_off: Some(time),
-        ..BackEndNotice::default()
+        ..BackEndSignals::default()
     };
     let mut available = lock(&state.back_ends_available);
-    available.note(&address.to_string(), notice, state.uptime());
+    available.record(&address.to_string(), notice, state.uptime());
 }
 
 /// Milliseconds until the first back end of a service takes calls again, if all asked for rest.
@@ -374,7 +377,7 @@
     let available = lock(&state.back_ends_available);
     let services = lock(&state.services);
     let live = services.get(service)?.live.iter();
-    let waits = live.filter_map(|address| available.opens_in(&address.to_string(), now));
+    let waits = live.filter_map(|address| available.available_in(&address.to_string(), now));
     let wait = waits.min()?.as_millis() as u64;
     (wait > 0).then_some(wait)
 }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -17,7 +17,7 @@
 use railtack_http::HttpClient;
 use railtack_proxy::quarantine::{EndsMet, QuarantineKnowledge};
 use railtack_routing::{Admission, Micros, RetryBudget, Scheduler, SchedulerOptions};
-use railtack_serving::{Availability, Moment};
+use railtack_serving::{Availability, MonotonicTime};
 use railtack_settings::{RouterSettings, router::WhenUnconfirmed};
 
 use crate::{
@@ -71,7 +71,7 @@
     /// Connections to control replicas.
     pub control: ControlLink,
     /// Until when no permit is asked for, as no leader answered.
-    pub permits_unanswered_until: Mutex<Moment>,
+    pub permits_unanswered_until: Mutex<MonotonicTime>,
     /// Tokens in an engine's cache block, as the engines report it.
     pub block_tokens: std::sync::atomic::AtomicU32,
     /// Whether the platform's list was had at least once.
@@ -121,7 +121,7 @@
     }
 
     /// Time since the router started.
-    pub fn uptime(&self) -> Moment {
+    pub fn uptime(&self) -> MonotonicTime {
         self.started.elapsed()
     }
 
--- a/crates/routing/src/breaker.rs
+++ b/crates/routing/src/breaker.rs
@@ -29,17 +29,17 @@
     }
 
     /// Records that a request is sent.
-    pub fn begin(&mut self) {
+    pub fn record_attempt(&mut self) {
         self.probing = self.failures >= FAILURES_TO_OPEN;
     }
 
     /// Records a response and closes the breaker.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
     /// Records a failure of the engine. Refusals do not count as failures.
-    pub fn fail(&mut self, now: Micros) {
+    pub fn record_failure(&mut self, now: Micros) {
         self.failures = self.failures.saturating_add(1);
         self.probing = false;
         let doublings = self.failures.saturating_sub(FAILURES_TO_OPEN).min(16);
--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -26,7 +26,7 @@
     pub held_blocks: u32,
     /// Leading blocks for which rendezvous hashing selects the engine. All routers prefer it for
     /// this prefix, so it has probably cached these blocks even without an event.
-    pub favoured_blocks: u32,
+    pub affinity_blocks: u32,
 }
 
 /// Candidates of one decision.
@@ -117,7 +117,7 @@
     }
 }
 
-fn add(candidates: &mut Candidates, engine: EngineSlot, held_blocks: u32, favoured_blocks: u32) {
+fn add(candidates: &mut Candidates, engine: EngineSlot, held_blocks: u32, affinity_blocks: u32) {
     let has_room = candidates.len() < CANDIDATE_LIMIT;
     let known = candidates
         .iter_mut()
@@ -125,13 +125,13 @@
     match known {
         Some(candidate) => {
             candidate.held_blocks = candidate.held_blocks.max(held_blocks);
-            candidate.favoured_blocks = candidate.favoured_blocks.max(favoured_blocks);
+            candidate.affinity_blocks = candidate.affinity_blocks.max(affinity_blocks);
         }
         None if has_room => {
             candidates.push(Candidate {
                 engine,
                 held_blocks,
-                favoured_blocks,
+                affinity_blocks,
             });
         }
         None => {}
