--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -4,7 +4,7 @@
 
 use railtack_backend_api::LoadReport;
 use railtack_core::{EngineId, EngineIncarnation, ModelName, WeightsVersion, ZoneName};
-use railtack_serving::{Announced, Moment};
+use railtack_serving::{AdvertisedState, MonotonicTime};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{Micros, breaker::CircuitBreaker};
@@ -42,7 +42,7 @@
     /// When the latest load report was received.
     pub reported_at: Micros,
     /// When any message was last received from the engine.
-    pub heard_at: Micros,
+    pub last_seen_at: Micros,
     /// Prompt tokens of this router's requests that have not produced a first token.
     pub outstanding_tokens: u64,
     /// The part of `outstanding_tokens` above the lowest priority.
@@ -54,9 +54,9 @@
     /// Circuit breaker for requests to the engine.
     pub breaker: CircuitBreaker,
     /// State that the engine advertised in responses; successful requests and load reports do not reset it.
-    pub announced: Announced,
+    pub advertised: AdvertisedState,
     /// Whether cache events were lost, so that the prefix index may be wrong for this engine.
-    pub suspect: bool,
+    pub cache_view_stale: bool,
 }
 
 /// All known engines, grouped by loaded model and weights.
@@ -93,19 +93,19 @@
 
 /// Whether the former contents of an engine's cache are still valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CacheKnowledge {
+pub enum CacheValidity {
     /// Incarnation and weights are unchanged.
-    Kept,
+    Valid,
     /// The engine restarted or loaded other weights, so its cache is empty.
-    Void,
+    Invalidated,
 }
 
 impl EngineTable {
     /// Adds an engine or applies its reported state.
-    pub fn update(&mut self, description: EngineDescription) -> (EngineSlot, CacheKnowledge) {
+    pub fn update(&mut self, description: EngineDescription) -> (EngineSlot, CacheValidity) {
         let Some(slot) = self.slots.get(&description.id).copied() else {
             let slot = self.add(description);
-            return (slot, CacheKnowledge::Void);
+            return (slot, CacheValidity::Invalidated);
         };
         let view = &mut self.views[usize::from(slot.0)];
         let same_incarnation = view.incarnation == description.incarnation;
@@ -126,9 +126,9 @@
         (
             slot,
             if is_valid {
-                CacheKnowledge::Kept
+                CacheValidity::Valid
             } else {
-                CacheKnowledge::Void
+                CacheValidity::Invalidated
             },
         )
     }
@@ -138,7 +138,7 @@
         let view = &mut self.views[usize::from(slot.0)];
         view.load = load;
         view.reported_at = now;
-        view.heard_at = now;
+        view.last_seen_at = now;
         view.sent_since_report = 0;
     }
 
@@ -237,19 +237,19 @@
             listed: true,
             load: LoadReport::default(),
             reported_at: 0,
-            heard_at: 0,
+            last_seen_at: 0,
             outstanding_tokens: 0,
             outstanding_urgent_tokens: 0,
             open_requests: 0,
             sent_since_report: 0,
             breaker: CircuitBreaker::default(),
-            announced: Announced::default(),
-            suspect: false,
+            advertised: AdvertisedState::default(),
+            cache_view_stale: false,
         }
     }
 
     /// Records a request that was sent to the engine.
-    pub fn sent(&mut self, uncached_tokens: u64, urgent: bool) {
+    pub fn record_sent(&mut self, uncached_tokens: u64, urgent: bool) {
         self.open_requests += 1;
         self.sent_since_report += 1;
         self.outstanding_tokens += uncached_tokens;
@@ -259,7 +259,7 @@
     }
 
     /// Records that a request produced its first token, or will not produce one.
-    pub fn prefilled(&mut self, uncached_tokens: u64, urgent: bool) {
+    pub fn record_prefilled(&mut self, uncached_tokens: u64, urgent: bool) {
         self.outstanding_tokens = self.outstanding_tokens.saturating_sub(uncached_tokens);
         if urgent {
             self.outstanding_urgent_tokens = self
@@ -269,12 +269,13 @@
     }
 
     /// Whether the engine's advertised state allows requests.
-    pub fn takes_requests(&self, now: Micros) -> bool {
-        self.announced.takes(Moment::from_micros(now))
+    pub fn accepts_requests(&self, now: Micros) -> bool {
+        self.advertised
+            .accepts_requests(MonotonicTime::from_micros(now))
     }
 
     /// Records that a request ended.
-    pub fn closed(&mut self) {
+    pub fn record_closed(&mut self) {
         self.open_requests = self.open_requests.saturating_sub(1);
     }
 }
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -52,7 +52,7 @@
     }
 
     /// Adds blocks that an engine has cached.
-    pub fn stored(&mut self, engine: EngineSlot, blocks: impl IntoIterator<Item = BlockHash>) {
+    pub fn insert(&mut self, engine: EngineSlot, blocks: impl IntoIterator<Item = BlockHash>) {
         for block in blocks {
             if self.holders.len() >= self.capacity && !self.holders.contains_key(&block.short()) {
                 self.refused += 1;
@@ -66,7 +66,7 @@
     }
 
     /// Removes blocks that an engine has evicted.
-    pub fn removed(&mut self, engine: EngineSlot, blocks: impl IntoIterator<Item = BlockHash>) {
+    pub fn remove(&mut self, engine: EngineSlot, blocks: impl IntoIterator<Item = BlockHash>) {
         for block in blocks {
             let Some(holders) = self.holders.get_mut(&block.short()) else {
                 continue;
@@ -79,7 +79,7 @@
     }
 
     /// Removes all blocks of an engine, for example after its restart.
-    pub fn forget(&mut self, engine: EngineSlot) {
+    pub fn remove_engine(&mut self, engine: EngineSlot) {
         self.holders.retain(|_, holders| {
             holders.retain(|known| *known != engine);
             !holders.is_empty()
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -21,7 +21,7 @@
 pub use engines::{EngineSlot, EngineTable, EngineView, ModelKey};
 pub use index::{OverlapScores, PrefixIndex};
 pub use retry::RetryBudget;
-pub use scheduler::{Decision, RequestShape, Scheduler, SchedulerOptions};
+pub use scheduler::{Decision, RoutingRequest, Scheduler, SchedulerOptions};
 pub use scoring::{CandidateScore, ScoreWeights};
 
 /// Time on the monotonic clock of the caller, or a duration, in microseconds.
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -23,12 +23,12 @@
 
 impl RetryBudget {
     /// Credits the budget for a first attempt.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.balance = (self.balance + CREDIT_PER_REQUEST).min(MAX_BALANCE);
     }
 
     /// Withdraws one retry. Returns false if the balance is too low.
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         if self.balance < RETRY_COST {
             return false;
         }
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -1,7 +1,7 @@
 //! Chooses the engine for a request from the candidates and their scores.
 
 use railtack_core::{PrefixChain, ZoneName};
-use railtack_serving::Moment;
+use railtack_serving::MonotonicTime;
 use railtack_settings::documents::Priority;
 use smallvec::SmallVec;
 
@@ -39,7 +39,7 @@
 
 /// The properties of a request that a decision depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestShape<'a> {
+pub struct RoutingRequest<'a> {
     /// Model and weights that the engine must have loaded.
     pub key: &'a ModelKey,
     /// Hash chain of the prompt.
@@ -83,7 +83,7 @@
     }
 
     /// Chooses an engine; `None` if no engine is available for the request.
-    pub fn choose(&self, request: RequestShape<'_>, now: Micros, seed: u64) -> Option<Decision> {
+    pub fn choose(&self, request: RoutingRequest<'_>, now: Micros, seed: u64) -> Option<Decision> {
         let overlaps = self.index.overlaps(request.chain);
         let group = self.engines.group(request.key);
         let mut candidates = candidates::collect(
@@ -112,12 +112,12 @@
 
     /// Time until the first engine with this model accepts requests again; `None` if one accepts them
     /// now, or none is going to.
-    pub fn opens_in(&self, key: &ModelKey, now: Micros) -> Option<Micros> {
+    pub fn available_in(&self, key: &ModelKey, now: Micros) -> Option<Micros> {
         let group = self.engines.group(key).iter();
         let views = group.map(|member| self.engines.view(member.slot));
         let usable = views.filter(|view| view.available && view.listed);
-        let now = Moment::from_micros(now);
-        let waits = usable.filter_map(|view| view.announced.opens_in(now));
+        let now = MonotonicTime::from_micros(now);
+        let waits = usable.filter_map(|view| view.advertised.available_in(now));
         let wait = waits.min()?.as_micros() as Micros;
         Some(wait).filter(|wait| *wait > 0)
     }
@@ -125,7 +125,7 @@
     /// Records that an engine is going to cache a prompt that was sent to it, so that requests with the
     /// same prefix are routed there before the engine's own events arrive.
     pub fn expect_cached(&mut self, engine: EngineSlot, chain: &PrefixChain) {
-        self.index.stored(engine, chain.blocks.iter().copied());
+        self.index.insert(engine, chain.blocks.iter().copied());
     }
 
     /// Reverts [`Scheduler::expect_cached`] for a prompt that was not computed, except for `held_blocks`.
@@ -137,10 +137,10 @@
     ) {
         let held = (held_blocks as usize).min(chain.blocks.len());
         self.index
-            .removed(engine, chain.blocks[held..].iter().copied());
+            .remove(engine, chain.blocks[held..].iter().copied());
     }
 
-    fn score(&self, request: &RequestShape<'_>, candidate: Candidate) -> CandidateScore {
+    fn score(&self, request: &RoutingRequest<'_>, candidate: Candidate) -> CandidateScore {
         let view = self.engines.view(candidate.engine);
         let same_zone = view.zone == self.options.zone;
         let index_empty = self.index.is_empty();
@@ -157,7 +157,7 @@
 
     fn any_available(
         &self,
-        request: &RequestShape<'_>,
+        request: &RoutingRequest<'_>,
         group: &[Member],
         now: Micros,
     ) -> SmallVec<[Candidate; CANDIDATE_LIMIT]> {
@@ -169,16 +169,16 @@
             .map(|engine| Candidate {
                 engine,
                 held_blocks: 0,
-                favoured_blocks: 0,
+                affinity_blocks: 0,
             })
             .collect()
     }
 
-    fn may_serve(&self, request: &RequestShape<'_>, engine: EngineSlot, now: Micros) -> bool {
+    fn may_serve(&self, request: &RoutingRequest<'_>, engine: EngineSlot, now: Micros) -> bool {
         let view = self.engines.view(engine);
         view.available
             && view.listed
-            && view.takes_requests(now)
+            && view.accepts_requests(now)
             && view.breaker.allows(now)
             && !request.excluded.contains(&engine)
     }
--- a/crates/routing/src/scoring.rs
+++ b/crates/routing/src/scoring.rs
@@ -78,8 +78,8 @@
     index_empty: bool,
 ) -> CandidateScore {
     let held_tokens = chain.tokens_at(candidate.held_blocks as usize);
-    let affinity_tokens = chain.tokens_at(candidate.favoured_blocks as usize);
-    let trust = if index_empty || view.suspect {
+    let affinity_tokens = chain.tokens_at(candidate.affinity_blocks as usize);
+    let trust = if index_empty || view.cache_view_stale {
         weights.affinity_trust_unindexed
     } else {
         weights.affinity_trust
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -11,10 +11,10 @@
     BlockHash, CacheNamespace, EngineId, EngineIncarnation, ModelName, PrefixChain, WeightsVersion,
 };
 use railtack_routing::{
-    EngineSlot, ModelKey, PrefixIndex, RequestShape, Scheduler, SchedulerOptions,
-    engines::{CacheKnowledge, EngineDescription},
+    EngineSlot, ModelKey, PrefixIndex, RoutingRequest, Scheduler, SchedulerOptions,
+    engines::{CacheValidity, EngineDescription},
 };
-use railtack_serving::BackEndNotice;
+use railtack_serving::BackEndSignals;
 use railtack_settings::documents::Priority;
 
 const BLOCK_TOKENS: u32 = 16;
@@ -60,7 +60,7 @@
 ) -> Option<EngineSlot> {
     let key = key(1);
     let boundaries = [chain.blocks.len() as u32];
-    let shape = RequestShape {
+    let shape = RoutingRequest {
         key: &key,
         chain,
         boundaries: &boundaries,
@@ -77,7 +77,7 @@
     let mut scheduler = scheduler(40);
     let chain = chain(&"a long opening ".repeat(200));
     let holder = EngineSlot(17);
-    scheduler.index.stored(holder, chain.blocks.iter().copied());
+    scheduler.index.insert(holder, chain.blocks.iter().copied());
     assert_eq!(choose(&scheduler, &chain, &[]), Some(holder));
 }
 
@@ -86,7 +86,7 @@
     let mut scheduler = scheduler(40);
     let chain = chain(&"a long opening ".repeat(200));
     let holder = EngineSlot(17);
-    scheduler.index.stored(holder, chain.blocks.iter().copied());
+    scheduler.index.insert(holder, chain.blocks.iter().copied());
     let busy = LoadReport {
         queued_prefill_tokens: 100_000,
         urgent_prefill_tokens: 100_000,
@@ -113,7 +113,7 @@
     let key = key(1);
     let chain = chain("short");
     let expected = |priority| {
-        let shape = RequestShape {
+        let shape = RoutingRequest {
             key: &key,
             chain: &chain,
             boundaries: &[],
@@ -142,24 +142,28 @@
     const BACK_OFF_US: u64 = 3_000_000;
     let mut scheduler = scheduler(1);
     let chain = chain("short");
-    let notice = BackEndNotice {
+    let notice = BackEndSignals {
         back_off: Some(Duration::from_micros(BACK_OFF_US)),
-        ..BackEndNotice::default()
+        ..BackEndSignals::default()
     };
     let view = scheduler.engines.view_mut(EngineSlot(0));
-    view.announced.note(notice, Duration::ZERO);
+    view.advertised.record(notice, Duration::ZERO);
     // Neither a successful request nor a load report ends the back-off.
-    scheduler.engines.view_mut(EngineSlot(0)).breaker.succeed();
+    scheduler
+        .engines
+        .view_mut(EngineSlot(0))
+        .breaker
+        .record_success();
     scheduler
         .engines
         .report(EngineSlot(0), LoadReport::default(), 1);
     scheduler.engines.update(describe(0, 1, 1));
     assert_eq!(choose(&scheduler, &chain, &[]), None);
     assert_eq!(
-        scheduler.opens_in(&key(1), BACK_OFF_US / 3),
+        scheduler.available_in(&key(1), BACK_OFF_US / 3),
         Some(BACK_OFF_US * 2 / 3)
     );
-    assert_eq!(scheduler.opens_in(&key(1), BACK_OFF_US), None);
+    assert_eq!(scheduler.available_in(&key(1), BACK_OFF_US), None);
     // The back-off of the former incarnation does not apply to the next one.
     scheduler.engines.update(describe(0, 2, 1));
     assert_eq!(choose(&scheduler, &chain, &[]), Some(EngineSlot(0)));
@@ -171,9 +175,9 @@
     let (_, same) = scheduler.engines.update(describe(0, 1, 1));
     let (_, restarted) = scheduler.engines.update(describe(0, 2, 1));
     let (_, weights) = scheduler.engines.update(describe(0, 2, 2));
-    assert_eq!(same, CacheKnowledge::Kept);
-    assert_eq!(restarted, CacheKnowledge::Void);
-    assert_eq!(weights, CacheKnowledge::Void);
+    assert_eq!(same, CacheValidity::Valid);
+    assert_eq!(restarted, CacheValidity::Invalidated);
+    assert_eq!(weights, CacheValidity::Invalidated);
     assert!(scheduler.engines.group(&key(1)).is_empty());
     let group = scheduler.engines.group(&key(2));
     let slots: Vec<EngineSlot> = group.iter().map(|member| member.slot).collect();
@@ -242,11 +246,11 @@
         for (engine, depth) in depths.into_iter().take(20) {
             let depth = usize::from(depth) % (chain.blocks.len() + 1);
             if depth > 0 && holdings.insert(engine, depth).is_none() {
-                index.stored(EngineSlot(engine), chain.blocks[..depth].iter().copied());
+                index.insert(EngineSlot(engine), chain.blocks[..depth].iter().copied());
             } else if depth > 0 {
                 let known = holdings[&engine];
-                index.forget(EngineSlot(engine));
-                index.stored(EngineSlot(engine), chain.blocks[..depth].iter().copied());
+                index.remove_engine(EngineSlot(engine));
+                index.insert(EngineSlot(engine), chain.blocks[..depth].iter().copied());
                 let _ = known;
             }
         }
@@ -257,18 +261,18 @@
         let mut index = PrefixIndex::new(1_000_000);
         let mut kept = BTreeSet::new();
         for (engine, block) in &blocks {
-            index.stored(EngineSlot(*engine), [BlockHash(u128::from(*block))]);
+            index.insert(EngineSlot(*engine), [BlockHash(u128::from(*block))]);
             if *engine != removed {
                 kept.insert(*block);
             }
         }
-        index.forget(EngineSlot(removed));
+        index.remove_engine(EngineSlot(removed));
         index.len() == kept.len()
     }
 
     fn a_full_index_does_not_grow(blocks: Vec<u64>) -> bool {
         let mut index = PrefixIndex::new(5);
-        index.stored(EngineSlot(0), blocks.iter().map(|block| BlockHash(u128::from(*block))));
+        index.insert(EngineSlot(0), blocks.iter().map(|block| BlockHash(u128::from(*block))));
         index.len() <= 5
     }
 }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -107,14 +107,14 @@
     let mut breaker = CircuitBreaker::default();
     for _ in 0..3 {
         assert!(breaker.allows(0));
-        breaker.begin();
-        breaker.fail(0);
+        breaker.record_attempt();
+        breaker.record_failure(0);
     }
     assert!(!breaker.allows(100_000));
     assert!(breaker.allows(SECOND));
-    breaker.begin();
+    breaker.record_attempt();
     assert!(!breaker.allows(SECOND), "one probe at a time");
-    breaker.succeed();
+    breaker.record_success();
     assert!(breaker.allows(SECOND));
 }
 
@@ -123,8 +123,8 @@
         let mut budget = RetryBudget::default();
         let mut retries = 0;
         for fails in &failures {
-            budget.earn();
-            if *fails && budget.spend() {
+            budget.deposit();
+            if *fails && budget.withdraw() {
                 retries += 1;
             }
         }
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -32,7 +32,7 @@
     },
     /// The call failed or its deadline passed after it may have been sent.
     #[error("no answer from {address}")]
-    NoAnswer {
+    NoResponse {
         /// The replica's address.
         address: SocketAddr,
     },
@@ -47,7 +47,7 @@
 }
 
 /// A context whose deadline lies `limit` from now.
-pub fn call_deadline(limit: Duration) -> context::Context {
+pub fn call_context(limit: Duration) -> context::Context {
     let mut context = context::current();
     context.deadline = Instant::now() + limit;
     context
@@ -81,7 +81,7 @@
         if outcome.is_err() {
             self.client.lock().await.take();
         }
-        outcome.change_context(ConnectionError::NoAnswer {
+        outcome.change_context(ConnectionError::NoResponse {
             address: self.address,
         })
     }
--- a/crates/rpc/src/layout/inline_quotas.rs
+++ b/crates/rpc/src/layout/inline_quotas.rs
@@ -4,7 +4,7 @@
 //! which of both it is: that one is read first, and this one where the other leaves bytes over or ends too early.
 
 use railtack_serving::{
-    CallerLimits, Route, ServiceShape, ServingConfiguration, TenantQuota, TenantShape,
+    CallerLimits, Route, ServiceConfig, ServingConfiguration, TenantConfig, TenantQuota,
 };
 use speedy::Readable;
 use thiserror::Error;
@@ -81,7 +81,7 @@
 pub struct InlineConfiguration {
     revision: u64,
     routes: Vec<Route>,
-    services: Vec<ServiceShape>,
+    services: Vec<ServiceConfig>,
     tenants: Vec<InlineTenant>,
     limits: CallerLimits,
 }
@@ -118,13 +118,13 @@
             revision: stored.revision,
             routes: stored.routes,
             services: stored.services,
-            tenants: stored.tenants.into_iter().map(TenantShape::from).collect(),
+            tenants: stored.tenants.into_iter().map(TenantConfig::from).collect(),
             limits: stored.limits,
         }
     }
 }
 
-impl From<InlineTenant> for TenantShape {
+impl From<InlineTenant> for TenantConfig {
     fn from(stored: InlineTenant) -> Self {
         Self {
             name: stored.name,
--- a/crates/rpc/src/layout/watch.rs
+++ b/crates/rpc/src/layout/watch.rs
@@ -1,15 +1,15 @@
 //! Questions of routers and their answers.
 
 use railtack_consensus::LogIndex;
-use railtack_serving::{HeldWeights, ReplicaRecord, ServingConfiguration, TenantQuota};
+use railtack_serving::{ModelWeights, ReplicaRecord, ServingConfiguration, TenantQuota};
 use speedy::{Context, Readable, Reader, Writable, Writer};
 
 use crate::{
     level::FeatureLevel,
     permits::LimitedReplica,
     serving::{
-        FleetDigest, Known, QuarantineUpdate, ReplicaCondition, ReplicaSighting, ServingUpdate,
-        WatchReply, WatchRequest,
+        FleetDigest, QuarantineUpdate, ReplicaCondition, ReplicaObservation, ServingUpdate,
+        WatchPosition, WatchReply, WatchRequest,
     },
 };
 
@@ -18,15 +18,15 @@
     router: String,
     known: LogIndex,
     wait_ms: u64,
-    sightings: Vec<ReplicaSighting>,
+    observations: Vec<ReplicaObservation>,
     #[speedy(default_on_eof)]
     later: Option<LaterRequest>,
 }
 
 #[derive(Readable, Writable)]
 struct LaterRequest {
-    known: Known,
-    takes_records: bool,
+    known: WatchPosition,
+    wants_records: bool,
     has_lease: bool,
 }
 
@@ -35,7 +35,7 @@
     router: &'a str,
     known: LogIndex,
     wait_ms: u64,
-    sightings: &'a [ReplicaSighting],
+    observations: &'a [ReplicaObservation],
     later: Option<LaterRequest>,
 }
 
@@ -43,12 +43,12 @@
     fn from(request: &'a WatchRequest) -> Self {
         Self {
             router: &request.router,
-            known: request.known.wholly(),
+            known: request.known.complete_through(),
             wait_ms: request.wait_ms,
-            sightings: &request.sightings,
-            later: request.takes_parts.then_some(LaterRequest {
+            observations: &request.observations,
+            later: request.accepts_partial.then_some(LaterRequest {
                 known: request.known,
-                takes_records: request.takes_records,
+                wants_records: request.wants_records,
                 has_lease: request.has_lease,
             }),
         }
@@ -57,20 +57,20 @@
 
 impl From<WireRequest> for WatchRequest {
     fn from(wire: WireRequest) -> Self {
-        let takes_parts = wire.later.is_some();
+        let accepts_partial = wire.later.is_some();
         let later = wire.later.unwrap_or(LaterRequest {
-            known: Known::all(wire.known),
-            takes_records: true,
+            known: WatchPosition::at(wire.known),
+            wants_records: true,
             has_lease: true,
         });
         Self {
             router: wire.router,
             known: later.known,
             wait_ms: wire.wait_ms,
-            takes_records: later.takes_records,
+            wants_records: later.wants_records,
             has_lease: later.has_lease,
-            takes_parts,
-            sightings: wire.sightings,
+            accepts_partial,
+            observations: wire.observations,
         }
     }
 }
@@ -95,7 +95,7 @@
     complete: bool,
     replicas: Vec<ReplicaRecord>,
     removed: Vec<String>,
-    weights: Vec<HeldWeights>,
+    weights: Vec<ModelWeights>,
 }
 
 #[derive(Readable)]
@@ -113,7 +113,7 @@
 
 #[derive(Readable)]
 struct LaterUpdate {
-    known: Known,
+    known: WatchPosition,
     quarantine: Option<QuarantineUpdate>,
     quotas: Vec<(String, TenantQuota)>,
 }
@@ -137,7 +137,7 @@
     complete: bool,
     replicas: &'a [ReplicaRecord],
     removed: &'a [String],
-    weights: &'a [HeldWeights],
+    weights: &'a [ModelWeights],
 }
 
 #[derive(Writable)]
@@ -155,7 +155,7 @@
 
 #[derive(Writable)]
 struct WrittenLaterUpdate<'a> {
-    known: Known,
+    known: WatchPosition,
     quarantine: Option<&'a QuarantineUpdate>,
     quotas: Vec<(String, TenantQuota)>,
 }
@@ -187,7 +187,7 @@
 impl<'a> From<&'a ServingUpdate> for WrittenUpdate<'a> {
     fn from(update: &'a ServingUpdate) -> Self {
         Self {
-            through: update.known.through,
+            through: update.known.state,
             configuration: update.configuration.as_ref(),
             complete: update.complete,
             replicas: &update.replicas,
@@ -236,7 +236,7 @@
 impl WireUpdate {
     fn with(self, later: Option<LaterUpdate>) -> ServingUpdate {
         let later = later.unwrap_or_else(|| LaterUpdate {
-            known: Known::all(self.through),
+            known: WatchPosition::at(self.through),
             quarantine: None,
             quotas: Vec::new(),
         });
--- a/crates/rpc/src/level.rs
+++ b/crates/rpc/src/level.rs
@@ -20,16 +20,16 @@
     /// and permits.
     pub const SHARED_GRANTS: Self = Self(1);
     /// The highest that this build can do.
-    pub const OF_THIS_BUILD: Self = Self::SHARED_GRANTS;
+    pub const SUPPORTED: Self = Self::SHARED_GRANTS;
 }
 
 /// The highest level of the group that a router has been told.
 #[derive(Debug, Default)]
-pub struct KnownLevel(AtomicU32);
+pub struct GroupLevel(AtomicU32);
 
-impl KnownLevel {
+impl GroupLevel {
     /// Takes in what an answer says. A control replica may be behind, and the level never falls.
-    pub fn learn(&self, told: FeatureLevel) {
+    pub fn raise(&self, told: FeatureLevel) {
         self.0.fetch_max(told.0, Ordering::Relaxed);
     }
 
@@ -42,7 +42,7 @@
 /// Where answers to a replica's messages go, and what its build can do. A build that says no level writes and
 /// reads the address alone.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct Sender {
+pub struct PeerInfo {
     /// Internal address.
     pub address: String,
     /// The highest level that the sender's build can do.
@@ -50,12 +50,12 @@
     pub level: FeatureLevel,
 }
 
-impl Sender {
+impl PeerInfo {
     /// A sender of this build.
-    pub fn of_this_build(address: String) -> Self {
+    pub fn local(address: String) -> Self {
         Self {
             address,
-            level: FeatureLevel::OF_THIS_BUILD,
+            level: FeatureLevel::SUPPORTED,
         }
     }
 }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod service;
 pub mod serving;
 
-pub use connection::{ConnectionError, ControlConnection, call_deadline};
-pub use level::{FeatureLevel, KnownLevel, Sender};
+pub use connection::{ConnectionError, ControlConnection, call_context};
+pub use level::{FeatureLevel, GroupLevel, PeerInfo};
 pub use service::{Control, ControlClient};
 pub use tarpc::client::RpcError;
--- a/crates/rpc/src/permits.rs
+++ b/crates/rpc/src/permits.rs
@@ -14,7 +14,7 @@
 
 /// What a router heard of a back end's limit last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct LimitStatement {
+pub struct LimitReport {
     /// The limit; `None` if an answer named none.
     pub limit: Option<RequestLimit>,
     /// Time since the router heard it, milliseconds.
@@ -28,9 +28,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PermitRequest {
     /// Names the life of the back end.
-    pub life: String,
+    pub incarnation_id: String,
     /// What the router heard.
-    pub statement: LimitStatement,
+    pub report: LimitReport,
     /// Whether it wants to send a request.
     pub wants_permit: bool,
 }
@@ -38,19 +38,19 @@
 /// Answer to [`PermitRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum PermitReply {
-    /// One request may be sent, within [`GRANT_LIFE`](crate::serving::GRANT_LIFE) from the question.
-    Given {
+    /// One request may be sent, within [`GRANT_TTL`](crate::serving::GRANT_TTL) from the question.
+    Granted {
         /// The limit.
         limit: RequestLimit,
         /// Names the permit.
         stamp: PermitStamp,
     },
     /// No permit is given: there is no room, or none was wanted.
-    Withheld {
+    Denied {
         /// The limit.
         limit: RequestLimit,
         /// Time until there is room, milliseconds.
-        room_in_ms: u32,
+        retry_after_ms: u32,
     },
     /// The back end has no limit: no permit is needed.
     Unlimited,
@@ -70,5 +70,5 @@
     pub limit: RequestLimit,
     /// Time between the moment at which it was named last, as far as the leader heard, and the making of the
     /// digest, milliseconds.
-    pub named_ms: u32,
+    pub advertised_age_ms: u32,
 }
--- a/crates/rpc/src/protocol.rs
+++ b/crates/rpc/src/protocol.rs
@@ -63,9 +63,9 @@
 
 impl Command {
     /// Whether a group at a level takes this.
-    pub fn fits(&self, level: FeatureLevel) -> bool {
+    pub fn is_supported_at(&self, level: FeatureLevel) -> bool {
         match self {
-            Self::Serving(command) => command.fits(level),
+            Self::Serving(command) => command.is_supported_at(level),
             _ => true,
         }
     }
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ClaimOutcome {
     /// It ran; the answer is kept for later arrivals.
-    Completed(StoredAnswer),
+    Completed(StoredResponse),
     /// It was never sent to a back end, and never will be under this key.
     NotRun {
         /// The refusal that the caller was given.
@@ -124,7 +124,7 @@
 
 /// A back end's answer, kept under its key.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct StoredAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -159,7 +159,7 @@
     /// The operation id was used before for another change; nothing changed.
     OperationReused,
     /// The answer to a claim.
-    Claim(ClaimAnswer),
+    Claim(ClaimReply),
     /// The claim's end is recorded, or was already.
     Settled,
     /// Another attempt holds the claim, or it ended otherwise; nothing changed.
@@ -177,7 +177,7 @@
 
 /// The answer to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub enum ClaimAnswer {
+pub enum ClaimReply {
     /// The attempt may run, once.
     Granted,
     /// Another attempt holds the key and has not ended.
@@ -201,7 +201,7 @@
     /// The command was appended, and it is not known whether it will commit. A resend is safe.
     Unknown,
     /// At its level the group takes no such command, or takes it in another form; nothing was appended.
-    LevelDiffers {
+    LevelMismatch {
         /// What the group does together.
         group_level: FeatureLevel,
     },
--- a/crates/rpc/src/service.rs
+++ b/crates/rpc/src/service.rs
@@ -3,15 +3,15 @@
 use railtack_consensus::{Message, ReplicaId};
 use speedy::{Readable, Writable};
 
-use crate::level::Sender;
+use crate::level::PeerInfo;
 use crate::permits::{PermitReply, PermitRequest};
 use crate::protocol::{
     Configuration, MembershipChange, MembershipReply, PollReply, PollRequest, Proposal,
     ProposeReply, ReplicaIdentity, StatusReply,
 };
 use crate::serving::{
-    AliveNotice, AliveReply, JoinReply, JoinRequest, QuotaReply, QuotaRequest, ReadIndexReply,
-    SuspectStatus, WatchReply, WatchRequest,
+    JoinReply, JoinRequest, LivenessReply, LivenessReport, QuotaReply, QuotaRequest,
+    ReadIndexReply, SuspectStatus, WatchReply, WatchRequest,
 };
 
 /// Calls between routers, operators and control replicas.
@@ -19,7 +19,7 @@
 pub trait Control {
     /// Delivers a message of the replicated log. A replica that is not a member yet learns from
     /// `sender` where its answers go.
-    async fn deliver(message: Message, sender: Sender);
+    async fn deliver(message: Message, sender: PeerInfo);
     /// Tells whether a router's configuration is current and sends what it lacks.
     async fn poll(request: PollRequest) -> PollReply;
     /// Commits a change.
@@ -39,7 +39,7 @@
     /// Tells how far a reader must have applied the log to know everything committed by now.
     async fn read_index() -> ReadIndexReply;
     /// Passes on signs of life of back-end replicas.
-    async fn alive(notice: AliveNotice) -> AliveReply;
+    async fn alive(notice: LivenessReport) -> LivenessReply;
     /// Writes a snapshot now; answers with the position it covers.
     async fn snapshot() -> u64;
     /// Tells the leader that a member's process is being stopped.
--- a/crates/rpc/src/serving.rs
+++ b/crates/rpc/src/serving.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use railtack_consensus::{DiskId, LogIndex, ReplicaId};
-use railtack_serving::{ContentKey, HeldWeights, ReplicaKey, ReplicaRecord, ServingConfiguration};
+use railtack_serving::{ContentKey, ModelWeights, ReplicaKey, ReplicaRecord, ServingConfiguration};
 use speedy::{Readable, Writable};
 
 use crate::{level::FeatureLevel, permits::LimitedReplica};
@@ -16,45 +16,43 @@
 /// replicas may lag, as one answer holds only so many of them: first it is told what changed of those that
 /// it knows, so that it may serve from these, and then the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct Known {
+pub struct WatchPosition {
     /// Everything but the records of replicas; that a replica is gone is known too.
-    pub through: LogIndex,
+    pub state: LogIndex,
     /// Changes of the records that it knows.
-    pub changes_through: LogIndex,
+    pub changes: LogIndex,
     /// The records of all replicas.
-    pub records_through: LogIndex,
+    pub records: LogIndex,
 }
 
-impl Known {
+impl WatchPosition {
     /// Everything up to a position.
-    pub fn all(through: LogIndex) -> Self {
+    pub fn at(state: LogIndex) -> Self {
         Self {
-            through,
-            changes_through: through,
-            records_through: through,
+            state,
+            changes: state,
+            records: state,
         }
     }
 
     /// Whether what it knows of replicas is as new as everything else, though it may not know all replicas.
     pub fn is_current(self) -> bool {
-        self.changes_through >= self.through
+        self.changes >= self.state
     }
 
     /// Position up to which nothing at all is lacking; 0 if it cannot be said.
-    pub fn wholly(self) -> LogIndex {
-        self.through
-            .min(self.changes_through)
-            .min(self.records_through)
+    pub fn complete_through(self) -> LogIndex {
+        self.state.min(self.changes).min(self.records)
     }
 
     /// Whether a router may serve from it: it is current, and some replicas are known if there are any.
-    pub fn may_be_served_from(self) -> bool {
-        self.is_current() && self.records_through > 0
+    pub fn can_serve(self) -> bool {
+        self.is_current() && self.records > 0
     }
 
     /// Whether the records of all replicas are known as far as everything else.
-    pub fn is_whole(self) -> bool {
-        self.records_through >= self.through
+    pub fn is_complete(self) -> bool {
+        self.records >= self.state
     }
 }
 
@@ -64,19 +62,19 @@
     /// Names the router.
     pub router: String,
     /// What the router knows.
-    pub known: Known,
+    pub known: WatchPosition,
     /// Time for which the answer may be held until something changes, milliseconds.
     pub wait_ms: u64,
     /// Whether it is to be told of replicas that it was never told of. A router that still looks for a control
     /// replica in its own zone asks for them there.
-    pub takes_records: bool,
+    pub wants_records: bool,
     /// Whether the router may serve from what it knows. One that may not is answered as soon as the state
     /// here is confirmed.
     pub has_lease: bool,
     /// Whether the records may come in parts. A build that does not know of parts is told all at once.
-    pub takes_parts: bool,
+    pub accepts_partial: bool,
     /// What the router has met lately at back-end replicas.
-    pub sightings: Vec<ReplicaSighting>,
+    pub observations: Vec<ReplicaObservation>,
 }
 
 /// Age of a confirmation from which it renews no lease, milliseconds: another control replica is asked.
@@ -108,19 +106,19 @@
 /// What one router, or all routers that ask one control replica, have met at one back-end replica
 /// lately. Replicas that were not used are left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct ReplicaSighting {
+pub struct ReplicaObservation {
     /// The replica.
     pub replica: ReplicaKey,
     /// Requests that are open there.
     pub open_requests: u16,
     /// Prompt tokens of those that have brought no event yet.
-    pub unread_tokens: u32,
+    pub pending_prefill_tokens: u32,
     /// Time since anything came from the replica, milliseconds; the largest value stands for any
     /// longer time.
-    pub heard_ms: u16,
+    pub silent_ms: u16,
     /// Routers to which it owes an answer and has sent nothing for a while, or that cannot reach
     /// it.
-    pub waiting_in_vain: u16,
+    pub stalled_routers: u16,
 }
 
 /// What all routers together meet at the back-end replicas.
@@ -143,19 +141,19 @@
     /// Requests that are open there.
     pub open_requests: u16,
     /// Prompt tokens of those that have brought no event yet.
-    pub unread_tokens: u32,
+    pub pending_prefill_tokens: u32,
     /// Time between the last sign of it that any router had and the making of the digest,
     /// milliseconds; the largest value stands for any longer time.
-    pub heard_ms: u16,
+    pub silent_ms: u16,
     /// Whether nobody hears anything from it though several routers wait: no work is to be sent.
-    pub is_dark: bool,
+    pub is_unresponsive: bool,
 }
 
 /// What changed after a log position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ServingUpdate {
     /// Log positions that the router reaches by applying this.
-    pub known: Known,
+    pub known: WatchPosition,
     /// The configuration, if it changed.
     pub configuration: Option<ServingConfiguration>,
     /// Whether `replicas` holds all replicas, not only those that changed.
@@ -165,7 +163,7 @@
     /// Replicas that are gone.
     pub removed: Vec<String>,
     /// Weights that were named, for all models.
-    pub weights: Vec<HeldWeights>,
+    pub weights: Vec<ModelWeights>,
     /// Requests under which replicas have ended, if that changed.
     pub quarantine: Option<QuarantineUpdate>,
 }
@@ -178,7 +176,7 @@
     /// Requests that are sent to no replica.
     pub quarantined: Vec<ContentKey>,
     /// Requests of which a good end is to be told.
-    pub watched: Vec<ContentKey>,
+    pub suspected: Vec<ContentKey>,
 }
 
 /// A request under which back ends have ended, for operators.
@@ -187,7 +185,7 @@
     /// The request.
     pub content: ContentKey,
     /// Back ends that ended under it.
-    pub ends: u32,
+    pub crashes: u32,
     /// Whether it is sent to no back end.
     pub is_quarantined: bool,
     /// Log position of its last change.
@@ -196,13 +194,13 @@
 
 /// Ends of replicas that show that a request is to blame. One or two also happen to a request that shares
 /// its replica with the one to blame, or with an accident, and is retried once.
-pub const ENDS_TO_QUARANTINE: u32 = 3;
+pub const CRASHES_TO_QUARANTINE: u32 = 3;
 
 /// Time for which a request stays quarantined after the last end of a replica under it, and for which
 /// others are suspected: long enough that one which comes each minute is caught, and short enough
 /// that one which a new version of the replicas can run is served again the same hour. Those that
 /// merely were at the same ends must be forgotten no later than the one that explains them.
-pub const QUARANTINE_TIME: Duration = Duration::from_secs(600);
+pub const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
 
 /// A control replica asks to become a member of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
@@ -266,7 +264,7 @@
     /// Of what.
     pub subject: QuotaSubject,
     /// Tokens that the caller states; `None` if it states none.
-    pub stated_tokens: Option<u64>,
+    pub declared_tokens: Option<u64>,
     /// Longest time for which the request may wait for its part, milliseconds.
     pub longest_wait_ms: u32,
 }
@@ -275,7 +273,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum QuotaReply {
     /// The request may be sent once `wait_ms` have passed. The answer holds for
-    /// [`GRANT_LIFE`] from the question.
+    /// [`GRANT_TTL`] from the question.
     Granted {
         /// Time until the part is there, milliseconds.
         wait_ms: u32,
@@ -301,11 +299,11 @@
 /// Time from a router's question in which a granted part of a quota may be used: room for a
 /// connection to be made and for a slow answer. What is granted and used later counts against the
 /// room above the quota, rate times this.
-pub const GRANT_LIFE: Duration = Duration::from_millis(300);
+pub const GRANT_TTL: Duration = Duration::from_millis(300);
 
 /// A sign of life of a back-end replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct SignOfLife {
+pub struct ReplicaHeartbeat {
     /// The replica.
     pub replica: ReplicaKey,
     /// How long before this message it came, milliseconds; the largest value stands for any longer time.
@@ -314,7 +312,7 @@
 
 /// Signs of life that a control replica took for the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct AliveNotice {
+pub struct LivenessReport {
     /// Identities of the back-end replicas, for a leader whose build reads these alone; empty once the
     /// group is above the first level.
     pub identities: Vec<String>,
@@ -323,20 +321,20 @@
     /// Internal address of the control replica that tells this.
     pub sender: String,
     /// What the routers that ask it have met, added up by replica.
-    pub sightings: Vec<ReplicaSighting>,
+    pub observations: Vec<ReplicaObservation>,
     /// Back-end replicas heard from since the last notice that was answered.
     #[speedy(default_on_eof)]
-    pub replicas: Vec<SignOfLife>,
+    pub replicas: Vec<ReplicaHeartbeat>,
 }
 
-impl AliveNotice {
+impl LivenessReport {
     /// The signs of life: of a sender whose build tells identities alone, each as old as the notice.
-    pub fn signs(&self) -> Vec<SignOfLife> {
+    pub fn heartbeats(&self) -> Vec<ReplicaHeartbeat> {
         if !self.replicas.is_empty() {
             return self.replicas.clone();
         }
         let identities = self.identities.iter();
-        let signs = identities.map(|identity| SignOfLife {
+        let signs = identities.map(|identity| ReplicaHeartbeat {
             replica: ReplicaKey::of(identity),
             age_ms: 0,
         });
@@ -344,9 +342,9 @@
     }
 }
 
-/// Answer to [`AliveNotice`].
+/// Answer to [`LivenessReport`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct AliveReply {
+pub struct LivenessReply {
     /// Routers that the leader knows to be alive.
     pub routers: u32,
     /// What all routers together meet at the replicas.
--- a/crates/rpc/src/serving/commands.rs
+++ b/crates/rpc/src/serving/commands.rs
@@ -2,7 +2,7 @@
 
 use railtack_consensus::LogIndex;
 use railtack_serving::{
-    ContentKey, HeldWeights, PendingOrder, ReplicaKey, ReplicaRecord, ServingConfiguration,
+    ContentKey, ModelWeights, PendingOrder, ReplicaKey, ReplicaRecord, ServingConfiguration,
     TenantQuota,
 };
 use speedy::{Readable, Writable};
@@ -39,9 +39,9 @@
         replica: String,
     },
     /// Names the weights that a model's replicas are to hold.
-    NameWeights(HeldWeights),
+    SetTargetWeights(ModelWeights),
     /// Makes a control replica the only one that gives orders to back ends.
-    AcquireOrders {
+    AcquireOrderLock {
         /// Names the machine of the control replica.
         holder: String,
     },
@@ -55,7 +55,7 @@
         order: PendingOrder,
     },
     /// Records that a replica ended, with the requests that ran there.
-    RecordEnd {
+    RecordCrash {
         /// The replica.
         replica: ReplicaKey,
         /// The requests.
@@ -63,10 +63,10 @@
         /// The router that tells it; `None` if it hears from no other replica either, so that its own
         /// path may be what is broken. With a second witness the replica is removed for all routers,
         /// until its next heartbeat.
-        witness: Option<String>,
+        reporter: Option<String>,
     },
     /// Clears requests under which replicas had ended: they have run to a good end since.
-    ClearContents {
+    ClearSuspects {
         /// The requests.
         contents: Vec<ContentKey>,
     },
@@ -99,7 +99,7 @@
 
 impl ServingCommand {
     /// Takes a whole document, in a form that all members of a group at `level` can apply.
-    pub fn put(document: ConfigurationDocument, level: FeatureLevel) -> Self {
+    pub fn put_document(document: ConfigurationDocument, level: FeatureLevel) -> Self {
         if level < FeatureLevel::SHARED_GRANTS {
             return Self::PutDocument(document);
         }
@@ -109,26 +109,26 @@
 
     /// Whether a group at a level takes this. A document without its quotas, made while the group did not hold
     /// any, would take them back once it does.
-    pub fn fits(&self, level: FeatureLevel) -> bool {
+    pub fn is_supported_at(&self, level: FeatureLevel) -> bool {
         let lacks_quotas = matches!(self, Self::PutDocument(_));
         let is_outdated = lacks_quotas && level >= FeatureLevel::SHARED_GRANTS;
-        self.needs_level() <= level && !is_outdated
+        self.required_level() <= level && !is_outdated
     }
 
     /// The level of a group that may hold this in its log.
-    pub fn needs_level(&self) -> FeatureLevel {
+    pub fn required_level(&self) -> FeatureLevel {
         match self {
             Self::PutDocument(_)
             | Self::Register(_)
             | Self::Deregister { .. }
             | Self::Expire { .. }
-            | Self::NameWeights(_)
-            | Self::AcquireOrders { .. }
+            | Self::SetTargetWeights(_)
+            | Self::AcquireOrderLock { .. }
             | Self::BeginOrder { .. } => FeatureLevel::FIRST,
             // All members can apply it once it is proposed; it is what makes the others possible.
             Self::RaiseLevel { .. } => FeatureLevel::FIRST,
-            Self::RecordEnd { .. }
-            | Self::ClearContents { .. }
+            Self::RecordCrash { .. }
+            | Self::ClearSuspects { .. }
             | Self::ReleaseContent { .. }
             | Self::RegisterAll(_)
             | Self::PutDocumentWithQuotas { .. } => FeatureLevel::SHARED_GRANTS,
@@ -146,7 +146,7 @@
     /// The replica is not known, or has left; nothing changed.
     UnknownReplica,
     /// The control replica holds the right to give orders.
-    OrdersAcquired {
+    OrderLockAcquired {
         /// Fencing token, larger than every token before.
         token: u64,
         /// Whether another control replica held the right before.
@@ -160,7 +160,7 @@
         holder: String,
     },
     /// The end is recorded; this is what all routers are told since.
-    EndRecorded(QuarantineUpdate),
+    CrashRecorded(QuarantineUpdate),
     /// What became of each record of [`ServingCommand::RegisterAll`], in its order.
     Registered(Vec<Registration>),
 }
--- a/crates/rpc/tests/silent_connections.rs
+++ b/crates/rpc/tests/silent_connections.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use railtack_rpc::{ControlConnection, call_deadline};
+use railtack_rpc::{ControlConnection, call_context};
 use tokio::net::TcpListener;
 
 const LIMIT: Duration = Duration::from_millis(100);
@@ -35,7 +35,7 @@
     let connection = ControlConnection::new(address, LIMIT);
     for call in 1..=3 {
         let answer = connection
-            .call(|client| async move { client.identify(call_deadline(LIMIT)).await })
+            .call(|client| async move { client.identify(call_context(LIMIT)).await })
             .await;
         assert!(answer.is_err());
         assert_eq!(accepted.load(Ordering::SeqCst), call);
--- a/crates/serving/src/availability.rs
+++ b/crates/serving/src/availability.rs
@@ -10,10 +10,10 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use crate::limit::{RequestLimit, StatedLimit};
+use crate::limit::{LimitHeader, RequestLimit};
 
 /// Time since a fixed start, which is the same for all calls on one table.
-pub type Moment = Duration;
+pub type MonotonicTime = Duration;
 
 /// Time for which a leaving state or a limit is kept after it was last received. A leaving back end serves
 /// for many seconds and then exits.
@@ -21,75 +21,75 @@
 
 /// What the head of one response says about the back end itself, independent of the outcome of the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BackEndNotice {
+pub struct BackEndSignals {
     /// Time for which the back end wants no requests from this process.
     pub back_off: Option<Duration>,
     /// Whether the back end is leaving and must get no more requests.
     pub is_leaving: bool,
     /// Limit on requests per second from all routers together.
-    pub limit: StatedLimit,
+    pub limit: LimitHeader,
 }
 
 /// What a response changed in the state of a back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct SignalChanges {
     /// Whether the back end started to leave.
-    pub leaves: bool,
+    pub is_leaving: bool,
     /// The new limit, if it differs from the former one.
     pub limit: Option<RequestLimit>,
 }
 
 /// A limit that a back end advertised to this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NamedLimit {
+pub struct AdvertisedLimit {
     /// The limit.
     pub limit: RequestLimit,
     /// When it was last received.
-    pub named_at: Moment,
+    pub advertised_at: MonotonicTime,
 }
 
 /// State that one back end advertised.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Announced {
+pub struct AdvertisedState {
     /// End of the requested back-off.
-    backs_off_until: Moment,
+    backs_off_until: MonotonicTime,
     /// When it last announced that it is leaving.
-    left_at: Option<Moment>,
-    limit: Option<NamedLimit>,
+    left_at: Option<MonotonicTime>,
+    limit: Option<AdvertisedLimit>,
     /// Earliest time at which the limit admits a request from this router.
-    room_at: Moment,
+    room_at: MonotonicTime,
     /// The limit that `room_at` follows from.
-    full_limit: Option<RequestLimit>,
+    exhausted_limit: Option<RequestLimit>,
 }
 
-impl Announced {
+impl AdvertisedState {
     /// Applies the notice of a response.
-    pub fn note(&mut self, notice: BackEndNotice, now: Moment) -> News {
+    pub fn record(&mut self, notice: BackEndSignals, now: MonotonicTime) -> SignalChanges {
         if let Some(time) = notice.back_off {
             let until = now.saturating_add(time);
             self.backs_off_until = until.max(self.backs_off_until);
         }
-        let leaves = notice.is_leaving && self.left_at.is_none();
+        let is_leaving = notice.is_leaving && self.left_at.is_none();
         if notice.is_leaving {
             self.left_at = Some(now);
         }
-        let mut news = News {
-            leaves,
+        let mut news = SignalChanges {
+            is_leaving,
             limit: None,
         };
-        if let StatedLimit::Named(limit) = notice.limit {
+        if let LimitHeader::Present(limit) = notice.limit {
             let known = self.limit.map(|known| known.limit);
             news.limit = Some(limit).filter(|limit| known != Some(*limit));
-            self.limit = Some(NamedLimit {
+            self.limit = Some(AdvertisedLimit {
                 limit,
-                named_at: now,
+                advertised_at: now,
             });
         }
         news
     }
 
     /// Time until the back end accepts requests; `None` if it is leaving.
-    pub fn opens_in(&self, now: Moment) -> Option<Duration> {
+    pub fn available_in(&self, now: MonotonicTime) -> Option<Duration> {
         if self.left_at.is_some() {
             return None;
         }
@@ -97,103 +97,112 @@
     }
 
     /// Whether the back end accepts requests.
-    pub fn takes(&self, now: Moment) -> bool {
-        self.opens_in(now) == Some(Duration::ZERO)
+    pub fn accepts_requests(&self, now: MonotonicTime) -> bool {
+        self.available_in(now) == Some(Duration::ZERO)
     }
 
     /// The advertised limit.
-    pub fn limit(&self) -> Option<NamedLimit> {
+    pub fn limit(&self) -> Option<AdvertisedLimit> {
         self.limit
     }
 
     /// Records that `limit` admits no request from this router before `room_at`.
-    pub fn has_room_at(&mut self, limit: RequestLimit, room_at: Moment) {
+    pub fn set_limited_until(&mut self, limit: RequestLimit, room_at: MonotonicTime) {
         self.room_at = self.room_at.max(room_at);
-        self.full_limit = Some(limit);
+        self.exhausted_limit = Some(limit);
     }
 
-    /// Removes the limit unless it was received after `named_at`.
-    pub fn limit_is_over(&mut self, named_at: Moment) {
-        self.limit = self.limit.filter(|known| known.named_at > named_at);
+    /// Removes the limit unless it was received after `advertised_at`.
+    pub fn clear_limit(&mut self, advertised_at: MonotonicTime) {
+        self.limit = self
+            .limit
+            .filter(|known| known.advertised_at > advertised_at);
     }
 
-    fn is_relevant(&self, now: Moment) -> bool {
-        let is_recent = |at: Moment| now < at + RETENTION;
-        let leaves = self.left_at.is_some_and(is_recent);
-        let has_limit = self.limit.is_some_and(|known| is_recent(known.named_at));
-        leaves || has_limit || now < self.backs_off_until.max(self.room_at)
+    fn is_relevant(&self, now: MonotonicTime) -> bool {
+        let is_recent = |at: MonotonicTime| now < at + RETENTION;
+        let is_leaving = self.left_at.is_some_and(is_recent);
+        let has_limit = self
+            .limit
+            .is_some_and(|known| is_recent(known.advertised_at));
+        is_leaving || has_limit || now < self.backs_off_until.max(self.room_at)
     }
 }
 
 /// Advertised state of back ends, by the ids of their incarnations.
 #[derive(Clone, Debug, Default)]
 pub struct Availability {
-    back_ends: HashMap<String, Announced>,
+    back_ends: HashMap<String, AdvertisedState>,
 }
 
 impl Availability {
     /// Applies the notice of a response from a back end.
-    pub fn note(&mut self, life: &str, notice: BackEndNotice, now: Moment) -> News {
+    pub fn record(
+        &mut self,
+        life: &str,
+        notice: BackEndSignals,
+        now: MonotonicTime,
+    ) -> SignalChanges {
         let is_empty = notice.back_off.is_none()
             && !notice.is_leaving
-            && !matches!(notice.limit, StatedLimit::Named(_));
+            && !matches!(notice.limit, LimitHeader::Present(_));
         if is_empty {
-            return News::default();
+            return SignalChanges::default();
         }
         let back_end = self.back_ends.entry(life.to_owned()).or_default();
-        back_end.note(notice, now)
+        back_end.record(notice, now)
     }
 
     /// Returns the state of a back end, which is added if it is missing.
-    pub fn of(&mut self, life: &str) -> &mut Announced {
+    pub fn of(&mut self, life: &str) -> &mut AdvertisedState {
         self.back_ends.entry(life.to_owned()).or_default()
     }
 
     /// Whether a back end accepts requests.
-    pub fn takes(&self, life: &str, now: Moment) -> bool {
+    pub fn accepts_requests(&self, life: &str, now: MonotonicTime) -> bool {
         self.back_ends
             .get(life)
-            .is_none_or(|back_end| back_end.takes(now))
+            .is_none_or(|back_end| back_end.accepts_requests(now))
     }
 
     /// Time until a back end accepts requests; `None` if it is leaving.
-    pub fn opens_in(&self, life: &str, now: Moment) -> Option<Duration> {
+    pub fn available_in(&self, life: &str, now: MonotonicTime) -> Option<Duration> {
         let back_end = self.back_ends.get(life);
-        back_end.map_or(Some(Duration::ZERO), |back_end| back_end.opens_in(now))
+        back_end.map_or(Some(Duration::ZERO), |back_end| back_end.available_in(now))
     }
 
     /// The limit that a back end advertises.
-    pub fn limit(&self, life: &str) -> Option<NamedLimit> {
+    pub fn limit(&self, life: &str) -> Option<AdvertisedLimit> {
         self.back_ends.get(life)?.limit
     }
 
     /// All limits, with the ids of the back ends.
-    pub fn limits(&self) -> impl Iterator<Item = (&str, NamedLimit)> {
+    pub fn limits(&self) -> impl Iterator<Item = (&str, AdvertisedLimit)> {
         let limited = self.back_ends.iter();
         limited.filter_map(|(life, back_end)| Some((life.as_str(), back_end.limit?)))
     }
 
     /// Records that `limit` admits no request from this router before `room_at`.
-    pub fn has_room_at(&mut self, life: &str, limit: RequestLimit, room_at: Moment) {
+    pub fn set_limited_until(&mut self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
         let back_end = self.back_ends.entry(life.to_owned()).or_default();
-        back_end.has_room_at(limit, room_at);
+        back_end.set_limited_until(limit, room_at);
     }
 
     /// The limit because of which a back end accepts no requests at present.
-    pub fn full_limit(&self, life: &str, now: Moment) -> Option<RequestLimit> {
+    pub fn exhausted_limit(&self, life: &str, now: MonotonicTime) -> Option<RequestLimit> {
         let back_end = self.back_ends.get(life)?;
-        back_end.full_limit.filter(|_| now < back_end.room_at)
+        back_end.exhausted_limit.filter(|_| now < back_end.room_at)
     }
 
-    /// Removes the limit of a back end unless it was received after `named_at`.
-    pub fn limit_is_over(&mut self, life: &str, named_at: Moment) {
+    /// Removes the limit of a back end unless it was received after `advertised_at`.
+    pub fn clear_limit(&mut self, life: &str, advertised_at: MonotonicTime) {
         if let Some(back_end) = self.back_ends.get_mut(life) {
-            back_end.limit_is_over(named_at);
+            back_end.clear_limit(advertised_at);
         }
     }
 
     /// Removes expired state.
-    pub fn forget_past(&mut self, now: Moment) {
+    pub fn remove_expired(&mut self, now: MonotonicTime) {
         self.back_ends
             .retain(|_, back_end| back_end.is_relevant(now));
     }
--- a/crates/serving/src/configuration.rs
+++ b/crates/serving/src/configuration.rs
@@ -72,7 +72,7 @@
 
 /// Properties of the engines behind a service.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct EngineShape {
+pub struct EngineConfig {
     /// Concurrent requests of one replica.
     pub slots: u32,
     /// Capacity of the KV cache of one replica, tokens.
@@ -85,7 +85,7 @@
 
 /// A store of KV cache blocks shared by replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct StoreShape {
+pub struct StoreConfig {
     /// Address as `ip:port`.
     pub address: String,
     /// Zone of the store.
@@ -96,20 +96,20 @@
 
 /// A service: a set of interchangeable replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct ServiceShape {
+pub struct ServiceConfig {
     /// Unique name.
     pub name: String,
     /// Connections that one replica accepts from all routers together; 0 if unset.
     pub max_connections: u32,
     /// Set if the replicas are model engines.
-    pub engine: Option<EngineShape>,
+    pub engine: Option<EngineConfig>,
     /// Set if the service is a store and serves no requests.
-    pub store: Option<StoreShape>,
+    pub store: Option<StoreConfig>,
 }
 
 /// A tenant with its API keys and limits.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct TenantShape {
+pub struct TenantConfig {
     /// Unique name.
     pub name: String,
     /// Bearer keys.
@@ -156,9 +156,9 @@
     /// Routes by host and path prefix.
     pub routes: Vec<Route>,
     /// Services that routes refer to.
-    pub services: Vec<ServiceShape>,
+    pub services: Vec<ServiceConfig>,
     /// Tenants. If there are none, requests need no key.
-    pub tenants: Vec<TenantShape>,
+    pub tenants: Vec<TenantConfig>,
     /// Limits on callers.
     pub limits: CallerLimits,
 }
@@ -197,7 +197,7 @@
     }
 
     /// Returns the service with this name.
-    pub fn service(&self, name: &str) -> Option<&ServiceShape> {
+    pub fn service(&self, name: &str) -> Option<&ServiceConfig> {
         self.services.iter().find(|service| service.name == name)
     }
 
--- a/crates/serving/src/life.rs
+++ b/crates/serving/src/incarnation.rs
@@ -16,34 +16,34 @@
 
 /// One incarnation of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Life<'a> {
+pub struct Incarnation<'a> {
     /// Name of the replica.
     pub replica: &'a str,
     /// Start time, Unix milliseconds; `None` if the replica does not report it. Such an incarnation is older
     /// than any with a start time.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
-impl<'a> Life<'a> {
+impl<'a> Incarnation<'a> {
     /// Parses the id of an incarnation. A text without a valid start time is the name of a replica that
     /// does not report one.
-    pub fn named(name: &'a str) -> Self {
+    pub fn parse(name: &'a str) -> Self {
         let parts = name.rsplit_once(SEPARATOR);
         let parsed = parts.and_then(|(replica, start)| Some((replica, start.parse().ok()?)));
         match parsed {
-            Some((replica, born_ms)) => Self {
+            Some((replica, started_ms)) => Self {
                 replica,
-                born_ms: Some(born_ms),
+                started_ms: Some(started_ms),
             },
             None => Self {
                 replica: name,
-                born_ms: None,
+                started_ms: None,
             },
         }
     }
 
     /// Range that contains all ids with a start time of a replica, in the order of strings.
-    pub fn names_of(replica: &str) -> Range<String> {
+    pub fn id_range(replica: &str) -> Range<String> {
         let first = format!("{replica}{SEPARATOR}");
         let end = format!("{replica}{}", char::from(SEPARATOR as u8 + 1));
         first..end
@@ -51,15 +51,15 @@
 
     /// Whether this is a newer incarnation of the same replica than `other`.
     pub fn is_newer_than(&self, other: &Self) -> bool {
-        self.replica == other.replica && self.born_ms > other.born_ms
+        self.replica == other.replica && self.started_ms > other.started_ms
     }
 }
 
 /// Formats the id of the incarnation, by which it is known in all messages and records.
-impl Display for Life<'_> {
+impl Display for Incarnation<'_> {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        match self.born_ms {
-            Some(born_ms) => write!(formatter, "{}{SEPARATOR}{born_ms}", self.replica),
+        match self.started_ms {
+            Some(started_ms) => write!(formatter, "{}{SEPARATOR}{started_ms}", self.replica),
             None => formatter.write_str(self.replica),
         }
     }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod configuration;
 pub mod content;
 pub mod errors;
-pub mod life;
+pub mod incarnation;
 pub mod limit;
 pub mod lookup;
 pub mod policy;
@@ -17,17 +17,19 @@
 pub mod retries;
 pub mod settings;
 
-pub use availability::{Announced, Availability, BackEndNotice, Moment, NamedLimit, News};
+pub use availability::{
+    AdvertisedLimit, AdvertisedState, Availability, BackEndSignals, MonotonicTime, SignalChanges,
+};
 pub use configuration::{
-    CallerLimits, EngineShape, RequestKind, Route, ServiceShape, ServingConfiguration, StoreShape,
-    TenantShape, WeightedService,
+    CallerLimits, EngineConfig, RequestKind, Route, ServiceConfig, ServingConfiguration,
+    StoreConfig, TenantConfig, WeightedService,
 };
 pub use content::{ContentKey, RequestContent};
 pub use errors::ConfigurationError;
-pub use life::Life;
-pub use limit::{LimitError, RequestLimit, StatedLimit};
+pub use incarnation::Incarnation;
+pub use limit::{LimitError, LimitHeader, RequestLimit};
 pub use lookup::{KeyOwner, RouteTable};
 pub use policy::Policy;
 pub use quota::{Bucket, GrantTimes, QuotaBounds, QuotaUnit, TenantQuota};
-pub use registry::{HeldWeights, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState};
+pub use registry::{ModelWeights, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState};
 pub use settings::{Bounds, FaultTolerance};
--- a/crates/serving/src/limit.rs
+++ b/crates/serving/src/limit.rs
@@ -41,14 +41,14 @@
 
 /// The limit header of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StatedLimit {
+pub enum LimitHeader {
     /// There is no header: no limit applies, if the back end itself sent the response.
     #[default]
-    NotNamed,
+    Absent,
     /// A valid limit.
-    Named(RequestLimit),
+    Present(RequestLimit),
     /// An invalid header, which is ignored.
-    Unreadable(LimitError),
+    Invalid(LimitError),
 }
 
 impl RequestLimit {
--- a/crates/serving/src/lookup.rs
+++ b/crates/serving/src/lookup.rs
@@ -2,15 +2,15 @@
 
 use std::collections::HashMap;
 
-use crate::configuration::{Route, ServingConfiguration, TenantShape};
+use crate::configuration::{Route, ServingConfiguration, TenantConfig};
 
 /// Result of looking up an API key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyOwner<'a> {
     /// The configuration has no tenants, so no key is required.
-    NotAsked,
+    NotRequired,
     /// The key belongs to this tenant.
-    Tenant(&'a TenantShape),
+    Tenant(&'a TenantConfig),
     /// The request has no key, or the key belongs to no tenant.
     Unknown,
 }
@@ -70,9 +70,9 @@
     }
 
     /// Looks up the tenant of `key`.
-    pub fn owner(&self, key: Option<&str>) -> KeyOwner<'_> {
+    pub fn key_owner(&self, key: Option<&str>) -> KeyOwner<'_> {
         if self.configuration.tenants.is_empty() {
-            return KeyOwner::NotAsked;
+            return KeyOwner::NotRequired;
         }
         let position = key.and_then(|key| self.by_key.get(key));
         match position {
--- a/crates/serving/src/quota.rs
+++ b/crates/serving/src/quota.rs
@@ -32,15 +32,15 @@
     /// Capacity of the bucket, units.
     pub burst: u64,
     /// Tokens charged for a request that does not declare how many it needs.
-    pub unstated_tokens: u64,
+    pub default_tokens: u64,
 }
 
 impl TenantQuota {
-    /// Cost of a request that declares `stated_tokens`, in the unit of the quota.
-    pub fn cost(&self, stated_tokens: Option<u64>) -> u64 {
+    /// Cost of a request that declares `declared_tokens`, in the unit of the quota.
+    pub fn cost(&self, declared_tokens: Option<u64>) -> u64 {
         match self.unit {
             QuotaUnit::Requests => 1,
-            QuotaUnit::Tokens => stated_tokens.unwrap_or(self.unstated_tokens),
+            QuotaUnit::Tokens => declared_tokens.unwrap_or(self.default_tokens),
         }
     }
 }
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantTimes {
     /// Time after its request in which a router may use a grant.
-    pub grant_life: Duration,
+    pub grant_ttl: Duration,
     /// Time for which a former leader may still grant concurrently with a new one.
     pub leader_overlap: Duration,
 }
@@ -77,7 +77,7 @@
 
 impl Bucket {
     /// Returns the bucket with the lower rate and the lower capacity of the two.
-    pub fn smaller(self, other: Self) -> Self {
+    pub fn min(self, other: Self) -> Self {
         Self {
             rate_per_s: self.rate_per_s.min(other.rate_per_s),
             capacity: self.capacity.min(other.capacity),
@@ -98,7 +98,7 @@
         let window_s = Duration::from_millis(self.window_ms).as_secs_f64();
         let nominal = rate_per_s * window_s + burst;
         let tolerance = nominal * self.overage + self.slack;
-        let displaced = rate_per_s * (times.grant_life + times.leader_overlap).as_secs_f64();
+        let displaced = rate_per_s * (times.grant_ttl + times.leader_overlap).as_secs_f64();
         let remaining = tolerance - displaced;
         if remaining <= 0.0 {
             return Bucket {
--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -2,7 +2,7 @@
 
 use speedy::{Readable, Writable};
 
-use crate::life::Life;
+use crate::incarnation::Incarnation;
 
 /// Whether a replica accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
@@ -15,7 +15,7 @@
 
 /// A version of a model's weights.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct HeldWeights {
+pub struct ModelWeights {
     /// Name of the model.
     pub model: String,
     /// Version of the weights.
@@ -48,7 +48,7 @@
 /// One incarnation of a back-end replica.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ReplicaRecord {
-    /// Id of the incarnation, see [`Life`]; it changes with every restart.
+    /// Id of the incarnation, see [`Incarnation`]; it changes with every restart.
     pub id: String,
     /// Name of the service.
     pub service: String,
@@ -61,7 +61,7 @@
     /// Whether it accepts new requests.
     pub state: ReplicaState,
     /// Weights that the replica last reported as loaded.
-    pub weights: Vec<HeldWeights>,
+    pub weights: Vec<ModelWeights>,
     /// Set while the replica may be executing an order; it gets no new requests meanwhile.
     pub order: Option<PendingOrder>,
     /// Log position of the last change of this record. In a heartbeat, the position that had been applied
@@ -71,8 +71,8 @@
 
 impl ReplicaRecord {
     /// Name of the replica, which does not change with a restart. Requests to the replica use it.
-    pub fn instance(&self) -> &str {
-        Life::named(&self.id).replica
+    pub fn replica_name(&self) -> &str {
+        Incarnation::parse(&self.id).replica
     }
 
     /// Version of the weights of `model` that the replica has loaded.
--- a/crates/serving/src/retries.rs
+++ b/crates/serving/src/retries.rs
@@ -5,22 +5,22 @@
 //! one retry each, so most of it is kept by the leader, which grants single retries from a ledger like that
 //! of a tenant quota.
 //!
-//! Invariant: the slack covers [`OWN_SLACK`] twice, because a restarted router does not know what it has
-//! used, and [`LENT_SLACK`] once, because the ledger of a new leader starts empty.
+//! Invariant: the slack covers [`LOCAL_SLACK_SHARE`] twice, because a restarted router does not know what it has
+//! used, and [`SHARED_SLACK_SHARE`] once, because the ledger of a new leader starts empty.
 
 use crate::{Bounds, QuotaBounds, QuotaUnit, TenantQuota};
 
 /// Share of the slack that routers use without a grant; it is also available to a partitioned router.
-pub const OWN_SLACK: f64 = 0.25;
+pub const LOCAL_SLACK_SHARE: f64 = 0.25;
 /// Share of the slack that the leader grants in one window.
-pub const LENT_SLACK: f64 = 0.5;
+pub const SHARED_SLACK_SHARE: f64 = 0.5;
 /// Share of the leader's slack that forms the burst, since replicas often fail together. The rest is
 /// refilled over a window.
 const BURST_SHARE: f64 = 0.5;
 
 /// Quota of the retries that the leader grants for one service; `None` if the slack is too small.
-pub fn lent_quota(bounds: &Bounds) -> Option<TenantQuota> {
-    let shared = bounds.retry_slack * LENT_SLACK;
+pub fn shared_retry_quota(bounds: &Bounds) -> Option<TenantQuota> {
+    let shared = bounds.retry_slack * SHARED_SLACK_SHARE;
     let window_s = bounds.retry_window_ms as f64 / 1e3;
     let burst = shared * BURST_SHARE;
     let rate_per_s = ((shared - burst) / window_s).floor() as u64;
@@ -28,12 +28,12 @@
         unit: QuotaUnit::Requests,
         rate_per_s,
         burst: burst as u64,
-        unstated_tokens: 0,
+        default_tokens: 0,
     })
 }
 
 /// Bounds of the shared retry quota, without tolerance.
-pub fn lent_bounds(bounds: &Bounds) -> QuotaBounds {
+pub fn shared_retry_bounds(bounds: &Bounds) -> QuotaBounds {
     QuotaBounds {
         window_ms: bounds.retry_window_ms,
         overage: 0.0,
--- a/crates/serving/tests/configuration.rs
+++ b/crates/serving/tests/configuration.rs
@@ -1,8 +1,8 @@
 //! Tests of validation and of lookups by route and key.
 
 use railtack_serving::{
-    ConfigurationError, KeyOwner, RequestKind, Route, RouteTable, ServiceShape,
-    ServingConfiguration, TenantShape, WeightedService,
+    ConfigurationError, KeyOwner, RequestKind, Route, RouteTable, ServiceConfig,
+    ServingConfiguration, TenantConfig, WeightedService,
 };
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
@@ -25,8 +25,8 @@
     }
 }
 
-fn service(name: &str) -> ServiceShape {
-    ServiceShape {
+fn service(name: &str) -> ServiceConfig {
+    ServiceConfig {
         name: name.to_owned(),
         max_connections: 10,
         engine: None,
@@ -34,8 +34,8 @@
     }
 }
 
-fn tenant(name: &str, keys: &[&str]) -> TenantShape {
-    TenantShape {
+fn tenant(name: &str, keys: &[&str]) -> TenantConfig {
+    TenantConfig {
         name: name.to_owned(),
         api_keys: keys.iter().map(|key| (*key).to_owned()).collect(),
         priority: None,
@@ -70,14 +70,16 @@
 #[test]
 fn a_key_is_resolved_to_its_tenant() {
     let table = RouteTable::new(valid());
-    assert!(matches!(table.owner(Some("k2")), KeyOwner::Tenant(tenant) if tenant.name == "one"));
-    assert_eq!(table.owner(Some("k9")), KeyOwner::Unknown);
-    assert_eq!(table.owner(None), KeyOwner::Unknown);
+    assert!(
+        matches!(table.key_owner(Some("k2")), KeyOwner::Tenant(tenant) if tenant.name == "one")
+    );
+    assert_eq!(table.key_owner(Some("k9")), KeyOwner::Unknown);
+    assert_eq!(table.key_owner(None), KeyOwner::Unknown);
     let open = ServingConfiguration {
         tenants: Vec::new(),
         ..valid()
     };
-    assert_eq!(RouteTable::new(open).owner(None), KeyOwner::NotAsked);
+    assert_eq!(RouteTable::new(open).key_owner(None), KeyOwner::NotRequired);
 }
 
 #[test]
