--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -11,7 +11,7 @@
 impl Raft {
     /// Asks whether an election could be won, without raising anyone's term.
     pub(crate) fn start_pre_vote(&mut self, now: Millis) {
-        if !self.membership.is_voter(self.options.replica) || !self.owns_membership_disk() {
+        if !self.membership.is_voter(self.options.replica) || !self.matches_member_disk() {
             return;
         }
         self.role = Role::PreCandidate;
@@ -26,10 +26,10 @@
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
-        self.ask_voters(self.hard_state.term + 1, &body);
+        self.send_to_voters(self.hard_state.term + 1, &body);
     }
 
-    pub(crate) fn answer_pre_vote(
+    pub(crate) fn handle_pre_vote(
         &mut self,
         message: &Message,
         last_index: LogIndex,
@@ -37,7 +37,7 @@
         now: Millis,
     ) {
         let granted = message.term > self.hard_state.term
-            && !self.leader_is_alive(now)
+            && !self.has_live_leader(now)
             && self.is_up_to_date(last_index, last_term);
         let term = if granted {
             message.term
@@ -47,7 +47,7 @@
         self.reply(message, term, Body::PreVoteReply { granted });
     }
 
-    pub(crate) fn count_pre_vote(&mut self, message: &Message, granted: bool, now: Millis) {
+    pub(crate) fn handle_pre_vote_reply(&mut self, message: &Message, granted: bool, now: Millis) {
         let expected = self.role == Role::PreCandidate && message.term == self.hard_state.term + 1;
         if expected && granted {
             self.record_vote(message);
@@ -57,14 +57,14 @@
         }
     }
 
-    pub(crate) fn answer_vote(
+    pub(crate) fn handle_vote(
         &mut self,
         message: &Message,
         last_index: LogIndex,
         last_term: Term,
         now: Millis,
     ) {
-        if message.term > self.hard_state.term && !self.leader_is_alive(now) {
+        if message.term > self.hard_state.term && !self.has_live_leader(now) {
             self.become_follower(message.term, None, now);
         }
         let free = self
@@ -85,7 +85,7 @@
         self.reply(message, self.hard_state.term, Body::VoteReply { granted });
     }
 
-    pub(crate) fn count_vote(&mut self, message: &Message, granted: bool, now: Millis) {
+    pub(crate) fn handle_vote_reply(&mut self, message: &Message, granted: bool, now: Millis) {
         let expected = self.role == Role::Candidate && message.term == self.hard_state.term;
         if expected && granted {
             self.record_vote(message);
@@ -112,24 +112,24 @@
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
-        self.ask_voters(self.hard_state.term, &body);
+        self.send_to_voters(self.hard_state.term, &body);
     }
 
     fn become_leader(&mut self, now: Millis) {
         self.role = Role::Leader;
         self.leader = Some(self.options.replica);
         self.votes.clear();
-        let next = self.log.last_index() + 1;
+        let next_index = self.log.last_index() + 1;
         self.progress = self
             .peers()
             .into_iter()
-            .map(|(replica, _)| (replica, Progress::new(next, now)))
+            .map(|(replica, _)| (replica, Progress::new(next_index, now)))
             .collect();
         self.next_heartbeat = now;
         self.append_as_leader(Payload::Noop);
     }
 
-    fn ask_voters(&mut self, term: Term, body: &Body) {
+    fn send_to_voters(&mut self, term: Term, body: &Body) {
         for (replica, disk) in self.peers() {
             if self.membership.is_voter(replica) {
                 self.send(replica, disk, term, body.clone());
@@ -148,11 +148,11 @@
     }
 
     /// A leader that is heard from keeps its place: a member that cannot hear it must not depose it.
-    fn leader_is_alive(&self, now: Millis) -> bool {
-        let heard_recently = self
-            .leader_heard
-            .is_some_and(|heard| now < heard + self.options.election_timeout);
-        self.role == Role::Leader || (self.leader.is_some() && heard_recently)
+    fn has_live_leader(&self, now: Millis) -> bool {
+        let contacted_recently = self
+            .last_leader_contact
+            .is_some_and(|contact| now < contact + self.options.election_timeout);
+        self.role == Role::Leader || (self.leader.is_some() && contacted_recently)
     }
 
     fn is_up_to_date(&self, last_index: LogIndex, last_term: Term) -> bool {
@@ -160,7 +160,7 @@
     }
 
     /// A replica whose membership entry names another data folder is not that member any more.
-    fn owns_membership_disk(&self) -> bool {
+    fn matches_member_disk(&self) -> bool {
         !self.options.check_disk_identity
             || self
                 .membership
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -90,28 +90,33 @@
         self.entries.get(offset as usize)
     }
 
-    /// Up to `limit` entries from `index` on.
-    pub fn entries_from(&self, index: LogIndex, limit: usize) -> Vec<Entry> {
+    /// Up to `max_entries` entries from `index` on.
+    pub fn entries_from(&self, index: LogIndex, max_entries: usize) -> Vec<Entry> {
         let offset = index.saturating_sub(self.snapshot.last_index + 1) as usize;
         self.entries
             .iter()
             .skip(offset)
-            .take(limit)
+            .take(max_entries)
             .cloned()
             .collect()
     }
 
-    /// Up to `limit` entries from `index` on whose commands have `bytes` together, or the first one if that
+    /// Up to `max_entries` entries from `index` on whose commands have `bytes` together, or the first one if that
     /// alone has more.
-    pub fn entries_within(&self, index: LogIndex, limit: usize, bytes: usize) -> Vec<Entry> {
+    pub fn entries_within(
+        &self,
+        index: LogIndex,
+        max_entries: usize,
+        max_bytes: usize,
+    ) -> Vec<Entry> {
         let offset = index.saturating_sub(self.snapshot.last_index + 1) as usize;
-        let mut taken = 0;
+        let mut total_bytes = 0;
         let fits = |entry: &&Entry| {
-            let is_first = taken == 0;
-            taken += payload_size(entry).max(1);
-            is_first || taken <= bytes
+            let is_first = total_bytes == 0;
+            total_bytes += payload_size(entry).max(1);
+            is_first || total_bytes <= max_bytes
         };
-        let entries = self.entries.iter().skip(offset).take(limit);
+        let entries = self.entries.iter().skip(offset).take(max_entries);
         entries.take_while(fits).cloned().collect()
     }
 
@@ -124,33 +129,33 @@
 
     /// Drops the entries from `index` on.
     pub fn truncate_from(&mut self, index: LogIndex) {
-        let keep = index.saturating_sub(self.snapshot.last_index + 1) as usize;
-        self.entries.truncate(keep);
-        self.recount();
+        let kept_entries = index.saturating_sub(self.snapshot.last_index + 1) as usize;
+        self.entries.truncate(kept_entries);
+        self.recompute_payload_bytes();
     }
 
     /// Replaces the entries up to the snapshot's index by the snapshot.
     ///
     /// Later entries survive only if the log agrees with the snapshot at its last index.
-    pub fn install(&mut self, snapshot: Snapshot) {
-        let agrees = self.term_at(snapshot.last_index) == Some(snapshot.last_term);
-        if agrees {
+    pub fn install_snapshot(&mut self, snapshot: Snapshot) {
+        let matches_snapshot = self.term_at(snapshot.last_index) == Some(snapshot.last_term);
+        if matches_snapshot {
             self.entries
                 .retain(|entry| entry.index > snapshot.last_index);
         } else {
             self.entries.clear();
         }
         self.snapshot = snapshot;
-        self.recount();
+        self.recompute_payload_bytes();
     }
 
-    fn recount(&mut self) {
+    fn recompute_payload_bytes(&mut self) {
         self.payload_bytes = self.entries.iter().map(payload_size).sum();
     }
 
     /// The last membership in the log and the index of the entry that holds it.
     pub fn membership(&self) -> (Membership, LogIndex) {
-        let in_log = self
+        let latest = self
             .entries
             .iter()
             .rev()
@@ -158,7 +163,7 @@
                 Payload::Membership(membership) => Some((membership.clone(), entry.index)),
                 _ => None,
             });
-        in_log.unwrap_or_else(|| (self.snapshot.membership.clone(), self.snapshot.last_index))
+        latest.unwrap_or_else(|| (self.snapshot.membership.clone(), self.snapshot.last_index))
     }
 
     /// Index of the last entry that satisfies `matches`.
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -4,9 +4,9 @@
 
 /// Something sent to a member whose answer is not there yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Awaited {
+pub struct InflightAppend {
     /// Last position that the answer would confirm.
-    pub through: LogIndex,
+    pub through_index: LogIndex,
     /// When it was sent.
     pub sent_at: Millis,
 }
@@ -15,29 +15,29 @@
 #[derive(Clone, Debug)]
 pub struct Progress {
     /// Next entry to send.
-    pub next: LogIndex,
+    pub next_index: LogIndex,
     /// Last entry known to be synced there.
-    pub matched: LogIndex,
+    pub match_index: LogIndex,
     /// Entries or a snapshot that were sent and not answered yet. Meanwhile heartbeats carry
     /// nothing, so that a slow member is not sent its backlog again and again.
-    pub awaited: Option<Awaited>,
+    pub inflight: Option<InflightAppend>,
     /// When the member last answered.
-    pub last_heard: Millis,
+    pub last_reply_at: Millis,
     /// Latest moment at which something that the member has answered in this term was sent.
-    pub confirmed_at: Option<Millis>,
+    pub acked_sent_at: Option<Millis>,
     /// When a snapshot was last sent; it is not sent again at every heartbeat.
     pub snapshot_sent_at: Option<Millis>,
 }
 
 impl Progress {
     /// Progress of a member of which nothing is known yet.
-    pub fn new(next: LogIndex, now: Millis) -> Self {
+    pub fn new(next_index: LogIndex, now: Millis) -> Self {
         Self {
-            next,
-            matched: 0,
-            awaited: None,
-            last_heard: now,
-            confirmed_at: None,
+            next_index,
+            match_index: 0,
+            inflight: None,
+            last_reply_at: now,
+            acked_sent_at: None,
             snapshot_sent_at: None,
         }
     }
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -18,7 +18,7 @@
 /// Entries that a learner may lack when it is made a voter.
 const LEARNER_LAG_LIMIT: u64 = 64;
 /// A heartbeat that is asked for comes at the earliest this part of an interval after the last.
-const HASTE_DIVISOR: Millis = 2;
+const HEARTBEAT_GAP_DIVISOR: Millis = 2;
 
 /// Timing and identity of a replica.
 #[derive(Clone, Debug)]
@@ -121,14 +121,14 @@
     pub(crate) votes: BTreeSet<ReplicaId>,
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
     pub(crate) election_deadline: Millis,
-    pub(crate) leader_heard: Option<Millis>,
+    pub(crate) last_leader_contact: Option<Millis>,
     pub(crate) next_heartbeat: Millis,
     /// When the last heartbeat was sent while leading.
     pub(crate) last_heartbeat: Millis,
     /// Time of the last input; never later than the present.
     pub(crate) now: Millis,
     pub(crate) ready: Ready,
-    generator: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 impl Raft {
@@ -136,9 +136,9 @@
     pub fn new(options: RaftOptions, recovered: Recovered, now: Millis) -> Self {
         let log = RaftLog::new(recovered.snapshot, recovered.entries);
         let (membership, membership_index) = log.membership();
-        let start = log.snapshot().last_index;
+        let snapshot_index = log.snapshot().last_index;
         let persisted = log.last_index();
-        let generator = ChaCha8Rng::seed_from_u64(options.seed);
+        let rng = ChaCha8Rng::seed_from_u64(options.seed);
         let mut raft = Self {
             options,
             hard_state: recovered.hard_state,
@@ -147,18 +147,18 @@
             membership_index,
             role: Role::Follower,
             leader: None,
-            commit: start,
-            applied: start,
+            commit: snapshot_index,
+            applied: snapshot_index,
             persisted,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             election_deadline: now,
-            leader_heard: None,
+            last_leader_contact: None,
             next_heartbeat: now,
             last_heartbeat: 0,
             now,
             ready: Ready::default(),
-            generator,
+            rng,
         };
         raft.reset_pre_vote_deadline(now);
         raft
@@ -214,40 +214,44 @@
     /// or nothing was confirmed yet.
     ///
     /// Every entry that any leader had committed before that moment is in this replica's log.
-    pub fn confirmed_at(&self) -> Option<Millis> {
+    pub fn leadership_confirmed_at(&self) -> Option<Millis> {
         if self.role != Role::Leader {
             return None;
         }
-        let mut moments: Vec<Option<Millis>> = self
+        let mut ack_times: Vec<Option<Millis>> = self
             .membership
             .voters()
-            .map(|member| self.member_confirmed_at(member.replica))
+            .map(|member| self.member_acked_sent_at(member.replica))
             .collect();
-        moments.sort_unstable_by(|left, right| right.cmp(left));
-        moments.get(self.membership.quorum() - 1).copied().flatten()
+        ack_times.sort_unstable_by(|left, right| right.cmp(left));
+        ack_times
+            .get(self.membership.quorum() - 1)
+            .copied()
+            .flatten()
     }
 
     /// Time since each other member last answered this leader, milliseconds; empty elsewhere.
-    pub fn silence(&self, now: Millis) -> BTreeMap<ReplicaId, Millis> {
+    pub fn silence_by_member(&self, now: Millis) -> BTreeMap<ReplicaId, Millis> {
         self.progress
             .iter()
-            .map(|(replica, progress)| (*replica, now.saturating_sub(progress.last_heard)))
+            .map(|(replica, progress)| (*replica, now.saturating_sub(progress.last_reply_at)))
             .collect()
     }
 
     /// Sends a heartbeat soon, so that [`Raft::confirmed_at`] moves on: at the next tick, or half
     /// an interval after the last one. Each costs a message to every member and an answer, however
     /// many commits and readers ask for one.
-    pub fn hasten_heartbeat(&mut self, now: Millis) {
-        let earliest = self.last_heartbeat + self.options.heartbeat_interval / HASTE_DIVISOR;
+    pub fn request_heartbeat(&mut self, now: Millis) {
+        let earliest =
+            self.last_heartbeat + self.options.heartbeat_interval / HEARTBEAT_GAP_DIVISOR;
         self.next_heartbeat = self.next_heartbeat.min(now.max(earliest));
     }
 
-    fn member_confirmed_at(&self, replica: ReplicaId) -> Option<Millis> {
+    fn member_acked_sent_at(&self, replica: ReplicaId) -> Option<Millis> {
         if replica == self.options.replica {
             return Some(self.now);
         }
-        self.progress.get(&replica)?.confirmed_at
+        self.progress.get(&replica)?.acked_sent_at
     }
 
     /// Lets timers fire.
@@ -264,10 +268,10 @@
     /// Takes a message from another replica.
     pub fn receive(&mut self, message: Message, now: Millis) {
         self.now = now;
-        if !self.is_acceptable(&message) {
+        if !self.has_known_identity(&message) {
             return;
         }
-        if message.term > self.hard_state.term && self.adopts_term(&message) {
+        if message.term > self.hard_state.term && self.must_adopt_term(&message) {
             self.become_follower(message.term, None, now);
         }
         match message.body {
@@ -275,24 +279,26 @@
                 last_index,
                 last_term,
             } => {
-                self.answer_pre_vote(&message, last_index, last_term, now);
+                self.handle_pre_vote(&message, last_index, last_term, now);
             }
-            Body::PreVoteReply { granted } => self.count_pre_vote(&message, granted, now),
+            Body::PreVoteReply { granted } => self.handle_pre_vote_reply(&message, granted, now),
             Body::Vote {
                 last_index,
                 last_term,
             } => {
-                self.answer_vote(&message, last_index, last_term, now);
+                self.handle_vote(&message, last_index, last_term, now);
+            }
+            Body::VoteReply { granted } => self.handle_vote_reply(&message, granted, now),
+            Body::Append { .. } | Body::InstallSnapshot { .. } => {
+                self.handle_leader_message(message, now)
             }
-            Body::VoteReply { granted } => self.count_vote(&message, granted, now),
-            Body::Append { .. } | Body::InstallSnapshot { .. } => self.follow(message, now),
             Body::AppendReply {
                 success,
                 index,
                 sent_at,
             } => {
                 self.handle_append_reply(&message, success, index, sent_at, now);
-                self.note_confirmation(message.from, message.term, sent_at);
+                self.record_ack(message.from, message.term, sent_at);
             }
         }
     }
@@ -309,8 +315,8 @@
     /// majority of the old membership shares a voter with any majority of the new one.
     pub fn propose_membership(&mut self, next: Membership) -> Result<LogIndex, ProposeError> {
         self.require_leadership()?;
-        let own_term_committed = self.log.term_at(self.commit) == Some(self.hard_state.term);
-        if self.membership_index > self.commit || !own_term_committed {
+        let current_term_committed = self.log.term_at(self.commit) == Some(self.hard_state.term);
+        if self.membership_index > self.commit || !current_term_committed {
             return Err(ProposeError::ChangePending);
         }
         if self.membership.voter_difference(&next) > 1 {
@@ -356,7 +362,7 @@
             membership: self.membership_at(index),
             state,
         };
-        self.log.install(snapshot.clone());
+        self.log.install_snapshot(snapshot.clone());
         Some(snapshot)
     }
 
@@ -386,7 +392,7 @@
             let matched = self
                 .progress
                 .get(&member.replica)
-                .map_or(0, |known| known.matched);
+                .map_or(0, |progress| progress.match_index);
             let lag = self.commit.saturating_sub(matched);
             if matched == 0 || lag > LEARNER_LAG_LIMIT {
                 return Err(ProposeError::LearnerBehind { lag });
@@ -397,7 +403,7 @@
 
     /// Messages that name another data folder are void: the votes and entries that their sender
     /// relies on were synced to a disk that is gone.
-    fn is_acceptable(&self, message: &Message) -> bool {
+    fn has_known_identity(&self, message: &Message) -> bool {
         if message.to != self.options.replica {
             return false;
         }
@@ -413,7 +419,7 @@
 
     /// Pre-votes carry a term that nobody has entered yet, and a vote asked for while the leader
     /// is alive must not raise the term.
-    fn adopts_term(&self, message: &Message) -> bool {
+    fn must_adopt_term(&self, message: &Message) -> bool {
         match message.body {
             Body::PreVote { .. } | Body::Vote { .. } => false,
             Body::PreVoteReply { granted } => !granted,
@@ -441,13 +447,13 @@
     }
 
     pub(crate) fn reset_election_deadline(&mut self, now: Millis) {
-        let spread = self.election_spread();
+        let spread = self.election_jitter();
         self.election_deadline = now + self.options.election_timeout + spread;
     }
 
-    fn election_spread(&mut self) -> Millis {
-        let widest = self.options.election_timeout.max(1);
-        self.generator.random_range(0..widest)
+    fn election_jitter(&mut self) -> Millis {
+        let range = self.options.election_timeout.max(1);
+        self.rng.random_range(0..range)
     }
 
     /// When this replica asks for a pre-vote next. One that has heard of no leader since it started
@@ -455,11 +461,11 @@
     /// leader lives, so it disturbs nobody. Replicas that start together are spread as widely as in
     /// any election, or they would split their votes.
     pub(crate) fn reset_pre_vote_deadline(&mut self, now: Millis) {
-        if self.leader_heard.is_some() {
+        if self.last_leader_contact.is_some() {
             self.reset_election_deadline(now);
             return;
         }
-        let spread = self.election_spread();
+        let spread = self.election_jitter();
         self.election_deadline = now + self.options.heartbeat_interval + spread;
     }
 
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -5,13 +5,13 @@
     log::{Entry, Payload, Snapshot},
     membership::{DiskId, ReplicaId},
     message::{Body, Message},
-    progress::{Awaited, Progress},
+    progress::{InflightAppend, Progress},
     raft::{Raft, Role},
 };
 
 impl Raft {
     pub(crate) fn tick_leader(&mut self, now: Millis) {
-        if !self.heard_from_quorum(now) {
+        if !self.has_quorum_contact(now) {
             // Check-quorum: a leader cut off from the majority must not go on answering as one.
             self.become_follower(self.hard_state.term, None, now);
             return;
@@ -33,18 +33,17 @@
             payload,
         };
         let index = entry.index;
-        self.store(entry);
-        self.track_members();
+        self.append_entry(entry);
+        self.update_tracked_members();
         index
     }
 
     pub(crate) fn replicate_to_idle_members(&mut self) {
         let last_index = self.log.last_index();
         for (replica, disk) in self.peers() {
-            let idle = self
-                .progress
-                .get(&replica)
-                .is_some_and(|progress| progress.awaited.is_none() && progress.next <= last_index);
+            let idle = self.progress.get(&replica).is_some_and(|progress| {
+                progress.inflight.is_none() && progress.next_index <= last_index
+            });
             if idle {
                 self.send_append(replica, disk);
             }
@@ -52,7 +51,7 @@
     }
 
     /// Takes entries or a snapshot from the leader of this term.
-    pub(crate) fn follow(&mut self, message: Message, now: Millis) {
+    pub(crate) fn handle_leader_message(&mut self, message: Message, now: Millis) {
         let sent_at = match &message.body {
             Body::Append { sent_at, .. } | Body::InstallSnapshot { sent_at, .. } => *sent_at,
             _ => return,
@@ -73,7 +72,7 @@
         if self.role != Role::Follower || self.leader != Some(message.from) {
             self.become_follower(message.term, Some(message.from), now);
         }
-        self.leader_heard = Some(now);
+        self.last_leader_contact = Some(now);
         self.reset_election_deadline(now);
         let reply = match &message.body {
             Body::Append {
@@ -122,20 +121,20 @@
         }
         match self.log.term_at(entry.index) {
             Some(term) if term == entry.term => return,
-            Some(_) => self.drop_entries_from(entry.index),
+            Some(_) => self.truncate_log_from(entry.index),
             None => {}
         }
-        self.store(entry.clone());
+        self.append_entry(entry.clone());
     }
 
     /// Skips the conflicting term in one step instead of one entry at a time.
     fn retry_index(&self, previous_index: LogIndex) -> LogIndex {
-        let Some(conflict) = self.log.term_at(previous_index) else {
+        let Some(conflicting_term) = self.log.term_at(previous_index) else {
             return self.log.last_index().min(previous_index.saturating_sub(1));
         };
-        let floor = self.log.snapshot().last_index;
+        let snapshot_index = self.log.snapshot().last_index;
         let mut index = previous_index;
-        while index > floor && self.log.term_at(index) == Some(conflict) {
+        while index > snapshot_index && self.log.term_at(index) == Some(conflicting_term) {
             index -= 1;
         }
         index
@@ -144,7 +143,7 @@
     fn accept_snapshot(&mut self, snapshot: &Snapshot) -> (bool, LogIndex) {
         let index = snapshot.last_index;
         if index > self.commit {
-            self.log.install(snapshot.clone());
+            self.log.install_snapshot(snapshot.clone());
             self.commit = index;
             self.applied = index;
             self.persisted = self.log.last_index();
@@ -171,57 +170,58 @@
         let Some(progress) = self.progress.get_mut(&message.from) else {
             return;
         };
-        progress.last_heard = now;
+        progress.last_reply_at = now;
         if success {
             // Messages to a member arrive in order: if it answers something later and lacks what was
             // sent before, that was lost.
-            let settled = progress
-                .awaited
-                .is_some_and(|awaited| index >= awaited.through || sent_at > awaited.sent_at);
-            if settled {
-                progress.awaited = None;
+            let is_answered = progress.inflight.is_some_and(|inflight| {
+                index >= inflight.through_index || sent_at > inflight.sent_at
+            });
+            if is_answered {
+                progress.inflight = None;
             }
-            progress.matched = progress.matched.max(index);
-            progress.next = progress.next.max(progress.matched + 1);
+            progress.match_index = progress.match_index.max(index);
+            progress.next_index = progress.next_index.max(progress.match_index + 1);
             self.advance_commit();
         } else {
-            let earlier = (index + 1).clamp(progress.matched + 1, progress.next.max(1));
+            let retry_from =
+                (index + 1).clamp(progress.match_index + 1, progress.next_index.max(1));
             // A member that refuses the same place again, as one that lost synced entries does,
             // is sent nothing until what was sent there is out of date.
-            if earlier != progress.next {
-                progress.awaited = None;
+            if retry_from != progress.next_index {
+                progress.inflight = None;
             }
-            progress.next = earlier;
+            progress.next_index = retry_from;
         }
     }
 
     /// Notes that a member still followed this leader after `sent_at`.
-    pub(crate) fn note_confirmation(&mut self, from: ReplicaId, term: u64, sent_at: Millis) {
+    pub(crate) fn record_ack(&mut self, from: ReplicaId, term: u64, sent_at: Millis) {
         if self.role != Role::Leader || term != self.hard_state.term {
             return;
         }
         if let Some(progress) = self.progress.get_mut(&from) {
-            progress.confirmed_at = progress.confirmed_at.max(Some(sent_at));
+            progress.acked_sent_at = progress.acked_sent_at.max(Some(sent_at));
         }
     }
 
     /// Commits what a majority of voters has synced, if it is of this term.
     pub(crate) fn advance_commit(&mut self) {
-        let mut synced: Vec<LogIndex> = self
+        let mut synced_indexes: Vec<LogIndex> = self
             .membership
             .voters()
             .map(|member| self.synced_index(member.replica))
             .collect();
-        synced.sort_unstable_by(|left, right| right.cmp(left));
-        let Some(&candidate) = synced.get(self.membership.quorum() - 1) else {
+        synced_indexes.sort_unstable_by(|left, right| right.cmp(left));
+        let Some(&candidate) = synced_indexes.get(self.membership.quorum() - 1) else {
             return;
         };
-        let of_this_term = self.log.term_at(candidate) == Some(self.hard_state.term);
-        if candidate > self.commit && of_this_term {
+        let is_current_term = self.log.term_at(candidate) == Some(self.hard_state.term);
+        if candidate > self.commit && is_current_term {
             self.commit = candidate;
             // Followers should apply it now and not at the next heartbeat.
-            self.hasten_heartbeat(self.now);
-            self.leave_if_removed();
+            self.request_heartbeat(self.now);
+            self.step_down_if_removed();
         }
     }
 
@@ -231,10 +231,10 @@
         }
         self.progress
             .get(&replica)
-            .map_or(0, |progress| progress.matched)
+            .map_or(0, |progress| progress.match_index)
     }
 
-    fn leave_if_removed(&mut self) {
+    fn step_down_if_removed(&mut self) {
         let removed = !self.membership.is_voter(self.options.replica);
         if removed && self.membership_index <= self.commit {
             self.role = Role::Follower;
@@ -245,7 +245,7 @@
 
     fn send_append(&mut self, replica: ReplicaId, disk: DiskId) {
         let now = self.now;
-        let limit = self.options.election_timeout;
+        let timeout = self.options.election_timeout;
         let snapshot_index = self.log.snapshot().last_index;
         let Some(progress) = self.progress.get_mut(&replica) else {
             return;
@@ -253,31 +253,37 @@
         // A member that does not answer is only asked where it stands: entries and snapshots sent
         // to it again and again would fill the queue to a machine that is away. One that has not
         // answered the last ones yet is sent no more.
-        let silent = now >= progress.last_heard + limit;
-        let awaited = progress.awaited.filter(|sent| now < sent.sent_at + limit);
-        let snapshot_pending = progress.snapshot_sent_at.is_some_and(|at| now < at + limit);
-        let needs_snapshot = progress.next <= snapshot_index;
-        let has_sent = if needs_snapshot {
+        let is_unresponsive = now >= progress.last_reply_at + timeout;
+        let inflight = progress
+            .inflight
+            .filter(|sent| now < sent.sent_at + timeout);
+        let snapshot_pending = progress
+            .snapshot_sent_at
+            .is_some_and(|at| now < at + timeout);
+        let needs_snapshot = progress.next_index <= snapshot_index;
+        let is_in_flight = if needs_snapshot {
             snapshot_pending
         } else {
-            awaited.is_some()
+            inflight.is_some()
         };
-        let probe = silent || has_sent;
+        let probe = is_unresponsive || is_in_flight;
         if needs_snapshot && !probe {
             progress.snapshot_sent_at = Some(now);
         }
         let previous_index = if probe {
-            progress.next.saturating_sub(1).max(snapshot_index)
+            progress.next_index.saturating_sub(1).max(snapshot_index)
         } else {
-            progress.next.saturating_sub(1)
+            progress.next_index.saturating_sub(1)
         };
-        let limit = if probe { 0 } else { self.options.append_limit };
-        let bytes = self.options.append_bytes;
+        let max_entries = if probe { 0 } else { self.options.append_limit };
+        let max_bytes = self.options.append_bytes;
         let body = match self.log.term_at(previous_index) {
             Some(previous_term) => Body::Append {
                 previous_index,
                 previous_term,
-                entries: self.log.entries_within(previous_index + 1, limit, bytes),
+                entries: self
+                    .log
+                    .entries_within(previous_index + 1, max_entries, max_bytes),
                 commit: self.commit,
                 sent_at: now,
             },
@@ -286,15 +292,15 @@
                 sent_at: now,
             },
         };
-        self.await_answer(replica, &body);
+        self.track_inflight(replica, &body);
         self.send(replica, disk, self.hard_state.term, body);
     }
 
     /// Notes what a member is to answer before it is sent more. A heartbeat while an answer is
     /// awaited changes nothing.
-    fn await_answer(&mut self, replica: ReplicaId, body: &Body) {
+    fn track_inflight(&mut self, replica: ReplicaId, body: &Body) {
         let last_index = self.log.last_index();
-        let through = match body {
+        let through_index = match body {
             Body::Append {
                 previous_index,
                 entries,
@@ -303,21 +309,21 @@
             Body::InstallSnapshot { snapshot, .. } => snapshot.last_index,
             _ => return,
         };
-        let carries_nothing = matches!(body, Body::Append { entries, .. } if entries.is_empty());
+        let is_heartbeat = matches!(body, Body::Append { entries, .. } if entries.is_empty());
         let Some(progress) = self.progress.get_mut(&replica) else {
             return;
         };
-        let lacks_nothing = progress.next > last_index;
-        if carries_nothing && (progress.awaited.is_some() || lacks_nothing) {
+        let is_caught_up = progress.next_index > last_index;
+        if is_heartbeat && (progress.inflight.is_some() || is_caught_up) {
             return;
         }
-        progress.awaited = Some(Awaited {
-            through,
+        progress.inflight = Some(InflightAppend {
+            through_index,
             sent_at: self.now,
         });
     }
 
-    fn store(&mut self, entry: Entry) {
+    fn append_entry(&mut self, entry: Entry) {
         let is_membership = matches!(entry.payload, Payload::Membership(_));
         self.ready.entries.push(entry.clone());
         self.log.append(entry);
@@ -326,20 +332,20 @@
         }
     }
 
-    fn drop_entries_from(&mut self, index: LogIndex) {
+    fn truncate_log_from(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
         self.ready.entries.retain(|entry| entry.index < index);
-        let earliest = self
+        let truncate_from_index = self
             .ready
             .truncate_from
-            .map_or(index, |known| known.min(index));
-        self.ready.truncate_from = Some(earliest);
+            .map_or(index, |pending| pending.min(index));
+        self.ready.truncate_from = Some(truncate_from_index);
         self.persisted = self.persisted.min(index - 1);
         self.refresh_membership();
     }
 
     /// Follows a membership change: new members are replicated to, removed ones are forgotten.
-    fn track_members(&mut self) {
+    fn update_tracked_members(&mut self) {
         let next = self.log.last_index();
         let peers = self.peers();
         self.progress
@@ -352,15 +358,15 @@
         }
     }
 
-    fn heard_from_quorum(&self, now: Millis) -> bool {
-        let limit = self.options.election_timeout;
-        let heard = self.membership.voters().filter(|member| {
+    fn has_quorum_contact(&self, now: Millis) -> bool {
+        let timeout = self.options.election_timeout;
+        let responsive = self.membership.voters().filter(|member| {
             member.replica == self.options.replica
                 || self
                     .progress
                     .get(&member.replica)
-                    .is_some_and(|progress| now < progress.last_heard + limit)
+                    .is_some_and(|progress| now < progress.last_reply_at + timeout)
         });
-        heard.count() >= self.membership.quorum()
+        responsive.count() >= self.membership.quorum()
     }
 }
--- a/crates/consensus/tests/convergence.rs
+++ b/crates/consensus/tests/convergence.rs
@@ -19,15 +19,15 @@
 const MEMBERS: u32 = 5;
 /// Time after the last disturbance in which every member must have applied everything: an election,
 /// and a few heartbeats.
-const CALM: Millis = 4_000;
-const STEP: Millis = 5;
+const SETTLE_MS: Millis = 4_000;
+const STEP_MS: Millis = 5;
 
 fn start(number: u32) -> Raft {
-    let founder = number == 1;
+    let is_founder = number == 1;
     let snapshot = Snapshot {
-        last_index: u64::from(founder),
+        last_index: u64::from(is_founder),
         membership: Membership {
-            members: if founder {
+            members: if is_founder {
                 vec![member(1, true)]
             } else {
                 Vec::new()
@@ -53,49 +53,49 @@
 }
 
 /// Replicas behind links that deliver in order, late, or not at all.
-struct World {
+struct Simulation {
     replicas: BTreeMap<ReplicaId, Raft>,
     links: BTreeMap<(ReplicaId, ReplicaId), VecDeque<(Millis, Message)>>,
-    generator: ChaCha8Rng,
+    rng: ChaCha8Rng,
     now: Millis,
     /// Chance that a message is lost, and the longest delay.
-    loss: f64,
-    delay: Millis,
+    loss_rate: f64,
+    max_delay: Millis,
     /// A replica that takes and sends nothing.
-    frozen: Option<ReplicaId>,
+    paused: Option<ReplicaId>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             replicas: (1..=MEMBERS)
                 .map(|number| (ReplicaId(number), start(number)))
                 .collect(),
             links: BTreeMap::new(),
-            generator: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
-            loss: 0.0,
-            delay: 3,
-            frozen: None,
+            loss_rate: 0.0,
+            max_delay: 3,
+            paused: None,
         }
     }
 
-    fn run(&mut self, time: Millis, mut each_step: impl FnMut(&mut Self)) {
+    fn run(&mut self, time: Millis, mut before_step: impl FnMut(&mut Self)) {
         let end = self.now + time;
         while self.now < end {
-            self.now += STEP;
-            each_step(self);
+            self.now += STEP_MS;
+            before_step(self);
             self.deliver();
             let now = self.now;
-            let frozen = self.frozen;
-            let awake = self
+            let paused = self.paused;
+            let running = self
                 .replicas
                 .iter_mut()
-                .filter(|(id, _)| Some(**id) != frozen);
+                .filter(|(id, _)| Some(**id) != paused);
             let mut sent = Vec::new();
-            for (_, raft) in awake {
+            for (_, raft) in running {
                 raft.tick(now);
-                sent.extend(round(raft));
+                sent.extend(process_ready(raft));
             }
             for message in sent {
                 self.send(message);
@@ -104,25 +104,27 @@
     }
 
     fn send(&mut self, message: Message) {
-        if self.generator.random_bool(self.loss) {
+        if self.rng.random_bool(self.loss_rate) {
             return;
         }
-        let arrives = self.now + self.generator.random_range(0..=self.delay);
+        let arrives_at = self.now + self.rng.random_range(0..=self.max_delay);
         let link = self.links.entry((message.from, message.to)).or_default();
-        let after_last = link.back().map_or(arrives, |(last, _)| arrives.max(*last));
-        link.push_back((after_last, message));
+        let delivered_at = link
+            .back()
+            .map_or(arrives_at, |(last, _)| arrives_at.max(*last));
+        link.push_back((delivered_at, message));
     }
 
     fn deliver(&mut self) {
         for ((_, to), link) in &mut self.links {
             while link
                 .front()
-                .is_some_and(|(arrives, _)| *arrives <= self.now)
+                .is_some_and(|(arrives_at, _)| *arrives_at <= self.now)
             {
                 let Some((_, message)) = link.pop_front() else {
                     break;
                 };
-                if Some(*to) == self.frozen {
+                if Some(*to) == self.paused {
                     continue;
                 }
                 if let Some(raft) = self.replicas.get_mut(to) {
@@ -141,7 +143,7 @@
     }
 
     /// Makes the next replica that is no member yet a learner, or a learner a voter.
-    fn grow(&mut self) {
+    fn add_next_member(&mut self) {
         let Some(leader) = self.leader() else {
             return;
         };
@@ -153,8 +155,8 @@
             }
             next = leader.membership().clone();
         }
-        let missing = (1..=MEMBERS).find(|number| next.member(ReplicaId(*number)).is_none());
-        if let Some(number) = missing {
+        let next_member = (1..=MEMBERS).find(|number| next.member(ReplicaId(*number)).is_none());
+        if let Some(number) = next_member {
             next.members.push(member(number, false));
             // A change that is under way puts this one off to the next step.
             let _ = leader.propose_membership(next);
@@ -169,7 +171,7 @@
     }
 }
 
-fn round(raft: &mut Raft) -> Vec<Message> {
+fn process_ready(raft: &mut Raft) -> Vec<Message> {
     let mut sent = Vec::new();
     for _ in 0..100 {
         let ready = raft.take_ready();
@@ -183,34 +185,37 @@
     panic!("a round does not come to an end");
 }
 
-fn converges(seed: u64) -> bool {
-    let mut world = World::new(seed);
-    world.loss = 0.1;
-    world.delay = 150;
-    let victim = ReplicaId(1 + (seed % u64::from(MEMBERS)) as u32);
-    world.run(6_000, |world| {
-        world.grow();
-        let phase = world.now / 500;
-        world.frozen = (phase % 4 == 3).then_some(victim);
-        if world.now.is_multiple_of(20)
-            && let Some(leader) = world.leader()
+fn members_converge(seed: u64) -> bool {
+    let mut simulation = Simulation::new(seed);
+    simulation.loss_rate = 0.1;
+    simulation.max_delay = 150;
+    let paused_replica = ReplicaId(1 + (seed % u64::from(MEMBERS)) as u32);
+    simulation.run(6_000, |simulation| {
+        simulation.add_next_member();
+        let phase = simulation.now / 500;
+        simulation.paused = (phase % 4 == 3).then_some(paused_replica);
+        if simulation.now.is_multiple_of(20)
+            && let Some(leader) = simulation.leader()
         {
             // Refused by a leader that has just been deposed.
             let _ = leader.propose(vec![1, 2, 3]);
         }
     });
-    world.frozen = None;
-    world.loss = 0.0;
-    world.delay = 3;
-    world.run(CALM, |_| {});
-    let Some(commit) = world.leader().map(|leader| leader.commit_index()) else {
+    simulation.paused = None;
+    simulation.loss_rate = 0.0;
+    simulation.max_delay = 3;
+    simulation.run(SETTLE_MS, |_| {});
+    let Some(commit) = simulation.leader().map(|leader| leader.commit_index()) else {
         return false;
     };
-    world.applied().values().all(|applied| *applied == commit)
+    simulation
+        .applied()
+        .values()
+        .all(|applied| *applied == commit)
 }
 
 quickcheck! {
-    fn members_reach_the_leader_once_the_network_is_calm(seed: u64) -> bool {
-        converges(seed)
+    fn members_converge_after_the_network_recovers(seed: u64) -> bool {
+        members_converge(seed)
     }
 }
--- a/crates/consensus/tests/log.rs
+++ b/crates/consensus/tests/log.rs
@@ -21,7 +21,7 @@
 /// Hundreds of entries of 40 kB in one message keep a slow member busy for longer than an election
 /// timeout, so that it and the leader no longer hear of each other.
 #[test]
-fn a_message_is_bounded_in_bytes_and_carries_one_entry_at_least() {
+fn entries_within_limits_bytes_and_returns_at_least_one_entry() {
     let log = log(&[40_000; 100]);
     assert_eq!(
         indexes(&log.entries_within(1, 512, 256 * 1024)),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn small_entries_are_bounded_in_number() {
+fn entries_within_limits_the_number_of_entries() {
     let log = log(&[10; 100]);
     assert_eq!(log.entries_within(1, 16, 256 * 1024).len(), 16);
 }
--- a/crates/consensus/tests/raft.rs
+++ b/crates/consensus/tests/raft.rs
@@ -23,7 +23,7 @@
 /// Replicas whose messages arrive at once, but for those that are cut off.
 struct Cluster {
     replicas: BTreeMap<ReplicaId, Raft>,
-    cut_off: Vec<ReplicaId>,
+    isolated: Vec<ReplicaId>,
     now: Millis,
 }
 
@@ -40,7 +40,7 @@
         });
         Self {
             replicas: replicas.collect(),
-            cut_off: Vec::new(),
+            isolated: Vec::new(),
             now: 0,
         }
     }
@@ -52,11 +52,11 @@
             for raft in self.replicas.values_mut() {
                 raft.tick(self.now);
             }
-            self.exchange();
+            self.deliver_messages();
         }
     }
 
-    fn exchange(&mut self) {
+    fn deliver_messages(&mut self) {
         for _ in 0..50 {
             let mut messages = Vec::new();
             for raft in self.replicas.values_mut() {
@@ -69,10 +69,10 @@
                 return;
             }
             for message in messages {
-                let is_cut =
-                    self.cut_off.contains(&message.from) || self.cut_off.contains(&message.to);
+                let is_isolated =
+                    self.isolated.contains(&message.from) || self.isolated.contains(&message.to);
                 if let Some(receiver) = self.replicas.get_mut(&message.to)
-                    && !is_cut
+                    && !is_isolated
                 {
                     receiver.receive(message, self.now);
                 }
@@ -119,15 +119,15 @@
 }
 
 #[test]
-fn a_replica_that_was_cut_off_does_not_depose_the_leader() {
+fn a_rejoining_replica_does_not_depose_the_leader() {
     let mut cluster = Cluster::new(3, 0);
     cluster.run(2_000);
     let leader = cluster.leaders()[0];
     let term = cluster.leader().term();
     let outsider = (1..=3).map(ReplicaId).find(|replica| *replica != leader);
-    cluster.cut_off = outsider.into_iter().collect();
+    cluster.isolated = outsider.into_iter().collect();
     cluster.run(5_000);
-    cluster.cut_off.clear();
+    cluster.isolated.clear();
     cluster.run(1_000);
     assert_eq!(cluster.leaders(), [leader]);
     assert_eq!(cluster.leader().term(), term, "pre-votes raise no term");
@@ -138,7 +138,7 @@
     let mut cluster = Cluster::new(3, 0);
     cluster.run(2_000);
     let old = cluster.leaders()[0];
-    cluster.cut_off = vec![old];
+    cluster.isolated = vec![old];
     let before = cluster.replicas[&old].commit_index();
     let proposed = cluster.leader().propose(b"lost".to_vec());
     assert!(proposed.is_ok());
@@ -151,10 +151,10 @@
 }
 
 #[test]
-fn a_learner_votes_only_once_it_has_caught_up() {
+fn a_learner_is_promoted_only_after_catching_up() {
     let mut cluster = Cluster::new(3, 1);
     cluster.run(2_000);
-    cluster.cut_off = vec![ReplicaId(4)];
+    cluster.isolated = vec![ReplicaId(4)];
     for _ in 0..100 {
         cluster.leader().propose(vec![1]).expect("a leader");
     }
@@ -168,7 +168,7 @@
     cluster.run(500);
     let refused = cluster.leader().propose_membership(membership(4));
     assert!(matches!(refused, Err(ProposeError::LearnerBehind { .. })));
-    cluster.cut_off.clear();
+    cluster.isolated.clear();
     cluster.run(500);
     cluster
         .leader()
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_replica_with_another_disk_does_not_vote_as_its_former_self() {
+fn a_replica_with_a_replaced_disk_cannot_vote() {
     let mut cluster = Cluster::new(3, 0);
     cluster.run(2_000);
     let leader = cluster.leaders()[0];
@@ -196,7 +196,7 @@
     let lost = lost.expect("a follower");
     // Back with an empty folder, and the leader is gone: its vote would make a majority.
     cluster.replicas.insert(lost, start(lost.0, 99, None));
-    cluster.cut_off = vec![leader];
+    cluster.isolated = vec![leader];
     cluster.run(10_000);
     let others = cluster.leaders();
     assert!(
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn replicas_that_start_together_elect_before_an_election_timeout() {
+fn the_first_election_finishes_before_the_election_timeout() {
     let mut cluster = Cluster::new(5, 0);
     cluster.run(ELECTION_TIMEOUT - 100);
     assert_eq!(cluster.leaders().len(), 1);
@@ -225,7 +225,7 @@
 
 /// It asks for pre-votes again and again, and deposes nobody.
 #[test]
-fn a_replica_that_starts_out_of_the_leaders_reach_deposes_nobody() {
+fn a_restarted_replica_without_leader_contact_does_not_depose_the_leader() {
     let mut cluster = Cluster::new(5, 0);
     cluster.run(2_000);
     let leader = cluster.leader().replica();
@@ -236,18 +236,18 @@
         .copied()
         .find(|replica| *replica != leader)
         .expect("a follower");
-    cluster.cut_off.push(leader);
+    cluster.isolated.push(leader);
     let fresh = start(restarted.0, u64::from(restarted.0), Some(membership(5)));
     cluster.replicas.insert(restarted, fresh);
     cluster.run(100);
-    cluster.cut_off.clear();
+    cluster.isolated.clear();
     cluster.run(2_000);
     assert_eq!(cluster.leader().replica(), leader);
     assert_eq!(cluster.leader().term(), term);
 }
 
 /// Positions of the entries that messages to one member carry.
-fn entries_to(messages: &[Message], member: ReplicaId) -> Vec<LogIndex> {
+fn appended_indexes(messages: &[Message], member: ReplicaId) -> Vec<LogIndex> {
     let bodies = messages
         .iter()
         .filter(|message| message.to == member)
@@ -263,7 +263,7 @@
 /// A member that is slow to answer would otherwise be sent its whole backlog with each heartbeat,
 /// and each commit brings one: the slower the members, the more there would be to send them.
 #[test]
-fn entries_that_are_on_their_way_are_not_sent_again() {
+fn in_flight_entries_are_not_resent() {
     let mut cluster = Cluster::new(9, 0);
     cluster.run(3_000);
     let leader = cluster.leaders()[0];
@@ -275,21 +275,25 @@
         for command in 0..5 {
             raft.propose(vec![command]).unwrap();
         }
-        raft.hasten_heartbeat(now + step * 10);
+        raft.request_heartbeat(now + step * 10);
         raft.tick(now + step * 10);
         sent.extend(raft.take_ready().messages);
         raft.mark_persisted(raft.log().last_index());
     }
-    let carried = entries_to(&sent, slow);
-    let mut distinct = carried.clone();
+    let sent_indexes = appended_indexes(&sent, slow);
+    let mut distinct = sent_indexes.clone();
     distinct.sort_unstable();
     distinct.dedup();
     assert!(!distinct.is_empty(), "the first append is sent at once");
-    assert_eq!(carried.len(), distinct.len(), "an entry was sent twice");
+    assert_eq!(
+        sent_indexes.len(),
+        distinct.len(),
+        "an entry was sent twice"
+    );
 }
 
 #[test]
-fn heartbeats_are_bounded_however_often_they_are_asked_for() {
+fn requested_heartbeats_are_rate_limited() {
     let mut cluster = Cluster::new(3, 0);
     cluster.run(3_000);
     let leader = cluster.leaders()[0];
@@ -297,7 +301,7 @@
     let raft = cluster.replicas.get_mut(&leader).unwrap();
     let mut messages = 0;
     for millisecond in 0..100 {
-        raft.hasten_heartbeat(now + millisecond);
+        raft.request_heartbeat(now + millisecond);
         raft.tick(now + millisecond);
         messages += raft.take_ready().messages.len();
     }
@@ -307,7 +311,7 @@
 
 /// An append that was lost is noticed as soon as the member answers something sent after it.
 #[test]
-fn a_lost_append_is_sent_again_once_a_later_heartbeat_is_answered() {
+fn a_lost_append_is_resent_after_a_later_heartbeat_is_acknowledged() {
     let mut cluster = Cluster::new(3, 0);
     cluster.run(3_000);
     let leader = cluster.leaders()[0];
@@ -316,7 +320,7 @@
     raft.propose(vec![1]).unwrap();
     // Neither member gets this one.
     let lost = raft.take_ready().messages;
-    assert!(!entries_to(&lost, lost[0].to).is_empty());
+    assert!(!appended_indexes(&lost, lost[0].to).is_empty());
     raft.mark_persisted(raft.log().last_index());
     cluster.run(150);
     assert!(cluster.replicas[&leader].commit_index() > before);
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -21,7 +21,7 @@
             let _ = answer.send(ReadIndexReply::NotLeader { leader });
             return;
         }
-        self.replica.hasten_heartbeat(now);
+        self.replica.request_heartbeat(now);
         self.reads.push(PendingRead {
             asked_at: now,
             index: self.replica.raft().commit_index(),
@@ -34,7 +34,7 @@
             return;
         }
         let leads = self.replica.leads_with_current_state();
-        let confirmed_at = self.replica.raft().confirmed_at();
+        let confirmed_at = self.replica.raft().leadership_confirmed_at();
         let leader = self.leader_address();
         for read in std::mem::take(&mut self.reads) {
             let reply = if !leads {
@@ -98,7 +98,7 @@
         let facts = MemberFacts {
             leader: raft.replica(),
             joins: &joins,
-            silence: &raft.silence(now),
+            silence: &raft.silence_by_member(now),
             silence_limit,
             presence_limit: JOIN_KEPT_MS.min(silence_limit),
             leaving: &leaving,
@@ -122,7 +122,7 @@
         let is_member = own.is_some_and(|member| member.disk == self.replica.identity().disk);
         let leader = self.leader_address();
         let leads = self.replica.leads_with_current_state();
-        let confirmed_at = raft.confirmed_at();
+        let confirmed_at = raft.leadership_confirmed_at();
         self.view.send_if_modified(|view| {
             let same_state = view.serving.changed_at() == serving.changed_at()
                 && view.applied == raft.applied_index()
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -241,8 +241,8 @@
     }
 
     /// Sends a heartbeat at the next tick.
-    pub fn hasten_heartbeat(&mut self, now: Millis) {
-        self.raft.hasten_heartbeat(now);
+    pub fn request_heartbeat(&mut self, now: Millis) {
+        self.raft.request_heartbeat(now);
     }
 
     /// Persists, applies and compacts what the inputs since the last round brought.
