--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Pre-votes, votes and taking the lead.
+//! Leader election: pre-votes, votes and the transition to leader.
 
 use crate::{
     LogIndex, Millis, Term,
@@ -9,7 +9,7 @@
 };
 
 impl Raft {
-    /// Asks whether an election could be won, without raising anyone's term.
+    /// Asks the voters whether this replica could win an election, without raising any term.
     pub(crate) fn start_pre_vote(&mut self, now: Millis) {
         if !self.membership.is_voter(self.options.replica) || !self.matches_member_disk() {
             return;
@@ -147,7 +147,8 @@
         self.votes.len() >= self.membership.quorum()
     }
 
-    /// A leader that is heard from keeps its place: a member that cannot hear it must not depose it.
+    /// Whether this replica leads or heard from the leader within the election timeout. Votes are
+    /// refused meanwhile, so that a member that is cut off from the leader cannot depose it.
     fn has_live_leader(&self, now: Millis) -> bool {
         let contacted_recently = self
             .last_leader_contact
@@ -159,7 +160,8 @@
         (last_term, last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
-    /// A replica whose membership entry names another data folder is not that member any more.
+    /// Whether the membership lists this replica with its present data folder. A replica whose data
+    /// folder was replaced has lost its votes and must not campaign.
     fn matches_member_disk(&self) -> bool {
         !self.options.check_disk_identity
             || self
--- a/crates/consensus/src/errors.rs
+++ b/crates/consensus/src/errors.rs
@@ -1,28 +1,28 @@
-//! Why a proposal was not taken into the log.
+//! Errors of proposals to the log.
 
 use thiserror::Error;
 
 use crate::membership::ReplicaId;
 
-/// A proposal that was refused before it was appended; it has had no effect.
+/// Reason for which a proposal was rejected. A rejected proposal was not appended and has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProposeError {
-    /// Another replica leads, or none is known to.
+    /// Another replica is the leader, or no leader is known.
     #[error("this replica does not lead; the leader it knows of is {leader:?}")]
     NotLeader {
-        /// The leader that this replica last heard from.
+        /// Leader of the current term, if known.
         leader: Option<ReplicaId>,
     },
-    /// A membership change is still uncommitted, or the leader's term has no committed entry yet.
+    /// An earlier membership change is uncommitted, or no entry of the leader's term is committed yet.
     #[error("an earlier membership change is still being committed")]
     ChangePending,
     /// The change would add or remove more than one voter.
     #[error("a membership change may add or remove one voter at a time")]
     TooManyChanges,
-    /// The learner has not caught up with the log.
+    /// The learner lacks too many committed entries to become a voter.
     #[error("the learner lacks {lag} committed entries")]
     LearnerBehind {
-        /// Committed entries that the learner has not acknowledged.
+        /// Number of committed entries that the learner has not acknowledged.
         lag: u64,
     },
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,9 +1,9 @@
-//! Replicated log as a pure state machine.
+//! Raft as a deterministic state machine without I/O.
 //!
-//! The algorithm is Raft with pre-vote, check-quorum, snapshots, learners and single-member
-//! changes (Ongaro, "Consensus: Bridging Theory and Practice", 2014). Nothing here reads a clock,
-//! draws unseeded random numbers or performs I/O: the caller passes the time in, persists what
-//! [`Raft::take_ready`] hands out, and only then sends the messages that came with it.
+//! Implements pre-vote, check-quorum, snapshots, learners and single-server membership changes
+//! (Ongaro, "Consensus: Bridging Theory and Practice", 2014). The caller passes in the time and the
+//! random seed, persists what [`Raft::take_ready`] returns, and sends the returned messages only
+//! after that.
 
 pub mod errors;
 pub mod log;
@@ -23,7 +23,7 @@
 
 /// Milliseconds on the caller's monotonic clock.
 pub type Millis = u64;
-/// An election term.
+/// An election term; grows with every election.
 pub type Term = u64;
-/// A position in the log; the first entry has index 1.
+/// An index in the log; the first entry has index 1.
 pub type LogIndex = u64;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,45 +1,45 @@
-//! The in-memory tail of the log behind the last snapshot.
+//! The in-memory log: the last snapshot and the entries after it.
 
 use speedy::{Readable, Writable};
 
 use crate::{LogIndex, Term, membership::Membership};
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Payload {
-    /// Appended by a new leader, so that earlier terms' entries can commit.
+    /// Appended by a new leader, so that entries of earlier terms can commit.
     Noop,
-    /// A command of the replicated state machine, encoded by its owner.
+    /// A command of the replicated state machine, encoded by the caller.
     Command(Vec<u8>),
-    /// A new membership, in force as soon as it is appended.
+    /// A new membership; takes effect as soon as it is appended.
     Membership(Membership),
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Entry {
-    /// Position.
+    /// Index in the log.
     pub index: LogIndex,
     /// Term of the leader that appended it.
     pub term: Term,
-    /// Content.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
-/// The replicated state up to and including one entry.
+/// The replicated state after applying all entries up to `last_index`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Snapshot {
-    /// Index of the last entry covered.
+    /// Index of the last entry that the snapshot covers.
     pub last_index: LogIndex,
     /// Term of that entry.
     pub last_term: Term,
     /// Membership as of that entry.
     pub membership: Membership,
-    /// The state, encoded by its owner.
+    /// The state, encoded by the caller.
     pub state: Vec<u8>,
 }
 
-/// Entries after the snapshot, contiguous by index.
+/// The last snapshot and the entries after it, with contiguous indexes.
 #[derive(Clone, Debug, Default)]
 pub struct RaftLog {
     snapshot: Snapshot,
@@ -48,7 +48,7 @@
 }
 
 impl RaftLog {
-    /// A log recovered from disk. Entries that the snapshot covers are dropped.
+    /// Builds the log from recovered state. Drops entries that the snapshot covers.
     pub fn new(snapshot: Snapshot, mut entries: Vec<Entry>) -> Self {
         entries.retain(|entry| entry.index > snapshot.last_index);
         let payload_bytes = entries.iter().map(payload_size).sum();
@@ -59,24 +59,24 @@
         }
     }
 
-    /// The snapshot that the log follows.
+    /// The last snapshot.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// Index of the last entry, or of the snapshot if there is none.
+    /// Index of the last entry, or of the snapshot if no entry follows it.
     pub fn last_index(&self) -> LogIndex {
         self.snapshot.last_index + self.entries.len() as u64
     }
 
-    /// Term of the last entry.
+    /// Term of the last entry, or of the snapshot if no entry follows it.
     pub fn last_term(&self) -> Term {
         self.entries
             .last()
             .map_or(self.snapshot.last_term, |entry| entry.term)
     }
 
-    /// Term of the entry at `index`; `None` if it is compacted or not there.
+    /// Term of the entry at `index`; `None` if the entry is compacted or absent.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.last_index {
             return Some(self.snapshot.last_term);
@@ -84,13 +84,13 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// The entry at `index`.
+    /// The entry at `index`; `None` if it is compacted or absent.
     pub fn entry(&self, index: LogIndex) -> Option<&Entry> {
         let offset = index.checked_sub(self.snapshot.last_index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// Up to `max_entries` entries from `index` on.
+    /// Returns up to `max_entries` entries, starting at `index`.
     pub fn entries_from(&self, index: LogIndex, max_entries: usize) -> Vec<Entry> {
         let offset = index.saturating_sub(self.snapshot.last_index + 1) as usize;
         self.entries
@@ -101,8 +101,8 @@
             .collect()
     }
 
-    /// Up to `max_entries` entries from `index` on whose commands have `bytes` together, or the first one if that
-    /// alone has more.
+    /// Returns up to `max_entries` entries, starting at `index`, with at most `max_bytes` of commands.
+    /// The first entry is returned whatever its size.
     pub fn entries_within(
         &self,
         index: LogIndex,
@@ -120,23 +120,23 @@
         entries.take_while(fits).cloned().collect()
     }
 
-    /// Adds an entry that follows the last one.
+    /// Appends an entry; its index must be [`RaftLog::last_index`] + 1.
     pub fn append(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         self.payload_bytes += payload_size(&entry);
         self.entries.push(entry);
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes the entries from `index` on.
     pub fn truncate_from(&mut self, index: LogIndex) {
         let kept_entries = index.saturating_sub(self.snapshot.last_index + 1) as usize;
         self.entries.truncate(kept_entries);
         self.recompute_payload_bytes();
     }
 
-    /// Replaces the entries up to the snapshot's index by the snapshot.
+    /// Replaces the entries up to the snapshot's last index by the snapshot.
     ///
-    /// Later entries survive only if the log agrees with the snapshot at its last index.
+    /// Later entries are kept only if the log has the snapshot's term at that index.
     pub fn install_snapshot(&mut self, snapshot: Snapshot) {
         let matches_snapshot = self.term_at(snapshot.last_index) == Some(snapshot.last_term);
         if matches_snapshot {
@@ -153,7 +153,7 @@
         self.payload_bytes = self.entries.iter().map(payload_size).sum();
     }
 
-    /// The last membership in the log and the index of the entry that holds it.
+    /// Returns the latest membership and the index of its entry, or of the snapshot.
     pub fn membership(&self) -> (Membership, LogIndex) {
         let latest = self
             .entries
@@ -166,7 +166,7 @@
         latest.unwrap_or_else(|| (self.snapshot.membership.clone(), self.snapshot.last_index))
     }
 
-    /// Index of the last entry that satisfies `matches`.
+    /// Index of the last entry in memory that satisfies `matches`.
     pub fn last_index_where(&self, matches: impl Fn(&Entry) -> bool) -> Option<LogIndex> {
         self.entries
             .iter()
@@ -175,12 +175,12 @@
             .map(|entry| entry.index)
     }
 
-    /// Bytes of the commands held in memory.
+    /// Total size of the commands in memory, bytes.
     pub fn payload_bytes(&self) -> usize {
         self.payload_bytes
     }
 
-    /// Entries held in memory.
+    /// Number of entries in memory.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,10 +1,10 @@
-//! Who takes part in the replicated log.
+//! Members of the replicated log.
 
 use std::fmt;
 
 use speedy::{Readable, Writable};
 
-/// A control replica. A replacement always gets an id that was never used before.
+/// Id of a replica. Ids are never reused: a replacement gets a new one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ReplicaId(pub u32);
 
@@ -14,54 +14,55 @@
     }
 }
 
-/// Identity of one data folder, drawn when the folder is made.
+/// Random id of a data folder, assigned when the folder is created.
 ///
-/// A replica that returns with an empty disk has another id, so it cannot vote as its former self.
+/// A replica that restarts with an empty disk gets a new `DiskId`. Messages that name the old one
+/// are dropped, so the replica cannot vote again in a term in which its lost disk recorded a vote.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct DiskId(pub u64);
 
 /// One member of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Member {
-    /// The replica.
+    /// Id of the replica.
     pub replica: ReplicaId,
     /// The data folder that holds its votes and entries.
     pub disk: DiskId,
-    /// `ip:port` of its internal interface.
+    /// `ip:port` of the replica's internal interface.
     pub address: String,
-    /// Whether it votes and counts for quorums; a learner only receives entries.
+    /// Whether the member votes and counts towards quorums; a learner only receives entries.
     pub voter: bool,
 }
 
-/// The set of members in force from the log entry that holds it.
+/// The set of members. Takes effect as soon as its entry is appended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Membership {
-    /// All members, voters and learners.
+    /// Voters and learners.
     pub members: Vec<Member>,
 }
 
 impl Membership {
-    /// The member with this id.
+    /// Returns the member with this id.
     pub fn member(&self, replica: ReplicaId) -> Option<&Member> {
         self.members.iter().find(|member| member.replica == replica)
     }
 
-    /// The voters.
+    /// Iterates over the voters.
     pub fn voters(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|member| member.voter)
     }
 
-    /// Whether the replica votes.
+    /// Whether the replica is a member that votes.
     pub fn is_voter(&self, replica: ReplicaId) -> bool {
         self.member(replica).is_some_and(|member| member.voter)
     }
 
-    /// Votes needed for a majority.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// Voters present in exactly one of the two memberships, compared by replica and disk.
+    /// Number of voters that are in exactly one of the two memberships, compared by replica and disk.
     pub fn voter_difference(&self, other: &Self) -> usize {
         let absent_from = |member: &&Member, set: &Self| {
             !set.voters()
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas.
+//! Messages between the replicas of the log.
 
 use speedy::{Readable, Writable};
 
@@ -8,77 +8,77 @@
     membership::{DiskId, ReplicaId},
 };
 
-/// One message. It may be lost, delayed, repeated or overtaken.
+/// A message between replicas. Messages may be lost, delayed, duplicated and reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Message {
-    /// Sender.
+    /// Id of the sender.
     pub from: ReplicaId,
-    /// The sender's data folder.
+    /// Id of the sender's data folder.
     pub from_disk: DiskId,
-    /// Receiver.
+    /// Id of the receiver.
     pub to: ReplicaId,
-    /// The data folder that the sender believes the receiver has.
+    /// Id of the receiver's data folder, as the sender knows it.
     pub to_disk: DiskId,
-    /// The sender's term; in a pre-vote, the term it would campaign in.
+    /// The sender's term; in a pre-vote, the term in which the sender would campaign.
     pub term: Term,
-    /// What is asked or answered.
+    /// Request or reply.
     pub body: Body,
 }
 
-/// The kinds of message.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Body {
-    /// Would you vote for me? Changes no state.
+    /// Asks whether the receiver would vote for the sender. Changes no state of the receiver.
     PreVote {
         /// Index of the sender's last entry.
         last_index: LogIndex,
         /// Term of the sender's last entry.
         last_term: Term,
     },
-    /// Answer to a pre-vote.
+    /// Reply to [`Body::PreVote`].
     PreVoteReply {
-        /// Whether the vote would be given.
+        /// Whether the receiver would grant its vote.
         granted: bool,
     },
-    /// Vote for me in this term.
+    /// Requests a vote in the sender's term.
     Vote {
         /// Index of the sender's last entry.
         last_index: LogIndex,
         /// Term of the sender's last entry.
         last_term: Term,
     },
-    /// Answer to a vote.
+    /// Reply to [`Body::Vote`].
     VoteReply {
-        /// Whether the vote was given, and synced before this was sent.
+        /// Whether the vote was granted. A granted vote is synced before the reply is sent.
         granted: bool,
     },
-    /// Entries that follow `previous_index`; empty as a heartbeat.
+    /// Entries that follow `previous_index`; without entries, a heartbeat.
     Append {
-        /// Index just before the entries.
+        /// Index of the entry before `entries`.
         previous_index: LogIndex,
         /// Term of the entry at `previous_index`.
         previous_term: Term,
-        /// The entries, in order.
+        /// Entries to append, in order.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: LogIndex,
-        /// The leader's clock when this was made, milliseconds; echoed in the answer.
+        /// The leader's clock at sending, milliseconds; echoed in the reply.
         sent_at: Millis,
     },
-    /// Answer to an append or a snapshot.
+    /// Reply to [`Body::Append`] and [`Body::InstallSnapshot`].
     AppendReply {
-        /// Whether the entries match the receiver's log and are synced.
+        /// Whether the receiver's log contains the entries and has synced them.
         success: bool,
-        /// On success the last matching index; otherwise where to try again.
+        /// On success, the last matching index; otherwise, the `previous_index` to retry with.
         index: LogIndex,
-        /// The `sent_at` of the message that this answers.
+        /// `sent_at` of the message that this replies to.
         sent_at: Millis,
     },
-    /// The whole state, for a member that is further behind than the log reaches.
+    /// The whole state, for a member that needs entries that the leader has compacted.
     InstallSnapshot {
-        /// The state.
+        /// The snapshot to install.
         snapshot: Snapshot,
-        /// The leader's clock when this was made, milliseconds; echoed in the answer.
+        /// The leader's clock at sending, milliseconds; echoed in the reply.
         sent_at: Millis,
     },
 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,36 +1,36 @@
-//! What a leader knows of each other member.
+//! Replication progress of each member, as tracked by the leader.
 
 use crate::{LogIndex, Millis};
 
-/// Something sent to a member whose answer is not there yet.
+/// An append or snapshot that a member has not acknowledged yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InflightAppend {
-    /// Last position that the answer would confirm.
+    /// Index of the last entry that the reply acknowledges.
     pub through_index: LogIndex,
-    /// When it was sent.
+    /// Time of sending.
     pub sent_at: Millis,
 }
 
 /// Replication progress of one member.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// Next entry to send.
+    /// Index of the next entry to send.
     pub next_index: LogIndex,
-    /// Last entry known to be synced there.
+    /// Index of the last entry that the member is known to have synced.
     pub match_index: LogIndex,
-    /// Entries or a snapshot that were sent and not answered yet. Meanwhile heartbeats carry
-    /// nothing, so that a slow member is not sent its backlog again and again.
+    /// Append or snapshot that is not acknowledged yet. Meanwhile heartbeats carry no entries, so that
+    /// a slow member is not sent its backlog repeatedly.
     pub inflight: Option<InflightAppend>,
-    /// When the member last answered.
+    /// Time of the member's last reply.
     pub last_reply_at: Millis,
-    /// Latest moment at which something that the member has answered in this term was sent.
+    /// Latest `sent_at` that the member has echoed in this term.
     pub acked_sent_at: Option<Millis>,
-    /// When a snapshot was last sent; it is not sent again at every heartbeat.
+    /// Time at which a snapshot was last sent; limits how often it is resent.
     pub snapshot_sent_at: Option<Millis>,
 }
 
 impl Progress {
-    /// Progress of a member of which nothing is known yet.
+    /// Initial progress of a member whose log is not known yet.
     pub fn new(next_index: LogIndex, now: Millis) -> Self {
         Self {
             next_index,
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -1,4 +1,4 @@
-//! One replica's state, its timers and its outputs.
+//! The Raft state of one replica: inputs, timers and outputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,83 +15,85 @@
     progress::Progress,
 };
 
-/// Entries that a learner may lack when it is made a voter.
+/// Committed entries that a learner may lack when it is promoted to voter.
 const LEARNER_LAG_LIMIT: u64 = 64;
-/// A heartbeat that is asked for comes at the earliest this part of an interval after the last.
+/// The shortest time between a heartbeat and a requested one is the heartbeat interval divided by
+/// this.
 const HEARTBEAT_GAP_DIVISOR: Millis = 2;
 
-/// Timing and identity of a replica.
+/// Identity, timing and limits of a replica.
 #[derive(Clone, Debug)]
 pub struct RaftOptions {
-    /// This replica.
+    /// Id of this replica.
     pub replica: ReplicaId,
-    /// This replica's data folder.
+    /// Id of this replica's data folder.
     pub disk: DiskId,
-    /// Shortest election timeout, milliseconds; the longest is twice that.
+    /// Shortest election timeout, milliseconds; the actual timeout is drawn from one to two times this.
     pub election_timeout: Millis,
-    /// Time between heartbeats, milliseconds; well below `election_timeout`.
+    /// Time between heartbeats, milliseconds; must be well below `election_timeout`.
     pub heartbeat_interval: Millis,
-    /// Entries in one append message.
+    /// Maximum number of entries in one append message.
     pub append_limit: usize,
-    /// Bytes of commands in one append message; the first entry goes whatever its size.
+    /// Maximum size of the commands in one append message, bytes; the first entry may exceed it.
     pub append_bytes: usize,
-    /// Seed of the election timeouts.
+    /// Seed of the random election timeouts.
     pub seed: u64,
-    /// Whether messages of or for another data folder are dropped. Only the simulator's
-    /// deliberately broken build sets this to false.
+    /// Whether to drop messages from or to another data folder than the known one. Set to false only
+    /// in simulations that check that the fault is found.
     pub check_disk_identity: bool,
 }
 
-/// The part of a replica's state that must be synced before it is acted on.
+/// Term and vote; must be synced before any message that depends on them is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct HardState {
-    /// Latest term seen.
+    /// Current term.
     pub term: Term,
-    /// Vote given in that term.
+    /// Candidate that received this replica's vote in that term.
     pub voted_for: Option<ReplicaId>,
 }
 
-/// What a restart finds on disk.
+/// State recovered from disk at start.
 #[derive(Clone, Debug, Default)]
 pub struct Recovered {
-    /// Term and vote.
+    /// Last persisted term and vote.
     pub hard_state: HardState,
-    /// Last snapshot.
+    /// Last snapshot; the default one if none was written.
     pub snapshot: Snapshot,
-    /// Entries after it.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// What a replica is doing.
+/// Role of a replica in the current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes entries from a leader, or waits for one.
+    /// Accepts entries from the leader, or waits for one.
     Follower,
-    /// Asks whether it could win before it disturbs anyone.
+    /// Collects pre-votes before it raises its term.
     PreCandidate,
-    /// Asks for votes.
+    /// Collects votes.
     Candidate,
-    /// Appends entries and replicates them.
+    /// Appends proposals and replicates them.
     Leader,
 }
 
-/// Work for the caller, in this order: persist and sync, then send, then apply.
+/// Output for the caller, which must persist and sync it, then send the messages, then apply the
+/// committed entries.
 #[derive(Clone, Debug, Default)]
 pub struct Ready {
-    /// New term or vote.
+    /// Term and vote to persist, if they changed.
     pub hard_state: Option<HardState>,
-    /// A snapshot received from the leader; it replaces all state before it.
+    /// Snapshot received from the leader; replaces the state and the entries that it covers.
     pub snapshot: Option<Snapshot>,
-    /// Entries from this index on are void.
+    /// Index from which on persisted entries must be removed, before `entries` are appended.
     pub truncate_from: Option<LogIndex>,
     /// Entries to append.
     pub entries: Vec<Entry>,
-    /// Messages that may be sent only once everything above is synced.
+    /// Messages to send, only after everything above is synced.
     pub messages: Vec<Message>,
 }
 
 impl Ready {
-    /// Whether something must be synced before the messages may go out.
+    /// Whether anything must be synced before the messages are sent.
     pub fn must_sync(&self) -> bool {
         self.hard_state.is_some()
             || self.snapshot.is_some()
@@ -99,7 +101,7 @@
             || !self.entries.is_empty()
     }
 
-    /// Whether there is nothing to do.
+    /// Whether there is nothing to persist and nothing to send.
     pub fn is_empty(&self) -> bool {
         !self.must_sync() && self.messages.is_empty()
     }
@@ -123,16 +125,16 @@
     pub(crate) election_deadline: Millis,
     pub(crate) last_leader_contact: Option<Millis>,
     pub(crate) next_heartbeat: Millis,
-    /// When the last heartbeat was sent while leading.
+    /// Time at which this replica last sent heartbeats as leader.
     pub(crate) last_heartbeat: Millis,
-    /// Time of the last input; never later than the present.
+    /// Time of the last input, as passed by the caller.
     pub(crate) now: Millis,
     pub(crate) ready: Ready,
     rng: ChaCha8Rng,
 }
 
 impl Raft {
-    /// A replica as it starts, from what its disk holds.
+    /// Creates a follower from recovered state.
     pub fn new(options: RaftOptions, recovered: Recovered, now: Millis) -> Self {
         let log = RaftLog::new(recovered.snapshot, recovered.entries);
         let (membership, membership_index) = log.membership();
@@ -164,12 +166,12 @@
         raft
     }
 
-    /// This replica's id.
+    /// Id of this replica.
     pub fn replica(&self) -> ReplicaId {
         self.options.replica
     }
 
-    /// What this replica is doing.
+    /// Role of this replica.
     pub fn role(&self) -> Role {
         self.role
     }
@@ -179,41 +181,41 @@
         self.hard_state.term
     }
 
-    /// The leader this replica follows, itself included.
+    /// The leader of the current term, which may be this replica; `None` if unknown.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// Index up to which entries are committed.
+    /// Index of the last committed entry.
     pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
-    /// Index up to which entries were handed out by [`Raft::take_committed`].
+    /// Index of the last entry returned by [`Raft::take_committed`].
     pub fn applied_index(&self) -> LogIndex {
         self.applied
     }
 
-    /// The log.
+    /// The in-memory log.
     pub fn log(&self) -> &RaftLog {
         &self.log
     }
 
-    /// The membership in force.
+    /// The latest membership in the log, committed or not.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Position of the entry that holds the membership in force.
+    /// Index of the entry that holds the latest membership.
     pub fn membership_index(&self) -> LogIndex {
         self.membership_index
     }
 
-    /// Latest moment at which this replica is known to have led: a majority of the voters has
-    /// answered, in this term, messages that were sent then or later. `None` if it does not lead
-    /// or nothing was confirmed yet.
+    /// Latest time at which this replica is known to have been the leader: a majority of the voters has
+    /// acknowledged, in this term, messages sent at that time or later. `None` if this replica is not
+    /// the leader or no majority has acknowledged anything yet.
     ///
-    /// Every entry that any leader had committed before that moment is in this replica's log.
+    /// Every entry that any leader committed before that time is in this replica's log.
     pub fn leadership_confirmed_at(&self) -> Option<Millis> {
         if self.role != Role::Leader {
             return None;
@@ -230,7 +232,7 @@
             .flatten()
     }
 
-    /// Time since each other member last answered this leader, milliseconds; empty elsewhere.
+    /// Time since the last reply of each other member, milliseconds; empty unless this replica leads.
     pub fn silence_by_member(&self, now: Millis) -> BTreeMap<ReplicaId, Millis> {
         self.progress
             .iter()
@@ -238,9 +240,9 @@
             .collect()
     }
 
-    /// Sends a heartbeat soon, so that [`Raft::confirmed_at`] moves on: at the next tick, or half
-    /// an interval after the last one. Each costs a message to every member and an answer, however
-    /// many commits and readers ask for one.
+    /// Schedules a heartbeat ahead of the interval, so that followers learn the commit index and
+    /// [`Raft::leadership_confirmed_at`] advances. Requests are coalesced: heartbeats are at least half
+    /// an interval apart.
     pub fn request_heartbeat(&mut self, now: Millis) {
         let earliest =
             self.last_heartbeat + self.options.heartbeat_interval / HEARTBEAT_GAP_DIVISOR;
@@ -254,7 +256,7 @@
         self.progress.get(&replica)?.acked_sent_at
     }
 
-    /// Lets timers fire.
+    /// Advances the clock to `now` and fires the election and heartbeat timers that are due.
     pub fn tick(&mut self, now: Millis) {
         self.now = now;
         if self.role == Role::Leader {
@@ -265,7 +267,7 @@
         }
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica.
     pub fn receive(&mut self, message: Message, now: Millis) {
         self.now = now;
         if !self.has_known_identity(&message) {
@@ -303,16 +305,17 @@
         }
     }
 
-    /// Appends a command; it counts only once it is handed out by [`Raft::take_committed`].
+    /// Appends a command and returns its index. The command has no effect until
+    /// [`Raft::take_committed`] returns its entry.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<LogIndex, ProposeError> {
         self.require_leadership()?;
         Ok(self.append_as_leader(Payload::Command(command)))
     }
 
-    /// Appends a new membership.
+    /// Appends a new membership and returns its index.
     ///
-    /// Only one voter may change at a time and only after the last change committed, so that any
-    /// majority of the old membership shares a voter with any majority of the new one.
+    /// Only one voter may change at a time, and only after the previous change is committed, so that
+    /// every majority of the old membership shares a voter with every majority of the new one.
     pub fn propose_membership(&mut self, next: Membership) -> Result<LogIndex, ProposeError> {
         self.require_leadership()?;
         let current_term_committed = self.log.term_at(self.commit) == Some(self.hard_state.term);
@@ -326,7 +329,7 @@
         Ok(self.append_as_leader(Payload::Membership(next)))
     }
 
-    /// Hands out what must be persisted and sent. See [`Ready`] for the order.
+    /// Returns what must be persisted and sent since the last call. See [`Ready`] for the order.
     pub fn take_ready(&mut self) -> Ready {
         if self.role == Role::Leader {
             self.replicate_to_idle_members();
@@ -334,7 +337,7 @@
         std::mem::take(&mut self.ready)
     }
 
-    /// Tells that the content of the last [`Ready`] is synced up to `index`.
+    /// Records that the log is synced up to `index`; a leader may then commit more entries.
     pub fn mark_persisted(&mut self, index: LogIndex) {
         self.persisted = index.min(self.log.last_index());
         if self.role == Role::Leader {
@@ -342,7 +345,7 @@
         }
     }
 
-    /// Hands out entries that are committed and were not handed out before.
+    /// Returns the committed entries that earlier calls did not return.
     pub fn take_committed(&mut self) -> Vec<Entry> {
         let count = self.commit.saturating_sub(self.applied) as usize;
         let entries = self.log.entries_from(self.applied + 1, count);
@@ -350,7 +353,8 @@
         entries
     }
 
-    /// Replaces the log up to `index`, which must be applied, by the state at that point.
+    /// Replaces the entries up to `index` by a snapshot of `state`. Returns `None` if `index` is not
+    /// applied yet or is compacted already.
     pub fn compact(&mut self, index: LogIndex, state: Vec<u8>) -> Option<Snapshot> {
         if index > self.applied || index <= self.log.snapshot().last_index {
             return None;
@@ -401,8 +405,8 @@
         Ok(())
     }
 
-    /// Messages that name another data folder are void: the votes and entries that their sender
-    /// relies on were synced to a disk that is gone.
+    /// Whether a message is addressed to this replica and both data folders are the known ones. A
+    /// message that names another data folder relies on votes or entries that were lost with a disk.
     fn has_known_identity(&self, message: &Message) -> bool {
         if message.to != self.options.replica {
             return false;
@@ -417,8 +421,9 @@
         message.to_disk == self.options.disk && from_known_disk
     }
 
-    /// Pre-votes carry a term that nobody has entered yet, and a vote asked for while the leader
-    /// is alive must not raise the term.
+    /// Whether a message with a higher term makes this replica enter that term. Pre-votes carry the
+    /// term of an election that has not started, and a vote request must not raise the term while
+    /// the leader is alive, which [`Raft::handle_vote`] checks.
     fn must_adopt_term(&self, message: &Message) -> bool {
         match message.body {
             Body::PreVote { .. } | Body::Vote { .. } => false,
@@ -456,10 +461,10 @@
         self.rng.random_range(0..range)
     }
 
-    /// When this replica asks for a pre-vote next. One that has heard of no leader since it started
-    /// does not wait for an election timeout first: a pre-vote raises no term and is refused while a
-    /// leader lives, so it disturbs nobody. Replicas that start together are spread as widely as in
-    /// any election, or they would split their votes.
+    /// Sets the time of the next pre-vote. A replica that has not heard from a leader since its start
+    /// skips the election timeout: a pre-vote raises no term and is refused while a leader is alive, so
+    /// it cannot disturb the group. The random part stays as wide as that of an election timeout,
+    /// because replicas that start together would split their votes otherwise.
     pub(crate) fn reset_pre_vote_deadline(&mut self, now: Millis) {
         if self.last_leader_contact.is_some() {
             self.reset_election_deadline(now);
@@ -488,7 +493,7 @@
         self.send(message.from, message.from_disk, term, body);
     }
 
-    /// The other members with the data folders they are known by.
+    /// The other members and the ids of their data folders.
     pub(crate) fn peers(&self) -> Vec<(ReplicaId, DiskId)> {
         self.membership
             .members
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! Appending, replicating and committing entries.
+//! Log replication: appending, sending, acknowledging and committing entries.
 
 use crate::{
     LogIndex, Millis,
@@ -12,7 +12,7 @@
 impl Raft {
     pub(crate) fn tick_leader(&mut self, now: Millis) {
         if !self.has_quorum_contact(now) {
-            // Check-quorum: a leader cut off from the majority must not go on answering as one.
+            // Check-quorum: a leader that lost contact with the majority steps down.
             self.become_follower(self.hard_state.term, None, now);
             return;
         }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes entries or a snapshot from the leader of this term.
+    /// Handles entries or a snapshot from the leader; rejects messages of an earlier term.
     pub(crate) fn handle_leader_message(&mut self, message: Message, now: Millis) {
         let sent_at = match &message.body {
             Body::Append { sent_at, .. } | Body::InstallSnapshot { sent_at, .. } => *sent_at,
@@ -127,7 +127,7 @@
         self.append_entry(entry.clone());
     }
 
-    /// Skips the conflicting term in one step instead of one entry at a time.
+    /// Index to retry with after a mismatch. Skips all entries of the conflicting term at once.
     fn retry_index(&self, previous_index: LogIndex) -> LogIndex {
         let Some(conflicting_term) = self.log.term_at(previous_index) else {
             return self.log.last_index().min(previous_index.saturating_sub(1));
@@ -172,8 +172,8 @@
         };
         progress.last_reply_at = now;
         if success {
-            // Messages to a member arrive in order: if it answers something later and lacks what was
-            // sent before, that was lost.
+            // Messages to a member are delivered in order. A reply to a later message that does not
+            // cover the append in flight shows that the append was lost.
             let is_answered = progress.inflight.is_some_and(|inflight| {
                 index >= inflight.through_index || sent_at > inflight.sent_at
             });
@@ -186,8 +186,8 @@
         } else {
             let retry_from =
                 (index + 1).clamp(progress.match_index + 1, progress.next_index.max(1));
-            // A member that refuses the same place again, as one that lost synced entries does,
-            // is sent nothing until what was sent there is out of date.
+            // If a member rejects the same index again, as one that lost synced entries does, the
+            // append stays in flight, so that nothing is resent before it times out.
             if retry_from != progress.next_index {
                 progress.inflight = None;
             }
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Notes that a member still followed this leader after `sent_at`.
+    /// Records that the member still followed this leader at `sent_at`.
     pub(crate) fn record_ack(&mut self, from: ReplicaId, term: u64, sent_at: Millis) {
         if self.role != Role::Leader || term != self.hard_state.term {
             return;
@@ -205,7 +205,8 @@
         }
     }
 
-    /// Commits what a majority of voters has synced, if it is of this term.
+    /// Advances the commit index to the last entry that a majority of voters has synced, provided
+    /// that the entry is of the current term.
     pub(crate) fn advance_commit(&mut self) {
         let mut synced_indexes: Vec<LogIndex> = self
             .membership
@@ -219,7 +220,7 @@
         let is_current_term = self.log.term_at(candidate) == Some(self.hard_state.term);
         if candidate > self.commit && is_current_term {
             self.commit = candidate;
-            // Followers should apply it now and not at the next heartbeat.
+            // Propagates the commit index without waiting for the regular heartbeat.
             self.request_heartbeat(self.now);
             self.step_down_if_removed();
         }
@@ -250,9 +251,9 @@
         let Some(progress) = self.progress.get_mut(&replica) else {
             return;
         };
-        // A member that does not answer is only asked where it stands: entries and snapshots sent
-        // to it again and again would fill the queue to a machine that is away. One that has not
-        // answered the last ones yet is sent no more.
+        // An unresponsive member gets an empty append as a probe: entries and snapshots would only
+        // fill the queue to a machine that is down. A member with an append or snapshot in flight
+        // also gets a probe only.
         let is_unresponsive = now >= progress.last_reply_at + timeout;
         let inflight = progress
             .inflight
@@ -296,8 +297,8 @@
         self.send(replica, disk, self.hard_state.term, body);
     }
 
-    /// Notes what a member is to answer before it is sent more. A heartbeat while an answer is
-    /// awaited changes nothing.
+    /// Records the append or snapshot that the member must acknowledge before it is sent more
+    /// entries. Heartbeats do not replace an append in flight.
     fn track_inflight(&mut self, replica: ReplicaId, body: &Body) {
         let last_index = self.log.last_index();
         let through_index = match body {
@@ -344,7 +345,7 @@
         self.refresh_membership();
     }
 
-    /// Follows a membership change: new members are replicated to, removed ones are forgotten.
+    /// Starts tracking members that were added and drops the progress of removed ones.
     fn update_tracked_members(&mut self) {
         let next = self.log.last_index();
         let peers = self.peers();
--- a/crates/consensus/tests/convergence.rs
+++ b/crates/consensus/tests/convergence.rs
@@ -1,5 +1,4 @@
-//! Members that are slow, silent for a while, or lose messages reach the leader's state soon after
-//! the network is calm again.
+//! Checks that all members converge to the leader's state after message loss, delays and pauses.
 
 mod support;
 
@@ -14,10 +13,10 @@
 use rand_chacha::ChaCha8Rng;
 use support::member;
 
-/// More than the commands of these tests have together.
+/// Larger than all commands of a test together, so that the limit on bytes has no effect.
 const APPEND_BYTES: usize = 1024 * 1024;
 const MEMBERS: u32 = 5;
-/// Time after the last disturbance in which every member must have applied everything: an election,
+/// Time after the last fault within which every member must have applied all entries: an election
 /// and a few heartbeats.
 const SETTLE_MS: Millis = 4_000;
 const STEP_MS: Millis = 5;
@@ -52,16 +51,16 @@
     Raft::new(options, recovered, 0)
 }
 
-/// Replicas behind links that deliver in order, late, or not at all.
+/// Replicas connected by links that deliver in order but delay and lose messages.
 struct Simulation {
     replicas: BTreeMap<ReplicaId, Raft>,
     links: BTreeMap<(ReplicaId, ReplicaId), VecDeque<(Millis, Message)>>,
     rng: ChaCha8Rng,
     now: Millis,
-    /// Chance that a message is lost, and the longest delay.
+    /// Probability that a message is lost.
     loss_rate: f64,
     max_delay: Millis,
-    /// A replica that takes and sends nothing.
+    /// A replica that neither receives nor sends messages.
     paused: Option<ReplicaId>,
 }
 
@@ -142,7 +141,7 @@
         leading.max_by_key(|raft| raft.term())
     }
 
-    /// Makes the next replica that is no member yet a learner, or a learner a voter.
+    /// Promotes a learner, or adds the next replica as a learner.
     fn add_next_member(&mut self) {
         let Some(leader) = self.leader() else {
             return;
@@ -158,7 +157,7 @@
         let next_member = (1..=MEMBERS).find(|number| next.member(ReplicaId(*number)).is_none());
         if let Some(number) = next_member {
             next.members.push(member(number, false));
-            // A change that is under way puts this one off to the next step.
+            // Rejected while another change is uncommitted; retried at the next step.
             let _ = leader.propose_membership(next);
         }
     }
@@ -197,7 +196,7 @@
         if simulation.now.is_multiple_of(20)
             && let Some(leader) = simulation.leader()
         {
-            // Refused by a leader that has just been deposed.
+            // Fails if the leader has just been deposed.
             let _ = leader.propose(vec![1, 2, 3]);
         }
     });
--- a/crates/consensus/tests/log.rs
+++ b/crates/consensus/tests/log.rs
@@ -1,4 +1,4 @@
-//! The in-memory log.
+//! Limits on the entries of one append message.
 
 use railtack_consensus::{Entry, Payload, RaftLog, Snapshot};
 
@@ -18,8 +18,7 @@
     entries.iter().map(|entry| entry.index).collect()
 }
 
-/// Hundreds of entries of 40 kB in one message keep a slow member busy for longer than an election
-/// timeout, so that it and the leader no longer hear of each other.
+/// Guards against messages that take a slow member longer to process than an election timeout.
 #[test]
 fn entries_within_limits_bytes_and_returns_at_least_one_entry() {
     let log = log(&[40_000; 100]);
@@ -30,7 +29,7 @@
     assert_eq!(indexes(&log.entries_within(90, 512, 10)), [90]);
     assert_eq!(indexes(&log.entries_within(100, 512, 256 * 1024)), [100]);
     assert_eq!(log.entries_within(101, 512, 256 * 1024), []);
-    // A member that is only asked where it stands is sent nothing.
+    // A probe carries no entries.
     assert_eq!(log.entries_within(1, 0, 256 * 1024), []);
 }
 
--- a/crates/consensus/tests/raft.rs
+++ b/crates/consensus/tests/raft.rs
@@ -1,4 +1,4 @@
-//! The replicated log by itself: elections, quorums, members and disk identities.
+//! Elections, quorums, membership changes and disk identities of the replicated log.
 
 mod support;
 
@@ -10,7 +10,7 @@
 };
 use support::member;
 
-/// More than the commands of these tests have together.
+/// Larger than all commands of a test together, so that the limit on bytes has no effect.
 const APPEND_BYTES: usize = 1024 * 1024;
 const ELECTION_TIMEOUT: Millis = 300;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Replicas whose messages arrive at once, but for those that are cut off.
+/// Replicas with instant message delivery, except to and from isolated ones.
 struct Cluster {
     replicas: BTreeMap<ReplicaId, Raft>,
     isolated: Vec<ReplicaId>,
@@ -194,7 +194,8 @@
     let leader = cluster.leaders()[0];
     let lost = (1..=3).map(ReplicaId).find(|replica| *replica != leader);
     let lost = lost.expect("a follower");
-    // Back with an empty folder, and the leader is gone: its vote would make a majority.
+    // The replica restarts with an empty folder while the leader is isolated. Its vote would
+    // complete a majority.
     cluster.replicas.insert(lost, start(lost.0, 99, None));
     cluster.isolated = vec![leader];
     cluster.run(10_000);
@@ -223,7 +224,7 @@
     assert_eq!(cluster.leaders().len(), 1);
 }
 
-/// It asks for pre-votes again and again, and deposes nobody.
+/// A restarted replica repeats pre-votes without waiting for an election timeout.
 #[test]
 fn a_restarted_replica_without_leader_contact_does_not_depose_the_leader() {
     let mut cluster = Cluster::new(5, 0);
@@ -246,7 +247,7 @@
     assert_eq!(cluster.leader().term(), term);
 }
 
-/// Positions of the entries that messages to one member carry.
+/// Indexes of the entries in the messages to one member.
 fn appended_indexes(messages: &[Message], member: ReplicaId) -> Vec<LogIndex> {
     let bodies = messages
         .iter()
@@ -260,8 +261,7 @@
         .collect()
 }
 
-/// A member that is slow to answer would otherwise be sent its whole backlog with each heartbeat,
-/// and each commit brings one: the slower the members, the more there would be to send them.
+/// Guards against sending a slow member its whole backlog with every heartbeat.
 #[test]
 fn in_flight_entries_are_not_resent() {
     let mut cluster = Cluster::new(9, 0);
@@ -305,11 +305,11 @@
         raft.tick(now + millisecond);
         messages += raft.take_ready().messages.len();
     }
-    // Two members; a heartbeat each 50 ms and each 25 ms if it is asked for.
+    // Two members; a heartbeat every 50 ms, every 25 ms if requested.
     assert!(messages <= 2 * 6, "{messages} messages in 100 ms");
 }
 
-/// An append that was lost is noticed as soon as the member answers something sent after it.
+/// A reply to a message that was sent after the append shows that the append was lost.
 #[test]
 fn a_lost_append_is_resent_after_a_later_heartbeat_is_acknowledged() {
     let mut cluster = Cluster::new(3, 0);
@@ -318,7 +318,7 @@
     let before = cluster.replicas[&leader].commit_index();
     let raft = cluster.replicas.get_mut(&leader).unwrap();
     raft.propose(vec![1]).unwrap();
-    // Neither member gets this one.
+    // The messages of this append are dropped.
     let lost = raft.take_ready().messages;
     assert!(!appended_indexes(&lost, lost[0].to).is_empty());
     raft.mark_persisted(raft.log().last_index());
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests of the replicated log share.
+//! Helpers shared by the tests of the replicated log.
 
 use railtack_consensus::{DiskId, Member, ReplicaId};
 
-/// A member whose data folder has the replica's number.
+/// A member whose disk id equals its replica number.
 pub fn member(number: u32, voter: bool) -> Member {
     Member {
         replica: ReplicaId(number),
