--- a/crates/consensus/src/errors.rs
+++ b/crates/consensus/src/errors.rs
@@ -8,19 +8,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProposeError {
     /// Another replica is the leader, or no leader is known.
-    #[error("this replica does not lead; the leader it knows of is {leader:?}")]
+    #[error("this replica is not the leader; known leader: {leader:?}")]
     NotLeader {
         /// Leader of the current term, if known.
         leader: Option<ReplicaId>,
     },
     /// An earlier membership change is uncommitted, or no entry of the leader's term is committed yet.
-    #[error("an earlier membership change is still being committed")]
+    #[error(
+        "an earlier membership change is not committed yet, or the leader has committed nothing in its term"
+    )]
     ChangePending,
     /// The change would add or remove more than one voter.
     #[error("a membership change may add or remove one voter at a time")]
     TooManyChanges,
     /// The learner lacks too many committed entries to become a voter.
-    #[error("the learner lacks {lag} committed entries")]
+    #[error("the learner is {lag} committed entries behind")]
     LearnerBehind {
         /// Number of committed entries that the learner has not acknowledged.
         lag: u64,
--- a/crates/consensus/tests/convergence.rs
+++ b/crates/consensus/tests/convergence.rs
@@ -181,7 +181,7 @@
         raft.mark_persisted(raft.log().last_index());
         sent.extend(ready.messages);
     }
-    panic!("a round does not come to an end");
+    panic!("the replica still has output after 100 iterations");
 }
 
 fn members_converge(seed: u64) -> bool {
--- a/crates/consensus/tests/raft.rs
+++ b/crates/consensus/tests/raft.rs
@@ -91,7 +91,9 @@
     fn leader(&mut self) -> &mut Raft {
         let leaders = self.leaders();
         assert_eq!(leaders.len(), 1, "one leader");
-        self.replicas.get_mut(&leaders[0]).expect("the leader")
+        self.replicas
+            .get_mut(&leaders[0])
+            .expect("the leader is in the cluster")
     }
 }
 
@@ -156,7 +158,10 @@
     cluster.run(2_000);
     cluster.isolated = vec![ReplicaId(4)];
     for _ in 0..100 {
-        cluster.leader().propose(vec![1]).expect("a leader");
+        cluster
+            .leader()
+            .propose(vec![1])
+            .expect("the leader accepts proposals");
     }
     cluster.run(500);
     let mut with_learner = membership(3);
@@ -164,7 +169,7 @@
     cluster
         .leader()
         .propose_membership(with_learner)
-        .expect("a learner may be added");
+        .expect("adding a learner is allowed");
     cluster.run(500);
     let refused = cluster.leader().propose_membership(membership(4));
     assert!(matches!(refused, Err(ProposeError::LearnerBehind { .. })));
@@ -173,7 +178,7 @@
     cluster
         .leader()
         .propose_membership(membership(4))
-        .expect("it has caught up");
+        .expect("the learner has caught up");
     cluster.run(500);
     let known = cluster.replicas[&ReplicaId(4)].membership();
     assert_eq!(known.voters().count(), 4);
@@ -193,7 +198,7 @@
     cluster.run(2_000);
     let leader = cluster.leaders()[0];
     let lost = (1..=3).map(ReplicaId).find(|replica| *replica != leader);
-    let lost = lost.expect("a follower");
+    let lost = lost.expect("there is a follower");
     // The replica restarts with an empty folder while the leader is isolated. Its vote would
     // complete a majority.
     cluster.replicas.insert(lost, start(lost.0, 99, None));
@@ -236,7 +241,7 @@
         .keys()
         .copied()
         .find(|replica| *replica != leader)
-        .expect("a follower");
+        .expect("there is a follower");
     cluster.isolated.push(leader);
     let fresh = start(restarted.0, u64::from(restarted.0), Some(membership(5)));
     cluster.replicas.insert(restarted, fresh);
