--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -140,7 +140,7 @@
             records.push(encode(&Record::Entry(entry.clone()))?);
         }
         self.log
-            .restart_with(&records)
+            .rewrite(&records)
             .change_context(ControlError::Storage)
     }
 
--- a/crates/storage/src/errors.rs
+++ b/crates/storage/src/errors.rs
@@ -16,7 +16,7 @@
     },
     /// A record is damaged although later ones are whole.
     #[error("{file} is damaged at byte {offset}: whole records follow the damage")]
-    DamagedMiddle {
+    CorruptRecord {
         /// File within the data folder.
         file: String,
         /// Where the damage begins.
@@ -24,13 +24,13 @@
     },
     /// The file was written by an earlier build in another format.
     #[error("{file} was written in an earlier format")]
-    FormerFormat {
+    UnsupportedFormat {
         /// File within the data folder.
         file: String,
     },
     /// The snapshot's checksum does not match.
     #[error("snapshot {file} is damaged")]
-    DamagedSnapshot {
+    CorruptSnapshot {
         /// File within the data folder.
         file: String,
     },
--- a/crates/storage/src/media.rs
+++ b/crates/storage/src/media.rs
@@ -55,7 +55,7 @@
             .truncate(true)
             .write(true)
             .open(self.folder.join(name))?;
-        Ok(Box::new(RealFile(file)))
+        Ok(Box::new(OsFile(file)))
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
@@ -88,9 +88,9 @@
     }
 }
 
-struct RealFile(File);
+struct OsFile(File);
 
-impl SegmentFile for RealFile {
+impl SegmentFile for OsFile {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.0.write_all(bytes)
     }
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -15,7 +15,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Folder {
+struct FolderState {
     files: BTreeMap<String, MemoryFile>,
     /// The file names that survive a crash, each with the file it names.
     durable_names: BTreeMap<String, String>,
@@ -27,7 +27,7 @@
 /// A folder in memory. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryMedia {
-    folder: Arc<Mutex<Folder>>,
+    folder: Arc<Mutex<FolderState>>,
 }
 
 impl MemoryMedia {
@@ -71,7 +71,7 @@
     }
 
     /// Overwrites one byte of a file, as decaying media do. Out of range has no effect.
-    pub fn damage(&self, name: &str, offset: usize) {
+    pub fn corrupt_byte(&self, name: &str, offset: usize) {
         let mut folder = self.lock();
         let byte = folder
             .files
@@ -83,14 +83,14 @@
     }
 
     /// Cuts a file to `length` bytes.
-    pub fn cut(&self, name: &str, length: usize) {
+    pub fn truncate_file(&self, name: &str, length: usize) {
         if let Some(file) = self.lock().files.get_mut(name) {
             file.content.truncate(length);
             file.synced = file.synced.min(length);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Folder> {
+    fn lock(&self) -> MutexGuard<'_, FolderState> {
         self.folder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -5,11 +5,11 @@
 /// First bytes of every record. Recovery looks for them to tell a torn tail from damage.
 const MAGIC: [u8; 4] = *b"RTW2";
 /// First bytes of the records of earlier builds, which held one payload each.
-pub(crate) const FORMER_MAGIC: [u8; 4] = *b"RTW1";
+pub(crate) const V1_MAGIC: [u8; 4] = *b"RTW1";
 /// Bytes before the payload: magic, payload length (u32), checksum (u64).
 pub(crate) const HEADER_BYTES: usize = 16;
 /// Largest payload. Snapshots are kept in files of their own, so records stay far below it.
-pub(crate) const PAYLOAD_LIMIT: usize = 64 * 1024 * 1024;
+pub(crate) const MAX_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
 
 /// Appends the framed record to `buffer`.
 pub(crate) fn encode(payload: &[u8], buffer: &mut Vec<u8>) {
@@ -33,13 +33,13 @@
 
 /// Adds a payload to a batch: the payloads of one sync share a record, so that a write that a loss
 /// of power tore comes back as one torn record and never as whole ones behind a torn one.
-pub(crate) fn add_to_batch(payload: &[u8], batch: &mut Vec<u8>) {
+pub(crate) fn append_to_batch(payload: &[u8], batch: &mut Vec<u8>) {
     batch.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     batch.extend_from_slice(payload);
 }
 
 /// The payloads of a batch, in order.
-pub(crate) fn payloads(mut batch: &[u8]) -> Vec<&[u8]> {
+pub(crate) fn decode_batch(mut batch: &[u8]) -> Vec<&[u8]> {
     let mut payloads = Vec::new();
     while let Some((size, rest)) = batch.split_first_chunk::<4>() {
         let length = (u32::from_le_bytes(*size) as usize).min(rest.len());
@@ -51,7 +51,7 @@
 }
 
 /// Whether a whole record begins anywhere after the first byte.
-pub(crate) fn whole_record_follows(bytes: &[u8]) -> bool {
+pub(crate) fn valid_record_follows(bytes: &[u8]) -> bool {
     (1..bytes.len())
         .filter(|&offset| bytes[offset..].starts_with(&MAGIC))
         .any(|offset| decode(&bytes[offset..]).is_some())
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -20,16 +20,16 @@
 
     /// Reads the snapshot; `None` if none was ever written.
     pub fn load(&self) -> Result<Option<Vec<u8>>, Report<StorageError>> {
-        let names = self.media.list().change_context(failed("list"))?;
+        let names = self.media.list().change_context(io_error("list"))?;
         if !names.iter().any(|name| name == SNAPSHOT_NAME) {
             return Ok(None);
         }
         let bytes = self
             .media
             .read(SNAPSHOT_NAME)
-            .change_context(failed("read"))?;
+            .change_context(io_error("read"))?;
         let payload = record::decode(&bytes).ok_or_else(|| {
-            Report::new(StorageError::DamagedSnapshot {
+            Report::new(StorageError::CorruptSnapshot {
                 file: SNAPSHOT_NAME.to_owned(),
             })
         })?;
@@ -43,17 +43,17 @@
         let mut file = self
             .media
             .create(TEMPORARY_NAME)
-            .change_context(failed("create"))?;
-        file.append(&bytes).change_context(failed("append"))?;
-        file.sync().change_context(failed("sync"))?;
+            .change_context(io_error("create"))?;
+        file.append(&bytes).change_context(io_error("append"))?;
+        file.sync().change_context(io_error("sync"))?;
         self.media
             .rename(TEMPORARY_NAME, SNAPSHOT_NAME)
-            .change_context(failed("rename"))?;
-        self.media.sync_folder().change_context(failed("sync"))
+            .change_context(io_error("rename"))?;
+        self.media.sync_folder().change_context(io_error("sync"))
     }
 }
 
-fn failed(operation: &'static str) -> StorageError {
+fn io_error(operation: &'static str) -> StorageError {
     StorageError::Io {
         operation,
         file: SNAPSHOT_NAME.to_owned(),
--- a/crates/storage/src/wal.rs
+++ b/crates/storage/src/wal.rs
@@ -54,7 +54,7 @@
                 .change_context(io_error("sync", name))?;
             let bytes = media.read(name).change_context(io_error("read", name))?;
             let segment = read_segment(name, &bytes)?;
-            require_whole_predecessor(previous.as_ref(), &segment)?;
+            check_predecessor(previous.as_ref(), &segment)?;
             records.extend(segment.records.iter().cloned());
             previous = Some(segment);
         }
@@ -63,7 +63,7 @@
         let segment = create_segment(media.as_ref(), segment_number)?;
         let mut pending = Vec::new();
         if let Some(header) = header {
-            record::add_to_batch(&header.encode(), &mut pending);
+            record::append_to_batch(&header.encode(), &mut pending);
         }
         let log = Self {
             media,
@@ -79,34 +79,34 @@
 
     /// Adds a record; it counts only after [`WriteAheadLog::sync`].
     pub fn append(&mut self, payload: &[u8]) -> Result<(), Report<StorageError>> {
-        self.require_healthy()?;
-        if payload.len() > record::PAYLOAD_LIMIT {
+        self.ensure_not_poisoned()?;
+        if payload.len() > record::MAX_PAYLOAD_BYTES {
             return Err(Report::new(StorageError::RecordTooLarge {
                 size: payload.len(),
-                limit: record::PAYLOAD_LIMIT,
+                limit: record::MAX_PAYLOAD_BYTES,
             }));
         }
-        record::add_to_batch(payload, &mut self.pending);
+        record::append_to_batch(payload, &mut self.pending);
         Ok(())
     }
 
     /// Makes all appended records durable with one sync.
     pub fn sync(&mut self) -> Result<(), Report<StorageError>> {
-        self.require_healthy()?;
-        let outcome = self.write_pending();
-        self.poisoned = outcome.is_err();
-        outcome
+        self.ensure_not_poisoned()?;
+        let result = self.write_pending();
+        self.poisoned = result.is_err();
+        result
     }
 
     /// Begins a segment that holds only `records` and deletes the older ones.
     ///
     /// The new segment is durable before anything is deleted; a crash in between leaves both,
     /// and replaying both gives the same state.
-    pub fn restart_with(&mut self, records: &[Vec<u8>]) -> Result<(), Report<StorageError>> {
-        self.require_healthy()?;
-        let outcome = self.replace_segments(records);
-        self.poisoned = outcome.is_err();
-        outcome
+    pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), Report<StorageError>> {
+        self.ensure_not_poisoned()?;
+        let result = self.replace_segments(records);
+        self.poisoned = result.is_err();
+        result
     }
 
     /// Bytes in the current segment.
@@ -131,7 +131,7 @@
 
     fn rotate_if_full(&mut self) -> Result<(), Report<StorageError>> {
         if self.segment_size >= self.options.segment_bytes {
-            self.begin_segment()?;
+            self.start_segment()?;
         }
         Ok(())
     }
@@ -139,9 +139,9 @@
     fn replace_segments(&mut self, records: &[Vec<u8>]) -> Result<(), Report<StorageError>> {
         let old_names = segment_names(self.media.as_ref())?;
         self.pending.clear();
-        self.begin_segment()?;
+        self.start_segment()?;
         for payload in records {
-            record::add_to_batch(payload, &mut self.pending);
+            record::append_to_batch(payload, &mut self.pending);
         }
         self.write_pending()?;
         for name in old_names {
@@ -154,7 +154,7 @@
             .change_context(io_error("sync", "folder"))
     }
 
-    fn begin_segment(&mut self) -> Result<(), Report<StorageError>> {
+    fn start_segment(&mut self) -> Result<(), Report<StorageError>> {
         let header = SegmentHeader {
             previous_number: self.segment_number,
             previous_size: self.segment_size as u64,
@@ -162,11 +162,11 @@
         self.segment_number += 1;
         self.segment = create_segment(self.media.as_ref(), self.segment_number)?;
         self.segment_size = 0;
-        record::add_to_batch(&header.encode(), &mut self.pending);
+        record::append_to_batch(&header.encode(), &mut self.pending);
         Ok(())
     }
 
-    fn require_healthy(&self) -> Result<(), Report<StorageError>> {
+    fn ensure_not_poisoned(&self) -> Result<(), Report<StorageError>> {
         if self.poisoned {
             return Err(Report::new(StorageError::Poisoned));
         }
@@ -211,14 +211,14 @@
     header: Option<SegmentHeader>,
     records: Vec<Vec<u8>>,
     /// Bytes covered by whole records, the header included.
-    whole_size: u64,
+    valid_size: u64,
 }
 
 impl SegmentContent {
     fn successor_header(&self) -> SegmentHeader {
         SegmentHeader {
             previous_number: self.number,
-            previous_size: self.whole_size,
+            previous_size: self.valid_size,
         }
     }
 }
@@ -229,16 +229,16 @@
         number: segment_number(name),
         header: None,
         records: Vec::new(),
-        whole_size: 0,
+        valid_size: 0,
     };
-    if bytes.starts_with(&record::FORMER_MAGIC) {
-        return Err(Report::new(StorageError::FormerFormat {
+    if bytes.starts_with(&record::V1_MAGIC) {
+        return Err(Report::new(StorageError::UnsupportedFormat {
             file: name.to_owned(),
         }));
     }
     let mut offset = 0;
     while let Some(batch) = record::decode(&bytes[offset..]) {
-        for (position, payload) in record::payloads(batch).into_iter().enumerate() {
+        for (position, payload) in record::decode_batch(batch).into_iter().enumerate() {
             match SegmentHeader::decode(payload) {
                 Some(header) if offset == 0 && position == 0 => content.header = Some(header),
                 _ => content.records.push(payload.to_vec()),
@@ -246,14 +246,14 @@
         }
         offset += record::HEADER_BYTES + batch.len();
     }
-    if record::whole_record_follows(&bytes[offset..]) {
-        return Err(damaged(name, offset as u64));
+    if record::valid_record_follows(&bytes[offset..]) {
+        return Err(corrupt_record(name, offset as u64));
     }
-    content.whole_size = offset as u64;
+    content.valid_size = offset as u64;
     Ok(content)
 }
 
-fn require_whole_predecessor(
+fn check_predecessor(
     previous: Option<&SegmentContent>,
     segment: &SegmentContent,
 ) -> Result<(), Report<StorageError>> {
@@ -261,14 +261,14 @@
         return Ok(());
     };
     let is_predecessor = header.previous_number == previous.number;
-    if is_predecessor && previous.whole_size < header.previous_size {
-        return Err(damaged(&previous.name, previous.whole_size));
+    if is_predecessor && previous.valid_size < header.previous_size {
+        return Err(corrupt_record(&previous.name, previous.valid_size));
     }
     Ok(())
 }
 
-fn damaged(file: &str, offset: u64) -> Report<StorageError> {
-    Report::new(StorageError::DamagedMiddle {
+fn corrupt_record(file: &str, offset: u64) -> Report<StorageError> {
+    Report::new(StorageError::CorruptRecord {
         file: file.to_owned(),
         offset,
     })
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -52,14 +52,14 @@
         true
     }
 
-    fn a_restart_after_compaction_holds_only_the_new_records(
+    fn a_rewritten_log_holds_only_the_new_records(
         old: Vec<Vec<u8>>,
         new: Vec<Vec<u8>>
     ) -> TestResult {
         let media = MemoryMedia::default();
         write_all(&media, &old);
         let (mut log, _) = open(&media);
-        log.restart_with(&new).expect("compaction");
+        log.rewrite(&new).expect("compaction");
         drop(log);
         media.crash(0);
         TestResult::from_bool(open(&media).1 == new)
@@ -72,15 +72,15 @@
     let records: Vec<Vec<u8>> = (0..6_u8)
         .map(|size| vec![size; usize::from(size) * 3])
         .collect();
-    let full_length = {
+    let segment_length = {
         let media = MemoryMedia::default();
         write_all(&media, &records);
         media.read("wal-0000000000000001").expect("segment").len()
     };
-    for length in 0..=full_length {
+    for length in 0..=segment_length {
         let media = MemoryMedia::default();
         write_all(&media, &records);
-        media.cut("wal-0000000000000001", length);
+        media.truncate_file("wal-0000000000000001", length);
         let recovered = open(&media).1;
         assert!(records.starts_with(&recovered), "cut at byte {length}");
     }
@@ -88,7 +88,7 @@
 
 /// Flips every byte of an acknowledged segment that a later one follows: opening refuses.
 #[test]
-fn damage_before_later_records_is_refused() {
+fn corruption_before_later_records_is_rejected() {
     let records: Vec<Vec<u8>> = (0..12_u8).map(|fill| vec![fill; 40]).collect();
     let length = {
         let media = MemoryMedia::default();
@@ -98,12 +98,12 @@
     for offset in 0..length {
         let media = MemoryMedia::default();
         write_all(&media, &records);
-        media.damage("wal-0000000000000001", offset);
+        media.corrupt_byte("wal-0000000000000001", offset);
         let error = WriteAheadLog::open(Box::new(media), SMALL_SEGMENTS)
             .err()
             .unwrap_or_else(|| panic!("damage at byte {offset} was accepted"));
-        let refused = matches!(error.current_context(), StorageError::DamagedMiddle { .. });
-        assert!(refused, "damage at byte {offset}: {error:?}");
+        let rejected = matches!(error.current_context(), StorageError::CorruptRecord { .. });
+        assert!(rejected, "damage at byte {offset}: {error:?}");
     }
 }
 
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_crash_while_saving_a_snapshot_leaves_a_whole_one() {
+fn a_crash_while_saving_a_snapshot_keeps_the_previous_one() {
     let media = MemoryMedia::default();
     let store = SnapshotStore::new(Box::new(media.clone()));
     store.save(b"first").expect("save");
@@ -135,7 +135,7 @@
 /// A process is killed between a write and its sync; the next one reads the record and goes on
 /// from it. A loss of power after that must not take the record back.
 #[test]
-fn what_was_read_at_open_survives_a_loss_of_power() {
+fn records_read_at_open_survive_a_power_loss() {
     let media = MemoryMedia::default();
     let (mut log, _) = open(&media);
     log.append(b"first").expect("append");
@@ -151,8 +151,8 @@
 
 /// Records of one sync are one write, of which a loss of power may spoil any part.
 #[test]
-fn a_spoilt_unsynced_batch_is_a_torn_tail() {
-    let batch = || {
+fn a_corrupt_unsynced_batch_is_a_torn_tail() {
+    let unsynced_batch = || {
         let media = MemoryMedia::default();
         write_all(&media, &[b"synced".to_vec()]);
         let (mut log, _) = open(&media);
@@ -165,10 +165,10 @@
         media
     };
     let name = "wal-0000000000000002";
-    let length = batch().read(name).expect("segment").len();
+    let length = unsynced_batch().read(name).expect("segment").len();
     for offset in 0..length {
-        let media = batch();
-        media.damage(name, offset);
+        let media = unsynced_batch();
+        media.corrupt_byte(name, offset);
         let (_, read) = open(&media);
         assert_eq!(read, vec![b"synced".to_vec()], "byte {offset}");
     }
@@ -176,7 +176,7 @@
 
 /// A folder of an earlier build is refused, not taken for an empty one.
 #[test]
-fn records_of_the_former_format_are_refused() {
+fn records_of_an_unsupported_format_are_rejected() {
     let media = MemoryMedia::default();
     let mut file = media.create("wal-0000000000000001").expect("create");
     file.append(b"RTW1, and what an earlier build wrote")
@@ -184,6 +184,9 @@
     let error = WriteAheadLog::open(Box::new(media), SMALL_SEGMENTS)
         .err()
         .expect("the folder is refused");
-    let refused = matches!(error.current_context(), StorageError::FormerFormat { .. });
-    assert!(refused, "{error:?}");
+    let rejected = matches!(
+        error.current_context(),
+        StorageError::UnsupportedFormat { .. }
+    );
+    assert!(rejected, "{error:?}");
 }
