--- a/crates/storage/src/errors.rs
+++ b/crates/storage/src/errors.rs
@@ -1,28 +1,28 @@
-//! Why durable state could not be read or written.
+//! Storage errors.
 
 use thiserror::Error;
 
-/// A storage failure. After any write failure the log refuses all further work, because the
-/// operating system may have dropped the data that a repeated sync would seem to confirm.
+/// A storage failure. After a failed write or sync the log rejects all further operations: the
+/// operating system may have dropped dirty pages that a repeated sync would report as durable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StorageError {
-    /// The operating system refused an operation.
+    /// A file operation failed.
     #[error("{operation} failed on {file}")]
     Io {
-        /// What was tried.
+        /// Name of the operation.
         operation: &'static str,
         /// File within the data folder.
         file: String,
     },
-    /// A record is damaged although later ones are whole.
+    /// A record is corrupt that was acknowledged, so it cannot be discarded as a torn tail.
     #[error("{file} is damaged at byte {offset}: whole records follow the damage")]
     CorruptRecord {
         /// File within the data folder.
         file: String,
-        /// Where the damage begins.
+        /// Offset of the corrupt record, bytes.
         offset: u64,
     },
-    /// The file was written by an earlier build in another format.
+    /// The file has a format that this version does not support.
     #[error("{file} was written in an earlier format")]
     UnsupportedFormat {
         /// File within the data folder.
@@ -34,15 +34,15 @@
         /// File within the data folder.
         file: String,
     },
-    /// An earlier write or sync failed.
+    /// An earlier write or sync of this log failed.
     #[error("the log refuses work after a failed write")]
     Poisoned,
-    /// A record is larger than the format allows.
+    /// The record exceeds the maximum size.
     #[error("a record of {size} bytes exceeds the limit of {limit}")]
     RecordTooLarge {
-        /// Size in bytes.
+        /// Size of the record, bytes.
         size: usize,
-        /// Limit in bytes.
+        /// Maximum size, bytes.
         limit: usize,
     },
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,8 @@
-//! Durable state in one data folder: a segmented write-ahead log and snapshots.
+//! Durable state in a data folder: a segmented write-ahead log and snapshots.
 //!
-//! A record counts only once [`WriteAheadLog::sync`] has returned. Recovery cuts a torn tail and
-//! refuses to open a log that is damaged in the middle, because cutting there would silently lose
-//! records that were acknowledged.
+//! A record is durable once [`WriteAheadLog::sync`] has returned. Recovery discards a torn tail and
+//! rejects a log that is corrupt before its tail, because discarding records there would silently
+//! lose acknowledged ones.
 
 pub mod errors;
 pub mod media;
--- a/crates/storage/src/media.rs
+++ b/crates/storage/src/media.rs
@@ -1,4 +1,4 @@
-//! The few file operations that durable state needs, over a real folder or a simulated one.
+//! File operations that the log and the snapshots need.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -6,40 +6,40 @@
     path::PathBuf,
 };
 
-/// A file that is only appended to.
+/// An append-only file.
 pub trait SegmentFile: Send {
-    /// Appends bytes; they may be lost until [`SegmentFile::sync`] returns.
+    /// Appends bytes, which may be lost in a crash until [`SegmentFile::sync`] returns.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
     /// Makes all appended bytes durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A folder that holds durable state.
+/// A folder of files.
 pub trait Media: Send {
-    /// Makes an empty file and opens it for appending.
+    /// Creates an empty file, or truncates an existing one, and opens it for appending.
     fn create(&self, name: &str) -> io::Result<Box<dyn SegmentFile>>;
     /// Reads a whole file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Makes everything that a file holds durable, whoever wrote it.
+    /// Makes the whole content of a file durable, including what other handles wrote.
     fn sync_file(&self, name: &str) -> io::Result<()>;
-    /// Names of all files, sorted.
+    /// Returns the names of all files, sorted.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Gives a file another name, replacing what was there.
+    /// Renames a file, replacing any file with the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Deletes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes creations, renames and deletions durable.
+    /// Makes file creations, renames and deletions durable.
     fn sync_folder(&self) -> io::Result<()>;
 }
 
-/// A real folder.
+/// A folder of the file system.
 #[derive(Clone, Debug)]
 pub struct FileMedia {
     folder: PathBuf,
 }
 
 impl FileMedia {
-    /// Opens the folder, making it if it is not there.
+    /// Opens the folder; creates it if it does not exist.
     pub fn open(folder: impl Into<PathBuf>) -> io::Result<Self> {
         let folder = folder.into();
         fs::create_dir_all(&folder)?;
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,4 +1,4 @@
-//! A simulated folder that loses what was not synced, for the simulator and the tests.
+//! A simulated folder with crash and fault injection, for simulations and tests.
 
 use std::{
     collections::BTreeMap,
@@ -17,21 +17,22 @@
 #[derive(Debug, Default)]
 struct FolderState {
     files: BTreeMap<String, MemoryFile>,
-    /// The file names that survive a crash, each with the file it names.
+    /// File names that were synced with the folder and survive a crash.
     durable_names: BTreeMap<String, String>,
     fail_syncs: bool,
     ignore_syncs: bool,
     sync_count: u64,
 }
 
-/// A folder in memory. Clones share it.
+/// An in-memory folder that loses unsynced data in a simulated crash. Clones share the files.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryMedia {
     folder: Arc<Mutex<FolderState>>,
 }
 
 impl MemoryMedia {
-    /// Loses unsynced bytes, keeping at most `torn_bytes` of each unsynced tail.
+    /// Simulates a crash: discards unsynced data, except for up to `torn_bytes` of each file's
+    /// unsynced tail.
     pub fn crash(&self, torn_bytes: usize) {
         let mut folder = self.lock();
         let surviving = std::mem::take(&mut folder.durable_names);
@@ -48,29 +49,29 @@
         folder.durable_names = surviving;
     }
 
-    /// Loses everything, as a replaced disk does.
+    /// Removes all files, like a replaced disk.
     pub fn wipe(&self) {
         let mut folder = self.lock();
         folder.files.clear();
         folder.durable_names.clear();
     }
 
-    /// Makes every later sync fail, as a full or broken disk does.
+    /// Makes later syncs fail, like a full or broken disk.
     pub fn fail_syncs(&self, fail: bool) {
         self.lock().fail_syncs = fail;
     }
 
-    /// Makes every later sync return at once without effect: a deliberately broken build.
+    /// Makes later syncs succeed without effect, to check that simulations detect the data loss.
     pub fn ignore_syncs(&self, ignore: bool) {
         self.lock().ignore_syncs = ignore;
     }
 
-    /// Syncs performed so far.
+    /// Number of syncs of files.
     pub fn sync_count(&self) -> u64 {
         self.lock().sync_count
     }
 
-    /// Overwrites one byte of a file, as decaying media do. Out of range has no effect.
+    /// Inverts one byte of a file. Does nothing if the file or the offset does not exist.
     pub fn corrupt_byte(&self, name: &str, offset: usize) {
         let mut folder = self.lock();
         let byte = folder
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Cuts a file to `length` bytes.
+    /// Truncates a file to `length` bytes.
     pub fn truncate_file(&self, name: &str, length: usize) {
         if let Some(file) = self.lock().files.get_mut(name) {
             file.content.truncate(length);
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: one file, replaced as a whole.
+//! Snapshot file, replaced atomically.
 
 use error_stack::{Report, ResultExt};
 
@@ -7,18 +7,18 @@
 const SNAPSHOT_NAME: &str = "snapshot";
 const TEMPORARY_NAME: &str = "snapshot.new";
 
-/// The latest snapshot of a data folder.
+/// Reads and writes the snapshot of a data folder.
 pub struct SnapshotStore {
     media: Box<dyn Media>,
 }
 
 impl SnapshotStore {
-    /// A store in the given folder.
+    /// Creates a store in the given folder.
     pub fn new(media: Box<dyn Media>) -> Self {
         Self { media }
     }
 
-    /// Reads the snapshot; `None` if none was ever written.
+    /// Reads the snapshot; `None` if none has been saved.
     pub fn load(&self) -> Result<Option<Vec<u8>>, Report<StorageError>> {
         let names = self.media.list().change_context(io_error("list"))?;
         if !names.iter().any(|name| name == SNAPSHOT_NAME) {
@@ -36,7 +36,8 @@
         Ok(Some(payload.to_vec()))
     }
 
-    /// Replaces the snapshot. On return the new one is durable; after a crash either is whole.
+    /// Replaces the snapshot. The new one is durable on return; after a crash during the call, either
+    /// the old or the new one is present and complete.
     pub fn save(&self, payload: &[u8]) -> Result<(), Report<StorageError>> {
         let mut bytes = Vec::with_capacity(payload.len() + record::HEADER_BYTES);
         record::encode(payload, &mut bytes);
--- a/crates/storage/src/wal.rs
+++ b/crates/storage/src/wal.rs
@@ -10,10 +10,10 @@
 
 const SEGMENT_PREFIX: &str = "wal-";
 
-/// Limits of the log.
+/// Options of the log.
 #[derive(Clone, Copy, Debug)]
 pub struct WalOptions {
-    /// Bytes after which a new segment is begun.
+    /// Size of a segment from which on a new one is started, bytes. Default: 8 MiB.
     pub segment_bytes: usize,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// An append-only log of records.
+/// An append-only log of records in segment files.
 pub struct WriteAheadLog {
     media: Box<dyn Media>,
     options: WalOptions,
@@ -37,9 +37,9 @@
 }
 
 impl WriteAheadLog {
-    /// Opens the log and returns the records that survived, oldest first.
+    /// Opens the log and returns the recovered records, oldest first.
     ///
-    /// A new segment is begun at each start, so that a torn tail is never appended to.
+    /// Starts a new segment, so that a torn tail is never appended to.
     pub fn open(
         media: Box<dyn Media>,
         options: WalOptions,
@@ -48,7 +48,8 @@
         let mut records = Vec::new();
         let mut previous = None;
         for name in &names {
-            // What a killed process wrote and did not sync is read here, and counts from now on.
+            // Records that a killed process wrote but did not sync are recovered here and must be
+            // durable from now on.
             media
                 .sync_file(name)
                 .change_context(io_error("sync", name))?;
@@ -77,7 +78,7 @@
         Ok((log, records))
     }
 
-    /// Adds a record; it counts only after [`WriteAheadLog::sync`].
+    /// Appends a record, which is durable only after [`WriteAheadLog::sync`].
     pub fn append(&mut self, payload: &[u8]) -> Result<(), Report<StorageError>> {
         self.ensure_not_poisoned()?;
         if payload.len() > record::MAX_PAYLOAD_BYTES {
@@ -98,10 +99,11 @@
         result
     }
 
-    /// Begins a segment that holds only `records` and deletes the older ones.
+    /// Replaces the content of the log by `records`: starts a segment with them and deletes the older
+    /// segments.
     ///
-    /// The new segment is durable before anything is deleted; a crash in between leaves both,
-    /// and replaying both gives the same state.
+    /// The new segment is durable before anything is deleted. A crash in between leaves both, and
+    /// replaying both gives the same state.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), Report<StorageError>> {
         self.ensure_not_poisoned()?;
         let result = self.replace_segments(records);
@@ -109,7 +111,7 @@
         result
     }
 
-    /// Bytes in the current segment.
+    /// Size of the current segment, bytes.
     pub fn segment_size(&self) -> usize {
         self.segment_size
     }
@@ -174,10 +176,10 @@
     }
 }
 
-/// First record of a segment: how far its predecessor reached when it was closed.
+/// First record of a segment; holds the size that the previous segment had when it was closed.
 ///
-/// It tells a tail that a crash tore, which was never acknowledged, from an acknowledged record
-/// that was damaged later.
+/// Distinguishes a torn tail, which was never acknowledged, from an acknowledged record that was
+/// corrupted later.
 struct SegmentHeader {
     previous_number: u64,
     previous_size: u64,
@@ -204,13 +206,13 @@
     }
 }
 
-/// The whole records of one segment.
+/// The valid records of one segment.
 struct SegmentContent {
     name: String,
     number: u64,
     header: Option<SegmentHeader>,
     records: Vec<Vec<u8>>,
-    /// Bytes covered by whole records, the header included.
+    /// Size of the valid records including the header, bytes.
     valid_size: u64,
 }
 
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of the log at every truncation point, after torn writes and after damage.
+//! Recovery of the log after truncation, torn writes and corruption.
 
 use quickcheck::{TestResult, quickcheck};
 use railtack_storage::{
@@ -66,7 +66,7 @@
     }
 }
 
-/// Cuts the only segment at every byte: what is left is always a prefix of the records.
+/// Truncates the segment at every byte; recovery must return a prefix of the records.
 #[test]
 fn every_truncation_point_leaves_a_prefix() {
     let records: Vec<Vec<u8>> = (0..6_u8)
@@ -86,7 +86,7 @@
     }
 }
 
-/// Flips every byte of an acknowledged segment that a later one follows: opening refuses.
+/// Inverts each byte of a segment that another one follows; opening the log must fail.
 #[test]
 fn corruption_before_later_records_is_rejected() {
     let records: Vec<Vec<u8>> = (0..12_u8).map(|fill| vec![fill; 40]).collect();
@@ -132,8 +132,8 @@
     assert_eq!(store.load().expect("load"), Some(b"first".to_vec()));
 }
 
-/// A process is killed between a write and its sync; the next one reads the record and goes on
-/// from it. A loss of power after that must not take the record back.
+/// A process is killed between a write and its sync, and the next process recovers the record.
+/// Guards against losing the record in a later power failure.
 #[test]
 fn records_read_at_open_survive_a_power_loss() {
     let media = MemoryMedia::default();
@@ -149,7 +149,8 @@
     assert_eq!(open(&media).1, read);
 }
 
-/// Records of one sync are one write, of which a loss of power may spoil any part.
+/// A power failure may corrupt any part of an unsynced write. Guards against treating it as
+/// corruption of acknowledged records.
 #[test]
 fn a_corrupt_unsynced_batch_is_a_torn_tail() {
     let unsynced_batch = || {
@@ -174,7 +175,7 @@
     }
 }
 
-/// A folder of an earlier build is refused, not taken for an empty one.
+/// Guards against treating a folder of an unsupported format as empty.
 #[test]
 fn records_of_an_unsupported_format_are_rejected() {
     let media = MemoryMedia::default();
