--- a/crates/storage/src/errors.rs
+++ b/crates/storage/src/errors.rs
@@ -15,7 +15,7 @@
         file: String,
     },
     /// A record is corrupt that was acknowledged, so it cannot be discarded as a torn tail.
-    #[error("{file} is damaged at byte {offset}: whole records follow the damage")]
+    #[error("{file} is corrupt at byte {offset}, before the end of the acknowledged records")]
     CorruptRecord {
         /// File within the data folder.
         file: String,
@@ -23,22 +23,22 @@
         offset: u64,
     },
     /// The file has a format that this version does not support.
-    #[error("{file} was written in an earlier format")]
+    #[error("{file} has an unsupported format")]
     UnsupportedFormat {
         /// File within the data folder.
         file: String,
     },
     /// The snapshot's checksum does not match.
-    #[error("snapshot {file} is damaged")]
+    #[error("snapshot {file} is corrupt")]
     CorruptSnapshot {
         /// File within the data folder.
         file: String,
     },
     /// An earlier write or sync of this log failed.
-    #[error("the log refuses work after a failed write")]
+    #[error("an earlier write or sync of the log failed")]
     Poisoned,
     /// The record exceeds the maximum size.
-    #[error("a record of {size} bytes exceeds the limit of {limit}")]
+    #[error("record of {size} bytes exceeds the limit of {limit} bytes")]
     RecordTooLarge {
         /// Size of the record, bytes.
         size: usize,
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -82,7 +82,10 @@
         write_all(&media, &records);
         media.truncate_file("wal-0000000000000001", length);
         let recovered = open(&media).1;
-        assert!(records.starts_with(&recovered), "cut at byte {length}");
+        assert!(
+            records.starts_with(&recovered),
+            "truncated at byte {length}"
+        );
     }
 }
 
@@ -101,9 +104,9 @@
         media.corrupt_byte("wal-0000000000000001", offset);
         let error = WriteAheadLog::open(Box::new(media), SMALL_SEGMENTS)
             .err()
-            .unwrap_or_else(|| panic!("damage at byte {offset} was accepted"));
+            .unwrap_or_else(|| panic!("corruption at byte {offset} was accepted"));
         let rejected = matches!(error.current_context(), StorageError::CorruptRecord { .. });
-        assert!(rejected, "damage at byte {offset}: {error:?}");
+        assert!(rejected, "corruption at byte {offset}: {error:?}");
     }
 }
 
@@ -117,7 +120,7 @@
     media.fail_syncs(false);
     let error = log
         .append(b"next")
-        .expect_err("a poisoned log refuses work");
+        .expect_err("a poisoned log rejects appends");
     assert_eq!(error.current_context(), &StorageError::Poisoned);
 }
 
@@ -184,7 +187,7 @@
         .expect("append");
     let error = WriteAheadLog::open(Box::new(media), SMALL_SEGMENTS)
         .err()
-        .expect("the folder is refused");
+        .expect("the folder is rejected");
     let rejected = matches!(
         error.current_context(),
         StorageError::UnsupportedFormat { .. }
