--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -12,7 +12,7 @@
 
 /// Age from which a claim that was never settled counts as ended without a known outcome. No
 /// router holds a request that may not be repeated for longer, so its holder is gone.
-pub const HOLD_LIMIT_MS: UnixMillis = 600_000;
+pub const CLAIM_TIMEOUT_MS: UnixMillis = 600_000;
 
 /// A tenant's key.
 pub type ClaimKey = (TenantName, IdempotencyKey);
@@ -57,7 +57,7 @@
     pub fn claim(&mut self, request: ClaimRequest, now: UnixMillis) -> ClaimAnswer {
         let key = (request.tenant.clone(), request.key.clone());
         if let Some(record) = self.records.get(&key) {
-            return answer_known(record, &request, now);
+            return answer_existing(record, &request, now);
         }
         self.by_age.insert((now, key.clone()));
         let record = ClaimRecord {
@@ -88,10 +88,10 @@
         }
     }
 
-    /// Forgets claims made before `oldest_kept`.
-    pub fn expire(&mut self, oldest_kept: UnixMillis) {
+    /// Forgets claims made before `cutoff`.
+    pub fn expire(&mut self, cutoff: UnixMillis) {
         while let Some((claimed_at, key)) = self.by_age.first().cloned() {
-            if claimed_at >= oldest_kept {
+            if claimed_at >= cutoff {
                 return;
             }
             self.by_age.pop_first();
@@ -100,14 +100,14 @@
     }
 }
 
-fn answer_known(record: &ClaimRecord, request: &ClaimRequest, now: UnixMillis) -> ClaimAnswer {
+fn answer_existing(record: &ClaimRecord, request: &ClaimRequest, now: UnixMillis) -> ClaimAnswer {
     if record.fingerprint != request.fingerprint {
         return ClaimAnswer::KeyReused;
     }
     match &record.outcome {
         Some(outcome) => ClaimAnswer::Ended(outcome.clone()),
         None if record.attempt == request.attempt => ClaimAnswer::Granted,
-        None if now > record.claimed_at + HOLD_LIMIT_MS => {
+        None if now > record.claimed_at + CLAIM_TIMEOUT_MS => {
             ClaimAnswer::Ended(ClaimOutcome::Unknown)
         }
         None => ClaimAnswer::InProgress,
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -6,7 +6,7 @@
 
 /// Why a change was not applied; the configuration is as before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ChangeRefused {
+pub enum ChangeError {
     /// The document has another revision than the operator saw.
     Conflict {
         /// The present revision; 0 if there is no such document.
@@ -31,17 +31,17 @@
     configuration: &mut Configuration,
     change: &ConfigurationChange,
     check: RevisionCheck,
-) -> Result<Revision, ChangeRefused> {
+) -> Result<Revision, ChangeError> {
     let next = Revision(configuration.revision.0 + 1);
     match change {
         ConfigurationChange::Put { expected, document } => {
-            document.validate().map_err(ChangeRefused::Invalid)?;
+            document.validate().map_err(ChangeError::Invalid)?;
             let current = revision_of(configuration, document);
             if check == RevisionCheck::Enforced && current != *expected {
-                return Err(ChangeRefused::Conflict { current });
+                return Err(ChangeError::Conflict { current });
             }
-            validate_references(configuration, document).map_err(ChangeRefused::Invalid)?;
-            store(configuration, document.clone(), next);
+            validate_references(configuration, document).map_err(ChangeError::Invalid)?;
+            insert_document(configuration, document.clone(), next);
         }
         ConfigurationChange::SetDrain {
             engine,
@@ -67,7 +67,9 @@
     revision: Revision,
 ) {
     match change {
-        ConfigurationChange::Put { document, .. } => store(configuration, document, revision),
+        ConfigurationChange::Put { document, .. } => {
+            insert_document(configuration, document, revision)
+        }
         ConfigurationChange::SetDrain {
             engine,
             drained: true,
@@ -85,7 +87,7 @@
 }
 
 fn revision_of(configuration: &Configuration, document: &Document) -> Revision {
-    let known = match document {
+    let stored = match document {
         Document::Template(new) => configuration
             .templates
             .get(&new.name)
@@ -93,10 +95,10 @@
         Document::Tenant(new) => configuration.tenants.get(&new.name).map(|old| old.revision),
         Document::Model(new) => configuration.models.get(&new.name).map(|old| old.revision),
     };
-    known.unwrap_or_default()
+    stored.unwrap_or_default()
 }
 
-fn store(configuration: &mut Configuration, document: Document, revision: Revision) {
+fn insert_document(configuration: &mut Configuration, document: Document, revision: Revision) {
     match document {
         Document::Template(document) => {
             let name = document.name.clone();
@@ -124,15 +126,22 @@
     document: &Document,
 ) -> Result<(), DocumentError> {
     match document {
-        Document::Template(template) => validate_users(configuration, template),
+        Document::Template(template) => validate_dependent_tenants(configuration, template),
         Document::Tenant(tenant) => validate_tenant(configuration, tenant),
         Document::Model(_) => Ok(()),
     }
 }
 
 /// A revised template must still fit every tenant that uses it.
-fn validate_users(configuration: &Configuration, template: &Template) -> Result<(), DocumentError> {
-    for tenant in configuration.tenants.values().map(|known| &known.document) {
+fn validate_dependent_tenants(
+    configuration: &Configuration,
+    template: &Template,
+) -> Result<(), DocumentError> {
+    for tenant in configuration
+        .tenants
+        .values()
+        .map(|versioned| &versioned.document)
+    {
         if let Some(service) = tenant.service(&template.name) {
             tenant.validate_service(service, template)?;
         }
--- a/crates/control/src/errors.rs
+++ b/crates/control/src/errors.rs
@@ -10,10 +10,10 @@
     Storage,
     /// A record in the data folder is whole but not of this format.
     #[error("the data folder holds a record of another format")]
-    UnknownRecord,
+    InvalidRecord,
     /// The data folder belongs to another cluster or replica.
     #[error("the data folder belongs to replica {replica} of cluster {cluster:?}")]
-    ForeignData {
+    DataFolderMismatch {
         /// Replica that the folder names.
         replica: u32,
         /// Cluster that the folder names.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod pending;
 pub mod replica;
 pub mod rollout;
-pub mod roster;
+pub mod routers;
 pub mod server;
 pub mod serving;
 pub mod serving_state;
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -32,17 +32,17 @@
     peers::Peers,
     pending::PendingProposals,
     replica::{Advance, MembershipError, Replica},
-    roster::RouterRoster,
+    routers::RouterTracker,
     state::IssuedOrder,
     view::NodeView,
 };
 
 /// Pause before a replica that lost its storage is opened again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(300);
+const REOPEN_DELAY: Duration = Duration::from_millis(300);
 /// Inputs taken into one round.
-const ROUND_LIMIT: usize = 1_024;
+const MAX_INPUTS_PER_ROUND: usize = 1_024;
 /// Inputs that may wait; more are refused.
-const INPUT_QUEUE: usize = 4_096;
+const INPUT_QUEUE_CAPACITY: usize = 4_096;
 
 /// What the replica's thread is asked to do.
 pub enum Input {
@@ -63,7 +63,7 @@
     /// Write a snapshot.
     Snapshot(oneshot::Sender<u64>),
     /// Tell orders and configuration if this replica leads; `None` otherwise.
-    Leading(oneshot::Sender<Option<LeaderView>>),
+    LeaderView(oneshot::Sender<Option<LeaderView>>),
     /// Tell how far a reader must have applied the log.
     ReadIndex(oneshot::Sender<ReadIndexReply>),
     /// Make a replica a member.
@@ -99,11 +99,11 @@
     /// Asks a question and waits for the answer.
     pub async fn ask<T>(
         &self,
-        question: impl FnOnce(oneshot::Sender<T>) -> Input,
+        make_input: impl FnOnce(oneshot::Sender<T>) -> Input,
     ) -> Result<T, Report<ControlError>> {
         let (sender, receiver) = oneshot::channel();
         self.inputs
-            .try_send(question(sender))
+            .try_send(make_input(sender))
             .map_err(|_| Report::new(ControlError::Stopped))?;
         receiver
             .await
@@ -165,8 +165,8 @@
     NodeHandle,
     oneshot::Receiver<Result<(), Report<ControlError>>>,
 ) {
-    let (inputs, receiver) = sync_channel(INPUT_QUEUE);
-    let (ended_sender, ended) = oneshot::channel();
+    let (inputs, receiver) = sync_channel(INPUT_QUEUE_CAPACITY);
+    let (exit_sender, exit) = oneshot::channel();
     let (view_sender, view) = watch::channel(NodeView::default());
     let mut node = Node {
         replica,
@@ -175,19 +175,19 @@
         started,
         pending: PendingProposals::default(),
         leader: None,
-        routers: RouterRoster::default(),
+        routers: RouterTracker::default(),
         options,
         view: view_sender,
-        reads: Vec::new(),
-        joins: BTreeMap::new(),
+        pending_reads: Vec::new(),
+        join_requests: BTreeMap::new(),
         leaving: BTreeMap::new(),
         levels: MemberLevels::default(),
     };
     thread::spawn(move || {
-        let outcome = node.run_and_reopen(&receiver);
-        let _ = ended_sender.send(outcome);
+        let outcome = node.run_with_reopen(&receiver);
+        let _ = exit_sender.send(outcome);
     });
-    (NodeHandle { inputs, view }, ended)
+    (NodeHandle { inputs, view }, exit)
 }
 
 struct Node {
@@ -197,11 +197,11 @@
     started: BootInstant,
     pending: PendingProposals<oneshot::Sender<ProposeReply>>,
     leader: Option<ReplicaId>,
-    routers: RouterRoster,
+    routers: RouterTracker,
     options: NodeOptions,
     view: watch::Sender<NodeView>,
-    reads: Vec<PendingRead>,
-    joins: BTreeMap<ReplicaId, (JoinRequest, Millis)>,
+    pending_reads: Vec<PendingRead>,
+    join_requests: BTreeMap<ReplicaId, (JoinRequest, Millis)>,
     /// Members that are being stopped, and when they said so.
     leaving: BTreeMap<ReplicaId, Millis>,
     levels: MemberLevels,
@@ -209,28 +209,28 @@
 
 /// A reader that waits until this replica is known to have led after it asked.
 struct PendingRead {
-    asked_at: Millis,
+    requested_at: Millis,
     index: LogIndex,
-    answer: oneshot::Sender<ReadIndexReply>,
+    reply: oneshot::Sender<ReadIndexReply>,
 }
 
 impl Node {
     /// Runs the replica; after its storage failed, opens it again from what is durable.
     ///
     /// What the failed replica held in memory may not be durable, so nothing of it is kept.
-    fn run_and_reopen(&mut self, inputs: &Receiver<Input>) -> Result<(), Report<ControlError>> {
+    fn run_with_reopen(&mut self, inputs: &Receiver<Input>) -> Result<(), Report<ControlError>> {
         loop {
             let Err(mut report) = self.run(inputs) else {
                 return Ok(());
             };
             loop {
                 spdlog::warn!("storage lost", kv: { cause = format!("{report}") });
-                answer_all(self.pending.give_up());
-                self.reads.clear();
+                send_replies(self.pending.give_up());
+                self.pending_reads.clear();
                 let Some(reopen) = &self.options.reopen else {
                     return Err(report);
                 };
-                thread::sleep(REOPEN_PAUSE);
+                thread::sleep(REOPEN_DELAY);
                 // Askers are told at once that nothing was done.
                 while inputs.try_recv().is_ok() {}
                 match reopen(self.now()) {
@@ -239,7 +239,7 @@
                         spdlog::info!("storage regained");
                         break;
                     }
-                    Err(failed) => report = failed,
+                    Err(error) => report = error,
                 }
             }
         }
@@ -252,52 +252,52 @@
                 Ok(input) => self.handle(input)?,
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            for input in inputs.try_iter().take(ROUND_LIMIT) {
+            for input in inputs.try_iter().take(MAX_INPUTS_PER_ROUND) {
                 if matches!(input, Input::Stop) {
                     return Ok(());
                 }
                 self.handle(input)?;
             }
-            self.round()?;
+            self.run_round()?;
         }
     }
 
-    fn round(&mut self) -> Result<(), Report<ControlError>> {
+    fn run_round(&mut self) -> Result<(), Report<ControlError>> {
         let now = self.now();
         self.replica.tick(now);
         let mut advance = self.advance()?;
         if !advance.applied.is_empty() {
             // What was just committed is told to the others in the same round.
             self.replica.tick(now);
-            let told = self.advance()?;
-            advance.messages.extend(told.messages);
-            advance.applied.extend(told.applied);
+            let follow_up = self.advance()?;
+            advance.messages.extend(follow_up.messages);
+            advance.applied.extend(follow_up.applied);
         }
         self.metrics.rounds.inc();
         self.metrics.applied.inc_by(advance.applied.len() as u64);
         self.peers
             .send(advance.messages, self.replica.raft().membership());
         for applied in advance.applied {
-            answer_all(self.pending.applied(applied));
+            send_replies(self.pending.applied(applied));
         }
         if self.replica.raft().role() != Role::Leader {
-            answer_all(self.pending.give_up());
+            send_replies(self.pending.give_up());
         }
-        self.answer_reads();
-        self.keep_members(now);
-        self.keep_level(now);
-        self.observe();
+        self.complete_reads();
+        self.reconcile_members(now);
+        self.raise_level(now);
+        self.update_metrics();
         self.publish_view();
         Ok(())
     }
 
     /// One step of the replica; its time counts as that of the disk if it synced.
     fn advance(&mut self) -> Result<Advance, Report<ControlError>> {
-        let began = Instant::now();
+        let start = Instant::now();
         let advance = self.replica.advance()?;
         if advance.synced {
-            let took = began.elapsed().as_secs_f64();
-            self.metrics.sync_seconds.observe(took);
+            let elapsed = start.elapsed().as_secs_f64();
+            self.metrics.sync_seconds.observe(elapsed);
         }
         Ok(advance)
     }
@@ -307,40 +307,40 @@
         match input {
             Input::Deliver(message, sender) => {
                 self.levels.hear(message.from, sender.level, now);
-                if self.admits(message.from, sender.level) {
-                    self.peers.learn(message.from, sender.address);
+                if self.check_level(message.from, sender.level) {
+                    self.peers.record_address(message.from, sender.address);
                     self.replica.receive(message, now);
                 }
             }
-            Input::Propose(proposal, answer) => self.propose(&proposal, answer),
-            Input::Poll(request, answer) => {
-                let _ = answer.send(self.poll(&request, now));
+            Input::Propose(proposal, reply) => self.propose(&proposal, reply),
+            Input::Poll(request, reply) => {
+                let _ = reply.send(self.poll(&request, now));
             }
-            Input::Configuration(answer) => {
-                let _ = answer.send(self.replica.state().configuration().clone());
+            Input::Configuration(reply) => {
+                let _ = reply.send(self.replica.state().configuration().clone());
             }
-            Input::Identify(answer) => {
-                let _ = answer.send(self.identity());
+            Input::Identify(reply) => {
+                let _ = reply.send(self.identity());
             }
-            Input::Status(answer) => {
-                let _ = answer.send(self.status());
+            Input::Status(reply) => {
+                let _ = reply.send(self.status());
             }
-            Input::ChangeMembership(change, answer) => {
-                let _ = answer.send(self.change_membership(&change));
+            Input::ChangeMembership(change, reply) => {
+                let _ = reply.send(self.change_membership(&change));
             }
-            Input::Snapshot(answer) => {
+            Input::Snapshot(reply) => {
                 self.replica.compact()?;
-                let _ = answer.send(self.replica.raft().log().snapshot().last_index);
+                let _ = reply.send(self.replica.raft().log().snapshot().last_index);
             }
-            Input::Leading(answer) => {
-                let _ = answer.send(self.leader_view());
+            Input::LeaderView(reply) => {
+                let _ = reply.send(self.leader_view());
             }
-            Input::ReadIndex(answer) => self.begin_read(answer, now),
-            Input::Join(request, answer) => {
-                let _ = answer.send(self.join(request, now));
+            Input::ReadIndex(reply) => self.start_read(reply, now),
+            Input::Join(request, reply) => {
+                let _ = reply.send(self.join(request, now));
             }
-            Input::Leave(replica, answer) => {
-                let _ = answer.send(self.leave(replica, now));
+            Input::Leave(replica, reply) => {
+                let _ = reply.send(self.leave(replica, now));
             }
             Input::Stop => {}
         }
@@ -349,26 +349,26 @@
 
     fn poll(&mut self, request: &PollRequest, now: u64) -> PollReply {
         self.metrics.polls.inc();
-        self.routers.heard(request, now);
+        self.routers.record_poll(request, now);
         PollReply {
-            routers: self.routers.live(now),
+            routers: self.routers.live_count(now),
             ..self.replica.poll(request)
         }
     }
 
-    fn propose(&mut self, proposal: &Proposal, answer: oneshot::Sender<ProposeReply>) {
+    fn propose(&mut self, proposal: &Proposal, reply: oneshot::Sender<ProposeReply>) {
         let group_level = self.group_level();
         if !proposal.command.fits(group_level) {
-            let _ = answer.send(ProposeReply::LevelDiffers { group_level });
+            let _ = reply.send(ProposeReply::LevelDiffers { group_level });
             return;
         }
         match self.replica.propose(proposal) {
             Ok(ticket) => {
-                self.pending.insert(ticket, answer);
+                self.pending.insert(ticket, reply);
             }
             Err(_) => {
                 let leader = self.leader_address();
-                let _ = answer.send(ProposeReply::NotLeader { leader });
+                let _ = reply.send(ProposeReply::NotLeader { leader });
             }
         }
     }
@@ -376,8 +376,8 @@
     fn change_membership(&mut self, change: &MembershipChange) -> MembershipReply {
         match self.replica.change_membership(change) {
             Ok(_) => MembershipReply::Appended,
-            Err(MembershipError::NoSuchMember) => MembershipReply::Invalid,
-            Err(MembershipError::Refused(refusal)) => match refusal {
+            Err(MembershipError::InvalidChange) => MembershipReply::Invalid,
+            Err(MembershipError::Rejected(error)) => match error {
                 ProposeError::NotLeader { .. } => MembershipReply::NotLeader {
                     leader: self.leader_address(),
                 },
@@ -428,7 +428,7 @@
         Some(leader.address.clone())
     }
 
-    fn observe(&mut self) {
+    fn update_metrics(&mut self) {
         let raft = self.replica.raft();
         let leads = raft.role() == Role::Leader;
         self.metrics.is_leader.set(i64::from(leads));
@@ -451,8 +451,8 @@
     }
 }
 
-fn answer_all(answers: Vec<(oneshot::Sender<ProposeReply>, ProposeReply)>) {
-    for (proposer, reply) in answers {
+fn send_replies(replies: Vec<(oneshot::Sender<ProposeReply>, ProposeReply)>) {
+    for (proposer, reply) in replies {
         // A proposer that is gone needs no answer.
         let _ = proposer.send(reply);
     }
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -7,47 +7,47 @@
 use tokio::sync::oneshot;
 
 use super::{Node, PendingRead};
-use crate::members::{MemberFacts, next_membership};
+use crate::members::{MembershipContext, next_membership};
 
 /// Time for which a request to join counts, milliseconds.
-const JOIN_KEPT_MS: Millis = 3_000;
+const JOIN_REQUEST_TTL_MS: Millis = 3_000;
 /// Time for which a notice to leave counts, milliseconds; after that, silence tells.
-const LEAVE_KEPT_MS: Millis = 3_000;
+const LEAVE_NOTICE_TTL_MS: Millis = 3_000;
 
 impl Node {
-    pub(super) fn begin_read(&mut self, answer: oneshot::Sender<ReadIndexReply>, now: Millis) {
+    pub(super) fn start_read(&mut self, reply: oneshot::Sender<ReadIndexReply>, now: Millis) {
         if !self.replica.leads_with_current_state() {
             let leader = self.leader_address();
-            let _ = answer.send(ReadIndexReply::NotLeader { leader });
+            let _ = reply.send(ReadIndexReply::NotLeader { leader });
             return;
         }
         self.replica.request_heartbeat(now);
-        self.reads.push(PendingRead {
-            asked_at: now,
+        self.pending_reads.push(PendingRead {
+            requested_at: now,
             index: self.replica.raft().commit_index(),
-            answer,
+            reply,
         });
     }
 
-    pub(super) fn answer_reads(&mut self) {
-        if self.reads.is_empty() {
+    pub(super) fn complete_reads(&mut self) {
+        if self.pending_reads.is_empty() {
             return;
         }
         let leads = self.replica.leads_with_current_state();
         let confirmed_at = self.replica.raft().leadership_confirmed_at();
         let leader = self.leader_address();
-        for read in std::mem::take(&mut self.reads) {
-            let reply = if !leads {
+        for read in std::mem::take(&mut self.pending_reads) {
+            let outcome = if !leads {
                 ReadIndexReply::NotLeader {
                     leader: leader.clone(),
                 }
-            } else if confirmed_at.is_some_and(|moment| moment > read.asked_at) {
+            } else if confirmed_at.is_some_and(|at| at > read.requested_at) {
                 ReadIndexReply::Confirmed { index: read.index }
             } else {
-                self.reads.push(read);
+                self.pending_reads.push(read);
                 continue;
             };
-            let _ = read.answer.send(reply);
+            let _ = read.reply.send(outcome);
         }
     }
 
@@ -57,11 +57,11 @@
                 leader: self.leader_address(),
             };
         }
-        if !self.admits(request.replica, request.level) {
+        if !self.check_level(request.replica, request.level) {
             return JoinReply::NotLeader { leader: None };
         }
         self.leaving.remove(&request.replica);
-        self.joins.insert(request.replica, (request, now));
+        self.join_requests.insert(request.replica, (request, now));
         JoinReply::Accepted
     }
 
@@ -71,40 +71,40 @@
                 leader: self.leader_address(),
             };
         }
-        self.joins.remove(&replica);
+        self.join_requests.remove(&replica);
         self.leaving.insert(replica, now);
         JoinReply::Accepted
     }
 
     /// While leading, brings the members closer to the replicas that are there.
-    pub(super) fn keep_members(&mut self, now: Millis) {
+    pub(super) fn reconcile_members(&mut self, now: Millis) {
         let Some(silence_limit) = self.options.replace_silent_after else {
             return;
         };
-        self.joins
-            .retain(|_, (_, asked_at)| now < *asked_at + JOIN_KEPT_MS);
+        self.join_requests
+            .retain(|_, (_, requested_at)| now < *requested_at + JOIN_REQUEST_TTL_MS);
         self.leaving
-            .retain(|_, told_at| now < *told_at + LEAVE_KEPT_MS);
+            .retain(|_, notified_at| now < *notified_at + LEAVE_NOTICE_TTL_MS);
         if !self.replica.leads_with_current_state() {
             return;
         }
         let raft = self.replica.raft();
-        let joins = self
-            .joins
+        let join_requests = self
+            .join_requests
             .iter()
             .map(|(replica, (request, _))| (*replica, request.clone()))
             .collect();
         let leaving = self.leaving.keys().copied().collect();
-        let facts = MemberFacts {
+        let context = MembershipContext {
             leader: raft.replica(),
-            joins: &joins,
+            join_requests: &join_requests,
             silence: &raft.silence_by_member(now),
             silence_limit,
-            presence_limit: JOIN_KEPT_MS.min(silence_limit),
+            recent_contact_limit: JOIN_REQUEST_TTL_MS.min(silence_limit),
             leaving: &leaving,
             tolerance: self.options.tolerance,
         };
-        let Some(next) = next_membership(raft.membership(), facts) else {
+        let Some(next) = next_membership(raft.membership(), context) else {
             return;
         };
         let description = describe(&next);
@@ -118,8 +118,9 @@
     pub(super) fn publish_view(&self) {
         let raft = self.replica.raft();
         let serving = self.replica.state().serving();
-        let own = raft.membership().member(raft.replica());
-        let is_member = own.is_some_and(|member| member.disk == self.replica.identity().disk);
+        let own_member = raft.membership().member(raft.replica());
+        let is_member =
+            own_member.is_some_and(|member| member.disk == self.replica.identity().disk);
         let leader = self.leader_address();
         let leads = self.replica.leads_with_current_state();
         let confirmed_at = raft.leadership_confirmed_at();
@@ -127,11 +128,11 @@
             let same_state = view.serving.changed_at() == serving.changed_at()
                 && view.applied == raft.applied_index()
                 && view.term == raft.term();
-            let same_place = view.leader == leader
+            let same_role = view.leader == leader
                 && view.leads == leads
                 && view.is_member == is_member
-                && view.confirmed_at == confirmed_at;
-            if same_state && same_place {
+                && view.leadership_confirmed_at == confirmed_at;
+            if same_state && same_role {
                 return false;
             }
             if view.serving.changed_at() != serving.changed_at() {
@@ -141,7 +142,7 @@
             view.term = raft.term();
             view.leader = leader;
             view.leads = leads;
-            view.confirmed_at = confirmed_at;
+            view.leadership_confirmed_at = confirmed_at;
             view.is_member = is_member;
             view.voters = raft
                 .membership()
--- a/crates/control/src/node/level.rs
+++ b/crates/control/src/node/level.rs
@@ -22,16 +22,16 @@
 /// What the builds of the members can do, as far as they said so.
 #[derive(Debug, Default)]
 pub struct MemberLevels {
-    said: BTreeMap<ReplicaId, (FeatureLevel, Millis)>,
+    reported: BTreeMap<ReplicaId, (FeatureLevel, Millis)>,
     leading_since: Option<Millis>,
     proposed_at: Option<Millis>,
-    refused: BTreeSet<ReplicaId>,
+    rejected: BTreeSet<ReplicaId>,
 }
 
 impl MemberLevels {
     /// Takes in what a message says of its sender's build.
     pub fn hear(&mut self, member: ReplicaId, level: FeatureLevel, now: Millis) {
-        self.said.insert(member, (level, now));
+        self.reported.insert(member, (level, now));
     }
 
     /// Notes whether this replica leads.
@@ -46,13 +46,13 @@
     /// While leading: what all members can do. One that has not been heard since the lead began may have been
     /// replaced by another build.
     pub fn common(&self, own: ReplicaId, membership: &Membership) -> FeatureLevel {
-        let Some(since) = self.leading_since else {
+        let Some(leading_since) = self.leading_since else {
             return FeatureLevel::FIRST;
         };
         let others = membership.members.iter();
         let others = others.filter(|member| member.replica != own);
-        let levels = others.map(|member| match self.said.get(&member.replica) {
-            Some((level, at)) if *at >= since => *level,
+        let levels = others.map(|member| match self.reported.get(&member.replica) {
+            Some((level, at)) if *at >= leading_since => *level,
             _ => FeatureLevel::FIRST,
         });
         levels
@@ -64,32 +64,32 @@
     /// What each other member said last; those that were not heard yet are left out.
     pub fn said(&self, membership: &Membership) -> Vec<(ReplicaId, FeatureLevel)> {
         let members = membership.members.iter();
-        let said = members.filter_map(|member| {
-            let (level, _) = self.said.get(&member.replica)?;
+        let reported = members.filter_map(|member| {
+            let (level, _) = self.reported.get(&member.replica)?;
             Some((member.replica, *level))
         });
-        said.collect()
+        reported.collect()
     }
 
-    fn may_propose(&mut self, now: Millis) -> bool {
-        let is_due = self.proposed_at.is_none_or(|at| now >= at + RAISE_RETRY_MS);
-        if is_due {
+    fn should_propose(&mut self, now: Millis) -> bool {
+        let is_retry_due = self.proposed_at.is_none_or(|at| now >= at + RAISE_RETRY_MS);
+        if is_retry_due {
             self.proposed_at = Some(now);
         }
-        is_due
+        is_retry_due
     }
 }
 
 impl Node {
     /// Whether a replica can do what the group does. One that cannot is told nothing and is not listened to.
-    pub(super) fn admits(&mut self, replica: ReplicaId, level: FeatureLevel) -> bool {
+    pub(super) fn check_level(&mut self, replica: ReplicaId, level: FeatureLevel) -> bool {
         let group_level = self.group_level();
         if level >= group_level {
-            self.levels.refused.remove(&replica);
+            self.levels.rejected.remove(&replica);
             return true;
         }
         self.metrics.refused_below_level.inc();
-        if self.levels.refused.insert(replica) {
+        if self.levels.rejected.insert(replica) {
             spdlog::warn!("replica refused: its build is below the group's level", kv: {
                 replica = replica.0,
                 level = level.0,
@@ -104,19 +104,19 @@
     }
 
     /// While leading, raises the level once all members can do more.
-    pub(super) fn keep_level(&mut self, now: Millis) {
+    pub(super) fn raise_level(&mut self, now: Millis) {
         let leads = self.replica.leads_with_current_state();
         self.levels.note_lead(leads, now);
         let group_level = self.group_level();
         self.metrics.group_level.set(i64::from(group_level.0));
         let raft = self.replica.raft();
         let level = self.levels.common(raft.replica(), raft.membership());
-        if level <= group_level || !self.levels.may_propose(now) {
+        if level <= group_level || !self.levels.should_propose(now) {
             return;
         }
         let proposal = Proposal {
             at: 0,
-            command: Command::Serving(self.raise_to(level)),
+            command: Command::Serving(self.raise_command(level)),
         };
         // A refusal means that the lead is over; the next leader looks again.
         if self.replica.propose(&proposal).is_ok() {
@@ -128,9 +128,9 @@
         }
     }
 
-    fn raise_to(&self, level: FeatureLevel) -> ServingCommand {
+    fn raise_command(&self, level: FeatureLevel) -> ServingCommand {
         let serving = self.replica.state().serving();
-        let read = serving.content().and_then(|content| {
+        let parsed = serving.content().and_then(|content| {
             let configuration = (self.options.read_document)(content);
             if configuration.is_none() {
                 spdlog::warn!("document held cannot be read: its quotas come with the next one");
@@ -140,7 +140,7 @@
         ServingCommand::RaiseLevel {
             level,
             revision: serving.configuration().revision,
-            quotas: read.map_or_else(Vec::new, |configuration| configuration.quotas()),
+            quotas: parsed.map_or_else(Vec::new, |configuration| configuration.quotas()),
         }
     }
 }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -13,7 +13,7 @@
 use crate::metrics::ControlMetrics;
 
 /// Messages that may wait for one peer; more are dropped, which the log tolerates.
-const PEER_QUEUE: usize = 64;
+const PEER_QUEUE_CAPACITY: usize = 64;
 /// Time for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time for delivering one message; a snapshot is the largest.
@@ -32,7 +32,7 @@
     peers: BTreeMap<ReplicaId, Peer>,
     /// Where each replica was last heard from. A replica that is not a member yet knows no
     /// membership, and answers the leader there.
-    heard_from: BTreeMap<ReplicaId, String>,
+    observed_addresses: BTreeMap<ReplicaId, String>,
 }
 
 impl Peers {
@@ -43,13 +43,13 @@
             metrics,
             own_address: own_address.to_string(),
             peers: BTreeMap::new(),
-            heard_from: BTreeMap::new(),
+            observed_addresses: BTreeMap::new(),
         }
     }
 
     /// Notes where a replica can be answered.
-    pub fn learn(&mut self, replica: ReplicaId, address: String) {
-        self.heard_from.insert(replica, address);
+    pub fn record_address(&mut self, replica: ReplicaId, address: String) {
+        self.observed_addresses.insert(replica, address);
     }
 
     /// Queues messages in order; those for replicas without a known address are dropped.
@@ -58,9 +58,9 @@
             let address = membership
                 .member(message.to)
                 .map(|member| member.address.clone());
-            let known = address.or_else(|| self.heard_from.get(&message.to).cloned());
-            match known {
-                Some(address) => self.queue(address, message),
+            let target = address.or_else(|| self.observed_addresses.get(&message.to).cloned());
+            match target {
+                Some(address) => self.enqueue(address, message),
                 None => {
                     self.metrics.dropped_messages.inc();
                 }
@@ -68,22 +68,22 @@
         }
     }
 
-    fn queue(&mut self, address: String, message: Message) {
+    fn enqueue(&mut self, address: String, message: Message) {
         let Ok(socket) = address.parse::<SocketAddr>() else {
             self.metrics.dropped_messages.inc();
             return;
         };
-        let dial = |address: String| {
-            let queue = connect(&self.runtime, socket, self.own_address.clone());
+        let new_peer = |address: String| {
+            let queue = spawn_delivery(&self.runtime, socket, self.own_address.clone());
             Peer { address, queue }
         };
         let peer = match self.peers.entry(message.to) {
             Entry::Occupied(known) if known.get().address == address => known.into_mut(),
             Entry::Occupied(mut moved) => {
-                moved.insert(dial(address));
+                moved.insert(new_peer(address));
                 moved.into_mut()
             }
-            Entry::Vacant(new) => new.insert(dial(address)),
+            Entry::Vacant(new) => new.insert(new_peer(address)),
         };
         if peer.queue.try_send(message).is_err() {
             self.metrics.dropped_messages.inc();
@@ -91,8 +91,12 @@
     }
 }
 
-fn connect(runtime: &Handle, address: SocketAddr, own_address: String) -> mpsc::Sender<Message> {
-    let (sender, mut receiver) = mpsc::channel::<Message>(PEER_QUEUE);
+fn spawn_delivery(
+    runtime: &Handle,
+    address: SocketAddr,
+    own_address: String,
+) -> mpsc::Sender<Message> {
+    let (sender, mut receiver) = mpsc::channel::<Message>(PEER_QUEUE_CAPACITY);
     runtime.spawn(async move {
         let connection = ControlConnection::new(address, CONNECT_TIMEOUT);
         while let Some(message) = receiver.recv().await {
--- a/crates/control/src/pending.rs
+++ b/crates/control/src/pending.rs
@@ -11,13 +11,13 @@
 /// Waiting proposers by the place of their proposal in the log.
 #[derive(Debug)]
 pub struct PendingProposals<T> {
-    waiting: BTreeMap<Ticket, T>,
+    pending: BTreeMap<Ticket, T>,
 }
 
 impl<T> Default for PendingProposals<T> {
     fn default() -> Self {
         Self {
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
         }
     }
 }
@@ -25,7 +25,7 @@
 impl<T> PendingProposals<T> {
     /// Notes who waits for a proposal.
     pub fn insert(&mut self, ticket: Ticket, proposer: T) {
-        self.waiting.insert(ticket, proposer);
+        self.pending.insert(ticket, proposer);
     }
 
     /// Answers the proposers that an applied command concerns.
@@ -33,21 +33,21 @@
     /// A proposal whose place was taken by another leader's entry did not commit there, but a
     /// resend may still find it done by an earlier send; so its proposer is told "unknown".
     pub fn applied(&mut self, applied: Applied) -> Vec<(T, ProposeReply)> {
-        let later = self.waiting.split_off(&applied.ticket);
-        let superseded = std::mem::replace(&mut self.waiting, later);
-        let mut answers: Vec<_> = superseded
+        let later = self.pending.split_off(&applied.ticket);
+        let superseded = std::mem::replace(&mut self.pending, later);
+        let mut replies: Vec<_> = superseded
             .into_values()
             .map(|proposer| (proposer, ProposeReply::Unknown))
             .collect();
-        if let Some(proposer) = self.waiting.remove(&applied.ticket) {
-            answers.push((proposer, ProposeReply::Done(applied.outcome)));
+        if let Some(proposer) = self.pending.remove(&applied.ticket) {
+            replies.push((proposer, ProposeReply::Done(applied.outcome)));
         }
-        answers
+        replies
     }
 
     /// Tells everyone "unknown", because this replica does not lead any more.
     pub fn give_up(&mut self) -> Vec<(T, ProposeReply)> {
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.pending)
             .into_values()
             .map(|proposer| (proposer, ProposeReply::Unknown))
             .collect()
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -105,7 +105,7 @@
         let opened = ReplicaStore::open(folder)?;
         let mut store = opened.store;
         let identity = match opened.identity {
-            Some(identity) => require_own(identity, &options)?,
+            Some(identity) => check_identity(identity, &options)?,
             None => {
                 let identity = new_identity(&options);
                 store.save_identity(identity.clone())?;
@@ -228,11 +228,11 @@
         &mut self,
         change: &MembershipChange,
     ) -> Result<LogIndex, MembershipError> {
-        let next = changed_membership(self.raft.membership(), change)
-            .ok_or(MembershipError::NoSuchMember)?;
+        let next = apply_membership_change(self.raft.membership(), change)
+            .ok_or(MembershipError::InvalidChange)?;
         self.raft
             .propose_membership(next)
-            .map_err(MembershipError::Refused)
+            .map_err(MembershipError::Rejected)
     }
 
     /// Appends a membership if this replica leads and the log takes it now.
@@ -270,10 +270,10 @@
             }
         }
         let log = self.raft.log();
-        let over_entries = log.len() as u64 >= self.options.snapshot_entries;
+        let exceeds_entries = log.len() as u64 >= self.options.snapshot_entries;
         // A snapshot is written for at least as many bytes of log as it has itself.
         let byte_limit = self.options.snapshot_bytes.max(log.snapshot().state.len());
-        if over_entries || log.payload_bytes() >= byte_limit {
+        if exceeds_entries || log.payload_bytes() >= byte_limit {
             self.compact()?;
         }
         Ok(advance)
@@ -302,21 +302,23 @@
             replica: self.identity.replica,
             voter: self.is_voter(),
             last_configuration_index: self.last_configuration_index(),
-            update: self.update_for(request),
+            update: self.configuration_update(request),
             membership_index: self.raft.membership_index(),
             voters: membership.voters().map(voter_address).collect(),
             routers: 0,
-            quarantine: self.quarantine_after(request.quarantine_known),
+            quarantine: self.quarantine_update(request.quarantine_known),
             group_level: self.state.serving().level(),
         }
     }
 
-    fn quarantine_after(&self, known: LogIndex) -> Option<QuarantineUpdate> {
-        let told = self.state.serving().quarantine().told();
-        Some(told).filter(|told| told.changed_at > known).cloned()
+    fn quarantine_update(&self, known: LogIndex) -> Option<QuarantineUpdate> {
+        let update = self.state.serving().quarantine().told();
+        Some(update)
+            .filter(|update| update.changed_at > known)
+            .cloned()
     }
 
-    fn update_for(&self, request: &PollRequest) -> Option<ConfigurationUpdate> {
+    fn configuration_update(&self, request: &PollRequest) -> Option<ConfigurationUpdate> {
         if !request.want_update {
             return None;
         }
@@ -324,8 +326,8 @@
     }
 
     fn is_voter(&self) -> bool {
-        let own = self.raft.membership().member(self.identity.replica);
-        own.is_some_and(|member| member.voter && member.disk == self.identity.disk)
+        let member = self.raft.membership().member(self.identity.replica);
+        member.is_some_and(|member| member.voter && member.disk == self.identity.disk)
     }
 
     /// Every entry after the applied ones may commit, so a configuration entry among them counts.
@@ -349,7 +351,7 @@
         let Payload::Command(bytes) = entry.payload else {
             return Ok(None);
         };
-        let proposal = read_proposal(&bytes).change_context(ControlError::UnknownRecord)?;
+        let proposal = read_proposal(&bytes).change_context(ControlError::InvalidRecord)?;
         let outcome = self
             .state
             .apply(entry.index, proposal, self.options.revision_check);
@@ -369,12 +371,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipError {
     /// No such member, or one that is there already.
-    NoSuchMember,
+    InvalidChange,
     /// The log refused it.
-    Refused(ProposeError),
+    Rejected(ProposeError),
 }
 
-fn changed_membership(current: &Membership, change: &MembershipChange) -> Option<Membership> {
+fn apply_membership_change(current: &Membership, change: &MembershipChange) -> Option<Membership> {
     let mut next = current.clone();
     match change {
         MembershipChange::AddLearner(member) => {
@@ -425,15 +427,15 @@
     }
 }
 
-fn require_own(
+fn check_identity(
     identity: Identity,
     options: &ReplicaOptions,
 ) -> Result<Identity, Report<ControlError>> {
-    let is_own = options.adopts_folder || identity.replica == options.replica;
-    if is_own && identity.cluster == options.cluster {
+    let is_same_replica = options.adopts_folder || identity.replica == options.replica;
+    if is_same_replica && identity.cluster == options.cluster {
         return Ok(identity);
     }
-    Err(Report::new(ControlError::ForeignData {
+    Err(Report::new(ControlError::DataFolderMismatch {
         replica: identity.replica.0,
         cluster: identity.cluster,
     }))
@@ -442,7 +444,7 @@
 fn encode_state(state: &ControlState) -> Result<Vec<u8>, Report<ControlError>> {
     state
         .write_to_vec()
-        .change_context(ControlError::UnknownRecord)
+        .change_context(ControlError::InvalidRecord)
 }
 
 fn decode_state(
@@ -450,7 +452,7 @@
     claim_retention_ms: u64,
 ) -> Result<ControlState, Report<ControlError>> {
     if snapshot.state.is_empty() {
-        return Ok(ControlState::unknown(claim_retention_ms));
+        return Ok(ControlState::uninitialized(claim_retention_ms));
     }
-    ControlState::read_stored(&snapshot.state).change_context(ControlError::UnknownRecord)
+    ControlState::read_stored(&snapshot.state).change_context(ControlError::InvalidRecord)
 }
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -62,27 +62,27 @@
         .filter(|engine| engine.model == target.name && !engine.draining)
         .collect();
     let wanted = EngineOrder::Load(target.clone());
-    let mut under_way = silent_with_order(target, orders, seen);
-    let mut waiting = Vec::new();
+    let mut in_progress = unresponsive_with_order(target, orders, seen);
+    let mut pending = Vec::new();
     for engine in &replicas {
         let is_current = engine.weights_version == target.weights_version && !engine.loading;
         // An order that the engine has not taken may still be on its way to it.
-        let on_its_way = orders
+        let outstanding = orders
             .get(&engine.engine)
             .filter(|issued| issued.token > engine.last_order_token);
-        match on_its_way {
+        match outstanding {
             Some(issued) if issued.order == wanted => {
                 step.send.push((engine.engine, issued.clone()));
-                under_way += usize::from(!is_current);
+                in_progress += usize::from(!is_current);
             }
             Some(_) => {
                 // A newer order to the same engine voids the one on its way.
                 step.record.push((engine.engine, wanted.clone()));
-                under_way += 1;
+                in_progress += 1;
             }
-            None if engine.loading => under_way += 1,
+            None if engine.loading => in_progress += 1,
             None if is_current => {}
-            None => waiting.push(engine.engine),
+            None => pending.push(engine.engine),
         }
     }
     let serving = replicas.iter().filter(|engine| !engine.loading).count();
@@ -90,19 +90,19 @@
         .listed
         .iter()
         .filter(|(_, model)| *model == target.name);
-    let spared = usize::from(listed.count() > 1);
-    let free = replicas
+    let reserved = usize::from(listed.count() > 1);
+    let available_slots = replicas
         .len()
         .div_ceil(REPLICAS_PER_LOAD)
-        .min(serving.saturating_sub(spared))
-        .saturating_sub(under_way);
-    let chosen = waiting.into_iter().take(free);
+        .min(serving.saturating_sub(reserved))
+        .saturating_sub(in_progress);
+    let selected = pending.into_iter().take(available_slots);
     step.record
-        .extend(chosen.map(|engine| (engine, wanted.clone())));
+        .extend(selected.map(|engine| (engine, wanted.clone())));
 }
 
 /// Listed engines that do not answer and may be loading by an order recorded before.
-fn silent_with_order(
+fn unresponsive_with_order(
     target: &ModelTarget,
     orders: &BTreeMap<EngineId, IssuedOrder>,
     seen: EnginesSeen<'_>,
--- a/crates/control/src/roster.rs
+++ b/crates/control/src/routers.rs
@@ -7,38 +7,38 @@
 use railtack_rpc::protocol::{PollRequest, RouterStatus};
 
 /// Silence after which a router counts as gone, milliseconds.
-const SILENCE_LIMIT_MS: Millis = 5_000;
+const ROUTER_TIMEOUT_MS: Millis = 5_000;
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct LastPoll {
     at: Millis,
     applied: LogIndex,
 }
 
 /// Routers heard from lately.
 #[derive(Clone, Debug, Default)]
-pub struct RouterRoster {
-    routers: BTreeMap<RouterId, Heard>,
+pub struct RouterTracker {
+    routers: BTreeMap<RouterId, LastPoll>,
 }
 
-impl RouterRoster {
+impl RouterTracker {
     /// Notes a poll.
-    pub fn heard(&mut self, request: &PollRequest, now: Millis) {
-        let heard = Heard {
+    pub fn record_poll(&mut self, request: &PollRequest, now: Millis) {
+        let last_poll = LastPoll {
             at: now,
             applied: request.applied,
         };
-        self.routers.insert(request.router, heard);
+        self.routers.insert(request.router, last_poll);
         self.routers
-            .retain(|_, heard| now < heard.at + SILENCE_LIMIT_MS);
+            .retain(|_, last_poll| now < last_poll.at + ROUTER_TIMEOUT_MS);
     }
 
     /// Number of routers heard from lately.
-    pub fn live(&self, now: Millis) -> u32 {
+    pub fn live_count(&self, now: Millis) -> u32 {
         let live = self
             .routers
             .values()
-            .filter(|heard| now < heard.at + SILENCE_LIMIT_MS);
+            .filter(|last_poll| now < last_poll.at + ROUTER_TIMEOUT_MS);
         live.count() as u32
     }
 
@@ -46,10 +46,10 @@
     pub fn statuses(&self, now: Millis) -> Vec<RouterStatus> {
         self.routers
             .iter()
-            .map(|(router, heard)| RouterStatus {
+            .map(|(router, last_poll)| RouterStatus {
                 router: *router,
-                applied: heard.applied,
-                silent_ms: now.saturating_sub(heard.at),
+                applied: last_poll.applied,
+                silent_ms: now.saturating_sub(last_poll.at),
             })
             .collect()
     }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -107,7 +107,7 @@
         metrics.clone(),
         settings.listen,
     );
-    let (handle, ended) = node::start(
+    let (handle, exit) = node::start(
         replica,
         peers,
         metrics.clone(),
@@ -130,11 +130,11 @@
         handle.clone(),
         shutdown.clone(),
     ));
-    tokio::spawn(roll_out(handle.clone(), settings.platform));
+    tokio::spawn(run_rollout(handle.clone(), settings.platform));
     let link = LeaderLink::new(handle.clone(), settings.listen.to_string());
     tokio::spawn(quarantine::keep_released(Arc::new(link), metrics));
     tokio::select! {
-        outcome = ended => outcome.map_err(|_| Report::new(ControlError::Stopped))?,
+        outcome = exit => outcome.map_err(|_| Report::new(ControlError::Stopped))?,
         () = shutdown.cancelled() => {
             handle.stop();
             Ok(())
@@ -232,32 +232,32 @@
     }
 
     async fn poll(self, _: Context, request: PollRequest) -> PollReply {
-        let answer = self.handle.ask(|sender| Input::Poll(request, sender)).await;
-        answer.unwrap_or_else(|_| stopped_poll_reply())
+        let reply = self.handle.ask(|sender| Input::Poll(request, sender)).await;
+        reply.unwrap_or_else(|_| stopped_poll_reply())
     }
 
     async fn propose(self, _: Context, mut proposal: Proposal) -> ProposeReply {
         proposal.at = unix_millis();
-        let answer = self
+        let reply = self
             .handle
             .ask(|sender| Input::Propose(proposal, sender))
             .await;
-        answer.unwrap_or(ProposeReply::Unknown)
+        reply.unwrap_or(ProposeReply::Unknown)
     }
 
     async fn configuration(self, _: Context) -> Configuration {
-        let answer = self.handle.ask(Input::Configuration).await;
-        answer.unwrap_or_default()
+        let reply = self.handle.ask(Input::Configuration).await;
+        reply.unwrap_or_default()
     }
 
     async fn identify(self, _: Context) -> ReplicaIdentity {
-        let answer = self.handle.ask(Input::Identify).await;
-        answer.unwrap_or_else(|_| unknown_identity())
+        let reply = self.handle.ask(Input::Identify).await;
+        reply.unwrap_or_else(|_| unknown_identity())
     }
 
     async fn status(self, _: Context) -> StatusReply {
-        let answer = self.handle.ask(Input::Status).await;
-        answer.unwrap_or_else(|_| StatusReply {
+        let reply = self.handle.ask(Input::Status).await;
+        reply.unwrap_or_else(|_| StatusReply {
             identity: unknown_identity(),
             term: 0,
             leader: None,
@@ -273,36 +273,36 @@
     }
 
     async fn change_membership(self, _: Context, change: MembershipChange) -> MembershipReply {
-        let answer = self
+        let reply = self
             .handle
             .ask(|sender| Input::ChangeMembership(change, sender))
             .await;
-        answer.unwrap_or(MembershipReply::NotLeader { leader: None })
+        reply.unwrap_or(MembershipReply::NotLeader { leader: None })
     }
 
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
         match &self.group {
             Some(group) => group.watch.answer(request).await,
-            None => unwatched_reply(),
+            None => unconfirmed_watch_reply(),
         }
     }
 
     async fn join(self, _: Context, request: JoinRequest) -> JoinReply {
-        let answer = self.handle.ask(|sender| Input::Join(request, sender)).await;
-        answer.unwrap_or(JoinReply::NotLeader { leader: None })
+        let reply = self.handle.ask(|sender| Input::Join(request, sender)).await;
+        reply.unwrap_or(JoinReply::NotLeader { leader: None })
     }
 
     async fn leave(self, _: Context, replica: ReplicaId) -> JoinReply {
-        let answer = self
+        let reply = self
             .handle
             .ask(|sender| Input::Leave(replica, sender))
             .await;
-        answer.unwrap_or(JoinReply::NotLeader { leader: None })
+        reply.unwrap_or(JoinReply::NotLeader { leader: None })
     }
 
     async fn read_index(self, _: Context) -> ReadIndexReply {
-        let answer = self.handle.ask(Input::ReadIndex).await;
-        answer.unwrap_or(ReadIndexReply::NotLeader { leader: None })
+        let reply = self.handle.ask(Input::ReadIndex).await;
+        reply.unwrap_or(ReadIndexReply::NotLeader { leader: None })
     }
 
     async fn alive(self, _: Context, notice: AliveNotice) -> AliveReply {
@@ -338,13 +338,13 @@
     }
 
     async fn snapshot(self, _: Context) -> u64 {
-        let answer = self.handle.ask(Input::Snapshot).await;
-        answer.unwrap_or_default()
+        let reply = self.handle.ask(Input::Snapshot).await;
+        reply.unwrap_or_default()
     }
 }
 
 /// A replica that answers no watches confirms nothing.
-fn unwatched_reply() -> WatchReply {
+fn unconfirmed_watch_reply() -> WatchReply {
     WatchReply {
         confirmed_age_ms: None,
         held_ms: 0,
@@ -386,22 +386,22 @@
 }
 
 /// While this replica leads, brings engines to the wanted weights.
-async fn roll_out(handle: NodeHandle, platform: SocketAddr) {
+async fn run_rollout(handle: NodeHandle, platform: SocketAddr) {
     let client = HttpClient::new(PLATFORM_TIMEOUT);
     let mut interval = tokio::time::interval(ROLLOUT_INTERVAL);
     loop {
         interval.tick().await;
-        let Ok(view) = handle.ask(Input::Leading).await else {
+        let Ok(view) = handle.ask(Input::LeaderView).await else {
             return;
         };
-        let wanted = view.filter(|view| !view.configuration.models.is_empty());
-        if let Some(view) = wanted {
-            roll_out_once(&handle, &client, platform, &view).await;
+        let active_view = view.filter(|view| !view.configuration.models.is_empty());
+        if let Some(view) = active_view {
+            run_rollout_step(&handle, &client, platform, &view).await;
         }
     }
 }
 
-async fn roll_out_once(
+async fn run_rollout_step(
     handle: &NodeHandle,
     client: &HttpClient,
     platform: SocketAddr,
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -19,17 +19,17 @@
 
 use crate::{
     claims::ClaimTable,
-    configuration::{ChangeRefused, RevisionCheck, apply_change},
+    configuration::{ChangeError, RevisionCheck, apply_change},
     serving_state::{ServingState, StoredWithInlineQuotas},
 };
 
 /// Outcomes of operations that are kept for resends.
-const OPERATIONS_KEPT: usize = 10_000;
+const MAX_OPERATIONS: usize = 10_000;
 /// Accepted changes kept for sending deltas; a router further behind gets a snapshot.
-const CHANGES_KEPT: usize = 256;
+const MAX_RECENT_CHANGES: usize = 256;
 /// Largest step of the state's clock in one command, so that one proposer's wrong clock cannot
 /// expire claims early.
-const CLOCK_STEP_LIMIT_MS: u64 = 60_000;
+const MAX_CLOCK_STEP_MS: u64 = 60_000;
 
 /// An order that was last given to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
@@ -48,7 +48,7 @@
 
 /// The state in a layout in which the quotas of tenants stand within the configuration that routers serve from.
 #[derive(Readable)]
-struct InlineQuotas {
+struct StateWithInlineQuotas {
     configuration: Configuration,
     configuration_index: LogIndex,
     operations: BTreeMap<OperationId, RecordedOperation>,
@@ -62,8 +62,8 @@
     serving: StoredWithInlineQuotas,
 }
 
-impl From<InlineQuotas> for ControlState {
-    fn from(stored: InlineQuotas) -> Self {
+impl From<StateWithInlineQuotas> for ControlState {
+    fn from(stored: StateWithInlineQuotas) -> Self {
         Self {
             configuration: stored.configuration,
             configuration_index: stored.configuration_index,
@@ -106,7 +106,7 @@
     }
 
     /// The state of a member that has not been sent any yet, so that it knows nothing of its group.
-    pub fn unknown(claim_retention_ms: u64) -> Self {
+    pub fn uninitialized(claim_retention_ms: u64) -> Self {
         Self {
             serving: ServingState::at(FeatureLevel::FIRST),
             ..Self::new(claim_retention_ms)
@@ -115,10 +115,10 @@
 
     /// Reads a state as a snapshot holds it, in any layout that a build has written.
     pub fn read_stored(bytes: &[u8]) -> Result<Self, LayoutError> {
-        read_exactly::<Self>(bytes).or_else(|first| {
-            read_exactly::<InlineQuotas>(bytes)
+        read_exactly::<Self>(bytes).or_else(|error| {
+            read_exactly::<StateWithInlineQuotas>(bytes)
                 .map(Self::from)
-                .map_err(|_| first)
+                .map_err(|_| error)
         })
     }
 
@@ -212,25 +212,25 @@
         }
         let outcome = match apply_change(&mut self.configuration, &change, check) {
             Ok(revision) => {
-                self.remember_change(AcceptedChange {
+                self.record_change(AcceptedChange {
                     index,
                     revision,
                     change: change.clone(),
                 });
                 Outcome::Accepted { revision }
             }
-            Err(ChangeRefused::Conflict { current }) => Outcome::Conflict { current },
-            Err(ChangeRefused::Invalid(error)) => Outcome::Rejected(error),
+            Err(ChangeError::Conflict { current }) => Outcome::Conflict { current },
+            Err(ChangeError::Invalid(error)) => Outcome::Rejected(error),
         };
         let record = RecordedOperation {
             change,
             outcome: outcome.clone(),
         };
-        self.remember_operation(index, operation, record);
+        self.record_operation(index, operation, record);
         outcome
     }
 
-    fn remember_operation(
+    fn record_operation(
         &mut self,
         index: LogIndex,
         operation: OperationId,
@@ -238,15 +238,15 @@
     ) {
         self.operation_order.insert(index, operation.clone());
         self.operations.insert(operation, record);
-        if self.operation_order.len() > OPERATIONS_KEPT {
+        if self.operation_order.len() > MAX_OPERATIONS {
             let oldest = self.operation_order.pop_first();
             oldest.map(|(_, operation)| self.operations.remove(&operation));
         }
     }
 
-    fn remember_change(&mut self, change: AcceptedChange) {
+    fn record_change(&mut self, change: AcceptedChange) {
         self.recent_changes.insert(change.index, change);
-        if self.recent_changes.len() > CHANGES_KEPT {
+        if self.recent_changes.len() > MAX_RECENT_CHANGES {
             let dropped = self.recent_changes.pop_first();
             self.changes_complete_after = dropped.map_or(0, |(index, _)| index);
         }
@@ -256,7 +256,7 @@
         let limit = if self.clock == 0 {
             at
         } else {
-            self.clock + CLOCK_STEP_LIMIT_MS
+            self.clock + MAX_CLOCK_STEP_MS
         };
         self.clock = self.clock.max(at.min(limit));
         self.claims
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -76,7 +76,7 @@
             .change_context(ControlError::Storage)?;
         let mut replay = Replay::default();
         for bytes in records {
-            replay.take(decode::<Record>(&bytes)?);
+            replay.apply(decode::<Record>(&bytes)?);
         }
         let recovered = Recovered {
             hard_state: replay.hard_state,
@@ -169,7 +169,7 @@
 }
 
 impl Replay {
-    fn take(&mut self, record: Record) {
+    fn apply(&mut self, record: Record) {
         match record {
             Record::Identity(identity) => self.identity = Some(identity),
             Record::HardState(hard_state) => self.hard_state = hard_state,
@@ -198,12 +198,12 @@
 fn encode<T: Writable<speedy::LittleEndian>>(value: &T) -> Result<Vec<u8>, Report<ControlError>> {
     value
         .write_to_vec()
-        .change_context(ControlError::UnknownRecord)
+        .change_context(ControlError::InvalidRecord)
 }
 
 fn decode<T>(bytes: &[u8]) -> Result<T, Report<ControlError>>
 where
     T: for<'a> Readable<'a, speedy::LittleEndian>,
 {
-    T::read_from_buffer(bytes).change_context(ControlError::UnknownRecord)
+    T::read_from_buffer(bytes).change_context(ControlError::InvalidRecord)
 }
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -21,7 +21,7 @@
     /// Whether this replica leads and has applied everything before its term.
     pub leads: bool,
     /// While leading: latest moment at which it is known to have led, on the replica's clock.
-    pub confirmed_at: Option<Millis>,
+    pub leadership_confirmed_at: Option<Millis>,
     /// Whether this replica's folder is that of a member.
     pub is_member: bool,
     /// Internal addresses of the voters.
@@ -32,7 +32,7 @@
     /// While leading: time since it was last known to have led. `started` is the zero of the replica's
     /// clock.
     pub fn leadership_age(&self, started: BootInstant) -> Option<Duration> {
-        let confirmed_at = self.confirmed_at.filter(|_| self.leads)?;
+        let confirmed_at = self.leadership_confirmed_at.filter(|_| self.leads)?;
         Some((started + Duration::from_millis(confirmed_at)).elapsed())
     }
 }
--- a/crates/control/tests/members.rs
+++ b/crates/control/tests/members.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use railtack_consensus::{DiskId, Member, Membership, ReplicaId};
-use railtack_control::members::{MemberFacts, next_membership};
+use railtack_control::members::{MembershipContext, next_membership};
 use railtack_rpc::{FeatureLevel, serving::JoinRequest};
 use railtack_serving::FaultTolerance;
 
-const LIMIT_MS: u64 = 4_000;
+const SILENCE_LIMIT_MS: u64 = 4_000;
 
 fn member(number: u32, voter: bool) -> Member {
     Member {
@@ -40,11 +40,11 @@
     joins: &[(ReplicaId, JoinRequest)],
     silent: &[u32],
 ) -> Option<Vec<i64>> {
-    next_bearing(0, current, joins, silent, &[])
+    next_with_tolerance(0, current, joins, silent, &[])
 }
 
 /// The same for a group that must bear the loss of `machines` members.
-fn next_bearing(
+fn next_with_tolerance(
     machines: u32,
     current: &Membership,
     joins: &[(ReplicaId, JoinRequest)],
@@ -58,19 +58,22 @@
         .iter()
         .map(|member| {
             let is_silent = silent.contains(&member.replica.0);
-            (member.replica, if is_silent { LIMIT_MS * 2 } else { 10 })
+            (
+                member.replica,
+                if is_silent { SILENCE_LIMIT_MS * 2 } else { 10 },
+            )
         })
         .collect();
-    let facts = MemberFacts {
+    let context = MembershipContext {
         leader: ReplicaId(1),
-        joins: &joins,
+        join_requests: &joins,
         silence: &silence,
-        silence_limit: LIMIT_MS,
-        presence_limit: LIMIT_MS / 2,
+        silence_limit: SILENCE_LIMIT_MS,
+        recent_contact_limit: SILENCE_LIMIT_MS / 2,
         leaving: &leaving,
         tolerance: FaultTolerance { machines },
     };
-    let next = next_membership(current, facts)?;
+    let next = next_membership(current, context)?;
     assert!(current.voter_difference(&next) <= 1);
     let number = |member: &Member| {
         let sign = if member.voter { 1 } else { -1 };
@@ -80,7 +83,7 @@
 }
 
 #[test]
-fn the_first_member_takes_the_others_in_one_by_one() {
+fn members_are_added_as_learners_and_promoted_one_at_a_time() {
     let alone = voters(&[1]);
     assert_eq!(next(&alone, &[], &[]), None);
     assert_eq!(next(&alone, &[join(2, 2)], &[]), Some(vec![1, -2]));
@@ -91,7 +94,7 @@
 }
 
 #[test]
-fn an_empty_folder_at_a_known_address_replaces_the_member_there() {
+fn a_member_with_a_replaced_data_folder_is_removed_and_rejoins() {
     let five = voters(&[1, 2, 3, 4, 5]);
     let joins = [join(9, 3)];
     assert_eq!(next(&five, &joins, &[]), Some(vec![1, 2, 4, 5]));
@@ -100,7 +103,7 @@
 }
 
 #[test]
-fn a_successor_at_a_new_address_takes_the_place_of_a_silent_voter() {
+fn a_learner_replaces_a_silent_voter() {
     let mut members = voters(&[1, 2, 3, 4, 5]);
     members.members.push(member(6, false));
     assert_eq!(next(&members, &[], &[5]), Some(vec![1, 2, 3, 4, -6]));
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn no_voter_goes_if_too_few_live_ones_would_be_left() {
+fn no_voter_is_removed_if_the_rest_has_no_live_majority() {
     let mut members = voters(&[1, 2, 3]);
     members.members.push(member(4, false));
     // One live voter of the two that would be left is no majority.
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn a_silent_voter_without_a_successor_stays() {
+fn a_silent_voter_is_kept_without_a_replacement() {
     let five = voters(&[1, 2, 3, 4, 5]);
     assert_eq!(next(&five, &[], &[4, 5]), None);
 }
@@ -130,37 +133,40 @@
 /// Found on a random day: two of seven voters, each replaced by a newcomer, stayed for good, so that
 /// the group did not come back after the two losses that it was to bear.
 #[test]
-fn silent_voters_beyond_the_number_needed_do_not_use_up_the_tolerance() {
+fn surplus_silent_voters_are_removed() {
     let seven = voters(&[1, 2, 3, 4, 5, 6, 7]);
-    let after = next_bearing(2, &seven, &[], &[6, 7], &[]);
+    let after = next_with_tolerance(2, &seven, &[], &[6, 7], &[]);
     assert_eq!(after, Some(vec![1, 2, 3, 4, 5, 6]));
     let six = voters(&[1, 2, 3, 4, 5, 6]);
-    let after = next_bearing(2, &six, &[], &[6], &[]);
+    let after = next_with_tolerance(2, &six, &[], &[6], &[]);
     assert_eq!(after, Some(vec![1, 2, 3, 4, 5]));
     // One silent of seven leaves room for two more.
-    assert_eq!(next_bearing(2, &seven, &[], &[7], &[]), None);
+    assert_eq!(next_with_tolerance(2, &seven, &[], &[7], &[]), None);
     let five = voters(&[1, 2, 3, 4, 5]);
-    assert_eq!(next_bearing(2, &five, &[], &[4, 5], &[]), None);
+    assert_eq!(next_with_tolerance(2, &five, &[], &[4, 5], &[]), None);
 }
 
 /// An entry is acknowledged by a majority; it must outlive the loss of as many disks as may be lost.
 #[test]
-fn a_majority_always_outnumbers_the_disks_that_may_be_lost() {
+fn a_majority_always_exceeds_the_tolerated_losses() {
     let four = voters(&[1, 2, 3, 4]);
-    assert_eq!(next_bearing(2, &four, &[], &[4], &[]), None);
-    assert_eq!(next_bearing(1, &four, &[], &[4], &[]), Some(vec![1, 2, 3]));
+    assert_eq!(next_with_tolerance(2, &four, &[], &[4], &[]), None);
+    assert_eq!(
+        next_with_tolerance(1, &four, &[], &[4], &[]),
+        Some(vec![1, 2, 3])
+    );
 }
 
 #[test]
-fn a_voter_that_says_it_leaves_goes_at_once_if_the_group_is_better_off() {
+fn a_leaving_surplus_voter_is_removed_immediately() {
     let six = voters(&[1, 2, 3, 4, 5, 6]);
-    let after = next_bearing(2, &six, &[], &[], &[3]);
+    let after = next_with_tolerance(2, &six, &[], &[], &[3]);
     assert_eq!(after, Some(vec![1, 2, 4, 5, 6]));
     // One that is only restarted stays.
     let five = voters(&[1, 2, 3, 4, 5]);
-    assert_eq!(next_bearing(2, &five, &[], &[], &[3]), None);
+    assert_eq!(next_with_tolerance(2, &five, &[], &[], &[3]), None);
     // It is not taken in again by a request that it sent before.
     let joins = [join(3, 3)];
     let without = voters(&[1, 2, 4, 5, 6]);
-    assert_eq!(next_bearing(2, &without, &joins, &[], &[3]), None);
+    assert_eq!(next_with_tolerance(2, &without, &joins, &[], &[3]), None);
 }
