--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -97,7 +97,7 @@
     }
 
     /// Asks a question and waits for the answer.
-    pub async fn ask<T>(
+    pub async fn request<T>(
         &self,
         make_input: impl FnOnce(oneshot::Sender<T>) -> Input,
     ) -> Result<T, Report<ControlError>> {
@@ -125,7 +125,7 @@
 pub type OpenReplica = Box<dyn Fn(Millis) -> Result<Replica, Report<ControlError>> + Send>;
 
 /// Tells what a document's bytes mean; `None` if they cannot be read.
-pub type ReadDocument = fn(&[u8]) -> Option<ServingConfiguration>;
+pub type DocumentParser = fn(&[u8]) -> Option<ServingConfiguration>;
 
 /// How a replica's thread behaves.
 pub struct NodeOptions {
@@ -133,23 +133,23 @@
     pub tick: Duration,
     /// Whether the leader adds, replaces and removes members by itself; silence after which a
     /// voter may be replaced, milliseconds.
-    pub replace_silent_after: Option<Millis>,
+    pub voter_replacement_timeout: Option<Millis>,
     /// Losses that the group must bear.
     pub tolerance: FaultTolerance,
     /// Opens the replica anew after its storage failed; without it the thread ends.
     pub reopen: Option<OpenReplica>,
     /// Reads the document held, for what former builds did not take from it.
-    pub read_document: ReadDocument,
+    pub parse_document: DocumentParser,
 }
 
 impl Default for NodeOptions {
     fn default() -> Self {
         Self {
             tick: Duration::from_millis(10),
-            replace_silent_after: None,
+            voter_replacement_timeout: None,
             tolerance: FaultTolerance { machines: 0 },
             reopen: None,
-            read_document: |_| None,
+            parse_document: |_| None,
         }
     }
 }
@@ -225,7 +225,7 @@
             };
             loop {
                 spdlog::warn!("storage lost", kv: { cause = format!("{report}") });
-                send_replies(self.pending.give_up());
+                send_replies(self.pending.fail_all());
                 self.pending_reads.clear();
                 let Some(reopen) = &self.options.reopen else {
                     return Err(report);
@@ -281,7 +281,7 @@
             send_replies(self.pending.applied(applied));
         }
         if self.replica.raft().role() != Role::Leader {
-            send_replies(self.pending.give_up());
+            send_replies(self.pending.fail_all());
         }
         self.complete_reads();
         self.reconcile_members(now);
@@ -306,7 +306,7 @@
         let now = self.now();
         match input {
             Input::Deliver(message, sender) => {
-                self.levels.hear(message.from, sender.level, now);
+                self.levels.record(message.from, sender.level, now);
                 if self.check_level(message.from, sender.level) {
                     self.peers.record_address(message.from, sender.address);
                     self.replica.receive(message, now);
@@ -363,8 +363,8 @@
             return;
         }
         match self.replica.propose(proposal) {
-            Ok(ticket) => {
-                self.pending.insert(ticket, reply);
+            Ok(position) => {
+                self.pending.insert(position, reply);
             }
             Err(_) => {
                 let leader = self.leader_address();
@@ -410,13 +410,13 @@
             members: raft.membership().members.clone(),
             routers: self.routers.statuses(self.now()),
             group_level: self.group_level(),
-            member_levels: self.levels.said(raft.membership()),
+            member_levels: self.levels.reported(raft.membership()),
         }
     }
 
     fn leader_view(&self) -> Option<LeaderView> {
         let state = self.replica.state();
-        self.replica.leads_with_current_state().then(|| LeaderView {
+        self.replica.is_ready_leader().then(|| LeaderView {
             configuration: state.configuration().clone(),
             orders: state.orders().clone(),
         })
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -16,7 +16,7 @@
 
 impl Node {
     pub(super) fn start_read(&mut self, reply: oneshot::Sender<ReadIndexReply>, now: Millis) {
-        if !self.replica.leads_with_current_state() {
+        if !self.replica.is_ready_leader() {
             let leader = self.leader_address();
             let _ = reply.send(ReadIndexReply::NotLeader { leader });
             return;
@@ -33,7 +33,7 @@
         if self.pending_reads.is_empty() {
             return;
         }
-        let leads = self.replica.leads_with_current_state();
+        let leads = self.replica.is_ready_leader();
         let confirmed_at = self.replica.raft().leadership_confirmed_at();
         let leader = self.leader_address();
         for read in std::mem::take(&mut self.pending_reads) {
@@ -52,7 +52,7 @@
     }
 
     pub(super) fn join(&mut self, request: JoinRequest, now: Millis) -> JoinReply {
-        if !self.replica.leads_with_current_state() {
+        if !self.replica.is_ready_leader() {
             return JoinReply::NotLeader {
                 leader: self.leader_address(),
             };
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn leave(&mut self, replica: ReplicaId, now: Millis) -> JoinReply {
-        if !self.replica.leads_with_current_state() {
+        if !self.replica.is_ready_leader() {
             return JoinReply::NotLeader {
                 leader: self.leader_address(),
             };
@@ -78,14 +78,14 @@
 
     /// While leading, brings the members closer to the replicas that are there.
     pub(super) fn reconcile_members(&mut self, now: Millis) {
-        let Some(silence_limit) = self.options.replace_silent_after else {
+        let Some(silence_limit) = self.options.voter_replacement_timeout else {
             return;
         };
         self.join_requests
             .retain(|_, (_, requested_at)| now < *requested_at + JOIN_REQUEST_TTL_MS);
         self.leaving
             .retain(|_, notified_at| now < *notified_at + LEAVE_NOTICE_TTL_MS);
-        if !self.replica.leads_with_current_state() {
+        if !self.replica.is_ready_leader() {
             return;
         }
         let raft = self.replica.raft();
@@ -122,14 +122,14 @@
         let is_member =
             own_member.is_some_and(|member| member.disk == self.replica.identity().disk);
         let leader = self.leader_address();
-        let leads = self.replica.leads_with_current_state();
+        let leads = self.replica.is_ready_leader();
         let confirmed_at = raft.leadership_confirmed_at();
         self.view.send_if_modified(|view| {
             let same_state = view.serving.changed_at() == serving.changed_at()
                 && view.applied == raft.applied_index()
                 && view.term == raft.term();
             let same_role = view.leader == leader
-                && view.leads == leads
+                && view.is_leader == leads
                 && view.is_member == is_member
                 && view.leadership_confirmed_at == confirmed_at;
             if same_state && same_role {
@@ -141,7 +141,7 @@
             view.applied = raft.applied_index();
             view.term = raft.term();
             view.leader = leader;
-            view.leads = leads;
+            view.is_leader = leads;
             view.leadership_confirmed_at = confirmed_at;
             view.is_member = is_member;
             view.voters = raft
--- a/crates/control/src/node/level.rs
+++ b/crates/control/src/node/level.rs
@@ -30,13 +30,13 @@
 
 impl MemberLevels {
     /// Takes in what a message says of its sender's build.
-    pub fn hear(&mut self, member: ReplicaId, level: FeatureLevel, now: Millis) {
+    pub fn record(&mut self, member: ReplicaId, level: FeatureLevel, now: Millis) {
         self.reported.insert(member, (level, now));
     }
 
     /// Notes whether this replica leads.
-    pub fn note_lead(&mut self, leads: bool, now: Millis) {
-        if leads {
+    pub fn set_leading(&mut self, leading: bool, now: Millis) {
+        if leading {
             self.leading_since.get_or_insert(now);
         } else {
             self.leading_since = None;
@@ -45,7 +45,7 @@
 
     /// While leading: what all members can do. One that has not been heard since the lead began may have been
     /// replaced by another build.
-    pub fn common(&self, own: ReplicaId, membership: &Membership) -> FeatureLevel {
+    pub fn common_level(&self, own: ReplicaId, membership: &Membership) -> FeatureLevel {
         let Some(leading_since) = self.leading_since else {
             return FeatureLevel::FIRST;
         };
@@ -62,7 +62,7 @@
     }
 
     /// What each other member said last; those that were not heard yet are left out.
-    pub fn said(&self, membership: &Membership) -> Vec<(ReplicaId, FeatureLevel)> {
+    pub fn reported(&self, membership: &Membership) -> Vec<(ReplicaId, FeatureLevel)> {
         let members = membership.members.iter();
         let reported = members.filter_map(|member| {
             let (level, _) = self.reported.get(&member.replica)?;
@@ -105,12 +105,12 @@
 
     /// While leading, raises the level once all members can do more.
     pub(super) fn raise_level(&mut self, now: Millis) {
-        let leads = self.replica.leads_with_current_state();
-        self.levels.note_lead(leads, now);
+        let leads = self.replica.is_ready_leader();
+        self.levels.set_leading(leads, now);
         let group_level = self.group_level();
         self.metrics.group_level.set(i64::from(group_level.0));
         let raft = self.replica.raft();
-        let level = self.levels.common(raft.replica(), raft.membership());
+        let level = self.levels.common_level(raft.replica(), raft.membership());
         if level <= group_level || !self.levels.should_propose(now) {
             return;
         }
@@ -131,7 +131,7 @@
     fn raise_command(&self, level: FeatureLevel) -> ServingCommand {
         let serving = self.replica.state().serving();
         let parsed = serving.content().and_then(|content| {
-            let configuration = (self.options.read_document)(content);
+            let configuration = (self.options.parse_document)(content);
             if configuration.is_none() {
                 spdlog::warn!("document held cannot be read: its quotas come with the next one");
             }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -30,10 +30,10 @@
 pub struct ReplicaOptions {
     /// Cluster.
     pub cluster: String,
-    /// This replica; a folder that is in use keeps its own number if `adopts_folder` is set.
+    /// This replica; a folder that is in use keeps its own number if `accept_stored_id` is set.
     pub replica: ReplicaId,
     /// Whether the number in the folder prevails over `replica`.
-    pub adopts_folder: bool,
+    pub accept_stored_id: bool,
     /// Identity given to the data folder if it is new.
     pub new_disk: DiskId,
     /// Shortest election timeout, milliseconds.
@@ -56,7 +56,7 @@
 
 /// Where a proposal stands in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket {
+pub struct LogPosition {
     /// Position.
     pub index: LogIndex,
     /// Term in which it was appended.
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
     /// Where it stands.
-    pub ticket: Ticket,
+    pub position: LogPosition,
     /// The proposal as it stands in the log.
     pub encoded: Vec<u8>,
     /// What it did.
@@ -127,12 +127,12 @@
             address: address.to_owned(),
             voter: true,
         };
-        Self::initialize_as(folder, options, vec![member])
+        Self::initialize_with_members(folder, options, vec![member])
     }
 
     /// Makes an empty folder one of the first members of a new cluster. All of them must be
     /// initialized with the same members.
-    pub fn initialize_as(
+    pub fn initialize_with_members(
         folder: &dyn Folder,
         options: &ReplicaOptions,
         members: Vec<Member>,
@@ -192,7 +192,7 @@
 
     /// Whether this replica leads and has applied everything that earlier leaders may have
     /// committed. Decisions that count on the state wait for this.
-    pub fn leads_with_current_state(&self) -> bool {
+    pub fn is_ready_leader(&self) -> bool {
         let applied_term = self.raft.log().term_at(self.applied_index());
         self.raft.role() == Role::Leader && applied_term == Some(self.raft.term())
     }
@@ -213,11 +213,11 @@
     }
 
     /// Appends a command if this replica leads.
-    pub fn propose(&mut self, proposal: &Proposal) -> Result<Ticket, ProposeError> {
+    pub fn propose(&mut self, proposal: &Proposal) -> Result<LogPosition, ProposeError> {
         // Encoding into memory cannot fail: speedy writes to a growing buffer.
         let bytes = proposal.write_to_vec().unwrap_or_default();
         let index = self.raft.propose(bytes)?;
-        Ok(Ticket {
+        Ok(LogPosition {
             index,
             term: self.raft.term(),
         })
@@ -355,12 +355,12 @@
         let outcome = self
             .state
             .apply(entry.index, proposal, self.options.revision_check);
-        let ticket = Ticket {
+        let position = LogPosition {
             index: entry.index,
             term: entry.term,
         };
         Ok(Some(Applied {
-            ticket,
+            position,
             encoded: bytes,
             outcome,
         }))
@@ -431,7 +431,7 @@
     identity: Identity,
     options: &ReplicaOptions,
 ) -> Result<Identity, Report<ControlError>> {
-    let is_same_replica = options.adopts_folder || identity.replica == options.replica;
+    let is_same_replica = options.accept_stored_id || identity.replica == options.replica;
     if is_same_replica && identity.cluster == options.cluster {
         return Ok(identity);
     }
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -26,7 +26,7 @@
 
 /// What is known of the engines when a step is planned.
 #[derive(Clone, Copy, Debug)]
-pub struct EnginesSeen<'a> {
+pub struct ObservedEngines<'a> {
     /// State of each engine that answered.
     pub statuses: &'a [EngineStatus],
     /// Every engine that the platform lists, with the model it was started with.
@@ -41,7 +41,7 @@
 pub fn next_step(
     configuration: &Configuration,
     orders: &BTreeMap<EngineId, IssuedOrder>,
-    seen: EnginesSeen<'_>,
+    seen: ObservedEngines<'_>,
 ) -> RolloutStep {
     let mut step = RolloutStep::default();
     for target in configuration.models.values().map(|known| &known.document) {
@@ -53,7 +53,7 @@
 fn plan_model(
     target: &ModelTarget,
     orders: &BTreeMap<EngineId, IssuedOrder>,
-    seen: EnginesSeen<'_>,
+    seen: ObservedEngines<'_>,
     step: &mut RolloutStep,
 ) {
     let replicas: Vec<&EngineStatus> = seen
@@ -105,7 +105,7 @@
 fn unresponsive_with_order(
     target: &ModelTarget,
     orders: &BTreeMap<EngineId, IssuedOrder>,
-    seen: EnginesSeen<'_>,
+    seen: ObservedEngines<'_>,
 ) -> usize {
     let answered = |engine: &EngineId| seen.statuses.iter().any(|known| known.engine == *engine);
     seen.listed
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -45,7 +45,7 @@
     node::{self, Input, LeaderView, NodeHandle, NodeOptions},
     peers::Peers,
     replica::{Replica, ReplicaOptions},
-    rollout::{self, EnginesSeen, RolloutStep},
+    rollout::{self, ObservedEngines, RolloutStep},
     serving::{
         leader::LeaderLink, liveness::Liveness, permits::PermitServer, quarantine,
         quota::QuotaServer, watch::WatchServer,
@@ -66,7 +66,7 @@
     ReplicaOptions {
         cluster: settings.cluster.clone(),
         replica: ReplicaId(settings.replica_id),
-        adopts_folder: false,
+        accept_stored_id: false,
         new_disk,
         election_timeout: consensus.election_timeout_ms,
         heartbeat_interval: consensus.heartbeat_ms,
@@ -181,7 +181,7 @@
         let registry = Arc::clone(&registry);
         let handle = handle.clone();
         async move {
-            let status = handle.ask(Input::Status).await;
+            let status = handle.request(Input::Status).await;
             let ready = status.is_ok_and(|status| status.leader.is_some());
             observability::answer(request.uri().path(), &registry, ready)
                 .unwrap_or_else(|| body::with_type(404, "text/plain", body::empty()))
@@ -232,7 +232,10 @@
     }
 
     async fn poll(self, _: Context, request: PollRequest) -> PollReply {
-        let reply = self.handle.ask(|sender| Input::Poll(request, sender)).await;
+        let reply = self
+            .handle
+            .request(|sender| Input::Poll(request, sender))
+            .await;
         reply.unwrap_or_else(|_| stopped_poll_reply())
     }
 
@@ -240,23 +243,23 @@
         proposal.at = unix_millis();
         let reply = self
             .handle
-            .ask(|sender| Input::Propose(proposal, sender))
+            .request(|sender| Input::Propose(proposal, sender))
             .await;
         reply.unwrap_or(ProposeReply::Unknown)
     }
 
     async fn configuration(self, _: Context) -> Configuration {
-        let reply = self.handle.ask(Input::Configuration).await;
+        let reply = self.handle.request(Input::Configuration).await;
         reply.unwrap_or_default()
     }
 
     async fn identify(self, _: Context) -> ReplicaIdentity {
-        let reply = self.handle.ask(Input::Identify).await;
+        let reply = self.handle.request(Input::Identify).await;
         reply.unwrap_or_else(|_| unknown_identity())
     }
 
     async fn status(self, _: Context) -> StatusReply {
-        let reply = self.handle.ask(Input::Status).await;
+        let reply = self.handle.request(Input::Status).await;
         reply.unwrap_or_else(|_| StatusReply {
             identity: unknown_identity(),
             term: 0,
@@ -275,7 +278,7 @@
     async fn change_membership(self, _: Context, change: MembershipChange) -> MembershipReply {
         let reply = self
             .handle
-            .ask(|sender| Input::ChangeMembership(change, sender))
+            .request(|sender| Input::ChangeMembership(change, sender))
             .await;
         reply.unwrap_or(MembershipReply::NotLeader { leader: None })
     }
@@ -288,20 +291,23 @@
     }
 
     async fn join(self, _: Context, request: JoinRequest) -> JoinReply {
-        let reply = self.handle.ask(|sender| Input::Join(request, sender)).await;
+        let reply = self
+            .handle
+            .request(|sender| Input::Join(request, sender))
+            .await;
         reply.unwrap_or(JoinReply::NotLeader { leader: None })
     }
 
     async fn leave(self, _: Context, replica: ReplicaId) -> JoinReply {
         let reply = self
             .handle
-            .ask(|sender| Input::Leave(replica, sender))
+            .request(|sender| Input::Leave(replica, sender))
             .await;
         reply.unwrap_or(JoinReply::NotLeader { leader: None })
     }
 
     async fn read_index(self, _: Context) -> ReadIndexReply {
-        let reply = self.handle.ask(Input::ReadIndex).await;
+        let reply = self.handle.request(Input::ReadIndex).await;
         reply.unwrap_or(ReadIndexReply::NotLeader { leader: None })
     }
 
@@ -338,7 +344,7 @@
     }
 
     async fn snapshot(self, _: Context) -> u64 {
-        let reply = self.handle.ask(Input::Snapshot).await;
+        let reply = self.handle.request(Input::Snapshot).await;
         reply.unwrap_or_default()
     }
 }
@@ -391,7 +397,7 @@
     let mut interval = tokio::time::interval(ROLLOUT_INTERVAL);
     loop {
         interval.tick().await;
-        let Ok(view) = handle.ask(Input::LeaderView).await else {
+        let Ok(view) = handle.request(Input::LeaderView).await else {
             return;
         };
         let active_view = view.filter(|view| !view.configuration.models.is_empty());
@@ -409,7 +415,7 @@
 ) {
     let (listed, engines) = fetch_engines(client, platform).await;
     let statuses: Vec<EngineStatus> = engines.iter().map(|(_, status)| status.clone()).collect();
-    let seen = EnginesSeen {
+    let seen = ObservedEngines {
         statuses: &statuses,
         listed: &listed,
     };
@@ -421,7 +427,9 @@
             command,
         };
         // The next look finds the order recorded, or records it again.
-        let _ = handle.ask(|sender| Input::Propose(proposal, sender)).await;
+        let _ = handle
+            .request(|sender| Input::Propose(proposal, sender))
+            .await;
     }
     for (engine, issued) in send {
         let address = engines
--- a/crates/control/src/serving/daemon.rs
+++ b/crates/control/src/serving/daemon.rs
@@ -13,7 +13,7 @@
     configuration::RevisionCheck,
     errors::ControlError,
     metrics::ControlMetrics,
-    node::{self, NodeOptions, ReadDocument},
+    node::{self, DocumentParser, NodeOptions},
     peers::Peers,
     replica::{Replica, ReplicaOptions},
     server::{self, ControlService, GroupServices},
@@ -71,7 +71,7 @@
     /// Time between heartbeats of back-end replicas.
     pub replica_heartbeat: Duration,
     /// Reads documents.
-    pub read_document: ReadDocument,
+    pub parse_document: DocumentParser,
 }
 
 /// Starts the replica and its tasks; they run for as long as the process.
@@ -94,10 +94,10 @@
     let reopened = options.clone();
     let node_options = NodeOptions {
         tick: TICK,
-        replace_silent_after: Some(options.bounds.contact_ms + ELECTION_TIMEOUT_MS * 2),
+        voter_replacement_timeout: Some(options.bounds.contact_ms + ELECTION_TIMEOUT_MS * 2),
         tolerance: options.tolerance,
         reopen: Some(Box::new(move |now| open(&reopened, now))),
-        read_document: options.read_document,
+        parse_document: options.parse_document,
     };
     let (node, _) = node::start(replica, peers, metrics.clone(), started, node_options);
     let link = Arc::new(LeaderLink::new(node.clone(), options.listen.to_string()));
@@ -204,7 +204,7 @@
     ReplicaOptions {
         cluster: CLUSTER.to_owned(),
         replica: ReplicaId(rand::random()),
-        adopts_folder: true,
+        accept_stored_id: true,
         new_disk: DiskId(rand::random()),
         election_timeout: ELECTION_TIMEOUT_MS,
         heartbeat_interval: HEARTBEAT_MS,
--- a/crates/control/src/serving/leader.rs
+++ b/crates/control/src/serving/leader.rs
@@ -123,7 +123,7 @@
     async fn propose_to_own(&self, proposal: &Proposal, limit: Duration) -> Option<ProposeReply> {
         let asked = self
             .node
-            .ask(|sender| Input::Propose(proposal.clone(), sender));
+            .request(|sender| Input::Propose(proposal.clone(), sender));
         timeout(limit, asked).await.ok()?.ok()
     }
 
@@ -161,7 +161,7 @@
     async fn read_index(&self) -> Option<LogIndex> {
         let leader = self.view().leader?;
         let reply = if leader == self.own_address {
-            let asked = self.node.ask(Input::ReadIndex);
+            let asked = self.node.request(Input::ReadIndex);
             timeout(TRY_TIMEOUT, asked).await.ok()?.ok()?
         } else {
             let connection = self.connection(&leader)?;
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -282,7 +282,7 @@
     /// may come after its sender has crashed and another life has taken the address.
     pub async fn remove_if_silent(&self, link: &LeaderLink, replica: &str) -> bool {
         let silence = self.succession_time();
-        let is_free = link.view().leads && self.is_silent(replica, silence);
+        let is_free = link.view().is_leader && self.is_silent(replica, silence);
         spdlog::info!("address is held", kv: { holder = replica.to_owned(), is_free });
         if !is_free {
             return false;
@@ -379,7 +379,7 @@
             looked_at = Instant::now();
             liveness.forget(|replica| view.serving.replicas().contains_key(replica));
         }
-        if view.leads {
+        if view.is_leader {
             liveness.begin_lead();
             liveness.make_digest(&view, permits.limited());
             if looks {
--- a/crates/control/src/serving/order_giver.rs
+++ b/crates/control/src/serving/order_giver.rs
@@ -292,7 +292,7 @@
     fn may_give(&self, right: &Right) -> bool {
         let view = self.link.view();
         let limit = Duration::from_millis(self.bounds.lease_ms / 3);
-        let age = view.leadership_age(self.started);
+        let age = view.leadership_confirmation_age(self.started);
         right.is_held(view.term, self.refused_token()) && age.is_some_and(|age| age < limit)
     }
 
--- a/crates/control/src/serving/orders.rs
+++ b/crates/control/src/serving/orders.rs
@@ -94,7 +94,7 @@
         // Also while another replica leads: the next leader needs the ages.
         self.note_named(&view);
         self.note_loads(&view);
-        if !view.leads {
+        if !view.is_leader {
             self.right = None;
             return false;
         }
--- a/crates/control/src/serving/quarantine.rs
+++ b/crates/control/src/serving/quarantine.rs
@@ -63,7 +63,7 @@
         log_changes(quarantine, &mut quarantined);
         metrics.quarantined.set(quarantined.len() as i64);
         metrics.suspects.set(quarantine.suspects().len() as i64);
-        if !view.leads {
+        if !view.is_leader {
             timers = ReleaseTimers::default();
             continue;
         }
--- a/crates/control/src/serving/quota.rs
+++ b/crates/control/src/serving/quota.rs
@@ -178,7 +178,7 @@
 /// Whether this replica led a moment ago, so that nobody else grants beside it for longer than that.
 /// `started` is the zero of its clock.
 pub fn surely_leads(view: &NodeView, started: BootInstant) -> bool {
-    let age = view.leadership_age(started);
+    let age = view.leadership_confirmation_age(started);
     age.is_some_and(|age| age < LEADERSHIP_PROVED_WITHIN)
 }
 
--- a/crates/control/src/serving/watch.rs
+++ b/crates/control/src/serving/watch.rs
@@ -141,8 +141,8 @@
     }
 
     fn confirmed_age_ms(&self, view: &NodeView) -> Option<u64> {
-        if view.leads {
-            let age = view.leadership_age(self.started)?;
+        if view.is_leader {
+            let age = view.leadership_confirmation_age(self.started)?;
             return Some(age.as_millis() as u64);
         }
         let confirmed_at = self.times().confirmed_at?;
@@ -200,7 +200,7 @@
 pub async fn keep_confirmed(server: Arc<WatchServer>) {
     loop {
         sleep(CONFIRM_INTERVAL).await;
-        if !server.is_watched() || server.link.view().leads {
+        if !server.is_watched() || server.link.view().is_leader {
             continue;
         }
         let asked_at = BootInstant::now();
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -19,7 +19,7 @@
     /// Internal address of the leader, if known.
     pub leader: Option<String>,
     /// Whether this replica leads and has applied everything before its term.
-    pub leads: bool,
+    pub is_leader: bool,
     /// While leading: latest moment at which it is known to have led, on the replica's clock.
     pub leadership_confirmed_at: Option<Millis>,
     /// Whether this replica's folder is that of a member.
@@ -31,8 +31,8 @@
 impl NodeView {
     /// While leading: time since it was last known to have led. `started` is the zero of the replica's
     /// clock.
-    pub fn leadership_age(&self, started: BootInstant) -> Option<Duration> {
-        let confirmed_at = self.leadership_confirmed_at.filter(|_| self.leads)?;
+    pub fn leadership_confirmation_age(&self, started: BootInstant) -> Option<Duration> {
+        let confirmed_at = self.leadership_confirmed_at.filter(|_| self.is_leader)?;
         Some((started + Duration::from_millis(confirmed_at)).elapsed())
     }
 }
--- a/crates/control/tests/first_level.rs
+++ b/crates/control/tests/first_level.rs
@@ -171,25 +171,25 @@
     let group = membership(3, 1);
     let mut levels = MemberLevels::default();
     for member in 2..=4 {
-        levels.hear(ReplicaId(member), high, 10);
+        levels.record(ReplicaId(member), high, 10);
     }
     // What was said before the lead began may be out of date.
-    assert_eq!(levels.common(own, &group), FeatureLevel::FIRST);
-    levels.note_lead(true, 20);
-    assert_eq!(levels.common(own, &group), FeatureLevel::FIRST);
-    levels.hear(ReplicaId(2), high, 30);
-    levels.hear(ReplicaId(3), high, 30);
+    assert_eq!(levels.common_level(own, &group), FeatureLevel::FIRST);
+    levels.set_leading(true, 20);
+    assert_eq!(levels.common_level(own, &group), FeatureLevel::FIRST);
+    levels.record(ReplicaId(2), high, 30);
+    levels.record(ReplicaId(3), high, 30);
     // The learner has said nothing.
-    assert_eq!(levels.common(own, &group), FeatureLevel::FIRST);
-    levels.hear(ReplicaId(4), high, 31);
-    assert_eq!(levels.common(own, &group), high);
+    assert_eq!(levels.common_level(own, &group), FeatureLevel::FIRST);
+    levels.record(ReplicaId(4), high, 31);
+    assert_eq!(levels.common_level(own, &group), high);
     // One is replaced by the former build again.
-    levels.hear(ReplicaId(3), FeatureLevel::FIRST, 40);
-    assert_eq!(levels.common(own, &group), FeatureLevel::FIRST);
-    levels.hear(ReplicaId(3), FeatureLevel(high.0 + 1), 50);
-    assert_eq!(levels.common(own, &group), high);
-    levels.note_lead(false, 60);
-    assert_eq!(levels.common(own, &group), FeatureLevel::FIRST);
-    levels.note_lead(true, 70);
-    assert_eq!(levels.common(own, &membership(1, 0)), high);
+    levels.record(ReplicaId(3), FeatureLevel::FIRST, 40);
+    assert_eq!(levels.common_level(own, &group), FeatureLevel::FIRST);
+    levels.record(ReplicaId(3), FeatureLevel(high.0 + 1), 50);
+    assert_eq!(levels.common_level(own, &group), high);
+    levels.set_leading(false, 60);
+    assert_eq!(levels.common_level(own, &group), FeatureLevel::FIRST);
+    levels.set_leading(true, 70);
+    assert_eq!(levels.common_level(own, &membership(1, 0)), high);
 }
--- a/crates/control/tests/former_build.rs
+++ b/crates/control/tests/former_build.rs
@@ -46,7 +46,7 @@
     ReplicaOptions {
         cluster: "layouts".to_owned(),
         replica: ReplicaId(1),
-        adopts_folder: true,
+        accept_stored_id: true,
         new_disk: DiskId(11),
         election_timeout: 300,
         heartbeat_interval: 50,
@@ -75,7 +75,7 @@
 
 fn lead(replica: &mut Replica) {
     let mut now = 0;
-    while !replica.leads_with_current_state() {
+    while !replica.is_ready_leader() {
         now += 10;
         assert!(now < 10_000, "no leader");
         replica.tick(now);
--- a/crates/lab/src/simulate/control/checks.rs
+++ b/crates/lab/src/simulate/control/checks.rs
@@ -45,7 +45,7 @@
 impl Checks {
     /// A replica applied an entry: it must be the one that others applied at that place.
     pub fn applied(&mut self, replica: u32, applied: &Applied) -> Result<(), Broken> {
-        let index = applied.ticket.index;
+        let index = applied.position.index;
         let Some(known) = self.history.get(&index) else {
             let entry = HistoryEntry {
                 encoded: applied.encoded.clone(),
--- a/crates/lab/src/simulate/control/engines.rs
+++ b/crates/lab/src/simulate/control/engines.rs
@@ -1,7 +1,7 @@
 //! Engines and the rollout of weights by whoever leads.
 
 use railtack_backend_api::{EngineStatus, EngineTotals, LoadReport, OrderRequest};
-use railtack_control::rollout::{self, EnginesSeen, RolloutStep};
+use railtack_control::rollout::{self, ObservedEngines, RolloutStep};
 use railtack_core::{EngineId, EngineIncarnation, ModelName, WeightsVersion, ZoneName};
 use railtack_emulator::gate::{Gate, GateChecks};
 use railtack_rpc::protocol::{Command, EngineOrder, Proposal};
@@ -101,11 +101,11 @@
         let raft = process.replica.raft();
         // The daemon waits for each order to be recorded before it looks again.
         let waits = raft.log().last_index() > raft.applied_index();
-        if waits || !process.replica.leads_with_current_state() {
+        if waits || !process.replica.is_ready_leader() {
             return Ok(());
         }
         let state = process.replica.state();
-        let seen = EnginesSeen {
+        let seen = ObservedEngines {
             statuses: &statuses,
             listed: &listed,
         };
--- a/crates/lab/src/simulate/control/replicas.rs
+++ b/crates/lab/src/simulate/control/replicas.rs
@@ -69,7 +69,7 @@
             let options = self.options(number);
             let media = self.replicas[&number].media.clone();
             // A folder that was just made cannot fail to be written.
-            let _ = Replica::initialize_as(&media, &options, members.clone());
+            let _ = Replica::initialize_with_members(&media, &options, members.clone());
             let _ = self.start_replica(number);
             // Left out from here on, so that only what the cluster agrees on can be lost.
             media.ignore_syncs(self.is_mutant(Mutant::NoClaimSync));
@@ -104,7 +104,7 @@
             heartbeat_interval: HEARTBEAT,
             snapshot_entries: SNAPSHOT_ENTRIES,
             snapshot_bytes: usize::MAX,
-            adopts_folder: false,
+            accept_stored_id: false,
             claim_retention_ms: CLAIM_RETENTION,
             seed: u64::from(number) << 32 | u64::from(life),
             check_disk_identity: !self.is_mutant(Mutant::StaleVote),
@@ -236,7 +236,7 @@
             Request::Propose(mut proposal) => {
                 proposal.at = at;
                 match process.replica.propose(&proposal) {
-                    Ok(ticket) => process.pending.insert(ticket, (from, call)),
+                    Ok(position) => process.pending.insert(position, (from, call)),
                     Err(_) => {
                         let reply = Reply::Proposed(ProposeReply::NotLeader { leader: None });
                         self.reply(number, from, call, reply);
@@ -287,7 +287,7 @@
             answers.extend(process.pending.applied(applied));
         }
         if process.replica.raft().role() != Role::Leader {
-            answers.extend(process.pending.give_up());
+            answers.extend(process.pending.fail_all());
         }
         for ((place, call), reply) in answers {
             self.reply(number, place, call, Reply::Proposed(reply));
