--- a/crates/control/src/pending.rs
+++ b/crates/control/src/pending.rs
@@ -6,26 +6,26 @@
 
 use railtack_rpc::protocol::ProposeReply;
 
-use crate::replica::{Applied, Ticket};
+use crate::replica::{Applied, LogPosition};
 
 /// Waiting proposers by the place of their proposal in the log.
 #[derive(Debug)]
 pub struct PendingProposals<T> {
-    waiting: BTreeMap<Ticket, T>,
+    pending: BTreeMap<LogPosition, T>,
 }
 
 impl<T> Default for PendingProposals<T> {
     fn default() -> Self {
         Self {
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
         }
     }
 }
 
 impl<T> PendingProposals<T> {
     /// Notes who waits for a proposal.
-    pub fn insert(&mut self, ticket: Ticket, proposer: T) {
-        self.waiting.insert(ticket, proposer);
+    pub fn insert(&mut self, position: LogPosition, proposer: T) {
+        self.pending.insert(position, proposer);
     }
 
     /// Answers the proposers that an applied command concerns.
@@ -33,21 +33,21 @@
     /// A proposal whose place was taken by another leader's entry did not commit there, but a
     /// resend may still find it done by an earlier send; so its proposer is told "unknown".
     pub fn applied(&mut self, applied: Applied) -> Vec<(T, ProposeReply)> {
-        let later = self.waiting.split_off(&applied.ticket);
-        let superseded = std::mem::replace(&mut self.waiting, later);
-        let mut answers: Vec<_> = superseded
+        let later = self.pending.split_off(&applied.position);
+        let superseded = std::mem::replace(&mut self.pending, later);
+        let mut replies: Vec<_> = superseded
             .into_values()
             .map(|proposer| (proposer, ProposeReply::Unknown))
             .collect();
-        if let Some(proposer) = self.waiting.remove(&applied.ticket) {
-            answers.push((proposer, ProposeReply::Done(applied.outcome)));
+        if let Some(proposer) = self.pending.remove(&applied.position) {
+            replies.push((proposer, ProposeReply::Done(applied.outcome)));
         }
-        answers
+        replies
     }
 
     /// Tells everyone "unknown", because this replica does not lead any more.
-    pub fn give_up(&mut self) -> Vec<(T, ProposeReply)> {
-        std::mem::take(&mut self.waiting)
+    pub fn fail_all(&mut self) -> Vec<(T, ProposeReply)> {
+        std::mem::take(&mut self.pending)
             .into_values()
             .map(|proposer| (proposer, ProposeReply::Unknown))
             .collect()
