--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -107,7 +107,9 @@
     match &record.outcome {
         Some(outcome) => ClaimReply::Ended(outcome.clone()),
         None if record.attempt == request.attempt => ClaimReply::Granted,
-        None if now > record.claimed_at + CLAIM_TIMEOUT_MS => ClaimReply::Ended(ClaimOutcome::Unknown),
+        None if now > record.claimed_at + CLAIM_TIMEOUT_MS => {
+            ClaimReply::Ended(ClaimOutcome::Unknown)
+        }
         None => ClaimReply::InProgress,
     }
 }
