--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -159,7 +159,7 @@
     pub async fn deregister(&self, replica: String) -> Result<(), Unavailable> {
         let view = self.link.view();
         let replica = known_name(&view, replica);
-        if view.serving.has_departed(view.serving.meant_life(&replica)) {
+        if view.serving.is_retired(view.serving.resolve_id(&replica)) {
             return Ok(());
         }
         self.propose(ServingCommand::Deregister {
--- a/crates/control/src/serving/quarantine.rs
+++ b/crates/control/src/serving/quarantine.rs
@@ -95,7 +95,7 @@
         let suspect = quarantine.suspects().get(content);
         spdlog::warn!("request quarantined", kv: {
             content = content.to_string(),
-            ends = suspect.map_or(0, |suspect| suspect.ends()),
+            ends = suspect.map_or(0, |suspect| suspect.crashes()),
             changed_at = suspect.map_or(0, |suspect| suspect.changed_at()),
             suspects = quarantine.suspects().len(),
         });
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -269,7 +269,7 @@
 
 /// Whether a heartbeat says something that the replica here has not applied.
 pub fn needs_recording(view: &NodeView, record: &ReplicaRecord) -> bool {
-    if view.serving.has_departed(&record.id) {
+    if view.serving.is_retired(&record.id) {
         return false;
     }
     let known = view.serving.replicas().get(&record.id);
--- a/crates/control/src/serving/watch.rs
+++ b/crates/control/src/serving/watch.rs
@@ -106,11 +106,11 @@
         sleep(gathering).await;
         let view = self.link.view();
         let update = if !request.takes_parts {
-            view.serving.whole_update_after(known)
+            view.serving.full_update_after(known)
         } else if request.takes_records {
             view.serving.update_after(known)
         } else {
-            view.serving.changes_after(known)
+            view.serving.known_changes_after(known)
         };
         WatchReply {
             confirmed_age_ms: self.confirmed_age_ms(&view),
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -11,10 +11,10 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use crate::serving_state::{
-    departed::Departed,
+    crash_reports::CrashReports,
     quarantine::Quarantine,
     registry::{ReplicaMap, ReplicaRegistry},
-    reported_ends::ReportedEnds,
+    tombstones::Tombstones,
 };
 use railtack_consensus::LogIndex;
 use railtack_rpc::{
@@ -28,19 +28,19 @@
     TenantQuota,
 };
 
-mod departed;
+mod crash_reports;
 mod first_level;
 pub mod quarantine;
 pub mod registry;
-mod reported_ends;
 mod stored;
+mod tombstones;
 mod updates;
 
 pub(crate) use stored::StoredWithInlineQuotas;
 
 /// The right to give orders to back ends.
 #[derive(Clone, Debug, PartialEq, Eq, speedy::Readable, speedy::Writable)]
-struct OrderRight {
+struct OrderLock {
     holder: String,
     token: u64,
 }
@@ -53,12 +53,12 @@
     configuration: Arc<ServingConfiguration>,
     configuration_at: LogIndex,
     replicas: ReplicaRegistry,
-    departed: Departed,
+    tombstones: Tombstones,
     weights: BTreeMap<String, u64>,
     changed_at: LogIndex,
-    order_right: Option<OrderRight>,
+    order_lock: Option<OrderLock>,
     quarantine: Arc<Quarantine>,
-    reported_ends: Arc<ReportedEnds>,
+    crash_reports: Arc<CrashReports>,
 }
 
 impl Default for ServingState {
@@ -77,12 +77,12 @@
             configuration: Arc::default(),
             configuration_at: 0,
             replicas: ReplicaRegistry::default(),
-            departed: Departed::default(),
+            tombstones: Tombstones::default(),
             weights: BTreeMap::new(),
             changed_at: 0,
-            order_right: None,
+            order_lock: None,
             quarantine: Arc::default(),
-            reported_ends: Arc::default(),
+            crash_reports: Arc::default(),
         }
     }
 
@@ -112,20 +112,21 @@
     }
 
     /// Whether a life has ended, or a newer one of its replica is known: what comes of it is late.
-    pub fn has_departed(&self, replica: &str) -> bool {
+    pub fn is_retired(&self, replica: &str) -> bool {
         let life = Life::named(replica);
-        let present = self.replicas.life_of(life.replica);
-        let is_former = present.is_some_and(|present| Life::named(present).is_newer_than(&life));
-        is_former || self.departed.is_over(replica)
+        let current = self.replicas.current_id(life.replica);
+        let is_superseded =
+            current.is_some_and(|current| Life::named(current).is_newer_than(&life));
+        is_superseded || self.tombstones.is_retired(replica)
     }
 
     /// The life that a name means: of a replica that does not say in which of its lives it is, the one that
     /// is known.
-    pub fn meant_life<'a>(&'a self, name: &'a str) -> &'a str {
+    pub fn resolve_id<'a>(&'a self, name: &'a str) -> &'a str {
         if Life::named(name).born_ms.is_some() {
             return name;
         }
-        self.replicas.life_of(name).map_or(name, String::as_str)
+        self.replicas.current_id(name).map_or(name, String::as_str)
     }
 
     /// The version of weights that operators named for each model.
@@ -173,7 +174,7 @@
             }
             ServingCommand::Deregister { replica } => self.deregister(index, &replica),
             ServingCommand::Expire { replica } => self.expire(index, &replica),
-            ServingCommand::NameWeights(named) => self.name_weights(index, named),
+            ServingCommand::NameWeights(target) => self.set_target_weights(index, target),
             ServingCommand::AcquireOrders { holder } => self.acquire_orders(index, holder),
             ServingCommand::BeginOrder {
                 token,
@@ -186,22 +187,22 @@
                 witness,
             } => {
                 if let Some(witness) = witness {
-                    self.witness_end(index, replica, witness);
+                    self.report_crash(index, replica, witness);
                 }
-                let told = self.change_quarantine(|quarantine| {
+                let told = self.update_quarantine(|quarantine| {
                     quarantine.record_end(index, replica, &contents);
                 });
                 ServingOutcome::EndRecorded(told.clone())
             }
             ServingCommand::ClearContents { contents } => {
-                self.change_quarantine(|quarantine| quarantine.clear(index, &contents));
+                self.update_quarantine(|quarantine| quarantine.clear(index, &contents));
                 ServingOutcome::Done
             }
             ServingCommand::ReleaseContent {
                 content,
                 changed_at,
             } => {
-                self.change_quarantine(|quarantine| {
+                self.update_quarantine(|quarantine| {
                     quarantine.release(index, content, changed_at);
                 });
                 ServingOutcome::Done
@@ -244,32 +245,32 @@
         if self.level < FeatureLevel::SHARED_GRANTS {
             return self.register_at_first_level(index, record);
         }
-        if self.has_departed(&record.id) || self.was_removed_since(&record) {
+        if self.is_retired(&record.id) || self.is_stale_record(&record) {
             return Registration::Departed;
         }
-        let former = self.former_life(&record.id);
-        let holder = self.replicas.holder_of(&record.address).cloned();
+        let previous = self.previous_id(&record.id);
+        let holder = self.replicas.id_at_address(&record.address).cloned();
         if let Some(known) = self.replicas.get(&record.id) {
-            record = merged(known, record);
-        } else if let Some(holder) = holder.filter(|holder| Some(holder) != former.as_ref()) {
+            record = merge_record(known, record);
+        } else if let Some(holder) = holder.filter(|holder| Some(holder) != previous.as_ref()) {
             // Which of two that claim one address is alive cannot be told here: the one that is silent
             // has to be removed first. The former life of the one that claims it is over all the same.
-            if let Some(former) = former {
-                self.remove(index, &former);
+            if let Some(previous) = previous {
+                self.remove(index, &previous);
             }
             return Registration::AddressHeld { holder };
         } else {
-            if let Some(former) = former {
+            if let Some(previous) = previous {
                 // Routers take its end from the record of the newer life: with a removal of its own for
                 // each, a storm of 3,000 lives that follow others had every router told the whole fleet anew.
-                self.replicas.remove(&former);
+                self.replicas.remove(&previous);
             }
-            self.retract_end(index, &record.id);
+            self.retract_crash(index, &record.id);
         }
-        self.keep_record(index, record)
+        self.store_record(index, record)
     }
 
-    fn keep_record(&mut self, index: LogIndex, mut record: ReplicaRecord) -> Registration {
+    fn store_record(&mut self, index: LogIndex, mut record: ReplicaRecord) -> Registration {
         record.order = record.order.take().filter(|order| {
             let held = record.version_of(&order.model);
             held.is_none_or(|held| held < order.version)
@@ -281,31 +282,31 @@
         }
         record.changed_at = index;
         self.changed_at = index;
-        self.replicas.keep(record);
+        self.replicas.insert(record);
         Registration::Recorded
     }
 
     /// The life that a newer one follows: with it goes all that it said, held and was ordered. It need not be
     /// silent first, as one of two at one address otherwise must; the replica itself says which of its lives
     /// is the newer one.
-    fn former_life(&self, name: &str) -> Option<String> {
+    fn previous_id(&self, name: &str) -> Option<String> {
         let life = Life::named(name);
-        let present = self.replicas.life_of(life.replica)?;
-        let is_former = life.is_newer_than(&Life::named(present));
-        is_former.then(|| present.clone())
+        let current = self.replicas.current_id(life.replica)?;
+        let is_superseded = life.is_newer_than(&Life::named(current));
+        is_superseded.then(|| current.clone())
     }
 
     /// Removes a replica that leaves.
     fn deregister(&mut self, index: LogIndex, replica: &str) -> ServingOutcome {
-        let leaving = self.meant_life(replica).to_owned();
-        if self.has_departed(&leaving) {
+        let leaving = self.resolve_id(replica).to_owned();
+        if self.is_retired(&leaving) {
             return ServingOutcome::Done;
         }
         // It may never have been recorded; the life before it is over all the same.
-        if let Some(former) = self.former_life(&leaving) {
-            self.replicas.remove(&former);
+        if let Some(previous) = self.previous_id(&leaving) {
+            self.replicas.remove(&previous);
         }
-        self.departed.end(&leaving);
+        self.tombstones.mark_ended(&leaving);
         self.remove(index, &leaving);
         ServingOutcome::Done
     }
@@ -320,34 +321,34 @@
 
     /// Removes a replica of which two routers say that it has ended, so that no router tries it any
     /// more: each would find that out by losing time of a request.
-    fn witness_end(&mut self, index: LogIndex, replica: ReplicaKey, witness: String) {
+    fn report_crash(&mut self, index: LogIndex, replica: ReplicaKey, witness: String) {
         let mut known = self.replicas.records().keys();
-        let Some(ended) = known.find(|id| ReplicaKey::of(id) == replica).cloned() else {
+        let Some(id) = known.find(|id| ReplicaKey::of(id) == replica).cloned() else {
             return;
         };
-        if Arc::make_mut(&mut self.reported_ends).take(replica, witness) {
-            self.remove(index, &ended);
+        if Arc::make_mut(&mut self.crash_reports).record(replica, witness) {
+            self.remove(index, &id);
         }
     }
 
     /// Whether a replica's end was believed after the heartbeat that `record` comes from: a batch that is
     /// recorded again, as its outcome was not known, says nothing new of it. Taken for a sign of life it
     /// would bring the replica back, and take back what was found out about the request that ended it.
-    fn was_removed_since(&self, record: &ReplicaRecord) -> bool {
-        let heard_at = record.changed_at;
-        if heard_at == 0 || !self.reported_ends.has_removed(ReplicaKey::of(&record.id)) {
+    fn is_stale_record(&self, record: &ReplicaRecord) -> bool {
+        let received_at = record.changed_at;
+        if received_at == 0 || !self.crash_reports.has_removed(ReplicaKey::of(&record.id)) {
             return false;
         }
-        let mut removed = self.departed.after(heard_at);
+        let mut removed = self.tombstones.removed_after(received_at);
         self.replicas.get(&record.id).is_none() && removed.any(|replica| *replica == record.id)
     }
 
     /// Takes back what was recorded of the end of a replica that is there again in the same life.
-    fn retract_end(&mut self, index: LogIndex, id: &str) {
+    fn retract_crash(&mut self, index: LogIndex, id: &str) {
         let replica = ReplicaKey::of(id);
-        if self.reported_ends.has_removed(replica) {
-            Arc::make_mut(&mut self.reported_ends).came_back(replica);
-            self.change_quarantine(|quarantine| quarantine.retract_end(index, replica));
+        if self.crash_reports.has_removed(replica) {
+            Arc::make_mut(&mut self.crash_reports).mark_recovered(replica);
+            self.update_quarantine(|quarantine| quarantine.retract_end(index, replica));
         }
     }
 
@@ -355,31 +356,31 @@
     fn remove(&mut self, index: LogIndex, replica: &str) {
         self.replicas.remove(replica);
         self.changed_at = index;
-        self.departed.remove(index, replica);
+        self.tombstones.record_removal(index, replica);
     }
 
-    fn name_weights(&mut self, index: LogIndex, named: HeldWeights) -> ServingOutcome {
-        let known = self.weights.get(&named.model).copied().unwrap_or(0);
-        if named.version <= known {
+    fn set_target_weights(&mut self, index: LogIndex, target: HeldWeights) -> ServingOutcome {
+        let known = self.weights.get(&target.model).copied().unwrap_or(0);
+        if target.version <= known {
             return ServingOutcome::Superseded;
         }
-        self.weights.insert(named.model, named.version);
+        self.weights.insert(target.model, target.version);
         self.changed_at = index;
         ServingOutcome::Done
     }
 
     /// Routers are woken only if what they are told changes.
-    fn change_quarantine(&mut self, change: impl FnOnce(&mut Quarantine)) -> &QuarantineUpdate {
-        change(Arc::make_mut(&mut self.quarantine));
+    fn update_quarantine(&mut self, update: impl FnOnce(&mut Quarantine)) -> &QuarantineUpdate {
+        update(Arc::make_mut(&mut self.quarantine));
         let told = self.quarantine.told();
         self.changed_at = self.changed_at.max(told.changed_at);
         told
     }
 
     fn acquire_orders(&mut self, index: LogIndex, holder: String) -> ServingOutcome {
-        let former = self.order_right.take();
-        let taken_over = former.is_some_and(|former| former.holder != holder);
-        self.order_right = Some(OrderRight {
+        let previous = self.order_lock.take();
+        let taken_over = previous.is_some_and(|previous| previous.holder != holder);
+        self.order_lock = Some(OrderLock {
             holder,
             token: index,
         });
@@ -397,9 +398,9 @@
         order: PendingOrder,
     ) -> ServingOutcome {
         let is_holder = self
-            .order_right
+            .order_lock
             .as_ref()
-            .is_some_and(|right| right.token == token);
+            .is_some_and(|lock| lock.token == token);
         if !is_holder {
             return ServingOutcome::NotHolder;
         }
@@ -411,22 +412,22 @@
         }
         record.order = Some(order);
         record.changed_at = index;
-        self.replicas.keep(record);
+        self.replicas.insert(record);
         self.changed_at = index;
         ServingOutcome::Done
     }
 }
 
 /// Takes in what a replica says now without going back on what it said before.
-fn merged(known: &ReplicaRecord, mut said: ReplicaRecord) -> ReplicaRecord {
+fn merge_record(known: &ReplicaRecord, mut reported: ReplicaRecord) -> ReplicaRecord {
     if known.state == ReplicaState::Leaving {
-        said.state = ReplicaState::Leaving;
+        reported.state = ReplicaState::Leaving;
     }
-    for held in &mut said.weights {
+    for held in &mut reported.weights {
         let before = known.version_of(&held.model).unwrap_or(0);
         held.version = held.version.max(before);
     }
-    said.order = known.order.clone();
-    said.changed_at = known.changed_at;
-    said
+    reported.order = known.order.clone();
+    reported.changed_at = known.changed_at;
+    reported
 }
--- a/crates/control/src/serving_state/reported_ends.rs
+++ b/crates/control/src/serving_state/crash_reports.rs
@@ -14,41 +14,42 @@
 use speedy::{Readable, Writable};
 
 /// Replicas that are remembered; more than end within some heartbeats.
-const KEPT: usize = 1_024;
+const MAX_REPORTS: usize = 1_024;
 
 /// What is known of the end of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-enum Report {
+enum CrashReport {
     /// One router says so.
-    Witnessed {
+    Reported {
         /// That router.
-        witness: String,
+        reporter: String,
     },
     /// Two routers say so; it was removed.
     Removed,
     /// It was removed and came back in the same life.
-    CameBack,
+    Recovered,
 }
 
 /// Reports by replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct ReportedEnds {
-    reports: BTreeMap<ReplicaKey, Report>,
+pub struct CrashReports {
+    reports: BTreeMap<ReplicaKey, CrashReport>,
 }
 
-impl ReportedEnds {
+impl CrashReports {
     /// Takes in what a router says; true if the replica is to be removed now.
-    pub fn take(&mut self, replica: ReplicaKey, witness: String) -> bool {
+    pub fn record(&mut self, replica: ReplicaKey, reporter: String) -> bool {
         match self.reports.get(&replica) {
             None => {
-                if self.reports.len() >= KEPT {
+                if self.reports.len() >= MAX_REPORTS {
                     self.reports.pop_first();
                 }
-                self.reports.insert(replica, Report::Witnessed { witness });
+                self.reports
+                    .insert(replica, CrashReport::Reported { reporter });
                 false
             }
-            Some(Report::Witnessed { witness: first }) if *first != witness => {
-                self.reports.insert(replica, Report::Removed);
+            Some(CrashReport::Reported { reporter: first }) if *first != reporter => {
+                self.reports.insert(replica, CrashReport::Removed);
                 true
             }
             Some(_) => false,
@@ -57,11 +58,11 @@
 
     /// Whether a replica was removed because its end was believed.
     pub fn has_removed(&self, replica: ReplicaKey) -> bool {
-        self.reports.get(&replica) == Some(&Report::Removed)
+        self.reports.get(&replica) == Some(&CrashReport::Removed)
     }
 
     /// Notes that a replica whose end was believed is there in the same life.
-    pub fn came_back(&mut self, replica: ReplicaKey) {
-        self.reports.insert(replica, Report::CameBack);
+    pub fn mark_recovered(&mut self, replica: ReplicaKey) {
+        self.reports.insert(replica, CrashReport::Recovered);
     }
 }
--- a/crates/control/src/serving_state/first_level.rs
+++ b/crates/control/src/serving_state/first_level.rs
@@ -6,7 +6,7 @@
 use railtack_rpc::serving::Registration;
 use railtack_serving::ReplicaRecord;
 
-use super::{ServingState, merged};
+use super::{ServingState, merge_record};
 
 impl ServingState {
     pub(super) fn register_at_first_level(
@@ -14,16 +14,16 @@
         index: LogIndex,
         mut record: ReplicaRecord,
     ) -> Registration {
-        if self.has_departed(&record.id) {
+        if self.is_retired(&record.id) {
             return Registration::Departed;
         }
-        let holder = self.replicas.holder_of(&record.address).cloned();
-        if let Some(former) = holder.filter(|holder| *holder != record.id) {
-            self.deregister(index, &former);
+        let holder = self.replicas.id_at_address(&record.address).cloned();
+        if let Some(previous) = holder.filter(|holder| *holder != record.id) {
+            self.deregister(index, &previous);
         }
         if let Some(known) = self.replicas.get(&record.id) {
-            record = merged(known, record);
+            record = merge_record(known, record);
         }
-        self.keep_record(index, record)
+        self.store_record(index, record)
     }
 }
--- a/crates/control/src/serving_state/quarantine.rs
+++ b/crates/control/src/serving_state/quarantine.rs
@@ -19,23 +19,23 @@
 use speedy::{Readable, Writable};
 
 /// [`ENDS_TO_QUARANTINE`] as a length.
-const ENDS_SHOWN: usize = ENDS_TO_QUARANTINE as usize;
+const CRASHES_FOR_BLAME: usize = ENDS_TO_QUARANTINE as usize;
 /// Ends at which a request is quarantined though another one was there each time: by then replicas
 /// matter more than a request that may be innocent and has found no replica that outlived it.
 pub const ENDS_DESPITE_RIVAL: usize = 6;
 /// Ends after which routers tell when a request has run to a good end: fewer are common after any
 /// replica's end, and would be told to all routers for nothing.
-const ENDS_TO_WATCH: usize = 2;
+const CRASHES_TO_WATCH: usize = 2;
 /// Requests that are remembered. Those open at thirty replicas of 32 places that end at once fit.
-const SUSPECTS_KEPT: usize = 1_024;
+const MAX_SUSPECTS: usize = 1_024;
 /// Ends that are remembered of one request.
-const ENDS_KEPT: usize = 16;
+const MAX_CRASHES_PER_SUSPECT: usize = 16;
 
 /// A request that was running when replicas ended.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Suspect {
     /// The replicas that ended, oldest first.
-    ends: Vec<ReplicaKey>,
+    crashes: Vec<ReplicaKey>,
     /// Log position of the last end, or of a release on parole.
     changed_at: LogIndex,
     is_quarantined: bool,
@@ -43,8 +43,8 @@
 
 impl Suspect {
     /// Replicas that ended under it.
-    pub fn ends(&self) -> usize {
-        self.ends.len()
+    pub fn crashes(&self) -> usize {
+        self.crashes.len()
     }
 
     /// Log position of its last change.
@@ -77,7 +77,7 @@
             .iter()
             .map(|(content, suspect)| SuspectStatus {
                 content: *content,
-                ends: suspect.ends.len() as u32,
+                ends: suspect.crashes.len() as u32,
                 is_quarantined: suspect.is_quarantined,
                 changed_at: suspect.changed_at,
             })
@@ -93,22 +93,24 @@
     /// news for routers, though their lists may not change: they send none of those that are suspected
     /// until all reports of it are in.
     pub fn record_end(&mut self, index: LogIndex, replica: ReplicaKey, contents: &[ContentKey]) {
-        let mut is_news = false;
+        let mut is_visible_to_routers = false;
         for content in contents {
-            self.make_room_for(content);
+            self.evict_if_full(content);
             let suspect = self.suspects.entry(*content).or_insert_with(|| Suspect {
-                ends: Vec::new(),
+                crashes: Vec::new(),
                 changed_at: index,
                 is_quarantined: false,
             });
-            if !suspect.ends.contains(&replica) && suspect.ends.len() < ENDS_KEPT {
-                suspect.ends.push(replica);
+            if !suspect.crashes.contains(&replica)
+                && suspect.crashes.len() < MAX_CRASHES_PER_SUSPECT
+            {
+                suspect.crashes.push(replica);
                 suspect.changed_at = index;
-                is_news |= suspect.ends.len() >= ENDS_TO_WATCH;
+                is_visible_to_routers |= suspect.crashes.len() >= CRASHES_TO_WATCH;
             }
         }
-        self.judge(index);
-        if is_news {
+        self.recompute(index);
+        if is_visible_to_routers {
             self.told.changed_at = index;
         }
     }
@@ -116,10 +118,11 @@
     /// Takes back the end of a replica that was not gone.
     pub fn retract_end(&mut self, index: LogIndex, replica: ReplicaKey) {
         for suspect in self.suspects.values_mut() {
-            suspect.ends.retain(|end| *end != replica);
+            suspect.crashes.retain(|crash| *crash != replica);
         }
-        self.suspects.retain(|_, suspect| !suspect.ends.is_empty());
-        self.judge(index);
+        self.suspects
+            .retain(|_, suspect| !suspect.crashes.is_empty());
+        self.recompute(index);
     }
 
     /// Forgets requests that have run to a good end.
@@ -127,7 +130,7 @@
         for content in contents {
             self.suspects.remove(content);
         }
-        self.judge(index);
+        self.recompute(index);
     }
 
     /// Forgets a request, unless it has changed since `changed_at`. One that was quarantined is
@@ -141,38 +144,38 @@
             return;
         }
         if suspect.is_quarantined {
-            let excess = (suspect.ends.len() + 1).saturating_sub(ENDS_SHOWN);
-            suspect.ends.drain(..excess);
+            let excess = (suspect.crashes.len() + 1).saturating_sub(CRASHES_FOR_BLAME);
+            suspect.crashes.drain(..excess);
             suspect.changed_at = index;
         } else {
             self.suspects.remove(&content);
         }
-        self.judge(index);
+        self.recompute(index);
     }
 
     /// Decides anew who is to blame: those with the most ends first, since each of them explains the
     /// ends under it for all others.
-    fn judge(&mut self, index: LogIndex) {
+    fn recompute(&mut self, index: LogIndex) {
         let mut blamed: BTreeSet<ContentKey> = BTreeSet::new();
         let mut explained: BTreeSet<ReplicaKey> = BTreeSet::new();
         loop {
-            let next = self.next_to_blame(&explained);
-            if next.is_empty() {
+            let newly_blamed = self.next_to_blame(&explained);
+            if newly_blamed.is_empty() {
                 break;
             }
-            for content in next {
-                explained.extend(&self.suspects[&content].ends);
+            for content in newly_blamed {
+                explained.extend(&self.suspects[&content].crashes);
                 blamed.insert(content);
             }
         }
         for (content, suspect) in &mut self.suspects {
             suspect.is_quarantined = blamed.contains(content);
         }
-        self.tell(index);
+        self.refresh_update(index);
     }
 
     /// Notes what routers are told now, if it has changed.
-    fn tell(&mut self, index: LogIndex) {
+    fn refresh_update(&mut self, index: LogIndex) {
         let mut told = QuarantineUpdate {
             changed_at: self.told.changed_at,
             ..QuarantineUpdate::default()
@@ -180,7 +183,7 @@
         for (content, suspect) in &self.suspects {
             if suspect.is_quarantined {
                 told.quarantined.push(*content);
-            } else if suspect.ends.len() >= ENDS_TO_WATCH {
+            } else if suspect.crashes.len() >= CRASHES_TO_WATCH {
                 told.watched.push(*content);
             }
         }
@@ -194,27 +197,29 @@
     /// blame; together with its rivals, if it has some and the ends are too many to wait longer.
     fn next_to_blame(&self, explained: &BTreeSet<ReplicaKey>) -> Vec<ContentKey> {
         let unexplained = |suspect: &Suspect| -> BTreeSet<ReplicaKey> {
-            let ends = suspect.ends.iter().copied();
-            ends.filter(|end| !explained.contains(end)).collect()
+            let crashes = suspect.crashes.iter().copied();
+            crashes.filter(|crash| !explained.contains(crash)).collect()
         };
         let mut candidates: Vec<(ContentKey, BTreeSet<ReplicaKey>)> = self
             .suspects
             .iter()
-            .filter(|(_, suspect)| suspect.ends.len() >= ENDS_SHOWN)
+            .filter(|(_, suspect)| suspect.crashes.len() >= CRASHES_FOR_BLAME)
             .map(|(content, suspect)| (*content, unexplained(suspect)))
-            .filter(|(_, ends)| ends.len() >= ENDS_SHOWN)
+            .filter(|(_, crashes)| crashes.len() >= CRASHES_FOR_BLAME)
             .collect();
-        candidates.sort_by_key(|(_, ends)| Reverse(ends.len()));
-        for (content, ends) in &candidates {
+        candidates.sort_by_key(|(_, crashes)| Reverse(crashes.len()));
+        for (content, crashes) in &candidates {
             let rivals: Vec<ContentKey> = candidates
                 .iter()
-                .filter(|(other, theirs)| other != content && rivals(ends, theirs))
+                .filter(|(other, other_crashes)| {
+                    other != content && is_rival(crashes, other_crashes)
+                })
                 .map(|(other, _)| *other)
                 .collect();
             if rivals.is_empty() {
                 return vec![*content];
             }
-            if ends.len() >= ENDS_DESPITE_RIVAL {
+            if crashes.len() >= ENDS_DESPITE_RIVAL {
                 return rivals.into_iter().chain([*content]).collect();
             }
         }
@@ -222,26 +227,26 @@
     }
 
     /// Drops the least suspected request, the longest unchanged first, if one more would be too many.
-    fn make_room_for(&mut self, content: &ContentKey) {
-        if self.suspects.len() < SUSPECTS_KEPT || self.suspects.contains_key(content) {
+    fn evict_if_full(&mut self, content: &ContentKey) {
+        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(content) {
             return;
         }
-        let least = self.suspects.iter().min_by_key(|(_, suspect)| {
+        let least_suspected = self.suspects.iter().min_by_key(|(_, suspect)| {
             (
                 suspect.is_quarantined,
-                suspect.ends.len(),
+                suspect.crashes.len(),
                 suspect.changed_at,
             )
         });
-        if let Some(least) = least.map(|(content, _)| *content) {
-            self.suspects.remove(&least);
+        if let Some(least_suspected) = least_suspected.map(|(content, _)| *content) {
+            self.suspects.remove(&least_suspected);
         }
     }
 }
 
 /// Whether a request that was at `theirs` may be to blame for `ends` as well as the one that was there:
 /// it was at as many, and without those at which both were too few are left to show anything.
-fn rivals(ends: &BTreeSet<ReplicaKey>, theirs: &BTreeSet<ReplicaKey>) -> bool {
-    let alone = ends.difference(theirs).count();
-    theirs.len() >= ends.len() && alone < ENDS_SHOWN
+fn is_rival(crashes: &BTreeSet<ReplicaKey>, other_crashes: &BTreeSet<ReplicaKey>) -> bool {
+    let alone = crashes.difference(other_crashes).count();
+    other_crashes.len() >= crashes.len() && alone < CRASHES_FOR_BLAME
 }
--- a/crates/control/src/serving_state/registry.rs
+++ b/crates/control/src/serving_state/registry.rs
@@ -16,11 +16,11 @@
 pub struct ReplicaRegistry {
     records: ReplicaMap,
     /// The life in which each replica is.
-    lives: RedBlackTreeMapSync<String, String>,
+    current_ids: RedBlackTreeMapSync<String, String>,
     /// Which replica has each address.
-    holders: RedBlackTreeMapSync<String, String>,
+    ids_by_address: RedBlackTreeMapSync<String, String>,
     /// Replicas by the position of the last change of their records.
-    changes: RedBlackTreeSetSync<(LogIndex, String)>,
+    by_change: RedBlackTreeSetSync<(LogIndex, String)>,
 }
 
 impl ReplicaRegistry {
@@ -35,30 +35,31 @@
     }
 
     /// The life in which a replica is.
-    pub fn life_of(&self, replica: &str) -> Option<&String> {
-        self.lives.get(replica)
+    pub fn current_id(&self, replica: &str) -> Option<&String> {
+        self.current_ids.get(replica)
     }
 
     /// The replica at an address.
-    pub fn holder_of(&self, address: &str) -> Option<&String> {
-        self.holders.get(address)
+    pub fn id_at_address(&self, address: &str) -> Option<&String> {
+        self.ids_by_address.get(address)
     }
 
     /// Records that changed after a position, in the order of their changes.
-    pub fn changed_after(&self, known: LogIndex) -> impl Iterator<Item = &ReplicaRecord> {
-        let first = (known.saturating_add(1), String::new());
-        let changes = self.changes.range(first..);
-        changes.filter_map(|(_, replica)| self.records.get(replica))
+    pub fn changed_after(&self, index: LogIndex) -> impl Iterator<Item = &ReplicaRecord> {
+        let first = (index.saturating_add(1), String::new());
+        let changed = self.by_change.range(first..);
+        changed.filter_map(|(_, replica)| self.records.get(replica))
     }
 
     /// Keeps a record in place of the former one of the same replica.
-    pub fn keep(&mut self, record: ReplicaRecord) {
+    pub fn insert(&mut self, record: ReplicaRecord) {
         self.remove(&record.id);
         let id = record.id.clone();
         let replica = record.instance().to_owned();
-        self.lives.insert_mut(replica, id.clone());
-        self.holders.insert_mut(record.address.clone(), id.clone());
-        self.changes.insert_mut((record.changed_at, id.clone()));
+        self.current_ids.insert_mut(replica, id.clone());
+        self.ids_by_address
+            .insert_mut(record.address.clone(), id.clone());
+        self.by_change.insert_mut((record.changed_at, id.clone()));
         self.records.insert_mut(id, record);
     }
 
@@ -67,13 +68,13 @@
         let Some(record) = self.records.get(replica).cloned() else {
             return;
         };
-        if self.holders.get(&record.address) == Some(&record.id) {
-            self.holders.remove_mut(&record.address);
+        if self.ids_by_address.get(&record.address) == Some(&record.id) {
+            self.ids_by_address.remove_mut(&record.address);
         }
-        if self.lives.get(record.instance()) == Some(&record.id) {
-            self.lives.remove_mut(record.instance());
+        if self.current_ids.get(record.instance()) == Some(&record.id) {
+            self.current_ids.remove_mut(record.instance());
         }
-        self.changes.remove_mut(&(record.changed_at, record.id));
+        self.by_change.remove_mut(&(record.changed_at, record.id));
         self.records.remove_mut(replica);
     }
 }
@@ -82,7 +83,7 @@
     fn from_iter<T: IntoIterator<Item = ReplicaRecord>>(records: T) -> Self {
         let mut registry = Self::default();
         for record in records {
-            registry.keep(record);
+            registry.insert(record);
         }
         registry
     }
--- a/crates/control/src/serving_state/stored.rs
+++ b/crates/control/src/serving_state/stored.rs
@@ -13,35 +13,35 @@
 use speedy::{Context, Readable, Reader, Writable, Writer};
 
 use super::{
-    OrderRight, ServingState, departed::Departed, quarantine::Quarantine,
-    reported_ends::ReportedEnds,
+    OrderLock, ServingState, crash_reports::CrashReports, quarantine::Quarantine,
+    tombstones::Tombstones,
 };
 
 #[derive(Readable, Writable)]
-struct StoredState<Shape> {
+struct StoredState<Config> {
     content: Vec<u8>,
-    configuration: Shape,
+    configuration: Config,
     configuration_at: LogIndex,
     replicas: BTreeMap<String, ReplicaRecord>,
-    departed: BTreeSet<(LogIndex, String)>,
-    departed_ids: BTreeSet<String>,
-    departed_complete_after: LogIndex,
+    removals: BTreeSet<(LogIndex, String)>,
+    ended: BTreeSet<String>,
+    removals_evicted_through: LogIndex,
     weights: BTreeMap<String, u64>,
     changed_at: LogIndex,
-    order_right: Option<OrderRight>,
+    order_lock: Option<OrderLock>,
     #[speedy(default_on_eof)]
-    later: Later,
+    extension: Extension,
 }
 
 /// What the first level does not have.
 #[derive(Default)]
-struct Later(Option<LaterParts>);
+struct Extension(Option<ExtensionFields>);
 
 #[derive(Readable, Writable)]
-struct LaterParts {
+struct ExtensionFields {
     quarantine: Quarantine,
     #[speedy(default_on_eof)]
-    reported_ends: ReportedEnds,
+    crash_reports: CrashReports,
     #[speedy(default_on_eof)]
     level: StoredLevel,
     #[speedy(default_on_eof)]
@@ -58,29 +58,29 @@
     }
 }
 
-impl From<&ServingState> for Later {
+impl From<&ServingState> for Extension {
     fn from(state: &ServingState) -> Self {
-        let has_parts = state.level > FeatureLevel::FIRST;
-        Self(has_parts.then(|| LaterParts {
+        let is_extended = state.level > FeatureLevel::FIRST;
+        Self(is_extended.then(|| ExtensionFields {
             quarantine: Quarantine::clone(&state.quarantine),
-            reported_ends: ReportedEnds::clone(&state.reported_ends),
+            crash_reports: CrashReports::clone(&state.crash_reports),
             level: StoredLevel(state.level),
             quotas: state.configuration.quotas(),
         }))
     }
 }
 
-impl<C: Context> Writable<C> for Later {
+impl<C: Context> Writable<C> for Extension {
     fn write_to<T: ?Sized + Writer<C>>(&self, writer: &mut T) -> Result<(), C::Error> {
         self.0
             .as_ref()
-            .map_or(Ok(()), |parts| parts.write_to(writer))
+            .map_or(Ok(()), |fields| fields.write_to(writer))
     }
 }
 
-impl<'a, C: Context> Readable<'a, C> for Later {
+impl<'a, C: Context> Readable<'a, C> for Extension {
     fn read_from<R: Reader<'a, C>>(reader: &mut R) -> Result<Self, C::Error> {
-        LaterParts::read_from(reader).map(|parts| Self(Some(parts)))
+        ExtensionFields::read_from(reader).map(|fields| Self(Some(fields)))
     }
 }
 
@@ -94,13 +94,13 @@
             replicas: replicas
                 .map(|(id, record)| (id.clone(), record.clone()))
                 .collect(),
-            departed: state.departed.removals().cloned().collect(),
-            departed_ids: state.departed.ended().cloned().collect(),
-            departed_complete_after: state.departed.complete_after(),
+            removals: state.tombstones.removals().cloned().collect(),
+            ended: state.tombstones.ended().cloned().collect(),
+            removals_evicted_through: state.tombstones.evicted_through(),
             weights: state.weights.clone(),
             changed_at: state.changed_at,
-            order_right: state.order_right.clone(),
-            later: Later::from(state),
+            order_lock: state.order_lock.clone(),
+            extension: Extension::from(state),
         }
     }
 }
@@ -113,52 +113,52 @@
     fn from(stored: StoredWithInlineQuotas) -> Self {
         let configuration = ServingConfiguration::from(stored.0.configuration);
         let quotas = configuration.quotas();
-        let mut later = stored.0.later;
-        if let Some(parts) = &mut later.0 {
-            parts.quotas = quotas;
+        let mut extension = stored.0.extension;
+        if let Some(fields) = &mut extension.0 {
+            fields.quotas = quotas;
         }
         Self::from(StoredState {
             content: stored.0.content,
             configuration,
             configuration_at: stored.0.configuration_at,
             replicas: stored.0.replicas,
-            departed: stored.0.departed,
-            departed_ids: stored.0.departed_ids,
-            departed_complete_after: stored.0.departed_complete_after,
+            removals: stored.0.removals,
+            ended: stored.0.ended,
+            removals_evicted_through: stored.0.removals_evicted_through,
             weights: stored.0.weights,
             changed_at: stored.0.changed_at,
-            order_right: stored.0.order_right,
-            later,
+            order_lock: stored.0.order_lock,
+            extension,
         })
     }
 }
 
 impl From<StoredState<ServingConfiguration>> for ServingState {
     fn from(stored: StoredState<ServingConfiguration>) -> Self {
-        let later = stored.later.0.unwrap_or_else(|| LaterParts {
+        let extension = stored.extension.0.unwrap_or_else(|| ExtensionFields {
             quarantine: Quarantine::default(),
-            reported_ends: ReportedEnds::default(),
+            crash_reports: CrashReports::default(),
             level: StoredLevel(FeatureLevel::FIRST),
             quotas: Vec::new(),
         });
         let mut configuration = stored.configuration;
-        configuration.set_quotas(later.quotas);
+        configuration.set_quotas(extension.quotas);
         Self {
-            level: later.level.0,
+            level: extension.level.0,
             content: Arc::new(stored.content),
             configuration: Arc::new(configuration),
             configuration_at: stored.configuration_at,
             replicas: stored.replicas.into_values().collect(),
-            departed: Departed::restored(
-                stored.departed,
-                stored.departed_ids,
-                stored.departed_complete_after,
+            tombstones: Tombstones::from_snapshot(
+                stored.removals,
+                stored.ended,
+                stored.removals_evicted_through,
             ),
             weights: stored.weights,
             changed_at: stored.changed_at,
-            order_right: stored.order_right,
-            quarantine: Arc::new(later.quarantine),
-            reported_ends: Arc::new(later.reported_ends),
+            order_lock: stored.order_lock,
+            quarantine: Arc::new(extension.quarantine),
+            crash_reports: Arc::new(extension.crash_reports),
         }
     }
 }
--- a/crates/control/src/serving_state/departed.rs
+++ b/crates/control/src/serving_state/tombstones.rs
@@ -8,18 +8,18 @@
 use rpds::RedBlackTreeSetSync;
 
 /// Lives that are remembered.
-const KEPT: usize = 1_024;
+const MAX_TOMBSTONES: usize = 1_024;
 
 /// A removal, found by replica and birth. Follows from the removals alone, so that a control replica that
 /// starts from a snapshot decides like the others.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Birth {
+struct RemovedIncarnation {
     replica: String,
     born_ms: Option<u64>,
     removed_at: LogIndex,
 }
 
-impl Birth {
+impl RemovedIncarnation {
     fn of(index: LogIndex, name: &str) -> Self {
         let life = Life::named(name);
         Self {
@@ -32,34 +32,36 @@
 
 /// Lives that are gone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Departed {
+pub struct Tombstones {
     /// Their names by the position of their removal, oldest first.
     removals: RedBlackTreeSetSync<(LogIndex, String)>,
     /// Those that ended for good; others were only silent and may be heard again.
     ended: RedBlackTreeSetSync<String>,
     /// The same removals by replica and by when the life began, the newest last.
-    by_birth: RedBlackTreeSetSync<Birth>,
+    by_incarnation: RedBlackTreeSetSync<RemovedIncarnation>,
     /// Removals up to here may be forgotten.
-    complete_after: LogIndex,
+    evicted_through: LogIndex,
 }
 
-impl Departed {
+impl Tombstones {
     /// What a snapshot holds.
-    pub fn restored(
+    pub fn from_snapshot(
         removals: BTreeSet<(LogIndex, String)>,
         ended: BTreeSet<String>,
-        complete_after: LogIndex,
+        evicted_through: LogIndex,
     ) -> Self {
-        let mut departed = Self {
+        let mut tombstones = Self {
             ended: ended.into_iter().collect(),
-            complete_after,
+            evicted_through,
             ..Self::default()
         };
         for (index, life) in removals {
-            departed.by_birth.insert_mut(Birth::of(index, &life));
-            departed.removals.insert_mut((index, life));
+            tombstones
+                .by_incarnation
+                .insert_mut(RemovedIncarnation::of(index, &life));
+            tombstones.removals.insert_mut((index, life));
         }
-        departed
+        tombstones
     }
 
     /// Names of all lives by the position of their removal.
@@ -73,49 +75,51 @@
     }
 
     /// Removals up to here may be forgotten.
-    pub fn complete_after(&self) -> LogIndex {
-        self.complete_after
+    pub fn evicted_through(&self) -> LogIndex {
+        self.evicted_through
     }
 
     /// Whether a life ended for good, or a newer one of its replica is gone.
-    pub fn is_over(&self, name: &str) -> bool {
-        self.ended.contains(name) || self.is_older_than_one_gone(name)
+    pub fn is_retired(&self, name: &str) -> bool {
+        self.ended.contains(name) || self.has_newer_removal(name)
     }
 
-    fn is_older_than_one_gone(&self, name: &str) -> bool {
-        let behind = Birth::of(LogIndex::MAX, name);
-        let next = self.by_birth.range(behind..).next();
-        next.is_some_and(|birth| birth.replica == Life::named(name).replica)
+    fn has_newer_removal(&self, name: &str) -> bool {
+        let start = RemovedIncarnation::of(LogIndex::MAX, name);
+        let newer = self.by_incarnation.range(start..).next();
+        newer.is_some_and(|removal| removal.replica == Life::named(name).replica)
     }
 
     /// Lives that were removed after a position.
-    pub fn after(&self, known: LogIndex) -> impl Iterator<Item = &String> {
-        let first = (known.saturating_add(1), String::new());
+    pub fn removed_after(&self, index: LogIndex) -> impl Iterator<Item = &String> {
+        let first = (index.saturating_add(1), String::new());
         self.removals.range(first..).map(|(_, life)| life)
     }
 
     /// Notes that a life ended for good.
-    pub fn end(&mut self, life: &str) {
+    pub fn mark_ended(&mut self, life: &str) {
         self.ended.insert_mut(life.to_owned());
     }
 
     /// Notes that a life was removed.
-    pub fn remove(&mut self, index: LogIndex, life: &str) {
-        self.by_birth.insert_mut(Birth::of(index, life));
+    pub fn record_removal(&mut self, index: LogIndex, life: &str) {
+        self.by_incarnation
+            .insert_mut(RemovedIncarnation::of(index, life));
         self.removals.insert_mut((index, life.to_owned()));
-        if self.removals.size() > KEPT {
-            self.forget_oldest();
+        if self.removals.size() > MAX_TOMBSTONES {
+            self.evict_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some(oldest) = self.removals.first().cloned() else {
             return;
         };
         self.removals.remove_mut(&oldest);
         let (index, name) = oldest;
-        self.by_birth.remove_mut(&Birth::of(index, &name));
+        self.by_incarnation
+            .remove_mut(&RemovedIncarnation::of(index, &name));
         self.ended.remove_mut(&name);
-        self.complete_after = index;
+        self.evicted_through = index;
     }
 }
--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -9,15 +9,15 @@
 /// Records of replicas after which an answer to a router ends, bytes of some 70 kB: a router's link of
 /// 10 Mbit/s carries them in 60 ms, and an answer that does not come within its time is lost as a whole.
 /// All records at once, of 140 bytes each, took longer than that from some 3,000 replicas on.
-const RECORDS_IN_ANSWER: usize = 512;
+const MAX_RECORDS_PER_UPDATE: usize = 512;
 
 /// What a router is told at most in one answer.
 #[derive(Clone, Copy)]
-struct AnswerLimits {
+struct UpdateLimits {
     /// Records of replicas.
     records: usize,
     /// Records of replicas that the router was never told.
-    new_records: usize,
+    unknown_records: usize,
 }
 
 impl ServingState {
@@ -25,49 +25,49 @@
     /// here. Everything but the records of replicas is told at once, and of these as many as one answer may
     /// hold.
     pub fn update_after(&self, known: Known) -> Option<ServingUpdate> {
-        let limits = AnswerLimits {
-            records: RECORDS_IN_ANSWER,
-            new_records: RECORDS_IN_ANSWER,
+        let limits = UpdateLimits {
+            records: MAX_RECORDS_PER_UPDATE,
+            unknown_records: MAX_RECORDS_PER_UPDATE,
         };
-        self.update_with(known, limits)
+        self.build_update(known, limits)
     }
 
     /// The same without records that the router was never told.
-    pub fn changes_after(&self, known: Known) -> Option<ServingUpdate> {
-        let limits = AnswerLimits {
-            records: RECORDS_IN_ANSWER,
-            new_records: 0,
+    pub fn known_changes_after(&self, known: Known) -> Option<ServingUpdate> {
+        let limits = UpdateLimits {
+            records: MAX_RECORDS_PER_UPDATE,
+            unknown_records: 0,
         };
-        self.update_with(known, limits)
+        self.build_update(known, limits)
             .filter(|update| update.known != known)
     }
 
     /// All that a router lacks, in one answer: for routers of a build that takes no parts, and that knows a
     /// replica by its identity alone.
-    pub fn whole_update_after(&self, known: Known) -> Option<ServingUpdate> {
-        let limits = AnswerLimits {
+    pub fn full_update_after(&self, known: Known) -> Option<ServingUpdate> {
+        let limits = UpdateLimits {
             records: usize::MAX,
-            new_records: usize::MAX,
+            unknown_records: usize::MAX,
         };
-        let mut update = self.update_with(known, limits)?;
+        let mut update = self.build_update(known, limits)?;
         for record in &mut update.replicas {
             record.id = record.instance().to_owned();
         }
         let ended = update.removed.into_iter();
         let ended = ended.map(|name| Life::named(&name).replica.to_owned());
         update.removed = ended
-            .filter(|replica| self.replicas.life_of(replica).is_none())
+            .filter(|replica| self.replicas.current_id(replica).is_none())
             .collect();
         Some(update)
     }
 
-    fn update_with(&self, known: Known, limits: AnswerLimits) -> Option<ServingUpdate> {
+    fn build_update(&self, known: Known, limits: UpdateLimits) -> Option<ServingUpdate> {
         if known.through > self.changed_at || known.records_through >= self.changed_at {
             return None;
         }
-        let complete = known.through == 0 || known.through < self.departed.complete_after();
-        let (replicas, reached) = if complete {
-            self.first_records(limits)
+        let complete = known.through == 0 || known.through < self.tombstones.evicted_through();
+        let (replicas, position) = if complete {
+            self.initial_records(limits)
         } else {
             self.records_after(known, limits)
         };
@@ -77,58 +77,58 @@
             .filter(|told| told.changed_at > known.through)
             .cloned();
         Some(ServingUpdate {
-            known: reached,
+            known: position,
             configuration,
             complete,
             replicas,
             removed: self.removed_after(known.through),
-            weights: self.named_weights(),
+            weights: self.target_weights(),
             quarantine,
         })
     }
 
     /// The first records for a router that knows none: nothing that it knows can be outdated.
-    fn first_records(&self, limits: AnswerLimits) -> (Vec<ReplicaRecord>, Known) {
+    fn initial_records(&self, limits: UpdateLimits) -> (Vec<ReplicaRecord>, Known) {
         let (records, records_through) =
-            self.records_between(0, self.changed_at, limits.new_records);
-        let reached = Known {
+            self.records_between(0, self.changed_at, limits.unknown_records);
+        let position = Known {
             through: self.changed_at,
             changes_through: self.changed_at,
             records_through,
         };
-        (records, reached)
+        (records, position)
     }
 
     /// The records for one answer: first those that changed, and of those that the router was never told
     /// as many as there is room for.
-    fn records_after(&self, known: Known, limits: AnswerLimits) -> (Vec<ReplicaRecord>, Known) {
+    fn records_after(&self, known: Known, limits: UpdateLimits) -> (Vec<ReplicaRecord>, Known) {
         let (mut records, changes_through) =
             self.records_between(known.changes_through, self.changed_at, limits.records);
-        let was_whole = known.records_through >= known.changes_through;
+        let had_all_records = known.records_through >= known.changes_through;
         let mut records_through = known.records_through;
         let room = limits
             .records
             .saturating_sub(records.len())
-            .min(limits.new_records);
-        if was_whole {
+            .min(limits.unknown_records);
+        if had_all_records {
             records_through = changes_through;
         } else if changes_through == self.changed_at && room > 0 {
-            let (others, told_through) =
+            let (new_records, sent_through) =
                 self.records_between(known.records_through, known.changes_through, room);
-            records.extend(others);
+            records.extend(new_records);
             // With the last of them, the router knows all.
-            records_through = if told_through == known.changes_through {
+            records_through = if sent_through == known.changes_through {
                 changes_through
             } else {
-                told_through
+                sent_through
             };
         }
-        let reached = Known {
+        let position = Known {
             through: self.changed_at,
             changes_through,
             records_through,
         };
-        (records, reached)
+        (records, position)
     }
 
     /// Records that changed last after one position and up to another, in the order of their changes, and
@@ -137,7 +137,7 @@
         &self,
         after: LogIndex,
         through: LogIndex,
-        most: usize,
+        limit: usize,
     ) -> (Vec<ReplicaRecord>, LogIndex) {
         let mut records: Vec<ReplicaRecord> = Vec::new();
         for record in self.replicas.changed_after(after) {
@@ -145,7 +145,7 @@
                 break;
             }
             let last = records.last().map_or(after, |last| last.changed_at);
-            if records.len() >= most && record.changed_at > last {
+            if records.len() >= limit && record.changed_at > last {
                 return (records, last);
             }
             records.push(record.clone());
@@ -154,14 +154,14 @@
     }
 
     fn removed_after(&self, known: LogIndex) -> Vec<String> {
-        self.departed.after(known).cloned().collect()
+        self.tombstones.removed_after(known).cloned().collect()
     }
 
-    fn named_weights(&self) -> Vec<HeldWeights> {
-        let named = self.weights.iter().map(|(model, version)| HeldWeights {
+    fn target_weights(&self) -> Vec<HeldWeights> {
+        let targets = self.weights.iter().map(|(model, version)| HeldWeights {
             model: model.clone(),
             version: *version,
         });
-        named.collect()
+        targets.collect()
     }
 }
--- a/crates/control/tests/former_build.rs
+++ b/crates/control/tests/former_build.rs
@@ -97,8 +97,8 @@
     assert_eq!(serving.weights()["valuation"], 2);
     let replicas: Vec<&str> = serving.replicas().keys().map(String::as_str).collect();
     assert_eq!(replicas, ["r-3"]);
-    assert!(serving.has_departed("r-1"));
-    assert!(serving.has_departed("r-2"));
+    assert!(serving.is_retired("r-1"));
+    assert!(serving.is_retired("r-2"));
 }
 
 #[test]
@@ -238,7 +238,7 @@
     assert_eq!(tenants[1].api_keys, ["key-2"]);
     let replicas: Vec<&str> = serving.replicas().keys().map(String::as_str).collect();
     assert_eq!(replicas, ["r-2", "r-3"]);
-    assert!(serving.has_departed("r-1"));
+    assert!(serving.is_retired("r-1"));
 }
 
 /// A build that is older than the disk must not take what it cannot read for nothing.
--- a/crates/control/tests/production_state/mod.rs
+++ b/crates/control/tests/production_state/mod.rs
@@ -14,11 +14,11 @@
 
 /// Replicas that have left and are remembered, so that their late messages do not revive them and
 /// routers can be told only what changed.
-const DEPARTED_KEPT: usize = 1_024;
+const MAX_TOMBSTONES: usize = 1_024;
 
 /// The right to give orders to back ends.
 #[derive(Clone, Debug, PartialEq, Eq, speedy::Readable, speedy::Writable)]
-struct OrderRight {
+struct OrderLock {
     holder: String,
     token: u64,
 }
@@ -34,12 +34,12 @@
     configuration_at: LogIndex,
     replicas: ReplicaMap,
     /// Replicas that have left, oldest first.
-    departed: RedBlackTreeSetSync<(LogIndex, String)>,
-    departed_ids: RedBlackTreeSetSync<String>,
-    departed_complete_after: LogIndex,
+    removals: RedBlackTreeSetSync<(LogIndex, String)>,
+    ended: RedBlackTreeSetSync<String>,
+    removals_evicted_through: LogIndex,
     weights: BTreeMap<String, u64>,
     changed_at: LogIndex,
-    order_right: Option<OrderRight>,
+    order_lock: Option<OrderLock>,
 }
 
 impl ServingState {
@@ -54,8 +54,8 @@
     }
 
     /// Whether a replica of this identity has left.
-    pub fn has_departed(&self, replica: &str) -> bool {
-        self.departed_ids.contains(replica)
+    pub fn is_retired(&self, replica: &str) -> bool {
+        self.ended.contains(replica)
     }
 
     /// Applies one committed command.
@@ -88,12 +88,12 @@
     }
 
     fn register(&mut self, index: LogIndex, mut record: ReplicaRecord) -> ServingOutcome {
-        if self.has_departed(&record.id) {
+        if self.is_retired(&record.id) {
             return ServingOutcome::UnknownReplica;
         }
-        self.remove_former_at(index, &record);
+        self.deregister_previous_at(index, &record);
         if let Some(known) = self.replicas.get(&record.id) {
-            record = merged(known, record);
+            record = merge_record(known, record);
         }
         record.order = record.order.take().filter(|order| {
             let held = record.version_of(&order.model);
@@ -111,23 +111,23 @@
     }
 
     /// A new life at the address of another one means that the other one has ended.
-    fn remove_former_at(&mut self, index: LogIndex, record: &ReplicaRecord) {
-        let former: Vec<String> = self
+    fn deregister_previous_at(&mut self, index: LogIndex, record: &ReplicaRecord) {
+        let previous: Vec<String> = self
             .replicas
             .values()
             .filter(|known| known.address == record.address && known.id != record.id)
             .map(|known| known.id.clone())
             .collect();
-        for replica in former {
+        for replica in previous {
             self.deregister(index, &replica);
         }
     }
 
     fn deregister(&mut self, index: LogIndex, replica: &str) -> ServingOutcome {
-        if self.has_departed(replica) {
+        if self.is_retired(replica) {
             return ServingOutcome::Done;
         }
-        self.departed_ids.insert_mut(replica.to_owned());
+        self.ended.insert_mut(replica.to_owned());
         self.remove(index, replica);
         ServingOutcome::Done
     }
@@ -144,13 +144,13 @@
     fn remove(&mut self, index: LogIndex, replica: &str) {
         self.replicas.remove_mut(replica);
         self.changed_at = index;
-        self.departed.insert_mut((index, replica.to_owned()));
-        if self.departed.size() > DEPARTED_KEPT
-            && let Some(oldest) = self.departed.first().cloned()
+        self.removals.insert_mut((index, replica.to_owned()));
+        if self.removals.size() > MAX_TOMBSTONES
+            && let Some(oldest) = self.removals.first().cloned()
         {
-            self.departed.remove_mut(&oldest);
-            self.departed_ids.remove_mut(&oldest.1);
-            self.departed_complete_after = oldest.0;
+            self.removals.remove_mut(&oldest);
+            self.ended.remove_mut(&oldest.1);
+            self.removals_evicted_through = oldest.0;
         }
     }
 
@@ -165,9 +165,9 @@
     }
 
     fn acquire_orders(&mut self, index: LogIndex, holder: String) -> ServingOutcome {
-        let former = self.order_right.take();
+        let former = self.order_lock.take();
         let taken_over = former.is_some_and(|former| former.holder != holder);
-        self.order_right = Some(OrderRight {
+        self.order_lock = Some(OrderLock {
             holder,
             token: index,
         });
@@ -185,9 +185,9 @@
         order: PendingOrder,
     ) -> ServingOutcome {
         let is_holder = self
-            .order_right
+            .order_lock
             .as_ref()
-            .is_some_and(|right| right.token == token);
+            .is_some_and(|lock| lock.token == token);
         if !is_holder {
             return ServingOutcome::NotHolder;
         }
@@ -205,15 +205,15 @@
 }
 
 /// Takes in what a replica says now without going back on what it said before.
-fn merged(known: &ReplicaRecord, mut said: ReplicaRecord) -> ReplicaRecord {
+fn merge_record(known: &ReplicaRecord, mut reported: ReplicaRecord) -> ReplicaRecord {
     if known.state == ReplicaState::Leaving {
-        said.state = ReplicaState::Leaving;
+        reported.state = ReplicaState::Leaving;
     }
-    for held in &mut said.weights {
+    for held in &mut reported.weights {
         let before = known.version_of(&held.model).unwrap_or(0);
         held.version = held.version.max(before);
     }
-    said.order = known.order.clone();
-    said.changed_at = known.changed_at;
-    said
+    reported.order = known.order.clone();
+    reported.changed_at = known.changed_at;
+    reported
 }
--- a/crates/control/tests/production_state/stored.rs
+++ b/crates/control/tests/production_state/stored.rs
@@ -9,7 +9,7 @@
 use railtack_serving::{ReplicaRecord, ServingConfiguration};
 use speedy::{Context, Readable, Reader, Writable, Writer};
 
-use super::{OrderRight, ServingState};
+use super::{OrderLock, ServingState};
 
 #[derive(Readable, Writable)]
 struct StoredState {
@@ -17,12 +17,12 @@
     configuration: ServingConfiguration,
     configuration_at: LogIndex,
     replicas: BTreeMap<String, ReplicaRecord>,
-    departed: BTreeSet<(LogIndex, String)>,
-    departed_ids: BTreeSet<String>,
-    departed_complete_after: LogIndex,
+    removals: BTreeSet<(LogIndex, String)>,
+    ended: BTreeSet<String>,
+    removals_evicted_through: LogIndex,
     weights: BTreeMap<String, u64>,
     changed_at: LogIndex,
-    order_right: Option<OrderRight>,
+    order_lock: Option<OrderLock>,
 }
 
 impl From<&ServingState> for StoredState {
@@ -35,12 +35,12 @@
             replicas: replicas
                 .map(|(id, record)| (id.clone(), record.clone()))
                 .collect(),
-            departed: state.departed.iter().cloned().collect(),
-            departed_ids: state.departed_ids.iter().cloned().collect(),
-            departed_complete_after: state.departed_complete_after,
+            removals: state.removals.iter().cloned().collect(),
+            ended: state.ended.iter().cloned().collect(),
+            removals_evicted_through: state.removals_evicted_through,
             weights: state.weights.clone(),
             changed_at: state.changed_at,
-            order_right: state.order_right.clone(),
+            order_lock: state.order_lock.clone(),
         }
     }
 }
@@ -52,12 +52,12 @@
             configuration: Arc::new(stored.configuration),
             configuration_at: stored.configuration_at,
             replicas: stored.replicas.into_iter().collect(),
-            departed: stored.departed.into_iter().collect(),
-            departed_ids: stored.departed_ids.into_iter().collect(),
-            departed_complete_after: stored.departed_complete_after,
+            removals: stored.removals.into_iter().collect(),
+            ended: stored.ended.into_iter().collect(),
+            removals_evicted_through: stored.removals_evicted_through,
             weights: stored.weights,
             changed_at: stored.changed_at,
-            order_right: stored.order_right,
+            order_lock: stored.order_lock,
         }
     }
 }
--- a/crates/control/tests/serving_state.rs
+++ b/crates/control/tests/serving_state.rs
@@ -92,7 +92,7 @@
         replica: "r".to_owned(),
     };
     assert_eq!(state.apply(2, expire), ServingOutcome::Done);
-    assert!(!state.has_departed("r"));
+    assert!(!state.is_retired("r"));
     assert_eq!(
         state.apply(3, register("r", "h:1", 1)),
         ServingOutcome::Done
