--- a/crates/control/src/serving/daemon.rs
+++ b/crates/control/src/serving/daemon.rs
@@ -23,11 +23,11 @@
         leader::LeaderLink,
         liveness::{self, Liveness},
         order_channel::OrderChannel,
-        orders,
         permits::PermitServer,
         quarantine,
         quota::{self, QuotaServer},
         registrar::{self, Registrar},
+        rollout_driver,
         watch::{self, WatchServer},
     },
 };
@@ -47,7 +47,7 @@
 /// How long the outcome of a request that may not be repeated is kept, milliseconds.
 const CLAIM_RETENTION_MS: u64 = 24 * 3_600_000;
 /// Pause before a folder that cannot be opened is tried again.
-const OPEN_PAUSE: Duration = Duration::from_millis(300);
+const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Where a control replica runs and what it is told about its group.
 #[derive(Clone, Debug)]
@@ -81,7 +81,7 @@
     registry: &mut Registry,
 ) -> Result<GroupHandle, Report<ControlError>> {
     let started = BootInstant::now();
-    let replica = open_patiently(&options).await;
+    let replica = open_with_retries(&options).await;
     let identity = replica.identity().clone();
     let metrics = ControlMetrics::default();
     metrics.register(registry);
@@ -91,12 +91,12 @@
         metrics.clone(),
         options.listen,
     );
-    let reopened = options.clone();
+    let reopen_options = options.clone();
     let node_options = NodeOptions {
         tick: TICK,
         replace_silent_after: Some(options.bounds.contact_ms + ELECTION_TIMEOUT_MS * 2),
         tolerance: options.tolerance,
-        reopen: Some(Box::new(move |now| open(&reopened, now))),
+        reopen: Some(Box::new(move |now| open(&reopen_options, now))),
         read_document: options.read_document,
     };
     let (node, _) = node::start(replica, peers, metrics.clone(), started, node_options);
@@ -127,26 +127,26 @@
         liveness: Arc::clone(&liveness),
         quotas: Arc::clone(&quotas),
     });
-    tokio::spawn(quota::keep_ledger(quotas));
+    tokio::spawn(quota::run_ledgers(quotas));
     tokio::spawn(quarantine::keep_released(
         Arc::clone(&link),
         metrics.clone(),
     ));
     tokio::spawn(server::accept(listener, service));
-    tokio::spawn(watch::keep_confirmed(Arc::clone(&watch)));
-    tokio::spawn(formation::keep_joined(
+    tokio::spawn(watch::run_confirmations(Arc::clone(&watch)));
+    tokio::spawn(formation::run_join_loop(
         Arc::clone(&link),
         identity.replica,
         identity.disk,
         options.seeds.clone(),
     ));
-    tokio::spawn(liveness::keep_told(
+    tokio::spawn(liveness::run_reports(
         Arc::clone(&link),
         Arc::clone(&liveness),
         permits,
     ));
-    tokio::spawn(registrar::keep_recorded(Arc::clone(&registrar)));
-    tokio::spawn(orders::keep_rolled_out(
+    tokio::spawn(registrar::run(Arc::clone(&registrar)));
+    tokio::spawn(rollout_driver::run(
         Arc::clone(&link),
         watch,
         channel,
@@ -171,13 +171,13 @@
 }
 
 /// Opens the folder, for as long as it takes: a full or broken disk may recover.
-async fn open_patiently(options: &GroupOptions) -> Replica {
+async fn open_with_retries(options: &GroupOptions) -> Replica {
     loop {
         match open(options, 0) {
             Ok(replica) => return replica,
             Err(report) => {
                 spdlog::warn!("storage unusable", kv: { cause = format!("{report:?}") });
-                tokio::time::sleep(OPEN_PAUSE).await;
+                tokio::time::sleep(OPEN_RETRY_INTERVAL).await;
             }
         }
     }
@@ -186,12 +186,13 @@
 fn open(options: &GroupOptions, now: Millis) -> Result<Replica, Report<ControlError>> {
     let folder = FileMedia::open(&options.data).change_context(ControlError::Storage)?;
     let replica_options = replica_options();
-    let makes_group = formation::makes_group(options.bootstrap, options.listen, &options.seeds);
-    if makes_group {
+    let is_bootstrap_node =
+        formation::should_bootstrap(options.bootstrap, options.listen, &options.seeds);
+    if is_bootstrap_node {
         let address = options.listen.to_string();
-        let made = Replica::initialize(&folder, &replica_options, &address);
+        let initialized = Replica::initialize(&folder, &replica_options, &address);
         // A folder that is in use was made before; it is opened as it is.
-        if let Err(report) = made
+        if let Err(report) = initialized
             && report.current_context() != &ControlError::AlreadyInitialized
         {
             return Err(report);
--- a/crates/control/src/serving/fleet.rs
+++ b/crates/control/src/serving/fleet.rs
@@ -20,16 +20,16 @@
 
 /// Age at which what a router or a control replica told counts no more. Both tell about twice a
 /// second.
-const REPORT_KEPT: Duration = Duration::from_millis(2_000);
+const REPORT_TTL: Duration = Duration::from_millis(2_000);
 /// Routers that wait in vain before a replica counts as dark: one may be cut off itself.
-const WITNESSES: u16 = 2;
+const MIN_STALLED_ROUTERS: u16 = 2;
 /// Time for which nobody must have heard from a replica that is dark. A working replica sends
 /// events to somebody several times in a second.
-const DARK_SILENCE_MS: u16 = 1_000;
+const UNRESPONSIVE_SILENCE_MS: u16 = 1_000;
 /// Heartbeats for which a dark replica is left alone, and longer if it sends none.
-const DARK_HEARTBEATS: u32 = 3;
+const RETRY_AFTER_HEARTBEATS: u32 = 3;
 /// Of a service's replicas, one in this many may be dark at most.
-const FEWEST_REPLICAS_PER_DARK: usize = 2;
+const MIN_REPLICAS_PER_UNRESPONSIVE: usize = 2;
 
 /// What is known of a replica besides what routers met.
 #[derive(Clone, Copy, Debug)]
@@ -45,25 +45,25 @@
 /// Sightings by who told them.
 #[derive(Debug, Default)]
 pub struct FleetView {
-    routers: HashMap<String, Report>,
-    controls: HashMap<String, Report>,
+    router_reports: HashMap<String, ObservationReport>,
+    control_reports: HashMap<String, ObservationReport>,
     /// Replicas that are dark, and since when.
-    dark: BTreeMap<ReplicaKey, Instant>,
+    unresponsive_since: BTreeMap<ReplicaKey, Instant>,
     /// Replicas that name a limit on requests, for the next digest.
-    limited: Vec<LimitedReplica>,
+    limited_replicas: Vec<LimitedReplica>,
     /// The digest that was made or received last.
     digest: Option<(FleetDigest, Instant)>,
 }
 
 #[derive(Debug)]
-struct Report {
-    at: Instant,
-    sightings: Vec<ReplicaSighting>,
+struct ObservationReport {
+    received_at: Instant,
+    observations: Vec<ReplicaSighting>,
 }
 
 /// A change of belief about a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DarkChange {
+pub struct ResponsivenessChange {
     /// The replica.
     pub replica: ReplicaKey,
     /// Whether it is dark now.
@@ -74,134 +74,160 @@
 
 impl FleetView {
     /// Takes in what a router that asks this control replica has met.
-    pub fn take_router(&mut self, router: &str, sightings: Vec<ReplicaSighting>, now: Instant) {
-        let report = Report { at: now, sightings };
-        self.routers.insert(router.to_owned(), report);
+    pub fn record_router_report(
+        &mut self,
+        router: &str,
+        observations: Vec<ReplicaSighting>,
+        now: Instant,
+    ) {
+        let report = ObservationReport {
+            received_at: now,
+            observations,
+        };
+        self.router_reports.insert(router.to_owned(), report);
     }
 
     /// Takes in what the routers that ask another control replica have met.
-    pub fn take_control(&mut self, control: String, sightings: Vec<ReplicaSighting>, now: Instant) {
-        let report = Report { at: now, sightings };
-        self.controls.insert(control, report);
+    pub fn record_control_report(
+        &mut self,
+        control: String,
+        observations: Vec<ReplicaSighting>,
+        now: Instant,
+    ) {
+        let report = ObservationReport {
+            received_at: now,
+            observations,
+        };
+        self.control_reports.insert(control, report);
     }
 
     /// What the routers that ask here have met, added up by replica.
-    pub fn own_sightings(&mut self, now: Instant) -> Vec<ReplicaSighting> {
-        self.routers.retain(|_, report| is_fresh(report, now));
-        added_up(self.routers.values(), now).into_values().collect()
+    pub fn local_observations(&mut self, now: Instant) -> Vec<ReplicaSighting> {
+        self.router_reports
+            .retain(|_, report| is_fresh(report, now));
+        aggregate(self.router_reports.values(), now)
+            .into_values()
+            .collect()
     }
 
     /// While leading: takes in the replicas that name a limit on requests.
-    pub fn take_limited(&mut self, limited: Vec<LimitedReplica>) {
-        self.limited = limited;
+    pub fn set_limited(&mut self, limited_replicas: Vec<LimitedReplica>) {
+        self.limited_replicas = limited_replicas;
     }
 
     /// While leading: makes the digest of what all routers have met at the replicas that are
     /// `known`, whose heartbeats come every `heartbeat`. Tells what changed.
-    pub fn make_digest(
+    pub fn build_digest(
         &mut self,
         known: &[KnownReplica<'_>],
         heartbeat: Duration,
         now: Instant,
-    ) -> Vec<DarkChange> {
-        self.routers.retain(|_, report| is_fresh(report, now));
-        self.controls.retain(|_, report| is_fresh(report, now));
-        let reports = self.routers.values().chain(self.controls.values());
-        let sightings = added_up(reports, now);
-        let changes = self.judge(&sightings, known, heartbeat, now);
+    ) -> Vec<ResponsivenessChange> {
+        self.router_reports
+            .retain(|_, report| is_fresh(report, now));
+        self.control_reports
+            .retain(|_, report| is_fresh(report, now));
+        let reports = self
+            .router_reports
+            .values()
+            .chain(self.control_reports.values());
+        let observations = aggregate(reports, now);
+        let changes = self.update_unresponsive(&observations, known, heartbeat, now);
         let conditions = known.iter().filter_map(|replica| {
-            let sighting = sightings.get(&replica.key);
-            let is_dark = self.dark.contains_key(&replica.key);
-            (sighting.is_some() || is_dark).then(|| ReplicaCondition {
+            let observation = observations.get(&replica.key);
+            let is_dark = self.unresponsive_since.contains_key(&replica.key);
+            (observation.is_some() || is_dark).then(|| ReplicaCondition {
                 replica: replica.key,
-                open_requests: sighting.map_or(0, |met| met.open_requests),
-                unread_tokens: sighting.map_or(0, |met| met.unread_tokens),
-                heard_ms: sighting.map_or(u16::MAX, |met| met.heard_ms),
+                open_requests: observation.map_or(0, |observed| observed.open_requests),
+                unread_tokens: observation.map_or(0, |observed| observed.unread_tokens),
+                heard_ms: observation.map_or(u16::MAX, |observed| observed.heard_ms),
                 is_dark,
             })
         });
         let digest = FleetDigest {
             age_ms: 0,
             replicas: conditions.collect(),
-            limited: self.limited.clone(),
+            limited: self.limited_replicas.clone(),
         };
         self.digest = Some((digest, now));
         changes
     }
 
     /// Takes in the leader's digest.
-    pub fn take_digest(&mut self, digest: Option<FleetDigest>, now: Instant) {
+    pub fn set_digest(&mut self, digest: Option<FleetDigest>, now: Instant) {
         self.digest = digest.map(|digest| (digest, now));
     }
 
     /// The digest with its present age; `None` if there is none, or it is too old to go by.
     pub fn digest(&self, now: Instant) -> Option<FleetDigest> {
         let (digest, received_at) = self.digest.as_ref()?;
-        let kept = now.saturating_duration_since(*received_at).as_millis() as u32;
-        let age_ms = digest.age_ms.saturating_add(kept);
-        (age_ms < REPORT_KEPT.as_millis() as u32).then(|| FleetDigest {
+        let held = now.saturating_duration_since(*received_at).as_millis() as u32;
+        let age_ms = digest.age_ms.saturating_add(held);
+        (age_ms < REPORT_TTL.as_millis() as u32).then(|| FleetDigest {
             age_ms,
             ..digest.clone()
         })
     }
 
-    fn judge(
+    fn update_unresponsive(
         &mut self,
-        sightings: &BTreeMap<ReplicaKey, ReplicaSighting>,
+        observations: &BTreeMap<ReplicaKey, ReplicaSighting>,
         known: &[KnownReplica<'_>],
         heartbeat: Duration,
         now: Instant,
-    ) -> Vec<DarkChange> {
-        let before = std::mem::take(&mut self.dark);
+    ) -> Vec<ResponsivenessChange> {
+        let previous = std::mem::take(&mut self.unresponsive_since);
         let mut replicas: BTreeMap<&str, usize> = BTreeMap::new();
         for replica in known {
             *replicas.entry(replica.service).or_default() += 1;
         }
-        let mut dark_of: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut unresponsive_by_service: BTreeMap<&str, usize> = BTreeMap::new();
         // Those that were dark before come first, so that the bounded share does not wander.
-        let mut in_order: Vec<&KnownReplica<'_>> = known.iter().collect();
-        in_order.sort_by_key(|replica| !before.contains_key(&replica.key));
-        for replica in in_order {
-            let sighting = sightings.get(&replica.key);
-            let since = before.get(&replica.key).copied();
-            let stays = since.is_some_and(|since| {
-                let left_alone = now < since + heartbeat * DARK_HEARTBEATS;
-                !heard(sighting) && (left_alone || !replica.is_alive)
+        let mut ordered: Vec<&KnownReplica<'_>> = known.iter().collect();
+        ordered.sort_by_key(|replica| !previous.contains_key(&replica.key));
+        for replica in ordered {
+            let observation = observations.get(&replica.key);
+            let since = previous.get(&replica.key).copied();
+            let stays_unresponsive = since.is_some_and(|since| {
+                let is_in_retry_delay = now < since + heartbeat * RETRY_AFTER_HEARTBEATS;
+                !is_recently_heard(observation) && (is_in_retry_delay || !replica.is_alive)
             });
-            let limit = replicas[replica.service] / FEWEST_REPLICAS_PER_DARK;
-            let count = dark_of.entry(replica.service).or_default();
-            if (stays || sighting.is_some_and(seems_dark)) && *count < limit {
-                *count += 1;
-                self.dark.insert(replica.key, since.unwrap_or(now));
+            let limit = replicas[replica.service] / MIN_REPLICAS_PER_UNRESPONSIVE;
+            let unresponsive = unresponsive_by_service.entry(replica.service).or_default();
+            if (stays_unresponsive || observation.is_some_and(is_stalled)) && *unresponsive < limit
+            {
+                *unresponsive += 1;
+                self.unresponsive_since
+                    .insert(replica.key, since.unwrap_or(now));
             }
         }
         let keys = known.iter().map(|replica| replica.key);
-        keys.filter_map(|replica| self.change(&before, sightings, replica))
+        keys.filter_map(|replica| self.responsiveness_change(&previous, observations, replica))
             .collect()
     }
 
     /// The change of belief about one replica since `before`, if there was one.
-    fn change(
+    fn responsiveness_change(
         &self,
-        before: &BTreeMap<ReplicaKey, Instant>,
-        sightings: &BTreeMap<ReplicaKey, ReplicaSighting>,
+        previous: &BTreeMap<ReplicaKey, Instant>,
+        observations: &BTreeMap<ReplicaKey, ReplicaSighting>,
         replica: ReplicaKey,
-    ) -> Option<DarkChange> {
-        let is_dark = self.dark.contains_key(&replica);
-        let sighting = sightings.get(&replica).copied();
-        (before.contains_key(&replica) != is_dark).then(|| DarkChange {
+    ) -> Option<ResponsivenessChange> {
+        let is_dark = self.unresponsive_since.contains_key(&replica);
+        let observation = observations.get(&replica).copied();
+        (previous.contains_key(&replica) != is_dark).then(|| ResponsivenessChange {
             replica,
             is_dark,
-            sighting: sighting.unwrap_or_else(|| unseen(replica)),
+            sighting: observation.unwrap_or_else(|| no_observation(replica)),
         })
     }
 }
 
-fn is_fresh(report: &Report, now: Instant) -> bool {
-    now.saturating_duration_since(report.at) < REPORT_KEPT
+fn is_fresh(report: &ObservationReport, now: Instant) -> bool {
+    now.saturating_duration_since(report.received_at) < REPORT_TTL
 }
 
-fn unseen(replica: ReplicaKey) -> ReplicaSighting {
+fn no_observation(replica: ReplicaKey) -> ReplicaSighting {
     ReplicaSighting {
         replica,
         open_requests: 0,
@@ -212,30 +238,34 @@
 }
 
 /// Whether some router has just heard from the replica.
-fn heard(sighting: Option<&ReplicaSighting>) -> bool {
-    sighting.is_some_and(|met| met.heard_ms < DARK_SILENCE_MS)
+fn is_recently_heard(observation: Option<&ReplicaSighting>) -> bool {
+    observation.is_some_and(|observed| observed.heard_ms < UNRESPONSIVE_SILENCE_MS)
 }
 
-fn seems_dark(met: &ReplicaSighting) -> bool {
-    met.waiting_in_vain >= WITNESSES && met.heard_ms >= DARK_SILENCE_MS
+fn is_stalled(observed: &ReplicaSighting) -> bool {
+    observed.waiting_in_vain >= MIN_STALLED_ROUTERS && observed.heard_ms >= UNRESPONSIVE_SILENCE_MS
 }
 
-fn added_up<'a>(
-    reports: impl Iterator<Item = &'a Report>,
+fn aggregate<'a>(
+    reports: impl Iterator<Item = &'a ObservationReport>,
     now: Instant,
 ) -> BTreeMap<ReplicaKey, ReplicaSighting> {
-    let mut sums: BTreeMap<ReplicaKey, ReplicaSighting> = BTreeMap::new();
+    let mut totals: BTreeMap<ReplicaKey, ReplicaSighting> = BTreeMap::new();
     for report in reports {
-        let age_ms = now.saturating_duration_since(report.at).as_millis() as u16;
-        for met in &report.sightings {
-            let sum = sums
-                .entry(met.replica)
-                .or_insert_with(|| unseen(met.replica));
-            sum.open_requests = sum.open_requests.saturating_add(met.open_requests);
-            sum.unread_tokens = sum.unread_tokens.saturating_add(met.unread_tokens);
-            sum.heard_ms = sum.heard_ms.min(met.heard_ms.saturating_add(age_ms));
-            sum.waiting_in_vain = sum.waiting_in_vain.saturating_add(met.waiting_in_vain);
+        let age_ms = now
+            .saturating_duration_since(report.received_at)
+            .as_millis() as u16;
+        for observed in &report.observations {
+            let total = totals
+                .entry(observed.replica)
+                .or_insert_with(|| no_observation(observed.replica));
+            total.open_requests = total.open_requests.saturating_add(observed.open_requests);
+            total.unread_tokens = total.unread_tokens.saturating_add(observed.unread_tokens);
+            total.heard_ms = total.heard_ms.min(observed.heard_ms.saturating_add(age_ms));
+            total.waiting_in_vain = total
+                .waiting_in_vain
+                .saturating_add(observed.waiting_in_vain);
         }
     }
-    sums
+    totals
 }
--- a/crates/control/src/serving/formation.rs
+++ b/crates/control/src/serving/formation.rs
@@ -17,46 +17,46 @@
 use crate::serving::leader::LeaderLink;
 
 /// Time between two looks at whether this replica is a member.
-const LOOK_INTERVAL: Duration = Duration::from_millis(400);
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// Time without a leader after which a member asks to be taken in again: it may have been
 /// replaced while it was away.
-const LEADERLESS_LIMIT: Duration = Duration::from_secs(2);
+const MAX_LEADERLESS_TIME: Duration = Duration::from_secs(2);
 /// Time for one request to join.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Whether this replica makes the group: the first start, and the lowest of the seeds.
-pub fn makes_group(bootstrap: bool, own: SocketAddr, seeds: &[SocketAddr]) -> bool {
-    bootstrap && seeds.iter().min() == Some(&own)
+pub fn should_bootstrap(bootstrap: bool, local: SocketAddr, seeds: &[SocketAddr]) -> bool {
+    bootstrap && seeds.iter().min() == Some(&local)
 }
 
 /// Asks to be taken in for as long as this replica is outside.
-pub async fn keep_joined(
+pub async fn run_join_loop(
     link: Arc<LeaderLink>,
     replica: ReplicaId,
     disk: DiskId,
     seeds: Vec<SocketAddr>,
 ) {
-    let mut led_at = Instant::now();
+    let mut leader_seen_at = Instant::now();
     loop {
-        sleep(LOOK_INTERVAL).await;
+        sleep(CHECK_INTERVAL).await;
         let view = link.view();
         if view.leader.is_some() {
-            led_at = Instant::now();
+            leader_seen_at = Instant::now();
         }
-        let inside = view.is_member && led_at.elapsed() < LEADERLESS_LIMIT;
-        if !inside {
+        let is_joined = view.is_member && leader_seen_at.elapsed() < MAX_LEADERLESS_TIME;
+        if !is_joined {
             let request = JoinRequest {
                 replica,
                 disk,
                 address: link.own_address().to_owned(),
                 level: FeatureLevel::OF_THIS_BUILD,
             };
-            ask_all(&link, &request, &view.voters, &seeds).await;
+            send_join_requests(&link, &request, &view.voters, &seeds).await;
         }
     }
 }
 
-async fn ask_all(
+async fn send_join_requests(
     link: &LeaderLink,
     request: &JoinRequest,
     voters: &[String],
@@ -71,7 +71,7 @@
     // Each target may name the leader, which is then asked too.
     while let Some(target) = targets.get(position).cloned() {
         position += 1;
-        match ask(link, request, &target).await {
+        match send_join_request(link, request, &target).await {
             Some(JoinReply::Accepted) => return,
             Some(JoinReply::NotLeader {
                 leader: Some(leader),
@@ -81,7 +81,11 @@
     }
 }
 
-async fn ask(link: &LeaderLink, request: &JoinRequest, target: &str) -> Option<JoinReply> {
+async fn send_join_request(
+    link: &LeaderLink,
+    request: &JoinRequest,
+    target: &str,
+) -> Option<JoinReply> {
     let connection = link.connection(target)?;
     let request = request.clone();
     connection
--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -23,13 +23,13 @@
 };
 
 /// Time in which callers expect an answer; they ask elsewhere after a second.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time for telling the leader that this process is being stopped.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Replicas whose heartbeats may come to one control replica, in tenths of an equal share: replicas choose
 /// at random, and none moves for a small gain.
-const MOST_SHARES_TENTHS: usize = 15;
+const MAX_SHARE_TENTHS: usize = 15;
 /// Replicas beyond that: with few of them shares are uneven, and none is a burden.
 const SHARE_SLACK: usize = 64;
 
@@ -91,16 +91,16 @@
 
     /// The newest document, as it was sent.
     pub async fn document(&self) -> Result<Vec<u8>, Unavailable> {
-        self.link.catch_up(ANSWER_TIMEOUT).await?;
+        self.link.catch_up(REPLY_TIMEOUT).await?;
         let view = self.link.view();
         let content = view.serving.content().ok_or(Unavailable::NoConfiguration)?;
         Ok(content.to_vec())
     }
 
     /// Names the weights that a model's replicas are to hold.
-    pub async fn name_weights(&self, named: HeldWeights) -> Result<ServingOutcome, Unavailable> {
+    pub async fn name_weights(&self, target: HeldWeights) -> Result<ServingOutcome, Unavailable> {
         self.require_formed()?;
-        self.propose(ServingCommand::NameWeights(named)).await
+        self.propose(ServingCommand::NameWeights(target)).await
     }
 
     /// Takes in a replica's heartbeat, and tells where later ones should go. That a replica is leaving is
@@ -114,7 +114,7 @@
         sequence: u64,
     ) -> Result<HeartbeatPlace, Unavailable> {
         let view = self.link.view();
-        if !is_named(&view, &record) {
+        if !is_service_configured(&view, &record) {
             self.metrics.registrations_unnamed.inc();
             spdlog::info!("heartbeat for no service", kv: {
                 replica = record.id,
@@ -123,30 +123,30 @@
             return Ok(HeartbeatPlace::Here);
         }
         record.changed_at = view.applied;
-        record.id = known_name(&view, record.id);
-        let place = self.place_of(&view, &record.id);
-        let is_newest = self.liveness.heartbeat(&record.id, sequence);
-        if is_newest && needs_recording(&view, &record) {
+        record.id = id_at_level(&view, record.id);
+        let target = self.heartbeat_target(&view, &record.id);
+        let is_latest = self.liveness.record_heartbeat(&record.id, sequence);
+        if is_latest && needs_recording(&view, &record) {
             if record.state == ReplicaState::Leaving {
-                self.registrar.record(record).await?;
+                self.registrar.record_and_wait(record).await?;
             } else {
-                self.registrar.take_in(record)?;
+                self.registrar.enqueue(record)?;
             }
         }
-        Ok(place)
+        Ok(target)
     }
 
     /// Where the heartbeats of a replica should go: here, where its connection is, unless more come here
     /// than this control replica's share, as after others were away.
-    fn place_of(&self, view: &NodeView, replica: &str) -> HeartbeatPlace {
-        let known = view.serving.replicas().size();
-        let share = known / view.voters.len().max(1);
-        if self.liveness.heartbeats_here() <= share * MOST_SHARES_TENTHS / 10 + SHARE_SLACK {
+    fn heartbeat_target(&self, view: &NodeView, replica: &str) -> HeartbeatPlace {
+        let replica_count = view.serving.replicas().size();
+        let share = replica_count / view.voters.len().max(1);
+        if self.liveness.local_replica_count() <= share * MAX_SHARE_TENTHS / 10 + SHARE_SLACK {
             return HeartbeatPlace::Here;
         }
         let key = ReplicaKey::of(replica).0 as usize;
-        let others = view.voters.iter();
-        let others: Vec<&String> = others
+        let voters = view.voters.iter();
+        let others: Vec<&String> = voters
             .filter(|other| *other != self.link.own_address())
             .collect();
         match others.get(key % others.len().max(1)) {
@@ -158,8 +158,11 @@
     /// Removes a replica that says that it leaves for good.
     pub async fn deregister(&self, replica: String) -> Result<(), Unavailable> {
         let view = self.link.view();
-        let replica = known_name(&view, replica);
-        if view.serving.is_retired(view.serving.resolve_id(&replica)) {
+        let replica = id_at_level(&view, replica);
+        if view
+            .serving
+            .has_departed(view.serving.resolve_incarnation_id(&replica))
+        {
             return Ok(());
         }
         self.propose(ServingCommand::Deregister {
@@ -175,8 +178,9 @@
     /// before, or asks to be taken in.
     pub async fn leave(&self) {
         let leader = self.link.view().leader;
-        let other = leader.filter(|leader| leader != self.link.own_address());
-        let Some(connection) = other.and_then(|leader| self.link.connection(&leader)) else {
+        let remote_leader = leader.filter(|leader| leader != self.link.own_address());
+        let Some(connection) = remote_leader.and_then(|leader| self.link.connection(&leader))
+        else {
             return;
         };
         let replica = self.replica;
@@ -187,7 +191,7 @@
     }
 
     async fn propose(&self, command: ServingCommand) -> Result<ServingOutcome, Unavailable> {
-        self.link.propose(command, ANSWER_TIMEOUT).await
+        self.link.propose(command, REPLY_TIMEOUT).await
     }
 
     /// Nothing is acknowledged before the group has the members that its promises need.
@@ -204,7 +208,7 @@
 }
 
 /// The name by which a group at this level knows a replica: at the first one its identity, whatever its life.
-fn known_name(view: &NodeView, name: String) -> String {
+fn id_at_level(view: &NodeView, name: String) -> String {
     if view.serving.level() >= FeatureLevel::SHARED_GRANTS {
         return name;
     }
@@ -213,7 +217,7 @@
 
 /// Whether a heartbeat comes from a replica of a service that is named, or that was when the replica was
 /// recorded. Before the first document none is named yet, and all are recorded.
-fn is_named(view: &NodeView, record: &ReplicaRecord) -> bool {
+fn is_service_configured(view: &NodeView, record: &ReplicaRecord) -> bool {
     let serving = &view.serving;
     let service = serving.configuration().service(&record.service);
     let is_known = serving.replicas().contains_key(&record.id);
--- a/crates/control/src/serving/leader.rs
+++ b/crates/control/src/serving/leader.rs
@@ -24,9 +24,9 @@
 /// Time for connecting to another replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause before the leader is looked for again.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 /// Longest time for one try at a leader that may be gone.
-const TRY_TIMEOUT: Duration = Duration::from_millis(600);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The other replicas, and this one.
 pub struct LeaderLink {
@@ -78,76 +78,89 @@
     pub async fn propose(
         &self,
         command: ServingCommand,
-        limit: Duration,
+        timeout_after: Duration,
     ) -> Result<ServingOutcome, Unavailable> {
-        self.propose_in_tries(command, limit, TRY_TIMEOUT).await
+        self.propose_with_attempts(command, timeout_after, ATTEMPT_TIMEOUT)
+            .await
     }
 
     /// Like [`Self::propose`], without asking a leader again that has not answered yet: for large commands,
     /// which a leader that is behind should not get several times.
-    pub async fn propose_patiently(
+    pub async fn propose_without_resend(
         &self,
         command: ServingCommand,
-        limit: Duration,
+        timeout_after: Duration,
     ) -> Result<ServingOutcome, Unavailable> {
-        self.propose_in_tries(command, limit, limit).await
+        self.propose_with_attempts(command, timeout_after, timeout_after)
+            .await
     }
 
-    async fn propose_in_tries(
+    async fn propose_with_attempts(
         &self,
         command: ServingCommand,
-        limit: Duration,
-        each: Duration,
+        timeout_after: Duration,
+        attempt_timeout: Duration,
     ) -> Result<ServingOutcome, Unavailable> {
-        let deadline = Instant::now() + limit;
-        let proposal = proposal(command);
+        let deadline = Instant::now() + timeout_after;
+        let proposal = serving_proposal(command);
         loop {
-            let answer = timeout_at(deadline, self.propose_once(&proposal, each)).await;
-            match answer {
+            let reply = timeout_at(deadline, self.propose_once(&proposal, attempt_timeout)).await;
+            match reply {
                 Err(_) => return Err(Unavailable::NoLeader),
                 Ok(Some(ProposeReply::Done(Outcome::Serving(outcome)))) => return Ok(outcome),
-                Ok(_) => sleep(RETRY_PAUSE).await,
+                Ok(_) => sleep(RETRY_INTERVAL).await,
             }
         }
     }
 
     /// Commits a change only if this replica leads: what it claims for itself must not reach a
     /// later leader's log. `None` if it does not, or if the outcome is not known in time.
-    pub async fn propose_here(&self, command: ServingCommand) -> Option<ServingOutcome> {
-        match self.propose_to_own(&proposal(command), TRY_TIMEOUT).await? {
+    pub async fn propose_if_leader(&self, command: ServingCommand) -> Option<ServingOutcome> {
+        match self
+            .propose_locally(&serving_proposal(command), ATTEMPT_TIMEOUT)
+            .await?
+        {
             ProposeReply::Done(Outcome::Serving(outcome)) => Some(outcome),
             _ => None,
         }
     }
 
-    async fn propose_to_own(&self, proposal: &Proposal, limit: Duration) -> Option<ProposeReply> {
-        let asked = self
+    async fn propose_locally(
+        &self,
+        proposal: &Proposal,
+        timeout_after: Duration,
+    ) -> Option<ProposeReply> {
+        let reply = self
             .node
             .ask(|sender| Input::Propose(proposal.clone(), sender));
-        timeout(limit, asked).await.ok()?.ok()
+        timeout(timeout_after, reply).await.ok()?.ok()
     }
 
-    async fn propose_once(&self, proposal: &Proposal, limit: Duration) -> Option<ProposeReply> {
+    async fn propose_once(
+        &self,
+        proposal: &Proposal,
+        timeout_after: Duration,
+    ) -> Option<ProposeReply> {
         let leader = self.view().leader?;
         if leader == self.own_address {
-            return self.propose_to_own(proposal, limit).await;
+            return self.propose_locally(proposal, timeout_after).await;
         }
         let connection = self.connection(&leader)?;
         let proposal = proposal.clone();
         connection
-            .call(|client| async move { client.propose(call_deadline(limit), proposal).await })
+            .call(|client| async move { client.propose(call_deadline(timeout_after), proposal).await })
             .await
             .ok()
     }
 
     /// Waits until this replica has applied everything that was committed when this was called.
-    pub async fn catch_up(&self, limit: Duration) -> Result<(), Unavailable> {
-        let deadline = Instant::now() + limit;
+    pub async fn catch_up(&self, timeout_after: Duration) -> Result<(), Unavailable> {
+        let deadline = Instant::now() + timeout_after;
         let index = loop {
             match timeout_at(deadline, self.read_index()).await {
                 Err(_) => return Err(Unavailable::NoLeader),
                 Ok(Some(index)) => break index,
-                Ok(None) => sleep(RETRY_PAUSE).await,
+                Ok(None) => sleep(RETRY_INTERVAL).await,
             }
         };
         let mut view = self.node.view();
@@ -161,12 +174,14 @@
     async fn read_index(&self) -> Option<LogIndex> {
         let leader = self.view().leader?;
         let reply = if leader == self.own_address {
-            let asked = self.node.ask(Input::ReadIndex);
-            timeout(TRY_TIMEOUT, asked).await.ok()?.ok()?
+            let reply = self.node.ask(Input::ReadIndex);
+            timeout(ATTEMPT_TIMEOUT, reply).await.ok()?.ok()?
         } else {
             let connection = self.connection(&leader)?;
             connection
-                .call(|client| async move { client.read_index(call_deadline(TRY_TIMEOUT)).await })
+                .call(
+                    |client| async move { client.read_index(call_deadline(ATTEMPT_TIMEOUT)).await },
+                )
                 .await
                 .ok()?
         };
@@ -178,7 +193,7 @@
 }
 
 /// A proposal of a serving command; none of them depends on the time of day.
-fn proposal(command: ServingCommand) -> Proposal {
+fn serving_proposal(command: ServingCommand) -> Proposal {
     Proposal {
         at: 0,
         command: Command::Serving(command),
--- a/crates/control/src/serving/ledger.rs
+++ b/crates/control/src/serving/ledger.rs
@@ -14,12 +14,12 @@
 
 /// One tenant's bucket.
 #[derive(Clone, Copy, Debug)]
-struct Account {
+struct BucketState {
     quota: TenantQuota,
     /// What is there; negative while requests wait for what was promised to them.
     level: f64,
     /// Cost of refused requests that were told to come back and are not due yet.
-    returning: f64,
+    pending_retry_cost: f64,
     updated_at: Instant,
 }
 
@@ -58,10 +58,10 @@
 pub struct QuotaLedger {
     bounds: QuotaBounds,
     times: GrantTimes,
-    accounts: HashMap<String, Account>,
-    began_at: Instant,
+    buckets: HashMap<String, BucketState>,
+    started_at: Instant,
     /// Whether no other ledger has granted anything before.
-    is_first: bool,
+    starts_full: bool,
 }
 
 impl QuotaLedger {
@@ -70,16 +70,16 @@
         Self {
             bounds,
             times,
-            accounts: HashMap::new(),
-            began_at: now,
-            is_first: false,
+            buckets: HashMap::new(),
+            started_at: now,
+            starts_full: false,
         }
     }
 
     /// The ledger of a group's first term: its buckets are full.
     pub fn first(bounds: QuotaBounds, times: GrantTimes, now: Instant) -> Self {
         Self {
-            is_first: true,
+            starts_full: true,
             ..Self::new(bounds, times, now)
         }
     }
@@ -88,62 +88,67 @@
     pub fn withdraw(&mut self, withdrawal: Withdrawal<'_>, now: Instant) -> LedgerAnswer {
         let bucket = self.bounds.bucket(&withdrawal.quota, self.times);
         // What is in use now says little of what will be after a whole window.
-        let longest_pause = Duration::from_millis(self.bounds.window_ms);
-        let account = self.account(&withdrawal, bucket, now);
+        let max_retry_after = Duration::from_millis(self.bounds.window_ms);
+        let state = self.bucket_state(&withdrawal, bucket, now);
         let cost = withdrawal.cost as f64;
         // One request that is larger than the bucket is let through when the bucket is full.
         let needed = cost.min(bucket.capacity);
-        let missing = (needed - account.level).max(0.0);
-        let wait = time_to_gain(missing, bucket);
+        let shortfall = (needed - state.level).max(0.0);
+        let wait = refill_time(shortfall, bucket);
         if wait <= withdrawal.longest_wait {
-            account.level -= cost;
+            state.level -= cost;
             return LedgerAnswer::Granted { wait };
         }
-        let retry_after = time_to_gain(missing + account.returning, bucket).min(longest_pause);
-        account.returning += cost;
+        let retry_after =
+            refill_time(shortfall + state.pending_retry_cost, bucket).min(max_retry_after);
+        state.pending_retry_cost += cost;
         LedgerAnswer::Refused {
             retry_after,
-            level: account.level,
+            level: state.level,
         }
     }
 
-    fn account(
+    fn bucket_state(
         &mut self,
         withdrawal: &Withdrawal<'_>,
         bucket: Bucket,
         now: Instant,
-    ) -> &mut Account {
-        let began = Account {
+    ) -> &mut BucketState {
+        let new_state = BucketState {
             quota: withdrawal.quota,
-            level: if self.is_first { bucket.capacity } else { 0.0 },
-            returning: 0.0,
-            updated_at: self.began_at,
+            level: if self.starts_full {
+                bucket.capacity
+            } else {
+                0.0
+            },
+            pending_retry_cost: 0.0,
+            updated_at: self.started_at,
         };
-        let account = self
-            .accounts
+        let state = self
+            .buckets
             .entry(withdrawal.holder.to_owned())
-            .or_insert(began);
-        if account.quota != withdrawal.quota {
+            .or_insert(new_state);
+        if state.quota != withdrawal.quota {
             // The time since the last request may lie on either side of the change.
-            let before = self.bounds.bucket(&account.quota, self.times);
-            account.gain(before.smaller(bucket), now);
-            account.quota = withdrawal.quota;
+            let previous_bucket = self.bounds.bucket(&state.quota, self.times);
+            state.refill(previous_bucket.smaller(bucket), now);
+            state.quota = withdrawal.quota;
         }
-        account.gain(bucket, now);
-        account
+        state.refill(bucket, now);
+        state
     }
 }
 
-impl Account {
-    fn gain(&mut self, bucket: Bucket, now: Instant) {
+impl BucketState {
+    fn refill(&mut self, bucket: Bucket, now: Instant) {
         let elapsed = now.saturating_duration_since(self.updated_at);
-        let gained = bucket.rate_per_s * elapsed.as_secs_f64();
-        self.level = (self.level + gained).min(bucket.capacity);
-        self.returning = (self.returning - gained).max(0.0);
+        let refilled = bucket.rate_per_s * elapsed.as_secs_f64();
+        self.level = (self.level + refilled).min(bucket.capacity);
+        self.pending_retry_cost = (self.pending_retry_cost - refilled).max(0.0);
         self.updated_at = self.updated_at.max(now);
     }
 }
 
-fn time_to_gain(missing: f64, bucket: Bucket) -> Duration {
-    Duration::from_secs_f64(missing / bucket.rate_per_s)
+fn refill_time(shortfall: f64, bucket: Bucket) -> Duration {
+    Duration::from_secs_f64(shortfall / bucket.rate_per_s)
 }
--- a/crates/control/src/serving/limits.rs
+++ b/crates/control/src/serving/limits.rs
@@ -21,26 +21,26 @@
 /// Span in which what a back end gets is counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
 /// What a back end may get in a window, as a share of what its limit allows in it.
-pub const ALLOWED_SHARE: f64 = 1.5;
+pub const MAX_WINDOW_RATIO: f64 = 1.5;
 /// Requests that it may get beyond that.
-pub const ALLOWED_REQUESTS: f64 = 5.0;
+pub const WINDOW_SLACK_REQUESTS: f64 = 5.0;
 /// Requests a second that are sent to a back end whose limit is lower, 0 among them, so that it can be heard when
 /// that is over: one in a window.
-const PROBES_PER_S: f64 = 0.25;
+const MIN_RATE_PER_S: f64 = 0.25;
 /// Time in which what a limit allows may be used at once: requests do not come at equal distances.
-const BURST: Duration = Duration::from_millis(500);
+const BURST_TIME: Duration = Duration::from_millis(500);
 /// Longest time for which a router is told to ask no more, unless the next permit takes longer.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Time for which a limit is remembered that nobody has spoken of.
-const KEPT_FOR: Duration = Duration::from_secs(300);
+const LIMIT_TTL: Duration = Duration::from_secs(300);
 
 /// What a router heard of a limit, on the ledger's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HeardLimit {
+pub struct LimitObservation {
     /// The limit; `None` if an answer named none.
     pub limit: Option<RequestLimit>,
     /// When the router heard it, or later, as its message took some time.
-    pub heard_at: Instant,
+    pub observed_at: Instant,
     /// When this term gave the permit of the request whose answer said it.
     pub permitted_at: Option<Instant>,
 }
@@ -49,13 +49,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PermitDecision {
     /// One request may be sent.
-    Given(RequestLimit),
+    Granted(RequestLimit),
     /// There is no room before some time has passed.
-    Withheld {
+    Denied {
         /// The limit.
         limit: RequestLimit,
         /// Time until there is room.
-        room_in: Duration,
+        retry_after: Duration,
     },
     /// The back end has no limit.
     Unlimited,
@@ -63,24 +63,24 @@
 
 /// One back end's limit, and the permits for it.
 #[derive(Clone, Copy, Debug)]
-struct Account {
+struct LimitState {
     /// `None` once it was lifted.
     limit: Option<RequestLimit>,
     /// When this limit, or a lower one, was heard last.
-    named_at: Instant,
+    last_observed_at: Instant,
     /// When the permit was given whose answer raised or lifted the limit last.
-    loosened_at: Option<Instant>,
+    raised_at: Option<Instant>,
     /// Permits that may be given.
     level: f64,
     /// Routers that were told to come back and are not due yet.
-    returning: f64,
+    pending_retries: f64,
     updated_at: Instant,
 }
 
 /// All limits in one term of a leader.
 #[derive(Clone, Debug, Default)]
 pub struct LimitLedger {
-    accounts: HashMap<String, Account>,
+    limits: HashMap<String, LimitState>,
 }
 
 /// The bucket from which permits for a limit are given, within what a back end may get in a window. Permits may
@@ -88,118 +88,124 @@
 /// give some beside a new one for a quarter of a second: with half a second for the way to the back end, a
 /// window takes what is given in 5.1 s, and the burst. At a limit of N that is 5.6 N + 1, of 6 N + 5 allowed.
 fn bucket(limit: RequestLimit) -> Bucket {
-    let rate_per_s = limit.requests_per_s().max(PROBES_PER_S);
+    let rate_per_s = limit.requests_per_s().max(MIN_RATE_PER_S);
     Bucket {
         rate_per_s,
-        capacity: 1.0 + rate_per_s * BURST.as_secs_f64(),
+        capacity: 1.0 + rate_per_s * BURST_TIME.as_secs_f64(),
     }
 }
 
 /// What is there when a limit is first heard of: the first permit is given [`BURST`] later than a permit takes to
 /// come. In a new term the first router that asks may have heard of a limit that is lower since, and others tell
 /// of that meanwhile.
-fn first_level(limit: RequestLimit) -> f64 {
+fn initial_level(limit: RequestLimit) -> f64 {
     1.0 - bucket(limit).capacity
 }
 
 impl LimitLedger {
     /// Takes in what a router heard of a back end's limit.
-    pub fn note(&mut self, life: &str, heard: HeardLimit, now: Instant) {
-        if let Some(account) = self.accounts.get_mut(life) {
-            account.note(heard, now);
-        } else if let Some(limit) = heard.limit {
-            let account = Account::new(limit, heard.heard_at, now);
-            self.accounts.insert(life.to_owned(), account);
+    pub fn record(&mut self, life: &str, observation: LimitObservation, now: Instant) {
+        if let Some(state) = self.limits.get_mut(life) {
+            state.record(observation, now);
+        } else if let Some(limit) = observation.limit {
+            let state = LimitState::new(limit, observation.observed_at, now);
+            self.limits.insert(life.to_owned(), state);
         }
     }
 
     /// Gives a permit if there is room for one.
-    pub fn take(&mut self, life: &str, now: Instant) -> PermitDecision {
-        let account = self.accounts.get_mut(life);
-        account.map_or(PermitDecision::Unlimited, |account| account.take(now))
+    pub fn acquire(&mut self, life: &str, now: Instant) -> PermitDecision {
+        let state = self.limits.get_mut(life);
+        state.map_or(PermitDecision::Unlimited, |state| state.acquire(now))
     }
 
     /// The limit of a back end.
     pub fn limit(&self, life: &str) -> Option<RequestLimit> {
-        self.accounts.get(life)?.limit
+        self.limits.get(life)?.limit
     }
 
     /// Back ends that have a limit, with the time since it was heard last.
     pub fn limited(&self, now: Instant) -> impl Iterator<Item = (&str, RequestLimit, Duration)> {
-        self.accounts.iter().filter_map(move |(life, account)| {
-            let age = now.saturating_duration_since(account.named_at);
-            Some((life.as_str(), account.limit?, age))
+        self.limits.iter().filter_map(move |(life, state)| {
+            let age = now.saturating_duration_since(state.last_observed_at);
+            Some((life.as_str(), state.limit?, age))
         })
     }
 
     /// Forgets limits that nobody has spoken of for long.
-    pub fn forget_past(&mut self, now: Instant) {
-        self.accounts
-            .retain(|_, account| now.saturating_duration_since(account.updated_at) < KEPT_FOR);
+    pub fn remove_expired(&mut self, now: Instant) {
+        self.limits
+            .retain(|_, state| now.saturating_duration_since(state.updated_at) < LIMIT_TTL);
     }
 }
 
-impl Account {
-    fn new(limit: RequestLimit, heard_at: Instant, now: Instant) -> Self {
+impl LimitState {
+    fn new(limit: RequestLimit, observed_at: Instant, now: Instant) -> Self {
         Self {
             limit: Some(limit),
-            named_at: heard_at,
-            loosened_at: None,
-            level: first_level(limit),
-            returning: 0.0,
+            last_observed_at: observed_at,
+            raised_at: None,
+            level: initial_level(limit),
+            pending_retries: 0.0,
             updated_at: now,
         }
     }
 
-    fn note(&mut self, heard: HeardLimit, now: Instant) {
-        self.gain(now);
-        let is_as_low = |limit: RequestLimit| self.limit.is_none_or(|known| limit <= known);
-        if heard.limit.is_some_and(is_as_low) {
+    fn record(&mut self, observation: LimitObservation, now: Instant) {
+        self.refill(now);
+        let is_not_higher = |limit: RequestLimit| self.limit.is_none_or(|known| limit <= known);
+        if observation.limit.is_some_and(is_not_higher) {
             // What was heard before a permit was given is older than that request's answer.
-            if self.loosened_at.is_some_and(|at| heard.heard_at <= at) {
+            if self
+                .raised_at
+                .is_some_and(|at| observation.observed_at <= at)
+            {
                 return;
             }
             if self.limit.is_none() {
-                self.level = heard.limit.map_or(0.0, first_level);
+                self.level = observation.limit.map_or(0.0, initial_level);
             }
-            self.limit = heard.limit;
-            self.named_at = heard.heard_at.max(self.named_at);
-        } else if let Some(permitted_at) = heard.permitted_at.filter(|at| *at > self.named_at) {
-            self.limit = heard.limit;
-            self.loosened_at = Some(permitted_at);
-            self.named_at = heard.heard_at;
+            self.limit = observation.limit;
+            self.last_observed_at = observation.observed_at.max(self.last_observed_at);
+        } else if let Some(permitted_at) = observation
+            .permitted_at
+            .filter(|at| *at > self.last_observed_at)
+        {
+            self.limit = observation.limit;
+            self.raised_at = Some(permitted_at);
+            self.last_observed_at = observation.observed_at;
         }
     }
 
-    fn take(&mut self, now: Instant) -> PermitDecision {
-        self.gain(now);
+    fn acquire(&mut self, now: Instant) -> PermitDecision {
+        self.refill(now);
         let Some(limit) = self.limit else {
             return PermitDecision::Unlimited;
         };
         if self.level >= 1.0 {
             self.level -= 1.0;
-            return PermitDecision::Given(limit);
+            return PermitDecision::Granted(limit);
         }
-        let per_s = bucket(limit).rate_per_s;
-        let next = Duration::from_secs_f64((1.0 - self.level) / per_s);
+        let rate_per_s = bucket(limit).rate_per_s;
+        let until_next = Duration::from_secs_f64((1.0 - self.level) / rate_per_s);
         // Those that are told to come back do not all come for the same permit.
-        let behind_others = Duration::from_secs_f64(self.returning / per_s);
-        self.returning += 1.0;
-        PermitDecision::Withheld {
+        let queue_delay = Duration::from_secs_f64(self.pending_retries / rate_per_s);
+        self.pending_retries += 1.0;
+        PermitDecision::Denied {
             limit,
-            room_in: (next + behind_others).min(LONGEST_PAUSE.max(next)),
+            retry_after: (until_next + queue_delay).min(MAX_RETRY_AFTER.max(until_next)),
         }
     }
 
-    fn gain(&mut self, now: Instant) {
+    fn refill(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.updated_at);
         self.updated_at = self.updated_at.max(now);
         let Some(limit) = self.limit else {
             return;
         };
         let bucket = bucket(limit);
-        let gained = bucket.rate_per_s * elapsed.as_secs_f64();
-        self.level = (self.level + gained).min(bucket.capacity);
-        self.returning = (self.returning - gained).max(0.0);
+        let refilled = bucket.rate_per_s * elapsed.as_secs_f64();
+        self.level = (self.level + refilled).min(bucket.capacity);
+        self.pending_retries = (self.pending_retries - refilled).max(0.0);
     }
 }
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -26,58 +26,58 @@
 
 /// Time between two notices to the leader, and between two digests that it makes: part of the age at
 /// which routers go by what all of them meet.
-const NOTICE_INTERVAL: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// Age up to which signs of life are told to a leader that was told none yet.
-const TOLD_FOR: Duration = Duration::from_secs(2);
+const MAX_FIRST_REPORT_AGE: Duration = Duration::from_secs(2);
 /// Time between two looks at all replicas: whether one is silent is a matter of many heartbeats, and a
 /// look takes a time that grows with their number.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+const SCAN_INTERVAL: Duration = Duration::from_secs(1);
 /// Heartbeats that may be missing before a replica's signs of life count as interrupted.
-const MISSED_WHILE_ALIVE: u32 = 2;
+const MAX_MISSED_WHILE_ALIVE: u32 = 2;
 /// Time for one notice.
-const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Silence after which a router counts as gone.
-const ROUTER_SILENCE: Duration = Duration::from_secs(5);
+const ROUTER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Heartbeats in a row that a replica may miss before it counts as ended.
-const MISSED_HEARTBEATS: u32 = 12;
+const MISSED_HEARTBEATS_TO_EXPIRE: u32 = 12;
 /// Heartbeats for which the replica that has an address must have been silent before another one is
 /// taken in there, in tenths: one may be late. A replica that restarts is away for longer.
-const SUCCESSION_TENTHS: u32 = 15;
+const ADDRESS_TAKEOVER_TENTHS: u32 = 15;
 /// Time in which a sign of life that another control replica took reaches the leader.
-const TELLING_TIME: Duration = Duration::from_millis(500);
+const REPORT_DELAY: Duration = Duration::from_millis(500);
 /// Time for removing a replica that is silent.
 const REMOVAL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Who was heard from, and when.
 pub struct Liveness {
-    heard: Mutex<Heard>,
+    state: Mutex<LivenessState>,
     fleet: Mutex<FleetView>,
     /// Time between heartbeats of back-end replicas.
     heartbeat: Duration,
 }
 
 /// The last heartbeat of a replica that came to this control replica.
-struct Beat {
-    at: Instant,
+struct ReceivedHeartbeat {
+    received_at: Instant,
     sequence: u64,
 }
 
 #[derive(Default)]
-struct Heard {
+struct LivenessState {
     /// Heartbeats that came here.
-    beats: HashMap<String, Beat>,
+    heartbeats: HashMap<String, ReceivedHeartbeat>,
     /// Replicas whose heartbeats came here lately, as of the last look.
-    beating_here: usize,
+    local_replica_count: usize,
     /// Signs of life that came here or, while leading, of which other control replicas told.
-    replicas: HashMap<ReplicaKey, Instant>,
+    last_seen: HashMap<ReplicaKey, Instant>,
     /// The leader that was told last, and the moment up to which it knows what came here.
-    told: Option<(String, Instant)>,
+    last_report: Option<(String, Instant)>,
     /// Routers that ask this control replica.
-    asking_here: HashMap<String, Instant>,
+    local_routers: HashMap<String, Instant>,
     /// Routers of which other control replicas told.
-    asking_elsewhere: HashMap<String, Instant>,
+    remote_routers: HashMap<String, Instant>,
     /// Routers that the leader last told of.
-    routers_of_leader: u32,
+    leader_router_count: u32,
     leading_since: Option<Instant>,
 }
 
@@ -85,43 +85,46 @@
     /// For replicas that send a heartbeat at this interval.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
-            heard: Mutex::default(),
+            state: Mutex::default(),
             fleet: Mutex::default(),
             heartbeat,
         }
     }
 
     /// Takes in a heartbeat; false if it is older than one that was seen before.
-    pub fn heartbeat(&self, replica: &str, sequence: u64) -> bool {
-        let mut heard = self.lock();
+    pub fn record_heartbeat(&self, replica: &str, sequence: u64) -> bool {
+        let mut state = self.lock();
         let at = Instant::now();
-        let known = heard.beats.get(replica);
+        let known = state.heartbeats.get(replica);
         if known.is_some_and(|known| sequence < known.sequence) {
             return false;
         }
-        let beat = Beat { at, sequence };
-        heard.beats.insert(replica.to_owned(), beat);
-        heard.replicas.insert(ReplicaKey::of(replica), at);
+        let received = ReceivedHeartbeat {
+            received_at: at,
+            sequence,
+        };
+        state.heartbeats.insert(replica.to_owned(), received);
+        state.last_seen.insert(ReplicaKey::of(replica), at);
         true
     }
 
     /// Replicas whose heartbeats come here.
-    pub fn heartbeats_here(&self) -> usize {
-        self.lock().beating_here
+    pub fn local_replica_count(&self) -> usize {
+        self.lock().local_replica_count
     }
 
     /// Notes that a router asked.
-    pub fn router_asked(&self, router: &str) {
+    pub fn record_router_request(&self, router: &str) {
         self.lock()
-            .asking_here
+            .local_routers
             .insert(router.to_owned(), Instant::now());
     }
 
     /// Routers that have asked this control replica lately.
-    pub fn routers_asking_here(&self) -> u32 {
-        let heard = self.lock();
-        let live = heard.asking_here.values();
-        live.filter(|at| at.elapsed() < ROUTER_SILENCE).count() as u32
+    pub fn local_router_count(&self) -> u32 {
+        let state = self.lock();
+        let requests = state.local_routers.values();
+        requests.filter(|at| at.elapsed() < ROUTER_TIMEOUT).count() as u32
     }
 
     /// Takes in what another control replica has heard.
@@ -130,35 +133,35 @@
         let signs = notice.signs();
         let fleet = {
             let mut fleet = self.fleet();
-            fleet.take_control(notice.sender, notice.sightings, now);
+            fleet.record_control_report(notice.sender, notice.sightings, now);
             fleet.digest(now)
         };
-        let mut heard = self.lock();
+        let mut state = self.lock();
         for sign in signs {
             let age = Duration::from_millis(u64::from(sign.age_ms));
             let at = now.checked_sub(age).unwrap_or(now);
-            let known = heard.replicas.entry(sign.replica).or_insert(at);
+            let known = state.last_seen.entry(sign.replica).or_insert(at);
             *known = at.max(*known);
         }
         for router in notice.routers {
-            heard.asking_elsewhere.insert(router, now);
+            state.remote_routers.insert(router, now);
         }
         AliveReply {
-            routers: heard.live_routers(),
+            routers: state.live_router_count(),
             fleet,
         }
     }
 
     /// Routers that are alive.
-    pub fn routers(&self) -> u32 {
-        let heard = self.lock();
-        heard.live_routers().max(heard.routers_of_leader)
+    pub fn router_count(&self) -> u32 {
+        let state = self.lock();
+        state.live_router_count().max(state.leader_router_count)
     }
 
     /// Notes that a router asked, and what it has met at the replicas.
-    pub fn take_sightings(&self, router: &str, sightings: Vec<ReplicaSighting>) {
+    pub fn record_observations(&self, router: &str, sightings: Vec<ReplicaSighting>) {
         let now = Instant::now();
-        self.fleet().take_router(router, sightings, now);
+        self.fleet().record_router_report(router, sightings, now);
     }
 
     /// What all routers together meet at the replicas.
@@ -167,16 +170,16 @@
     }
 
     /// While leading: makes the digest for all routers.
-    fn make_digest(&self, view: &NodeView, limited: Vec<LimitedReplica>) {
+    fn build_digest(&self, view: &NodeView, limited: Vec<LimitedReplica>) {
         let now = Instant::now();
         let heartbeat = self.heartbeat;
         let records = view.serving.replicas().values();
         let known: Vec<KnownReplica<'_>> = {
-            let heard = self.lock();
-            let alive_for = heartbeat * MISSED_WHILE_ALIVE;
+            let state = self.lock();
+            let alive_for = heartbeat * MAX_MISSED_WHILE_ALIVE;
             let is_alive = |replica: ReplicaKey| {
-                let last = heard.replicas.get(&replica);
-                last.is_some_and(|at| now.saturating_duration_since(*at) < alive_for)
+                let last_seen = state.last_seen.get(&replica);
+                last_seen.is_some_and(|at| now.saturating_duration_since(*at) < alive_for)
             };
             let known = records.map(|record| {
                 let key = ReplicaKey::of(&record.id);
@@ -190,8 +193,8 @@
         };
         let changes = {
             let mut fleet = self.fleet();
-            fleet.take_limited(limited);
-            fleet.make_digest(&known, heartbeat, now)
+            fleet.set_limited(limited);
+            fleet.build_digest(&known, heartbeat, now)
         };
         for change in changes {
             let replica = view
@@ -217,38 +220,44 @@
     /// life that it knows are not told again: told four times a second for two seconds each, those of
     /// 10,000 replicas would be 1.5 MB a second.
     /// A leader of a build that knows the first level only reads identities.
-    fn notice(
+    fn build_report(
         &self,
         sender: &str,
         leader: &str,
         group_level: FeatureLevel,
     ) -> (AliveNotice, Instant) {
         let now = Instant::now();
-        let sightings = self.fleet().own_sightings(now);
-        let mut heard = self.lock();
-        heard.leading_since = None;
-        let told = heard.told.as_ref().filter(|(told, _)| told == leader);
-        let told_through = told.map(|(_, through)| *through);
-        let is_news = |at: Instant| match told_through {
+        let sightings = self.fleet().local_observations(now);
+        let mut state = self.lock();
+        state.leading_since = None;
+        let last_report = state
+            .last_report
+            .as_ref()
+            .filter(|(address, _)| address == leader);
+        let reported_through = last_report.map(|(_, through)| *through);
+        let is_unreported = |at: Instant| match reported_through {
             Some(through) => at > through,
-            None => now.saturating_duration_since(at) < TOLD_FOR,
+            None => now.saturating_duration_since(at) < MAX_FIRST_REPORT_AGE,
         };
-        let beats = heard.beats.iter().filter(|(_, beat)| is_news(beat.at));
-        let names = beats.clone().map(|(replica, _)| replica.clone());
+        let heartbeats = state
+            .heartbeats
+            .iter()
+            .filter(|(_, heartbeat)| is_unreported(heartbeat.received_at));
+        let names = heartbeats.clone().map(|(replica, _)| replica.clone());
         let identities = if group_level < FeatureLevel::SHARED_GRANTS {
             names.collect()
         } else {
             Vec::new()
         };
-        let replicas = beats.map(|(replica, beat)| {
-            let age = now.saturating_duration_since(beat.at);
+        let replicas = heartbeats.map(|(replica, heartbeat)| {
+            let age = now.saturating_duration_since(heartbeat.received_at);
             SignOfLife {
                 replica: ReplicaKey::of(replica),
                 age_ms: u16::try_from(age.as_millis()).unwrap_or(u16::MAX),
             }
         });
-        let routers = heard.asking_here.iter();
-        let recent = routers.filter(|(_, at)| at.elapsed() < TOLD_FOR);
+        let routers = state.local_routers.iter();
+        let recent = routers.filter(|(_, at)| at.elapsed() < MAX_FIRST_REPORT_AGE);
         let notice = AliveNotice {
             identities,
             replicas: replicas.collect(),
@@ -260,29 +269,29 @@
     }
 
     /// Takes in the answer of a leader that knows since what came here before `through`.
-    fn told(&self, leader: String, through: Instant, reply: AliveReply) {
-        let mut heard = self.lock();
-        heard.told = Some((leader, through));
-        heard.routers_of_leader = reply.routers;
-        drop(heard);
-        self.fleet().take_digest(reply.fleet, Instant::now());
+    fn apply_reply(&self, leader: String, through: Instant, reply: AliveReply) {
+        let mut state = self.lock();
+        state.last_report = Some((leader, through));
+        state.leader_router_count = reply.routers;
+        drop(state);
+        self.fleet().set_digest(reply.fleet, Instant::now());
     }
 
     /// While leading: whether nothing was heard of a replica for longer than `limit`. A replica that was
     /// never heard counts as heard when the lead began.
     fn is_silent(&self, replica: &str, limit: Duration) -> bool {
-        let heard = self.lock();
-        let last = heard.replicas.get(&ReplicaKey::of(replica));
-        let last = last.copied().max(heard.leading_since);
-        last.is_some_and(|last| last.elapsed() > limit)
+        let state = self.lock();
+        let last_seen = state.last_seen.get(&ReplicaKey::of(replica));
+        let last_seen = last_seen.copied().max(state.leading_since);
+        last_seen.is_some_and(|last_seen| last_seen.elapsed() > limit)
     }
 
     /// While leading: removes a replica at whose address another one wants to be taken in, if it has
     /// been silent for long enough. Two cannot listen at one address, and a heartbeat that was held back
     /// may come after its sender has crashed and another life has taken the address.
     pub async fn remove_if_silent(&self, link: &LeaderLink, replica: &str) -> bool {
-        let silence = self.succession_time();
-        let is_free = link.view().leads && self.is_silent(replica, silence);
+        let takeover_delay = self.address_takeover_delay();
+        let is_free = link.view().leads && self.is_silent(replica, takeover_delay);
         spdlog::info!("address is held", kv: { holder = replica.to_owned(), is_free });
         if !is_free {
             return false;
@@ -294,74 +303,84 @@
     }
 
     /// Silence after which another replica may be taken in at the address of one.
-    pub fn succession_time(&self) -> Duration {
-        self.heartbeat * SUCCESSION_TENTHS / 10 + TELLING_TIME
+    pub fn address_takeover_delay(&self) -> Duration {
+        self.heartbeat * ADDRESS_TAKEOVER_TENTHS / 10 + REPORT_DELAY
     }
 
     /// Notes that this control replica leads.
-    fn begin_lead(&self) {
-        let mut heard = self.lock();
-        heard.leading_since.get_or_insert_with(Instant::now);
-        heard.routers_of_leader = 0;
-        heard.told = None;
+    fn mark_leading(&self) {
+        let mut state = self.lock();
+        state.leading_since.get_or_insert_with(Instant::now);
+        state.leader_router_count = 0;
+        state.last_report = None;
     }
 
     /// While leading: replicas of `known` that have been silent for longer than `limit`.
-    fn silent<'a>(&self, known: impl Iterator<Item = &'a String>, limit: Duration) -> Vec<String> {
+    fn silent_replicas<'a>(
+        &self,
+        known: impl Iterator<Item = &'a String>,
+        limit: Duration,
+    ) -> Vec<String> {
         let now = Instant::now();
-        let mut heard = self.lock();
-        let since = heard.leading_since.unwrap_or(now);
+        let mut state = self.lock();
+        let since = state.leading_since.unwrap_or(now);
         // What was not heard of for so long is either gone or removed below.
-        heard
-            .replicas
+        state
+            .last_seen
             .retain(|_, at| now.saturating_duration_since(*at) < limit * 2);
         let mut silent = Vec::new();
         for replica in known {
             // One that another control replica took in counts from when it is first seen here.
             let key = ReplicaKey::of(replica);
-            let last = *heard.replicas.entry(key).or_insert(now);
-            if now.saturating_duration_since(last.max(since)) > limit {
+            let last_seen = *state.last_seen.entry(key).or_insert(now);
+            if now.saturating_duration_since(last_seen.max(since)) > limit {
                 silent.push(replica.clone());
             }
         }
         silent
     }
 
-    fn forget(&self, kept: impl Fn(&str) -> bool) {
-        let mut heard = self.lock();
+    fn remove_expired(&self, is_recorded: impl Fn(&str) -> bool) {
+        let mut state = self.lock();
         let now = Instant::now();
-        let silence = self.heartbeat * MISSED_WHILE_ALIVE;
-        let is_recent = |beat: &Beat| now.saturating_duration_since(beat.at) < silence;
+        let max_silence = self.heartbeat * MAX_MISSED_WHILE_ALIVE;
+        let is_recent = |heartbeat: &ReceivedHeartbeat| {
+            now.saturating_duration_since(heartbeat.received_at) < max_silence
+        };
         // One that is not recorded yet is kept as long as its heartbeats come.
-        heard
-            .beats
-            .retain(|replica, beat| is_recent(beat) || kept(replica));
-        heard.beating_here = heard.beats.values().filter(|beat| is_recent(beat)).count();
-        let lives = |_: &String, at: &mut Instant| at.elapsed() < ROUTER_SILENCE;
-        heard.asking_here.retain(lives);
-        heard.asking_elsewhere.retain(lives);
+        state
+            .heartbeats
+            .retain(|replica, heartbeat| is_recent(heartbeat) || is_recorded(replica));
+        state.local_replica_count = state
+            .heartbeats
+            .values()
+            .filter(|heartbeat| is_recent(heartbeat))
+            .count();
+        let is_live = |_: &String, at: &mut Instant| at.elapsed() < ROUTER_TIMEOUT;
+        state.local_routers.retain(is_live);
+        state.remote_routers.retain(is_live);
     }
 
-    fn lock(&self) -> MutexGuard<'_, Heard> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, LivenessState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Heard {
-    fn live_routers(&self) -> u32 {
-        let lives = |at: &Instant| at.elapsed() < ROUTER_SILENCE;
-        let here = self.asking_here.iter().filter(|(_, at)| lives(at));
+impl LivenessState {
+    fn live_router_count(&self) -> u32 {
+        let is_live = |at: &Instant| at.elapsed() < ROUTER_TIMEOUT;
+        let here = self.local_routers.iter().filter(|(_, at)| is_live(at));
         let elsewhere = self
-            .asking_elsewhere
+            .remote_routers
             .iter()
             // A router that has moved here is counted once.
-            .filter(|(router, at)| lives(at) && !self.asking_here.contains_key(*router));
+            .filter(|(router, at)| is_live(at) && !self.local_routers.contains_key(*router));
         (here.count() + elsewhere.count()) as u32
     }
 }
 
 /// Removes a replica that is silent.
-async fn remove(link: &LeaderLink, replica: String) {
+async fn expire(link: &LeaderLink, replica: String) {
     spdlog::info!("replica silent", kv: { replica = replica.clone() });
     let command = ServingCommand::Expire { replica };
     // Looked at again after the next interval.
@@ -369,41 +388,51 @@
 }
 
 /// Tells the leader who was heard from; as the leader, removes replicas that are silent.
-pub async fn keep_told(link: Arc<LeaderLink>, liveness: Arc<Liveness>, permits: Arc<PermitServer>) {
-    let mut looked_at = Instant::now();
+pub async fn run_reports(
+    link: Arc<LeaderLink>,
+    liveness: Arc<Liveness>,
+    permits: Arc<PermitServer>,
+) {
+    let mut scanned_at = Instant::now();
     loop {
-        sleep(NOTICE_INTERVAL).await;
+        sleep(REPORT_INTERVAL).await;
         let view = link.view();
-        let looks = looked_at.elapsed() >= LOOK_INTERVAL;
-        if looks {
-            looked_at = Instant::now();
-            liveness.forget(|replica| view.serving.replicas().contains_key(replica));
+        let scan_due = scanned_at.elapsed() >= SCAN_INTERVAL;
+        if scan_due {
+            scanned_at = Instant::now();
+            liveness.remove_expired(|replica| view.serving.replicas().contains_key(replica));
         }
         if view.leads {
-            liveness.begin_lead();
-            liveness.make_digest(&view, permits.limited());
-            if looks {
+            liveness.mark_leading();
+            liveness.build_digest(&view, permits.limited());
+            if scan_due {
                 let known = view.serving.replicas().keys();
-                let silent = liveness.silent(known, liveness.heartbeat * MISSED_HEARTBEATS);
+                let silent = liveness
+                    .silent_replicas(known, liveness.heartbeat * MISSED_HEARTBEATS_TO_EXPIRE);
                 // Together, so that they share a commit: many are silent at once or none.
-                join_all(silent.into_iter().map(|replica| remove(&link, replica))).await;
+                join_all(silent.into_iter().map(|replica| expire(&link, replica))).await;
             }
         } else if let Some(leader) = view.leader {
-            tell(&link, &liveness, leader, view.serving.level()).await;
+            send_report(&link, &liveness, leader, view.serving.level()).await;
         }
     }
 }
 
-async fn tell(link: &LeaderLink, liveness: &Liveness, leader: String, group_level: FeatureLevel) {
+async fn send_report(
+    link: &LeaderLink,
+    liveness: &Liveness,
+    leader: String,
+    group_level: FeatureLevel,
+) {
     let Some(connection) = link.connection(&leader) else {
         return;
     };
-    let (notice, through) = liveness.notice(link.own_address(), &leader, group_level);
+    let (notice, through) = liveness.build_report(link.own_address(), &leader, group_level);
     let reply = connection
-        .call(|client| async move { client.alive(call_deadline(NOTICE_TIMEOUT), notice).await })
+        .call(|client| async move { client.alive(call_deadline(REPORT_TIMEOUT), notice).await })
         .await;
     // What was not answered is told again.
     if let Ok(reply) = reply {
-        liveness.told(leader, through, reply);
+        liveness.apply_reply(leader, through, reply);
     }
 }
--- a/crates/control/src/serving/mod.rs
+++ b/crates/control/src/serving/mod.rs
@@ -28,15 +28,15 @@
 pub mod limits;
 pub mod liveness;
 pub mod order_channel;
-pub mod order_giver;
-pub mod orders;
+pub mod order_dispatcher;
 pub mod permits;
 pub mod quarantine;
 pub mod quota;
 pub mod registrar;
 pub mod registrations;
+pub mod rollout_driver;
+pub mod rollout_plan;
 pub mod watch;
-pub mod weights;
 
 pub use daemon::{GroupOptions, start};
 pub use errors::Unavailable;
--- a/crates/control/src/serving/order_giver.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -20,8 +20,8 @@
     serving::{
         leader::LeaderLink,
         order_channel::{NoReport, OrderAnswer, OrderChannel, OrderRequest, WeightsReport},
+        rollout_plan::RolloutStep,
         watch::WatchServer,
-        weights::RolloutStep,
     },
     view::NodeView,
 };
@@ -32,17 +32,17 @@
 pub(crate) const RECORD_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time after which an order that shows no effect is given again; a back end's report is some
 /// hundred milliseconds old.
-const REPEAT_AFTER: Duration = Duration::from_millis(700);
+const RESEND_AFTER: Duration = Duration::from_millis(700);
 /// Longest time for which requests that wait at a replica put its order off.
-const DRAIN_TIME: Duration = Duration::from_millis(700);
+const MAX_DRAIN_WAIT: Duration = Duration::from_millis(700);
 /// Time between two looks at what waits.
-const DRAIN_PAUSE: Duration = Duration::from_millis(100);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time in which news of an order reaches a router once an answer to it is due.
-const NOTICE_TIME: Duration = Duration::from_millis(50);
+const NOTIFICATION_DELAY: Duration = Duration::from_millis(50);
 
 /// The right to give orders.
 #[derive(Clone, Debug)]
-pub struct Right {
+pub struct HeldOrderLock {
     /// Term of the log in which it was acquired.
     pub term: u64,
     /// Fencing token.
@@ -51,42 +51,42 @@
     pub usable_from: Instant,
 }
 
-impl Right {
+impl HeldOrderLock {
     /// Whether the leader of `term` still holds the right, if tokens up to `refused` were refused.
-    pub fn is_held(&self, term: u64, refused: u64) -> bool {
-        self.term == term && self.token > refused
+    pub fn is_held(&self, term: u64, refused_token: u64) -> bool {
+        self.term == term && self.token > refused_token
     }
 }
 
 /// Gives orders. Each back end is dealt with by one task at a time.
-pub struct OrderGiver {
+pub struct OrderDispatcher {
     link: Arc<LeaderLink>,
     /// Tells routers of orders.
-    news: Arc<WatchServer>,
+    watch: Arc<WatchServer>,
     channel: Arc<dyn OrderChannel>,
     node: String,
     bounds: Bounds,
     started: BootInstant,
-    work: Mutex<Work>,
+    state: Mutex<DispatchState>,
     /// Highest token that the group or a back end refused because it knew a higher one.
     refused_token: AtomicU64,
 }
 
 #[derive(Default)]
-struct Work {
+struct DispatchState {
     /// When each replica was last given an order.
-    given: HashMap<String, Instant>,
+    last_sent: HashMap<String, Instant>,
     /// Replicas that a task deals with.
-    at_work: HashSet<String>,
+    in_progress: HashSet<String>,
     /// Which replicas asked for neither orders nor questions from this machine for a time.
-    available: Availability,
+    availability: Availability,
 }
 
-impl OrderGiver {
+impl OrderDispatcher {
     /// A giver for the control replica behind `link`, whose clock began at `started`.
     pub fn new(
         link: Arc<LeaderLink>,
-        news: Arc<WatchServer>,
+        watch: Arc<WatchServer>,
         channel: Arc<dyn OrderChannel>,
         node: String,
         bounds: Bounds,
@@ -94,12 +94,12 @@
     ) -> Self {
         Self {
             link,
-            news,
+            watch,
             channel,
             node,
             bounds,
             started,
-            work: Mutex::default(),
+            state: Mutex::default(),
             refused_token: AtomicU64::new(0),
         }
     }
@@ -110,79 +110,96 @@
     }
 
     /// Reserves a replica for a task; false if one deals with it already, or if it asked for rest.
-    pub fn begin_work(&self, replica: &str) -> bool {
-        let mut work = self.lock();
-        work.available.takes(replica, self.uptime()) && work.at_work.insert(replica.to_owned())
+    pub fn try_reserve(&self, replica: &str) -> bool {
+        let mut state = self.lock();
+        state.availability.takes(replica, self.uptime())
+            && state.in_progress.insert(replica.to_owned())
     }
 
     /// Forgets replicas that are gone.
-    pub fn forget_gone(&self, view: &NodeView) {
+    pub fn prune_removed(&self, view: &NodeView) {
         let replicas = view.serving.replicas();
         let now = self.uptime();
-        let mut work = self.lock();
-        work.given
+        let mut state = self.lock();
+        state
+            .last_sent
             .retain(|replica, _| replicas.contains_key(replica));
-        work.available.forget_past(now);
+        state.availability.forget_past(now);
     }
 
     /// Carries out a step for a replica that was reserved.
-    pub async fn work(self: Arc<Self>, view: NodeView, right: Right, step: RolloutStep) {
+    pub async fn run_step(
+        self: Arc<Self>,
+        view: NodeView,
+        order_lock: HeldOrderLock,
+        step: RolloutStep,
+    ) {
         let replica = step.replica().to_owned();
         if let Some(record) = view.serving.replicas().get(&replica) {
-            self.carry_out(&right, record, step).await;
+            self.execute(&order_lock, record, step).await;
         }
-        self.lock().at_work.remove(&replica);
+        self.lock().in_progress.remove(&replica);
     }
 
-    async fn carry_out(&self, right: &Right, record: &ReplicaRecord, step: RolloutStep) {
+    async fn execute(&self, order_lock: &HeldOrderLock, record: &ReplicaRecord, step: RolloutStep) {
         match step {
-            RolloutStep::Begin { order, .. } => self.begin(right, record, &order).await,
-            RolloutStep::Follow { order, wanted, .. } => {
-                self.follow(right, record, &order, wanted).await;
+            RolloutStep::Begin { order, .. } => self.begin_order(order_lock, record, &order).await,
+            RolloutStep::Check {
+                order,
+                target_version,
+                ..
+            } => {
+                self.check_order(order_lock, record, &order, target_version)
+                    .await;
             }
         }
     }
 
     /// Records an order, so that routers send the replica no more work, and gives it.
-    async fn begin(&self, right: &Right, record: &ReplicaRecord, order: &PendingOrder) {
+    async fn begin_order(
+        &self,
+        order_lock: &HeldOrderLock,
+        record: &ReplicaRecord,
+        order: &PendingOrder,
+    ) {
         let command = ServingCommand::BeginOrder {
-            token: right.token,
+            token: order_lock.token,
             replica: record.id.clone(),
             order: order.clone(),
         };
         let recorded = self.link.propose(command, RECORD_TIMEOUT).await;
         if recorded == Ok(ServingOutcome::NotHolder) {
-            self.note_refused(right);
+            self.record_refused_lock(order_lock);
         }
         if recorded != Ok(ServingOutcome::Done) {
             return;
         }
         // An order makes the replica decline what routers still send; they learn of it first.
-        sleep(self.news.gathering_interval() + NOTICE_TIME).await;
-        if let Some(report) = self.report_once_idle(record).await {
-            self.give(right, record, order, &report).await;
+        sleep(self.watch.update_interval() + NOTIFICATION_DELAY).await;
+        if let Some(report) = self.report_after_drain(record).await {
+            self.send_order(order_lock, record, order, &report).await;
         }
     }
 
     /// The replica's report once nothing waits there any more, or after a while: an order makes it
     /// decline the requests that wait.
-    async fn report_once_idle(&self, record: &ReplicaRecord) -> Option<WeightsReport> {
-        let until = Instant::now() + DRAIN_TIME;
+    async fn report_after_drain(&self, record: &ReplicaRecord) -> Option<WeightsReport> {
+        let deadline = Instant::now() + MAX_DRAIN_WAIT;
         loop {
             let report = self.report(record).await?;
-            if report.waiting == 0 || Instant::now() >= until {
+            if report.waiting == 0 || Instant::now() >= deadline {
                 return Some(report);
             }
-            sleep(DRAIN_PAUSE).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    async fn follow(
+    async fn check_order(
         &self,
-        right: &Right,
+        order_lock: &HeldOrderLock,
         record: &ReplicaRecord,
         order: &PendingOrder,
-        wanted: u64,
+        target_version: u64,
     ) {
         let Some(report) = self.report(record).await else {
             return;
@@ -192,28 +209,28 @@
             self.record_weights(record, report.weights).await;
             return;
         }
-        let given = self.lock().given.get(&record.id).copied();
-        let is_lost = given.is_none_or(|at| at.elapsed() > REPEAT_AFTER);
-        if report.busy || !is_lost {
+        let last_sent = self.lock().last_sent.get(&record.id).copied();
+        let resend_due = last_sent.is_none_or(|at| at.elapsed() > RESEND_AFTER);
+        if report.busy || !resend_due {
             return;
         }
-        if wanted > order.version {
-            let newest = PendingOrder {
-                version: wanted,
+        if target_version > order.version {
+            let newer_order = PendingOrder {
+                version: target_version,
                 ..order.clone()
             };
-            self.begin(right, record, &newest).await;
+            self.begin_order(order_lock, record, &newer_order).await;
             return;
         }
-        self.give(right, record, order, &report).await;
+        self.send_order(order_lock, record, order, &report).await;
     }
 
     async fn report(&self, record: &ReplicaRecord) -> Option<WeightsReport> {
-        let asked = timeout(EXCHANGE_TIMEOUT, self.channel.report(record));
-        match asked.await {
+        let reply = timeout(EXCHANGE_TIMEOUT, self.channel.report(record));
+        match reply.await {
             Ok(Ok(report)) => Some(report),
-            Ok(Err(NoReport::BackOff(time))) => {
-                self.note_back_off(record, time);
+            Ok(Err(NoReport::BackOff(delay))) => {
+                self.record_back_off(record, delay);
                 None
             }
             Ok(Err(NoReport::Unanswered)) | Err(_) => None,
@@ -222,78 +239,81 @@
 
     /// A replica that turns this machine away is neither asked nor ordered until the time that it named is
     /// over: it sheds load, and each try is one more request there.
-    fn note_back_off(&self, record: &ReplicaRecord, time: Duration) {
+    fn record_back_off(&self, record: &ReplicaRecord, delay: Duration) {
         let notice = BackEndNotice {
-            back_off: Some(time),
+            back_off: Some(delay),
             ..BackEndNotice::default()
         };
         spdlog::info!("replica asked for rest from orders", kv: {
             replica = record.id.clone(),
-            back_off_ms = time.as_millis() as u64,
+            back_off_ms = delay.as_millis() as u64,
         });
         let now = self.uptime();
-        self.lock().available.note(&record.id, notice, now);
+        self.lock().availability.note(&record.id, notice, now);
     }
 
     async fn record_weights(&self, record: &ReplicaRecord, weights: Vec<HeldWeights>) {
-        let known = ReplicaRecord {
+        let updated = ReplicaRecord {
             weights,
             ..record.clone()
         };
         // The next look records it if this fails.
         let _ = self
             .link
-            .propose(ServingCommand::Register(known), RECORD_TIMEOUT)
+            .propose(ServingCommand::Register(updated), RECORD_TIMEOUT)
             .await;
     }
 
-    async fn give(
+    async fn send_order(
         &self,
-        right: &Right,
+        order_lock: &HeldOrderLock,
         record: &ReplicaRecord,
         order: &PendingOrder,
         report: &WeightsReport,
     ) {
-        if !self.may_give(right) {
+        if !self.may_send(order_lock) {
             return;
         }
-        self.lock().given.insert(record.id.clone(), Instant::now());
+        self.lock()
+            .last_sent
+            .insert(record.id.clone(), Instant::now());
         let request = OrderRequest {
             replica: record.clone(),
             order: order.clone(),
             holder: self.node.clone(),
-            token: right.token,
+            token: order_lock.token,
             expected_sequence: report.sequence,
         };
-        let answer = timeout(EXCHANGE_TIMEOUT, self.channel.order(request))
+        let reply = timeout(EXCHANGE_TIMEOUT, self.channel.order(request))
             .await
             .unwrap_or(OrderAnswer::Unknown);
-        match answer {
-            OrderAnswer::Fenced => self.note_refused(right),
-            OrderAnswer::BackOff(time) => self.note_back_off(record, time),
+        match reply {
+            OrderAnswer::Fenced => self.record_refused_lock(order_lock),
+            OrderAnswer::BackOff(delay) => self.record_back_off(record, delay),
             _ => {}
         }
         spdlog::info!("order given", kv: {
             replica = record.id.clone(),
             version = order.version,
-            token = right.token,
+            token = order_lock.token,
             expected = report.sequence,
-            answer = format!("{answer:?}"),
+            answer = format!("{reply:?}"),
         });
     }
 
     /// Another holder took over; a new right must be acquired before the next order.
-    fn note_refused(&self, right: &Right) {
-        self.refused_token.fetch_max(right.token, Ordering::Relaxed);
-        spdlog::info!("right to give orders lost", kv: { token = right.token, term = right.term });
+    fn record_refused_lock(&self, order_lock: &HeldOrderLock) {
+        self.refused_token
+            .fetch_max(order_lock.token, Ordering::Relaxed);
+        spdlog::info!("right to give orders lost", kv: { token = order_lock.token, term = order_lock.term });
     }
 
     /// Whether this replica still is the one that gives orders: known to lead a moment ago.
-    fn may_give(&self, right: &Right) -> bool {
+    fn may_send(&self, order_lock: &HeldOrderLock) -> bool {
         let view = self.link.view();
         let limit = Duration::from_millis(self.bounds.lease_ms / 3);
         let age = view.leadership_age(self.started);
-        right.is_held(view.term, self.refused_token()) && age.is_some_and(|age| age < limit)
+        order_lock.is_held(view.term, self.refused_token()) && age.is_some_and(|age| age < limit)
     }
 
     /// Time since this process started.
@@ -301,7 +321,7 @@
         self.started.elapsed()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Work> {
-        self.work.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, DispatchState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -17,8 +17,8 @@
     metrics::ControlMetrics,
     node::NodeHandle,
     serving::{
-        limits::{HeardLimit, LimitLedger, PermitDecision},
-        quota::surely_leads,
+        limits::{LimitLedger, LimitObservation, PermitDecision},
+        quota::has_fresh_leadership,
     },
 };
 
@@ -28,17 +28,17 @@
     /// Zero of the replica's clock.
     started: BootInstant,
     metrics: ControlMetrics,
-    term: Mutex<Option<Term>>,
+    term_ledger: Mutex<Option<TermLedger>>,
 }
 
 /// The ledger of one term.
-struct Term {
+struct TermLedger {
     number: u64,
     began_at: Instant,
     ledger: LimitLedger,
 }
 
-impl Term {
+impl TermLedger {
     fn new(number: u64, now: Instant) -> Self {
         Self {
             number,
@@ -54,13 +54,13 @@
         }
     }
 
-    fn heard(&self, statement: LimitStatement, now: Instant) -> HeardLimit {
+    fn observation(&self, statement: LimitStatement, now: Instant) -> LimitObservation {
         let age = Duration::from_millis(u64::from(statement.age_ms));
-        let own = statement.permit.filter(|stamp| stamp.term == self.number);
-        HeardLimit {
+        let permit = statement.permit.filter(|stamp| stamp.term == self.number);
+        LimitObservation {
             limit: statement.limit,
-            heard_at: now.checked_sub(age).unwrap_or(now),
-            permitted_at: own.map(|stamp| self.began_at + Duration::from_millis(stamp.at_ms)),
+            observed_at: now.checked_sub(age).unwrap_or(now),
+            permitted_at: permit.map(|stamp| self.began_at + Duration::from_millis(stamp.at_ms)),
         }
     }
 }
@@ -72,7 +72,7 @@
             node,
             started,
             metrics,
-            term: Mutex::default(),
+            term_ledger: Mutex::default(),
         }
     }
 
@@ -80,26 +80,26 @@
     pub fn take(&self, request: &PermitRequest) -> PermitReply {
         let receiver = self.node.view();
         let view = receiver.borrow();
-        if !surely_leads(&view, self.started) {
+        if !has_fresh_leadership(&view, self.started) {
             return PermitReply::NotLeader {
                 leader: view.leader.clone(),
             };
         }
         let now = Instant::now();
-        let mut held = self.lock();
-        let term = of_term(&mut held, view.term, now);
-        let before = term.ledger.limit(&request.life);
-        let heard = term.heard(request.statement, now);
-        term.ledger.note(&request.life, heard, now);
-        let after = term.ledger.limit(&request.life);
-        if before != after {
+        let mut term_slot = self.lock();
+        let term = ledger_for_term(&mut term_slot, view.term, now);
+        let previous_limit = term.ledger.limit(&request.life);
+        let observation = term.observation(request.statement, now);
+        term.ledger.record(&request.life, observation, now);
+        let current_limit = term.ledger.limit(&request.life);
+        if previous_limit != current_limit {
             log_change(
                 request,
                 view.term,
-                after.map(|limit| limit.requests_per_s()),
+                current_limit.map(|limit| limit.requests_per_s()),
             );
         }
-        let Some(limit) = after else {
+        let Some(limit) = current_limit else {
             return PermitReply::Unlimited;
         };
         if !request.wants_permit {
@@ -107,16 +107,16 @@
             return PermitReply::Withheld { limit, room_in_ms };
         }
         self.metrics.permits_asked.inc();
-        match term.ledger.take(&request.life, now) {
-            PermitDecision::Given(limit) => PermitReply::Given {
+        match term.ledger.acquire(&request.life, now) {
+            PermitDecision::Granted(limit) => PermitReply::Given {
                 limit,
                 stamp: term.stamp(now),
             },
-            PermitDecision::Withheld { limit, room_in } => {
+            PermitDecision::Denied { limit, retry_after } => {
                 self.metrics.permits_withheld.inc();
                 PermitReply::Withheld {
                     limit,
-                    room_in_ms: room_in.as_millis() as u32 + 1,
+                    room_in_ms: retry_after.as_millis() as u32 + 1,
                 }
             }
             PermitDecision::Unlimited => PermitReply::Unlimited,
@@ -126,11 +126,11 @@
     /// While leading: the back ends that have a limit, for all routers.
     pub fn limited(&self) -> Vec<LimitedReplica> {
         let now = Instant::now();
-        let mut held = self.lock();
-        let Some(term) = held.as_mut() else {
+        let mut term_slot = self.lock();
+        let Some(term) = term_slot.as_mut() else {
             return Vec::new();
         };
-        term.ledger.forget_past(now);
+        term.ledger.remove_expired(now);
         let limited = term.ledger.limited(now).map(|(life, limit, age)| {
             let named_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
             LimitedReplica {
@@ -142,15 +142,17 @@
         limited.collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<Term>> {
-        self.term.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Option<TermLedger>> {
+        self.term_ledger
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// The ledger of the present term; a new one if the term is new.
-fn of_term(held: &mut Option<Term>, number: u64, now: Instant) -> &mut Term {
-    let kept = held.take().filter(|term| term.number == number);
-    held.insert(kept.unwrap_or_else(|| Term::new(number, now)))
+fn ledger_for_term(slot: &mut Option<TermLedger>, number: u64, now: Instant) -> &mut TermLedger {
+    let existing = slot.take().filter(|term| term.number == number);
+    slot.insert(existing.unwrap_or_else(|| TermLedger::new(number, now)))
 }
 
 fn log_change(request: &PermitRequest, term: u64, per_s: Option<f64>) {
--- a/crates/control/src/serving/quarantine.rs
+++ b/crates/control/src/serving/quarantine.rs
@@ -19,33 +19,33 @@
 };
 
 /// Time between looks; a release may be late by this.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const SCAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for having one request released; it is tried again at the next look.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// When this replica first saw each request as it is now. Pure: times are passed in.
 #[derive(Debug, Default)]
 pub struct ReleaseTimers {
-    seen: HashMap<ContentKey, (LogIndex, Instant)>,
+    first_seen: HashMap<ContentKey, (LogIndex, Instant)>,
 }
 
 impl ReleaseTimers {
     /// Requests that have not changed for long enough, with the change that was seen.
     pub fn due(&mut self, quarantine: &Quarantine, now: Instant) -> Vec<(ContentKey, LogIndex)> {
         let suspects = quarantine.suspects();
-        self.seen
+        self.first_seen
             .retain(|content, _| suspects.contains_key(content));
         let mut due = Vec::new();
         for (content, suspect) in suspects {
-            let seen = self
-                .seen
+            let entry = self
+                .first_seen
                 .entry(*content)
                 .or_insert((suspect.changed_at(), now));
-            if seen.0 != suspect.changed_at() {
-                *seen = (suspect.changed_at(), now);
+            if entry.0 != suspect.changed_at() {
+                *entry = (suspect.changed_at(), now);
             }
-            if now.saturating_duration_since(seen.1) >= QUARANTINE_TIME {
-                due.push((*content, seen.0));
+            if now.saturating_duration_since(entry.1) >= QUARANTINE_TIME {
+                due.push((*content, entry.0));
             }
         }
         due
@@ -57,7 +57,7 @@
     let mut timers = ReleaseTimers::default();
     let mut quarantined = BTreeSet::new();
     loop {
-        sleep(LOOK_INTERVAL).await;
+        sleep(SCAN_INTERVAL).await;
         let view = link.view();
         let quarantine = view.serving.quarantine();
         log_changes(quarantine, &mut quarantined);
@@ -89,9 +89,9 @@
     });
 }
 
-fn log_changes(quarantine: &Quarantine, before: &mut BTreeSet<ContentKey>) {
-    let now: BTreeSet<ContentKey> = quarantine.told().quarantined.iter().copied().collect();
-    for content in now.difference(before) {
+fn log_changes(quarantine: &Quarantine, previous: &mut BTreeSet<ContentKey>) {
+    let current: BTreeSet<ContentKey> = quarantine.told().quarantined.iter().copied().collect();
+    for content in current.difference(previous) {
         let suspect = quarantine.suspects().get(content);
         spdlog::warn!("request quarantined", kv: {
             content = content.to_string(),
@@ -100,8 +100,8 @@
             suspects = quarantine.suspects().len(),
         });
     }
-    for content in before.difference(&now) {
+    for content in previous.difference(&current) {
         spdlog::info!("request released", kv: { content = content.to_string() });
     }
-    *before = now;
+    *previous = current;
 }
--- a/crates/control/src/serving/quota.rs
+++ b/crates/control/src/serving/quota.rs
@@ -28,11 +28,11 @@
 
 /// Age of the last proof of leadership up to which quotas are granted. A leader has one every
 /// heartbeat of 100 ms; a new leader may grant beside a former one for as long as this.
-pub const LEADERSHIP_PROVED_WITHIN: Duration = Duration::from_millis(250);
+pub const MAX_LEADERSHIP_PROOF_AGE: Duration = Duration::from_millis(250);
 /// Term of a group's first leader.
 const FIRST_TERM: u64 = 1;
 /// Time between looks at whether a term has begun.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const TERM_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Grants parts of quotas from the ledger of this replica's present term.
 pub struct QuotaServer {
@@ -41,31 +41,31 @@
     /// Zero of the replica's clock.
     started: BootInstant,
     metrics: ControlMetrics,
-    ledger: Mutex<Option<TermLedger>>,
+    ledgers: Mutex<Option<TermLedgers>>,
 }
 
-struct TermLedger {
+struct TermLedgers {
     term: u64,
     tenants: QuotaLedger,
     /// Retries by service.
     retries: QuotaLedger,
 }
 
-impl TermLedger {
+impl TermLedgers {
     fn new(term: u64, bounds: &Bounds, now: Instant) -> Self {
-        let begin = if term == FIRST_TERM {
+        let new_ledger = if term == FIRST_TERM {
             QuotaLedger::first
         } else {
             QuotaLedger::new
         };
         Self {
             term,
-            tenants: begin(bounds.quota, grant_times(), now),
-            retries: begin(lent_bounds(bounds), grant_times(), now),
+            tenants: new_ledger(bounds.quota, grant_times(), now),
+            retries: new_ledger(lent_bounds(bounds), grant_times(), now),
         }
     }
 
-    fn of(&mut self, subject: &QuotaSubject) -> &mut QuotaLedger {
+    fn ledger_for(&mut self, subject: &QuotaSubject) -> &mut QuotaLedger {
         match subject {
             QuotaSubject::Tenant { .. } => &mut self.tenants,
             QuotaSubject::Retries { .. } => &mut self.retries,
@@ -86,7 +86,7 @@
             bounds,
             started,
             metrics,
-            ledger: Mutex::default(),
+            ledgers: Mutex::default(),
         }
     }
 
@@ -94,7 +94,7 @@
     pub fn take(&self, request: &QuotaRequest) -> QuotaReply {
         let receiver = self.node.view();
         let view = receiver.borrow();
-        if !surely_leads(&view, self.started) {
+        if !has_fresh_leadership(&view, self.started) {
             return QuotaReply::NotLeader {
                 leader: view.leader.clone(),
             };
@@ -102,7 +102,7 @@
         self.metrics.quota_asked.inc();
         let (holder, quota) = match &request.subject {
             QuotaSubject::Tenant { name } => {
-                let Some(quota) = configured(&view, name) else {
+                let Some(quota) = configured_quota(&view, name) else {
                     return QuotaReply::Granted { wait_ms: 0 };
                 };
                 (name, quota)
@@ -110,7 +110,7 @@
             QuotaSubject::Retries { service } => {
                 let is_known = view.serving.configuration().service(service).is_some();
                 let Some(quota) = lent_quota(&self.bounds).filter(|_| is_known) else {
-                    return self.refused(Duration::ZERO, 0, 0.0, view.term);
+                    return self.refuse(Duration::ZERO, 0, 0.0, view.term);
                 };
                 (service, quota)
             }
@@ -121,22 +121,22 @@
             cost: quota.cost(request.stated_tokens),
             longest_wait: Duration::from_millis(u64::from(request.longest_wait_ms)),
         };
-        let answer = self.withdraw(view.term, &request.subject, withdrawal);
-        self.reply(answer, &withdrawal, view.term)
+        let decision = self.withdraw(view.term, &request.subject, withdrawal);
+        self.reply(decision, &withdrawal, view.term)
     }
 
-    fn reply(&self, answer: LedgerAnswer, withdrawal: &Withdrawal<'_>, term: u64) -> QuotaReply {
-        match answer {
+    fn reply(&self, decision: LedgerAnswer, withdrawal: &Withdrawal<'_>, term: u64) -> QuotaReply {
+        match decision {
             LedgerAnswer::Granted { wait } => QuotaReply::Granted {
                 wait_ms: wait.as_millis() as u32,
             },
             LedgerAnswer::Refused { retry_after, level } => {
-                self.refused(retry_after, withdrawal.quota.rate_per_s, level, term)
+                self.refuse(retry_after, withdrawal.quota.rate_per_s, level, term)
             }
         }
     }
 
-    fn refused(&self, retry_after: Duration, rate_per_s: u64, level: f64, term: u64) -> QuotaReply {
+    fn refuse(&self, retry_after: Duration, rate_per_s: u64, level: f64, term: u64) -> QuotaReply {
         self.metrics.quota_refused.inc();
         QuotaReply::Refused {
             retry_after_ms: retry_after.as_millis() as u32,
@@ -152,62 +152,64 @@
         subject: &QuotaSubject,
         withdrawal: Withdrawal<'_>,
     ) -> LedgerAnswer {
-        let mut held = self.lock();
+        let mut ledgers = self.lock();
         let now = Instant::now();
-        let ledger = self.of_term(&mut held, term, now).of(subject);
+        let ledger = self
+            .ledgers_for_term(&mut ledgers, term, now)
+            .ledger_for(subject);
         ledger.withdraw(withdrawal, now)
     }
 
     /// The ledgers of the present term; new ones if the term is new.
-    fn of_term<'a>(
+    fn ledgers_for_term<'a>(
         &self,
-        held: &'a mut Option<TermLedger>,
+        ledgers: &'a mut Option<TermLedgers>,
         term: u64,
         now: Instant,
-    ) -> &'a mut TermLedger {
-        let kept = held.take().filter(|held| held.term == term);
-        let begun = kept.unwrap_or_else(|| TermLedger::new(term, &self.bounds, now));
-        held.insert(begun)
+    ) -> &'a mut TermLedgers {
+        let existing = ledgers.take().filter(|ledgers| ledgers.term == term);
+        let current = existing.unwrap_or_else(|| TermLedgers::new(term, &self.bounds, now));
+        ledgers.insert(current)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<TermLedger>> {
-        self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Option<TermLedgers>> {
+        self.ledgers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Whether this replica led a moment ago, so that nobody else grants beside it for longer than that.
 /// `started` is the zero of its clock.
-pub fn surely_leads(view: &NodeView, started: BootInstant) -> bool {
+pub fn has_fresh_leadership(view: &NodeView, started: BootInstant) -> bool {
     let age = view.leadership_age(started);
-    age.is_some_and(|age| age < LEADERSHIP_PROVED_WITHIN)
+    age.is_some_and(|age| age < MAX_LEADERSHIP_PROOF_AGE)
 }
 
 /// Times on which the room above a quota is spent.
 pub fn grant_times() -> GrantTimes {
     GrantTimes {
         grant_life: GRANT_LIFE,
-        leader_overlap: LEADERSHIP_PROVED_WITHIN,
+        leader_overlap: MAX_LEADERSHIP_PROOF_AGE,
     }
 }
 
-fn configured(view: &NodeView, tenant: &str) -> Option<TenantQuota> {
+fn configured_quota(view: &NodeView, tenant: &str) -> Option<TenantQuota> {
     let configuration = view.serving.configuration();
     let mut tenants = configuration.tenants.iter();
     tenants.find(|known| known.name == tenant)?.quota
 }
 
 /// Begins a ledger as soon as this replica leads: its buckets fill from then on.
-pub async fn keep_ledger(server: Arc<QuotaServer>) {
+pub async fn run_ledgers(server: Arc<QuotaServer>) {
     loop {
-        let leading = {
+        let led_term = {
             let receiver = server.node.view();
             let view = receiver.borrow();
-            surely_leads(&view, server.started).then_some(view.term)
+            has_fresh_leadership(&view, server.started).then_some(view.term)
         };
-        if let Some(term) = leading {
-            let mut held = server.lock();
-            server.of_term(&mut held, term, Instant::now());
+        if let Some(term) = led_term {
+            let mut ledgers = server.lock();
+            server.ledgers_for_term(&mut ledgers, term, Instant::now());
         }
-        sleep(LOOK_INTERVAL).await;
+        sleep(TERM_CHECK_INTERVAL).await;
     }
 }
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -23,42 +23,42 @@
         errors::Unavailable,
         leader::LeaderLink,
         liveness::Liveness,
-        registrations::{Registrations, Settled},
+        registrations::{CompletedRegistration, RegistrationQueue},
     },
     view::NodeView,
 };
 
 /// Time in which callers expect an answer; they ask elsewhere after a second.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time for one batch to be recorded: some elections. Its records wait here again after that.
 const BATCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause after a batch that was not recorded.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const BATCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time between two tries at a replica whose address another one has.
-const HELD_PAUSE: Duration = Duration::from_millis(250);
+const BLOCKED_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Time beyond that in which the other one counts as silent for which a replica is tried again.
-const HELD_MARGIN: Duration = Duration::from_secs(1);
+const BLOCKED_RETRY_MARGIN: Duration = Duration::from_secs(1);
 /// Time for one question to the leader.
 const REMOVAL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Somebody who waits for what becomes of a registration.
-type Asker = oneshot::Sender<Registration>;
+type ReplySender = oneshot::Sender<Registration>;
 
 /// Records replicas in batches, one at a time.
 pub struct Registrar {
     link: Arc<LeaderLink>,
     liveness: Arc<Liveness>,
     metrics: ControlMetrics,
-    registrations: Mutex<Registrations<Asker>>,
-    offered: Notify,
+    queue: Mutex<RegistrationQueue<ReplySender>>,
+    enqueued: Notify,
     /// Replicas that wait until another one at their address is silent.
-    held: Mutex<HashMap<String, Held>>,
+    blocked: Mutex<HashMap<String, BlockedRegistration>>,
 }
 
 /// A replica at whose address another one is.
-struct Held {
+struct BlockedRegistration {
     /// Until when it is tried.
-    until: Instant,
+    retry_until: Instant,
     /// Its record, unless it is just being tried.
     record: Option<ReplicaRecord>,
 }
@@ -70,46 +70,50 @@
             link,
             liveness,
             metrics,
-            registrations: Mutex::default(),
-            offered: Notify::new(),
-            held: Mutex::default(),
+            queue: Mutex::default(),
+            enqueued: Notify::new(),
+            blocked: Mutex::default(),
         }
     }
 
     /// Has a replica recorded, without waiting for that.
-    pub fn take_in(&self, record: ReplicaRecord) -> Result<(), Unavailable> {
-        self.offer(record, None)
+    pub fn enqueue(&self, record: ReplicaRecord) -> Result<(), Unavailable> {
+        self.enqueue_with_waiter(record, None)
     }
 
     /// Records what a replica says of itself. If that takes too long for the caller, it goes on all the
     /// same, and a later heartbeat finds it recorded.
-    pub async fn record(&self, record: ReplicaRecord) -> Result<(), Unavailable> {
-        let (sender, answer) = oneshot::channel();
-        self.offer(record, Some(sender))?;
-        match timeout(ANSWER_TIMEOUT, answer).await {
+    pub async fn record_and_wait(&self, record: ReplicaRecord) -> Result<(), Unavailable> {
+        let (sender, reply) = oneshot::channel();
+        self.enqueue_with_waiter(record, Some(sender))?;
+        match timeout(REPLY_TIMEOUT, reply).await {
             Ok(Ok(Registration::AddressHeld { .. })) => Err(Unavailable::AddressHeld),
             Ok(Ok(Registration::Recorded | Registration::Departed)) => Ok(()),
             Ok(Err(_)) | Err(_) => Err(Unavailable::NoLeader),
         }
     }
 
-    fn offer(&self, record: ReplicaRecord, asker: Option<Asker>) -> Result<(), Unavailable> {
-        if !self.lock().offer(record, asker) {
+    fn enqueue_with_waiter(
+        &self,
+        record: ReplicaRecord,
+        sender: Option<ReplySender>,
+    ) -> Result<(), Unavailable> {
+        if !self.lock().enqueue(record, sender) {
             self.metrics.registrations_refused.inc();
             return Err(Unavailable::Busy);
         }
-        self.offered.notify_one();
+        self.enqueued.notify_one();
         Ok(())
     }
 
     async fn record_batch(&self) -> bool {
         let view = self.link.view();
-        let (batch, answered) = self
+        let (batch, already_recorded) = self
             .lock()
             .next_batch(|record| needs_recording(&view, record));
-        for asker in answered {
+        for sender in already_recorded {
             // A caller that is gone needs no answer.
-            let _ = asker.send(Registration::Recorded);
+            let _ = sender.send(Registration::Recorded);
         }
         if batch.is_empty() {
             return true;
@@ -117,19 +121,19 @@
         let records = batch.len();
         match self.propose(batch, view.serving.level()).await {
             Ok(outcomes) => {
-                self.settle(outcomes).await;
+                self.complete_batch(outcomes).await;
                 true
             }
-            Err(cause) => {
-                let waiting = {
-                    let mut registrations = self.lock();
-                    registrations.retry();
-                    registrations.waiting()
+            Err(error) => {
+                let queued = {
+                    let mut queue = self.lock();
+                    queue.requeue_batch();
+                    queue.queued_count()
                 };
                 spdlog::warn!("registrations delayed", kv: {
                     records,
-                    waiting,
-                    cause = cause.to_string(),
+                    waiting = queued,
+                    cause = error.to_string(),
                 });
                 false
             }
@@ -148,7 +152,11 @@
             return join_all(proposals).await.into_iter().collect();
         }
         let command = ServingCommand::RegisterAll(batch);
-        match self.link.propose_patiently(command, BATCH_TIMEOUT).await? {
+        match self
+            .link
+            .propose_without_resend(command, BATCH_TIMEOUT)
+            .await?
+        {
             ServingOutcome::Registered(outcomes) => Ok(outcomes),
             _ => Err(Unavailable::NoLeader),
         }
@@ -156,26 +164,30 @@
 
     async fn propose_one(&self, record: ReplicaRecord) -> Result<Registration, Unavailable> {
         let command = ServingCommand::Register(record);
-        match self.link.propose_patiently(command, BATCH_TIMEOUT).await? {
+        match self
+            .link
+            .propose_without_resend(command, BATCH_TIMEOUT)
+            .await?
+        {
             ServingOutcome::UnknownReplica => Ok(Registration::Departed),
             ServingOutcome::AddressHeld { holder } => Ok(Registration::AddressHeld { holder }),
             _ => Ok(Registration::Recorded),
         }
     }
 
-    async fn settle(&self, outcomes: Vec<Registration>) {
-        let settled = self.lock().settle(outcomes);
-        self.metrics.registrations.inc_by(settled.len() as u64);
-        let settled = settled.into_iter();
-        join_all(settled.map(|settled| self.answer(settled))).await;
+    async fn complete_batch(&self, outcomes: Vec<Registration>) {
+        let completed = self.lock().complete_batch(outcomes);
+        self.metrics.registrations.inc_by(completed.len() as u64);
+        let completed = completed.into_iter();
+        join_all(completed.map(|registration| self.complete(registration))).await;
     }
 
-    async fn answer(&self, settled: Settled<Asker>) {
-        let Settled {
+    async fn complete(&self, registration: CompletedRegistration<ReplySender>) {
+        let CompletedRegistration {
             record,
-            askers,
+            waiters,
             outcome,
-        } = settled;
+        } = registration;
         spdlog::info!("replica recorded", kv: {
             replica = record.id.clone(),
             address = record.address.clone(),
@@ -186,54 +198,56 @@
         if let Registration::AddressHeld { holder } = &outcome
             && self.remove_if_silent(holder).await
         {
-            self.offer_again(&record, askers);
+            self.enqueue_again(&record, waiters);
             return;
         }
-        if matches!(outcome, Registration::AddressHeld { .. }) && askers.is_empty() {
-            self.hold(record);
+        if matches!(outcome, Registration::AddressHeld { .. }) && waiters.is_empty() {
+            self.block(record);
             return;
         }
-        for asker in askers {
+        for sender in waiters {
             // A caller that is gone needs no answer.
-            let _ = asker.send(outcome.clone());
+            let _ = sender.send(outcome.clone());
         }
     }
 
-    fn offer_again(&self, record: &ReplicaRecord, askers: Vec<Asker>) {
-        let askers = askers.into_iter().map(Some).chain([None]);
-        for asker in askers {
+    fn enqueue_again(&self, record: &ReplicaRecord, waiters: Vec<ReplySender>) {
+        let waiters = waiters.into_iter().map(Some).chain([None]);
+        for sender in waiters {
             // Without a place the caller is answered by the end of its channel, and comes again.
-            let _ = self.offer(record.clone(), asker);
+            let _ = self.enqueue_with_waiter(record.clone(), sender);
         }
     }
 
     /// Tries a replica again that was acknowledged though another one has its address: by then that one is
     /// silent, or the heartbeat was one that a cut had held back.
-    fn hold(&self, record: ReplicaRecord) {
-        let until = Instant::now() + self.liveness.succession_time() + HELD_MARGIN;
-        let mut held = lock(&self.held);
-        let place = held.entry(record.id.clone());
-        place
-            .or_insert(Held {
-                until,
+    fn block(&self, record: ReplicaRecord) {
+        let retry_until =
+            Instant::now() + self.liveness.address_takeover_delay() + BLOCKED_RETRY_MARGIN;
+        let mut blocked = lock(&self.blocked);
+        let entry = blocked.entry(record.id.clone());
+        entry
+            .or_insert(BlockedRegistration {
+                retry_until,
                 record: None,
             })
             .record = Some(record);
     }
 
     /// Offers those again that are held.
-    fn offer_held(&self) {
+    fn enqueue_blocked(&self) {
         let now = Instant::now();
-        let offered: Vec<ReplicaRecord> = {
-            let mut held = lock(&self.held);
-            held.retain(|_, held| now < held.until);
-            held.values_mut()
-                .filter_map(|held| held.record.take())
+        let enqueued: Vec<ReplicaRecord> = {
+            let mut blocked = lock(&self.blocked);
+            blocked.retain(|_, entry| now < entry.retry_until);
+            blocked
+                .values_mut()
+                .filter_map(|entry| entry.record.take())
                 .collect()
         };
-        for record in offered {
-            if let Err(refusal) = self.offer(record, None) {
-                spdlog::warn!("held replica dropped", kv: { cause = refusal.to_string() });
+        for record in enqueued {
+            if let Err(error) = self.enqueue_with_waiter(record, None) {
+                spdlog::warn!("held replica dropped", kv: { cause = error.to_string() });
             }
         }
     }
@@ -252,14 +266,14 @@
         };
         let holder = holder.to_owned();
         let deadline = call_deadline(REMOVAL_TIMEOUT);
-        let asked = connection
+        let removed = connection
             .call(|client| async move { client.remove_if_silent(deadline, holder).await })
             .await;
-        asked.unwrap_or(false)
+        removed.unwrap_or(false)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Registrations<Asker>> {
-        lock(&self.registrations)
+    fn lock(&self) -> MutexGuard<'_, RegistrationQueue<ReplySender>> {
+        lock(&self.queue)
     }
 }
 
@@ -269,36 +283,36 @@
 
 /// Whether a heartbeat says something that the replica here has not applied.
 pub fn needs_recording(view: &NodeView, record: &ReplicaRecord) -> bool {
-    if view.serving.is_retired(&record.id) {
+    if view.serving.has_departed(&record.id) {
         return false;
     }
     let known = view.serving.replicas().get(&record.id);
     !known.is_some_and(|known| {
-        let said_leaving = record.state == ReplicaState::Leaving;
-        let knows_leaving = known.state == ReplicaState::Leaving;
-        let weights_known = record.weights.iter().all(|held| {
+        let reports_leaving = record.state == ReplicaState::Leaving;
+        let is_known_leaving = known.state == ReplicaState::Leaving;
+        let has_known_weights = record.weights.iter().all(|held| {
             known
                 .version_of(&held.model)
                 .is_some_and(|version| version >= held.version)
         });
-        let same_place = known.service == record.service && known.address == record.address;
-        same_place && weights_known && (knows_leaving || !said_leaving)
+        let has_same_endpoint = known.service == record.service && known.address == record.address;
+        has_same_endpoint && has_known_weights && (is_known_leaving || !reports_leaving)
     })
 }
 
 /// Records what is offered, for as long as the process runs.
-pub async fn keep_recorded(registrar: Arc<Registrar>) {
+pub async fn run(registrar: Arc<Registrar>) {
     loop {
-        let offered = registrar.offered.notified();
-        if registrar.lock().waiting() == 0 {
-            let is_held = !lock(&registrar.held).is_empty();
+        let enqueued = registrar.enqueued.notified();
+        if registrar.lock().queued_count() == 0 {
+            let has_blocked = !lock(&registrar.blocked).is_empty();
             tokio::select! {
-                () = offered => {}
-                () = sleep(HELD_PAUSE), if is_held => registrar.offer_held(),
+                () = enqueued => {}
+                () = sleep(BLOCKED_RETRY_INTERVAL), if has_blocked => registrar.enqueue_blocked(),
             }
         }
         if !registrar.record_batch().await {
-            sleep(RETRY_PAUSE).await;
+            sleep(BATCH_RETRY_DELAY).await;
         }
     }
 }
--- a/crates/control/src/serving/registrations.rs
+++ b/crates/control/src/serving/registrations.rs
@@ -18,69 +18,69 @@
 
 /// Replicas that may wait at one control replica, some 8 MB: more than all of a fleet twice as large as
 /// any that is planned for. A heartbeat beyond is refused, and comes again.
-pub const PLACES: usize = 20_000;
+pub const CAPACITY: usize = 20_000;
 
 /// Waiting replicas, and those of the batch under way. `T` stands for somebody who waits for an answer.
 #[derive(Debug)]
-pub struct Registrations<T> {
-    waiting: HashMap<String, Waiting<T>>,
+pub struct RegistrationQueue<T> {
+    queued: HashMap<String, QueuedRegistration<T>>,
     /// The order in which they came; those that leave go first.
-    order: VecDeque<String>,
-    under_way: Vec<Waiting<T>>,
+    queue_order: VecDeque<String>,
+    in_flight: Vec<QueuedRegistration<T>>,
 }
 
 #[derive(Debug)]
-struct Waiting<T> {
+struct QueuedRegistration<T> {
     record: ReplicaRecord,
-    askers: Vec<T>,
+    waiters: Vec<T>,
 }
 
 /// What became of one record of a batch.
 #[derive(Debug)]
-pub struct Settled<T> {
+pub struct CompletedRegistration<T> {
     /// The record.
     pub record: ReplicaRecord,
     /// Those who wait for an answer.
-    pub askers: Vec<T>,
+    pub waiters: Vec<T>,
     /// What became of it.
     pub outcome: Registration,
 }
 
-impl<T> Default for Registrations<T> {
+impl<T> Default for RegistrationQueue<T> {
     fn default() -> Self {
         Self {
-            waiting: HashMap::new(),
-            order: VecDeque::new(),
-            under_way: Vec::new(),
+            queued: HashMap::new(),
+            queue_order: VecDeque::new(),
+            in_flight: Vec::new(),
         }
     }
 }
 
-impl<T> Registrations<T> {
+impl<T> RegistrationQueue<T> {
     /// Takes in what a replica says of itself, and who waits for what becomes of it; false if there is no
     /// place.
-    pub fn offer(&mut self, record: ReplicaRecord, asker: Option<T>) -> bool {
-        let under_way = self.under_way.iter_mut();
-        let mut same = under_way.filter(|known| says_the_same(&known.record, &record));
-        if let Some(known) = same.next() {
-            known.askers.extend(asker);
+    pub fn enqueue(&mut self, record: ReplicaRecord, waiter: Option<T>) -> bool {
+        let in_flight = self.in_flight.iter_mut();
+        let mut same_reports = in_flight.filter(|known| is_same_report(&known.record, &record));
+        if let Some(known) = same_reports.next() {
+            known.waiters.extend(waiter);
             return true;
         }
-        if let Some(known) = self.waiting.get_mut(&record.id) {
+        if let Some(known) = self.queued.get_mut(&record.id) {
             let was_leaving = known.record.state == ReplicaState::Leaving;
-            known.record = newer(&known.record, record);
-            known.askers.extend(asker);
+            known.record = merge_reports(&known.record, record);
+            known.waiters.extend(waiter);
             if !was_leaving && known.record.state == ReplicaState::Leaving {
-                self.order.push_front(known.record.id.clone());
+                self.queue_order.push_front(known.record.id.clone());
             }
             return true;
         }
-        if self.waiting.len() >= PLACES {
+        if self.queued.len() >= CAPACITY {
             return false;
         }
-        self.wait(Waiting {
+        self.push(QueuedRegistration {
             record,
-            askers: asker.into_iter().collect(),
+            waiters: waiter.into_iter().collect(),
         });
         true
     }
@@ -89,91 +89,91 @@
     /// who asked for another is answered.
     pub fn next_batch(
         &mut self,
-        is_wanted: impl Fn(&ReplicaRecord) -> bool,
+        needs_recording: impl Fn(&ReplicaRecord) -> bool,
     ) -> (Vec<ReplicaRecord>, Vec<T>) {
-        let mut answered = Vec::new();
-        if !self.under_way.is_empty() {
-            return (Vec::new(), answered);
+        let mut already_recorded = Vec::new();
+        if !self.in_flight.is_empty() {
+            return (Vec::new(), already_recorded);
         }
-        while self.under_way.len() < BATCH {
-            let Some(id) = self.order.pop_front() else {
+        while self.in_flight.len() < BATCH {
+            let Some(id) = self.queue_order.pop_front() else {
                 break;
             };
             // One that said in the meantime that it leaves stands there twice.
-            let Some(waiting) = self.waiting.remove(&id) else {
+            let Some(entry) = self.queued.remove(&id) else {
                 continue;
             };
-            if is_wanted(&waiting.record) {
-                self.under_way.push(waiting);
+            if needs_recording(&entry.record) {
+                self.in_flight.push(entry);
             } else {
-                answered.extend(waiting.askers);
+                already_recorded.extend(entry.waiters);
             }
         }
-        let records = self.under_way.iter().map(|waiting| waiting.record.clone());
-        (records.collect(), answered)
+        let records = self.in_flight.iter().map(|entry| entry.record.clone());
+        (records.collect(), already_recorded)
     }
 
     /// Takes in what became of the batch under way. Tells who is to be answered what.
-    pub fn settle(&mut self, outcomes: Vec<Registration>) -> Vec<Settled<T>> {
-        let settled = std::mem::take(&mut self.under_way);
+    pub fn complete_batch(&mut self, outcomes: Vec<Registration>) -> Vec<CompletedRegistration<T>> {
+        let batch = std::mem::take(&mut self.in_flight);
         let mut outcomes = outcomes.into_iter();
-        let mut answers = Vec::new();
-        for waiting in settled {
+        let mut completed = Vec::new();
+        for entry in batch {
             match outcomes.next() {
-                Some(outcome) => answers.push(Settled {
-                    record: waiting.record,
-                    askers: waiting.askers,
+                Some(outcome) => completed.push(CompletedRegistration {
+                    record: entry.record,
+                    waiters: entry.waiters,
                     outcome,
                 }),
-                None => self.put_back(waiting),
+                None => self.requeue(entry),
             }
         }
-        answers
+        completed
     }
 
     /// Has the batch under way wait again: what became of it is not known.
-    pub fn retry(&mut self) {
-        self.settle(Vec::new());
+    pub fn requeue_batch(&mut self) {
+        self.complete_batch(Vec::new());
     }
 
     /// Replicas that wait, without those under way.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn queued_count(&self) -> usize {
+        self.queued.len()
     }
 
-    fn put_back(&mut self, mut former: Waiting<T>) {
-        let Some(known) = self.waiting.get_mut(&former.record.id) else {
-            self.wait(former);
+    fn requeue(&mut self, mut returned: QueuedRegistration<T>) {
+        let Some(known) = self.queued.get_mut(&returned.record.id) else {
+            self.push(returned);
             return;
         };
-        known.record = newer(&former.record, known.record.clone());
-        known.askers.append(&mut former.askers);
+        known.record = merge_reports(&returned.record, known.record.clone());
+        known.waiters.append(&mut returned.waiters);
     }
 
-    fn wait(&mut self, waiting: Waiting<T>) {
-        let id = waiting.record.id.clone();
-        if waiting.record.state == ReplicaState::Leaving {
-            self.order.push_front(id.clone());
+    fn push(&mut self, entry: QueuedRegistration<T>) {
+        let id = entry.record.id.clone();
+        if entry.record.state == ReplicaState::Leaving {
+            self.queue_order.push_front(id.clone());
         } else {
-            self.order.push_back(id.clone());
+            self.queue_order.push_back(id.clone());
         }
-        self.waiting.insert(id, waiting);
+        self.queued.insert(id, entry);
     }
 }
 
 /// Whether two heartbeats differ at most by when they came.
-fn says_the_same(one: &ReplicaRecord, other: &ReplicaRecord) -> bool {
-    let moved = ReplicaRecord {
+fn is_same_report(one: &ReplicaRecord, other: &ReplicaRecord) -> bool {
+    let same_position = ReplicaRecord {
         changed_at: one.changed_at,
         ..other.clone()
     };
-    *one == moved
+    *one == same_position
 }
 
 /// What a replica said last; that it leaves is never taken back.
-fn newer(before: &ReplicaRecord, mut after: ReplicaRecord) -> ReplicaRecord {
-    if before.state == ReplicaState::Leaving {
-        after.state = ReplicaState::Leaving;
+fn merge_reports(previous: &ReplicaRecord, mut latest: ReplicaRecord) -> ReplicaRecord {
+    if previous.state == ReplicaState::Leaving {
+        latest.state = ReplicaState::Leaving;
     }
-    after
+    latest
 }
--- a/crates/control/src/serving/orders.rs
+++ b/crates/control/src/serving/rollout_driver.rs
@@ -20,9 +20,9 @@
     serving::{
         leader::LeaderLink,
         order_channel::OrderChannel,
-        order_giver::{OrderGiver, Right},
+        order_dispatcher::{HeldOrderLock, OrderDispatcher},
+        rollout_plan::{RolloutInputs, TargetVersion, plan_rollout},
         watch::WatchServer,
-        weights::{NamedVersion, RolloutFacts, next_steps},
     },
     view::NodeView,
 };
@@ -33,22 +33,22 @@
 const IDLE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Weight of the newest load in the estimate.
-const NEWEST_WEIGHT: f64 = 0.3;
+const NEWEST_SAMPLE_WEIGHT: f64 = 0.3;
 /// Named versions whose age is remembered.
-const VERSIONS_KEPT: usize = 64;
+const MAX_TARGET_VERSIONS: usize = 64;
 
 /// Rolls weights out for as long as the process runs.
-pub async fn keep_rolled_out(
+pub async fn run(
     link: Arc<LeaderLink>,
-    news: Arc<WatchServer>,
+    watch: Arc<WatchServer>,
     channel: Arc<dyn OrderChannel>,
     node: String,
     bounds: Bounds,
     started: BootInstant,
 ) {
-    let giver = OrderGiver::new(
+    let dispatcher = OrderDispatcher::new(
         Arc::clone(&link),
-        news,
+        watch,
         channel,
         node.clone(),
         bounds,
@@ -58,15 +58,15 @@
         link,
         node,
         bounds,
-        giver: Arc::new(giver),
-        right: None,
-        named: BTreeMap::new(),
-        under_way: BTreeSet::new(),
-        load_ended: None,
-        interval_ms: None,
+        dispatcher: Arc::new(dispatcher),
+        order_lock: None,
+        targets: BTreeMap::new(),
+        loading: BTreeSet::new(),
+        last_load_finished_at: None,
+        load_interval_ms: None,
     };
     loop {
-        let busy = rollout.look().await;
+        let busy = rollout.tick().await;
         sleep(if busy { BUSY_INTERVAL } else { IDLE_INTERVAL }).await;
     }
 }
@@ -75,135 +75,135 @@
     link: Arc<LeaderLink>,
     node: String,
     bounds: Bounds,
-    giver: Arc<OrderGiver>,
-    right: Option<Right>,
+    dispatcher: Arc<OrderDispatcher>,
+    order_lock: Option<HeldOrderLock>,
     /// The versions of each model seen to be named, and when.
-    named: BTreeMap<String, Vec<(u64, Instant)>>,
+    targets: BTreeMap<String, Vec<(u64, Instant)>>,
     /// Replicas with an order under way.
-    under_way: BTreeSet<String>,
+    loading: BTreeSet<String>,
     /// When a load ended while others were under way.
-    load_ended: Option<Instant>,
+    last_load_finished_at: Option<Instant>,
     /// Time between the ends of two loads, milliseconds.
-    interval_ms: Option<f64>,
+    load_interval_ms: Option<f64>,
 }
 
 impl Rollout {
     /// One look; true if a rollout is under way.
-    async fn look(&mut self) -> bool {
+    async fn tick(&mut self) -> bool {
         let view = self.link.view();
         // Also while another replica leads: the next leader needs the ages.
-        self.note_named(&view);
-        self.note_loads(&view);
+        self.record_targets(&view);
+        self.record_finished_loads(&view);
         if !view.leads {
-            self.right = None;
+            self.order_lock = None;
             return false;
         }
-        let named = self.named_versions();
-        let facts = RolloutFacts {
-            named: &named,
+        let targets = self.target_versions();
+        let inputs = RolloutInputs {
+            targets: &targets,
             version_ms: self.bounds.version_ms,
-            interval_ms: self.interval_ms.map(|interval| interval as u64),
+            load_interval_ms: self.load_interval_ms.map(|interval| interval as u64),
         };
-        let steps = next_steps(&view.serving, facts);
+        let steps = plan_rollout(&view.serving, inputs);
         // Taken before it is needed: a right that was taken over may not be used at once.
-        let right = if view.serving.weights().is_empty() {
+        let order_lock = if view.serving.weights().is_empty() {
             None
         } else {
-            self.usable_right(&view).await
+            self.usable_lock(&view).await
         };
         if steps.is_empty() {
             return false;
         }
-        let Some(right) = right else {
+        let Some(order_lock) = order_lock else {
             return true;
         };
-        self.giver.forget_gone(&view);
+        self.dispatcher.prune_removed(&view);
         for step in steps {
             // A back end that does not answer must not hold up the others.
-            if self.giver.begin_work(step.replica()) {
-                let giver = Arc::clone(&self.giver);
-                tokio::spawn(giver.work(view.clone(), right.clone(), step));
+            if self.dispatcher.try_reserve(step.replica()) {
+                let dispatcher = Arc::clone(&self.dispatcher);
+                tokio::spawn(dispatcher.run_step(view.clone(), order_lock.clone(), step));
             }
         }
         true
     }
 
-    fn note_named(&mut self, view: &NodeView) {
+    fn record_targets(&mut self, view: &NodeView) {
         for (model, version) in view.serving.weights() {
-            let versions = self.named.entry(model.clone()).or_default();
+            let versions = self.targets.entry(model.clone()).or_default();
             if versions.last().is_none_or(|(last, _)| last < version) {
                 versions.push((*version, Instant::now()));
             }
-            let surplus = versions.len().saturating_sub(VERSIONS_KEPT);
-            versions.drain(..surplus);
+            let excess = versions.len().saturating_sub(MAX_TARGET_VERSIONS);
+            versions.drain(..excess);
         }
     }
 
-    fn named_versions(&self) -> BTreeMap<String, Vec<NamedVersion>> {
+    fn target_versions(&self) -> BTreeMap<String, Vec<TargetVersion>> {
         let now = Instant::now();
-        let age = |(version, at): &(u64, Instant)| NamedVersion {
+        let age = |(version, at): &(u64, Instant)| TargetVersion {
             version: *version,
             age_ms: now.duration_since(*at).as_millis() as u64,
         };
-        self.named
+        self.targets
             .iter()
             .map(|(model, versions)| (model.clone(), versions.iter().map(age).collect()))
             .collect()
     }
 
     /// Measures the time between the ends of loads.
-    fn note_loads(&mut self, view: &NodeView) {
+    fn record_finished_loads(&mut self, view: &NodeView) {
         let now = Instant::now();
         let replicas = view.serving.replicas();
-        let under_way: BTreeSet<String> = replicas
+        let loading: BTreeSet<String> = replicas
             .values()
             .filter(|record| record.order.is_some())
             .map(|record| record.id.clone())
             .collect();
-        let ended = self
-            .under_way
-            .difference(&under_way)
+        let finished = self
+            .loading
+            .difference(&loading)
             .filter(|id| replicas.contains_key(*id))
             .count();
-        if ended > 0 {
-            if let Some(before) = self.load_ended {
-                let sample = now.duration_since(before).as_millis() as f64 / ended as f64;
-                let known = self.interval_ms.unwrap_or(sample);
-                self.interval_ms = Some(known + (sample - known) * NEWEST_WEIGHT);
+        if finished > 0 {
+            if let Some(previous) = self.last_load_finished_at {
+                let sample = now.duration_since(previous).as_millis() as f64 / finished as f64;
+                let known = self.load_interval_ms.unwrap_or(sample);
+                self.load_interval_ms = Some(known + (sample - known) * NEWEST_SAMPLE_WEIGHT);
             }
-            self.load_ended = Some(now);
+            self.last_load_finished_at = Some(now);
         }
-        if under_way.is_empty() {
-            self.load_ended = None;
+        if loading.is_empty() {
+            self.last_load_finished_at = None;
         }
-        self.under_way = under_way;
+        self.loading = loading;
     }
 
-    async fn usable_right(&mut self, view: &NodeView) -> Option<Right> {
-        let refused = self.giver.refused_token();
+    async fn usable_lock(&mut self, view: &NodeView) -> Option<HeldOrderLock> {
+        let refused_token = self.dispatcher.refused_token();
         let known = self
-            .right
+            .order_lock
             .clone()
-            .filter(|right| right.is_held(view.term, refused));
-        let right = match known {
-            Some(right) => right,
+            .filter(|order_lock| order_lock.is_held(view.term, refused_token));
+        let order_lock = match known {
+            Some(order_lock) => order_lock,
             None => self.acquire(view.term).await?,
         };
-        self.right = Some(right.clone());
-        (Instant::now() >= right.usable_from).then_some(right)
+        self.order_lock = Some(order_lock.clone());
+        (Instant::now() >= order_lock.usable_from).then_some(order_lock)
     }
 
-    async fn acquire(&self, term: u64) -> Option<Right> {
+    async fn acquire(&self, term: u64) -> Option<HeldOrderLock> {
         let command = ServingCommand::AcquireOrders {
             holder: self.node.clone(),
         };
-        let outcome = self.link.propose_here(command).await?;
+        let outcome = self.link.propose_if_leader(command).await?;
         let ServingOutcome::OrdersAcquired { token, taken_over } = outcome else {
             return None;
         };
         let wait_ms = if taken_over { self.bounds.lease_ms } else { 0 };
         spdlog::info!("orders acquired", kv: { token, taken_over });
-        Some(Right {
+        Some(HeldOrderLock {
             term,
             token,
             usable_from: Instant::now() + Duration::from_millis(wait_ms),
--- a/crates/control/src/serving/weights.rs
+++ b/crates/control/src/serving/rollout_plan.rs
@@ -12,14 +12,14 @@
 use crate::serving_state::ServingState;
 
 /// Of a model's replicas, one in this many loads at a time.
-const MOST_REPLICAS_PER_LOAD: usize = 4;
+const REPLICAS_PER_LOAD: usize = 4;
 /// The same when the rollout is late.
-const FEWEST_REPLICAS_PER_LOAD: usize = 2;
+const REPLICAS_PER_LOAD_WHEN_LATE: usize = 2;
 /// Part of the bound within which every replica should have changed.
 const PLANNED_SHARE: f64 = 0.75;
 
 /// Times the expected duration of a rollout that are planned for it.
-const LATENESS_MARGIN: f64 = 1.2;
+const DURATION_MARGIN: f64 = 1.2;
 /// Part of the bound that a rollout is assumed to take before one was measured.
 const ASSUMED_SHARE: f64 = 0.4;
 
@@ -35,13 +35,13 @@
     },
     /// The order is recorded: see whether the replica has carried it out, and give it again if it
     /// seems lost.
-    Follow {
+    Check {
         /// The replica.
         replica: String,
         /// The order.
         order: PendingOrder,
         /// The newest version that is named.
-        wanted: u64,
+        target_version: u64,
     },
 }
 
@@ -49,14 +49,14 @@
     /// The replica that the step is about.
     pub fn replica(&self) -> &str {
         match self {
-            Self::Begin { replica, .. } | Self::Follow { replica, .. } => replica,
+            Self::Begin { replica, .. } | Self::Check { replica, .. } => replica,
         }
     }
 }
 
 /// A version that operators named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NamedVersion {
+pub struct TargetVersion {
     /// The version.
     pub version: u64,
     /// Time since it was seen to be named, milliseconds.
@@ -65,32 +65,32 @@
 
 /// What is known besides the replicated state.
 #[derive(Clone, Copy, Debug)]
-pub struct RolloutFacts<'a> {
+pub struct RolloutInputs<'a> {
     /// Versions of each model that were named lately.
-    pub named: &'a BTreeMap<String, Vec<NamedVersion>>,
+    pub targets: &'a BTreeMap<String, Vec<TargetVersion>>,
     /// Time in which requests must stop starting on older weights, milliseconds.
     pub version_ms: u64,
     /// Time between the ends of two loads in a rollout, milliseconds, as measured lately. Weights
     /// come from one place, so more loads at once need not bring more loads in a second.
-    pub interval_ms: Option<u64>,
+    pub load_interval_ms: Option<u64>,
 }
 
-impl RolloutFacts<'_> {
+impl RolloutInputs<'_> {
     /// Time that `left` replicas are expected to need, with a margin, milliseconds.
-    fn needed_ms(&self, left: usize) -> u64 {
-        let expected = match self.interval_ms {
-            Some(interval) => interval as f64 * left as f64,
+    fn expected_ms(&self, remaining: usize) -> u64 {
+        let expected = match self.load_interval_ms {
+            Some(interval) => interval as f64 * remaining as f64,
             None => self.version_ms as f64 * ASSUMED_SHARE,
         };
-        (expected * LATENESS_MARGIN) as u64
+        (expected * DURATION_MARGIN) as u64
     }
 
     /// Time left until a replica that holds `held` should have newer weights, milliseconds.
     fn time_left_ms(&self, model: &str, held: u64) -> u64 {
-        let newer = self.named.get(model).into_iter().flatten();
+        let newer = self.targets.get(model).into_iter().flatten();
         let oldest_age = newer
-            .filter(|named| named.version > held)
-            .map(|named| named.age_ms)
+            .filter(|target| target.version > held)
+            .map(|target| target.age_ms)
             .max()
             .unwrap_or(0);
         let planned = (self.version_ms as f64 * PLANNED_SHARE) as u64;
@@ -99,10 +99,10 @@
 }
 
 /// What to do now, for all models.
-pub fn next_steps(state: &ServingState, facts: RolloutFacts<'_>) -> Vec<RolloutStep> {
+pub fn plan_rollout(state: &ServingState, inputs: RolloutInputs<'_>) -> Vec<RolloutStep> {
     let mut steps = Vec::new();
     for (model, version) in state.weights() {
-        plan_model(state, model, *version, facts, &mut steps);
+        plan_model(state, model, *version, inputs, &mut steps);
     }
     steps
 }
@@ -111,7 +111,7 @@
     state: &ServingState,
     model: &str,
     version: u64,
-    facts: RolloutFacts<'_>,
+    inputs: RolloutInputs<'_>,
     steps: &mut Vec<RolloutStep>,
 ) {
     let holders: Vec<&ReplicaRecord> = state
@@ -119,35 +119,35 @@
         .values()
         .filter(|record| record.state == ReplicaState::Ready && record.version_of(model).is_some())
         .collect();
-    let mut under_way = 0;
-    let mut waiting = Vec::new();
+    let mut loading = 0;
+    let mut outdated = Vec::new();
     for record in &holders {
         let held = record.version_of(model).unwrap_or(0);
         match &record.order {
             Some(order) if order.model == model => {
-                under_way += 1;
-                steps.push(RolloutStep::Follow {
+                loading += 1;
+                steps.push(RolloutStep::Check {
                     replica: record.id.clone(),
                     order: order.clone(),
-                    wanted: version,
+                    target_version: version,
                 });
             }
-            Some(_) => under_way += 1,
-            None if held < version => waiting.push((held, *record)),
+            Some(_) => loading += 1,
+            None if held < version => outdated.push((held, *record)),
             None => {}
         }
     }
     // Those with the oldest weights are the first that may not be used any more.
-    waiting.sort_by_key(|(held, _)| *held);
-    let Some((oldest, _)) = waiting.first() else {
+    outdated.sort_by_key(|(held, _)| *held);
+    let Some((oldest, _)) = outdated.first() else {
         return;
     };
-    let time_left_ms = facts.time_left_ms(model, *oldest);
-    let left = under_way + waiting.len();
-    let needed_ms = facts.needed_ms(left);
-    let limit = loads_at_once(holders.len(), time_left_ms < needed_ms / 2);
-    let free = limit.saturating_sub(under_way);
-    for (_, record) in waiting.into_iter().take(free) {
+    let time_left_ms = inputs.time_left_ms(model, *oldest);
+    let remaining = loading + outdated.len();
+    let expected_ms = inputs.expected_ms(remaining);
+    let limit = max_concurrent_loads(holders.len(), time_left_ms < expected_ms / 2);
+    let free = limit.saturating_sub(loading);
+    for (_, record) in outdated.into_iter().take(free) {
         steps.push(RolloutStep::Begin {
             replica: record.id.clone(),
             order: PendingOrder {
@@ -160,15 +160,15 @@
 
 /// Replicas that may load at the same time: more if the rollout is late; with two replicas or more,
 /// one always serves.
-fn loads_at_once(replicas: usize, is_late: bool) -> usize {
-    let share = if is_late {
-        FEWEST_REPLICAS_PER_LOAD
+fn max_concurrent_loads(replicas: usize, is_late: bool) -> usize {
+    let replicas_per_load = if is_late {
+        REPLICAS_PER_LOAD_WHEN_LATE
     } else {
-        MOST_REPLICAS_PER_LOAD
+        REPLICAS_PER_LOAD
     };
-    let spared = usize::from(replicas > 1);
+    let kept_serving = usize::from(replicas > 1);
     replicas
-        .div_ceil(share)
-        .min(replicas.saturating_sub(spared))
+        .div_ceil(replicas_per_load)
+        .min(replicas.saturating_sub(kept_serving))
         .max(1)
 }
--- a/crates/control/src/serving/watch.rs
+++ b/crates/control/src/serving/watch.rs
@@ -20,17 +20,17 @@
 /// Time for one confirmation.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time after a router's last question in which confirmations go on.
-const WATCHED_FOR: Duration = Duration::from_secs(3);
+const CONFIRM_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest time for which an answer is held, milliseconds.
-const WAIT_LIMIT_MS: u64 = 5_000;
+const MAX_WAIT_MS: u64 = 5_000;
 /// Shortest time between two answers with news to a router that is not new.
-const SHORTEST_GATHERING: Duration = Duration::from_millis(20);
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(20);
 /// Answers with news that a control replica gives in a second to all routers that ask it. One
 /// takes about 0.1 ms of its processor, so they take about 1.5% of a core.
-const NEWS_ANSWERS_PER_SECOND: u32 = 150;
+const UPDATES_PER_SECOND: u32 = 150;
 /// Part of the shortest bound on news for which an answer may wait: news also takes a commit, a
 /// confirmation and the routers' own work.
-const GATHERING_DIVISOR: u64 = 8;
+const BATCHING_DIVISOR: u64 = 8;
 
 /// Answers routers from this replica's state.
 pub struct WatchServer {
@@ -40,15 +40,15 @@
     /// Zero of the replica's clock.
     started: BootInstant,
     /// Longest time for which news is gathered.
-    longest_gathering: Duration,
-    times: Mutex<Times>,
+    max_update_interval: Duration,
+    times: Mutex<RequestTimes>,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Times {
+struct RequestTimes {
     /// Moment at which everything committed before it was known to be applied here.
     confirmed_at: Option<BootInstant>,
-    asked_at: Option<Instant>,
+    last_request_at: Option<Instant>,
 }
 
 impl WatchServer {
@@ -66,44 +66,45 @@
             liveness,
             zone,
             started,
-            longest_gathering: longest_gathering(bounds),
+            max_update_interval: max_update_interval(bounds),
             times: Mutex::default(),
         }
     }
 
     /// Answers one question, at the latest after the time that it allows.
     pub async fn answer(&self, mut request: WatchRequest) -> WatchReply {
-        let asked_at = Instant::now();
+        let received_at = Instant::now();
         // The router subtracts the age of the confirmation from this time, so both count suspensions.
         let held_since = BootInstant::now();
-        self.liveness.router_asked(&request.router);
+        self.liveness.record_router_request(&request.router);
         let sightings = std::mem::take(&mut request.sightings);
-        self.liveness.take_sightings(&request.router, sightings);
-        self.update_times(|times| times.asked_at = Some(asked_at));
-        let deadline = asked_at + Duration::from_millis(request.wait_ms.min(WAIT_LIMIT_MS));
+        self.liveness
+            .record_observations(&request.router, sightings);
+        self.update_times(|times| times.last_request_at = Some(received_at));
+        let deadline = received_at + Duration::from_millis(request.wait_ms.min(MAX_WAIT_MS));
         let mut receiver = self.link.node().view();
         // One that knows more than is applied here waits until that is applied here too.
         let known = request.known;
-        let lacks = if request.takes_records {
+        let known_through = if request.takes_records {
             known.records_through
         } else {
             known.changes_through
         };
         let changed = receiver.wait_for(|view| {
             let changed_at = view.serving.changed_at();
-            changed_at > lacks && changed_at >= known.through
+            changed_at > known_through && changed_at >= known.through
         });
-        let is_due = async {
+        let reply_due = async {
             tokio::select! {
                 _ = changed => {}
                 () = self.confirmation(), if !request.has_lease => {}
             }
         };
         // Either way the present view is answered.
-        let _ = timeout_at(deadline, is_due).await;
-        let interval = self.gathering_interval();
-        let gathering = gathering_time(&request, asked_at.elapsed(), interval);
-        sleep(gathering).await;
+        let _ = timeout_at(deadline, reply_due).await;
+        let interval = self.update_interval();
+        let delay = batching_delay(&request, received_at.elapsed(), interval);
+        sleep(delay).await;
         let view = self.link.view();
         let update = if !request.takes_parts {
             view.serving.full_update_after(known)
@@ -117,7 +118,7 @@
             held_ms: held_since.elapsed().as_millis() as u64,
             zone: self.zone.clone(),
             members: view.voters.clone(),
-            routers: self.liveness.routers(),
+            routers: self.liveness.router_count(),
             update,
             fleet: self.liveness.fleet_digest(),
             group_level: view.serving.level(),
@@ -125,8 +126,8 @@
     }
 
     /// Shortest time between two answers with news to one router, at the present number of routers.
-    pub fn gathering_interval(&self) -> Duration {
-        gathering_interval(self.liveness.routers_asking_here(), self.longest_gathering)
+    pub fn update_interval(&self) -> Duration {
+        update_interval(self.liveness.local_router_count(), self.max_update_interval)
     }
 
     /// Waits until the state here is confirmed.
@@ -149,34 +150,34 @@
         Some(confirmed_at.elapsed().as_millis() as u64)
     }
 
-    fn is_watched(&self) -> bool {
-        let asked_at = self.times().asked_at;
-        asked_at.is_some_and(|at| at.elapsed() < WATCHED_FOR)
+    fn has_recent_requests(&self) -> bool {
+        let last_request_at = self.times().last_request_at;
+        last_request_at.is_some_and(|at| at.elapsed() < CONFIRM_IDLE_TIMEOUT)
     }
 
-    fn times(&self) -> Times {
+    fn times(&self) -> RequestTimes {
         *self.times.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn update_times(&self, update: impl FnOnce(&mut Times)) {
+    fn update_times(&self, update: impl FnOnce(&mut RequestTimes)) {
         update(&mut self.times.lock().unwrap_or_else(PoisonError::into_inner));
     }
 }
 
 /// Shortest time between two answers with news to one router if `routers` ask one control replica:
 /// all their answers together take a bounded share of its processor, however fast changes come.
-pub fn gathering_interval(routers: u32, longest: Duration) -> Duration {
-    let interval = Duration::from_secs(1) * routers / NEWS_ANSWERS_PER_SECOND;
-    interval.min(longest).max(SHORTEST_GATHERING)
+pub fn update_interval(routers: u32, max: Duration) -> Duration {
+    let interval = Duration::from_secs(1) * routers / UPDATES_PER_SECOND;
+    interval.min(max).max(MIN_UPDATE_INTERVAL)
 }
 
 /// Longest time for which news may be gathered under the deployment's bounds.
-pub fn longest_gathering(bounds: &Bounds) -> Duration {
+pub fn max_update_interval(bounds: &Bounds) -> Duration {
     let shortest_bound = bounds
         .config_apply_ms
         .min(bounds.drain_ms)
         .min(bounds.revoke_ms);
-    Duration::from_millis(shortest_bound / GATHERING_DIVISOR)
+    Duration::from_millis(shortest_bound / BATCHING_DIVISOR)
 }
 
 /// Time for which the answer to a question that was asked `asked` ago waits for further changes. A
@@ -184,28 +185,28 @@
 /// hundreds of replicas that register or load together are told in a few answers, and news after a
 /// calm moment is told at once. An answer never waits beyond the time that the router allows: one
 /// without a lease allows none.
-pub fn gathering_time(request: &WatchRequest, asked: Duration, interval: Duration) -> Duration {
-    let lacks_a_part = request.known.through == 0 || !request.known.is_whole();
-    if lacks_a_part || !request.has_lease {
+pub fn batching_delay(request: &WatchRequest, elapsed: Duration, interval: Duration) -> Duration {
+    let is_incomplete = request.known.through == 0 || !request.known.is_whole();
+    if is_incomplete || !request.has_lease {
         return Duration::ZERO;
     }
-    let allowed = Duration::from_millis(request.wait_ms);
-    interval.min(allowed).saturating_sub(asked)
+    let max_delay = Duration::from_millis(request.wait_ms);
+    interval.min(max_delay).saturating_sub(elapsed)
 }
 
 /// While routers ask this replica and it does not lead, has the leader confirm its state.
 ///
 /// One question to the leader serves all routers that ask here, so the leader's load does not
 /// grow with their number.
-pub async fn keep_confirmed(server: Arc<WatchServer>) {
+pub async fn run_confirmations(server: Arc<WatchServer>) {
     loop {
         sleep(CONFIRM_INTERVAL).await;
-        if !server.is_watched() || server.link.view().leads {
+        if !server.has_recent_requests() || server.link.view().leads {
             continue;
         }
-        let asked_at = BootInstant::now();
+        let received_at = BootInstant::now();
         if server.link.catch_up(CONFIRM_TIMEOUT).await.is_ok() {
-            server.update_times(|times| times.confirmed_at = Some(asked_at));
+            server.update_times(|times| times.confirmed_at = Some(received_at));
         }
     }
 }
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -112,21 +112,23 @@
     }
 
     /// Whether a life has ended, or a newer one of its replica is known: what comes of it is late.
-    pub fn is_retired(&self, replica: &str) -> bool {
+    pub fn has_departed(&self, replica: &str) -> bool {
         let life = Life::named(replica);
-        let current = self.replicas.current_id(life.replica);
+        let current = self.replicas.current_incarnation_id(life.replica);
         let is_superseded =
             current.is_some_and(|current| Life::named(current).is_newer_than(&life));
-        is_superseded || self.tombstones.is_retired(replica)
+        is_superseded || self.tombstones.has_ended(replica)
     }
 
     /// The life that a name means: of a replica that does not say in which of its lives it is, the one that
     /// is known.
-    pub fn resolve_id<'a>(&'a self, name: &'a str) -> &'a str {
+    pub fn resolve_incarnation_id<'a>(&'a self, name: &'a str) -> &'a str {
         if Life::named(name).born_ms.is_some() {
             return name;
         }
-        self.replicas.current_id(name).map_or(name, String::as_str)
+        self.replicas
+            .current_incarnation_id(name)
+            .map_or(name, String::as_str)
     }
 
     /// The version of weights that operators named for each model.
@@ -245,10 +247,10 @@
         if self.level < FeatureLevel::SHARED_GRANTS {
             return self.register_at_first_level(index, record);
         }
-        if self.is_retired(&record.id) || self.is_stale_record(&record) {
+        if self.has_departed(&record.id) || self.is_stale_record(&record) {
             return Registration::Departed;
         }
-        let previous = self.previous_id(&record.id);
+        let previous = self.previous_incarnation_id(&record.id);
         let holder = self.replicas.id_at_address(&record.address).cloned();
         if let Some(known) = self.replicas.get(&record.id) {
             record = merge_record(known, record);
@@ -289,21 +291,21 @@
     /// The life that a newer one follows: with it goes all that it said, held and was ordered. It need not be
     /// silent first, as one of two at one address otherwise must; the replica itself says which of its lives
     /// is the newer one.
-    fn previous_id(&self, name: &str) -> Option<String> {
+    fn previous_incarnation_id(&self, name: &str) -> Option<String> {
         let life = Life::named(name);
-        let current = self.replicas.current_id(life.replica)?;
+        let current = self.replicas.current_incarnation_id(life.replica)?;
         let is_superseded = life.is_newer_than(&Life::named(current));
         is_superseded.then(|| current.clone())
     }
 
     /// Removes a replica that leaves.
     fn deregister(&mut self, index: LogIndex, replica: &str) -> ServingOutcome {
-        let leaving = self.resolve_id(replica).to_owned();
-        if self.is_retired(&leaving) {
+        let leaving = self.resolve_incarnation_id(replica).to_owned();
+        if self.has_departed(&leaving) {
             return ServingOutcome::Done;
         }
         // It may never have been recorded; the life before it is over all the same.
-        if let Some(previous) = self.previous_id(&leaving) {
+        if let Some(previous) = self.previous_incarnation_id(&leaving) {
             self.replicas.remove(&previous);
         }
         self.tombstones.mark_ended(&leaving);
--- a/crates/control/src/serving_state/first_level.rs
+++ b/crates/control/src/serving_state/first_level.rs
@@ -14,7 +14,7 @@
         index: LogIndex,
         mut record: ReplicaRecord,
     ) -> Registration {
-        if self.is_retired(&record.id) {
+        if self.has_departed(&record.id) {
             return Registration::Departed;
         }
         let holder = self.replicas.id_at_address(&record.address).cloned();
--- a/crates/control/src/serving_state/registry.rs
+++ b/crates/control/src/serving_state/registry.rs
@@ -16,7 +16,7 @@
 pub struct ReplicaRegistry {
     records: ReplicaMap,
     /// The life in which each replica is.
-    current_ids: RedBlackTreeMapSync<String, String>,
+    current_incarnation_ids: RedBlackTreeMapSync<String, String>,
     /// Which replica has each address.
     ids_by_address: RedBlackTreeMapSync<String, String>,
     /// Replicas by the position of the last change of their records.
@@ -35,8 +35,8 @@
     }
 
     /// The life in which a replica is.
-    pub fn current_id(&self, replica: &str) -> Option<&String> {
-        self.current_ids.get(replica)
+    pub fn current_incarnation_id(&self, replica: &str) -> Option<&String> {
+        self.current_incarnation_ids.get(replica)
     }
 
     /// The replica at an address.
@@ -56,7 +56,7 @@
         self.remove(&record.id);
         let id = record.id.clone();
         let replica = record.instance().to_owned();
-        self.current_ids.insert_mut(replica, id.clone());
+        self.current_incarnation_ids.insert_mut(replica, id.clone());
         self.ids_by_address
             .insert_mut(record.address.clone(), id.clone());
         self.by_change.insert_mut((record.changed_at, id.clone()));
@@ -71,8 +71,8 @@
         if self.ids_by_address.get(&record.address) == Some(&record.id) {
             self.ids_by_address.remove_mut(&record.address);
         }
-        if self.current_ids.get(record.instance()) == Some(&record.id) {
-            self.current_ids.remove_mut(record.instance());
+        if self.current_incarnation_ids.get(record.instance()) == Some(&record.id) {
+            self.current_incarnation_ids.remove_mut(record.instance());
         }
         self.by_change.remove_mut(&(record.changed_at, record.id));
         self.records.remove_mut(replica);
--- a/crates/control/src/serving_state/tombstones.rs
+++ b/crates/control/src/serving_state/tombstones.rs
@@ -80,7 +80,7 @@
     }
 
     /// Whether a life ended for good, or a newer one of its replica is gone.
-    pub fn is_retired(&self, name: &str) -> bool {
+    pub fn has_ended(&self, name: &str) -> bool {
         self.ended.contains(name) || self.has_newer_removal(name)
     }
 
--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -56,7 +56,7 @@
         let ended = update.removed.into_iter();
         let ended = ended.map(|name| Life::named(&name).replica.to_owned());
         update.removed = ended
-            .filter(|replica| self.replicas.current_id(replica).is_none())
+            .filter(|replica| self.replicas.current_incarnation_id(replica).is_none())
             .collect();
         Some(update)
     }
--- a/crates/control/tests/present_layout.rs
+++ b/crates/control/tests/current_layout.rs
@@ -25,7 +25,7 @@
 /// that there is, and is written only where the receiver may lack it without harm; its bytes get a folder of
 /// their own, and these stay as they are.
 #[test]
-fn no_message_has_changed_unnoticed() {
+fn message_layouts_are_unchanged() {
     let files = files("messages");
     assert_eq!(files.len(), 16);
     for (name, bytes) in files {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn no_stored_state_or_command_has_changed_unnoticed() {
+fn stored_layouts_are_unchanged() {
     for (name, bytes) in files("stored") {
         let written = if name == "state" {
             let state = ControlState::read_stored(&bytes).expect("a state");
--- a/crates/control/tests/first_level.rs
+++ b/crates/control/tests/first_level.rs
@@ -2,7 +2,7 @@
 
 mod production_state;
 
-use production_state::ServingState as FormerState;
+use production_state::ServingState as FirstBuildState;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use railtack_consensus::{DiskId, Member, Membership, ReplicaId};
 use railtack_control::{node::level::MemberLevels, serving_state::ServingState};
@@ -94,24 +94,24 @@
 
 quickcheck! {
     /// Members of both builds hold the same state after each command, down to the bytes of their snapshots.
-    fn members_of_both_builds_hold_one_state(commands: Vec<AnyCommand>) -> bool {
-        let mut former = FormerState::default();
-        let mut present = ServingState::at(FeatureLevel::FIRST);
+    fn both_builds_hold_the_same_state_after_each_command(commands: Vec<AnyCommand>) -> bool {
+        let mut first_build = FirstBuildState::default();
+        let mut current = ServingState::at(FeatureLevel::FIRST);
         commands.iter().enumerate().all(|(position, AnyCommand(command))| {
             let index = position as u64 + 1;
-            let is_same_outcome =
-                former.apply(index, from_log(command)) == present.apply(index, from_log(command));
-            let same_bytes = former.write_to_vec().expect("encoded")
-                == present.write_to_vec().expect("encoded");
+            let has_same_outcome =
+                first_build.apply(index, from_log(command)) == current.apply(index, from_log(command));
+            let has_same_bytes = first_build.write_to_vec().expect("encoded")
+                == current.write_to_vec().expect("encoded");
             // One that is replaced, and back to the former build, goes on from the same state.
-            let bytes = former.write_to_vec().expect("encoded");
-            present = ServingState::read_from_buffer(&bytes).expect("decoded");
-            is_same_outcome && same_bytes
+            let bytes = first_build.write_to_vec().expect("encoded");
+            current = ServingState::read_from_buffer(&bytes).expect("decoded");
+            has_same_outcome && has_same_bytes
         })
     }
 }
 
-fn raise(revision: u64) -> ServingCommand {
+fn raise_level(revision: u64) -> ServingCommand {
     ServingCommand::RaiseLevel {
         level: FeatureLevel::OF_THIS_BUILD,
         revision,
@@ -120,19 +120,22 @@
 }
 
 #[test]
-fn quotas_come_into_force_with_the_level() {
+fn quotas_apply_once_the_level_is_raised() {
     let mut state = ServingState::at(FeatureLevel::FIRST);
     let put = ServingCommand::put(document(3), state.level());
     assert!(put.fits(FeatureLevel::FIRST));
     state.apply(1, from_log(&put));
     assert_eq!(state.configuration().tenants[0].quota, None);
     // What was read of a document that is held no more raises nothing.
-    assert_eq!(state.apply(2, raise(2)), ServingOutcome::Superseded);
+    assert_eq!(state.apply(2, raise_level(2)), ServingOutcome::Superseded);
     assert_eq!(state.level(), FeatureLevel::FIRST);
-    assert_eq!(state.apply(3, from_log(&raise(3))), ServingOutcome::Done);
+    assert_eq!(
+        state.apply(3, from_log(&raise_level(3))),
+        ServingOutcome::Done
+    );
     assert_eq!(state.level(), FeatureLevel::OF_THIS_BUILD);
     assert_eq!(state.configuration().tenants[0].quota, Some(QUOTA));
-    assert_eq!(state.apply(4, raise(3)), ServingOutcome::Superseded);
+    assert_eq!(state.apply(4, raise_level(3)), ServingOutcome::Superseded);
     let bytes = state.write_to_vec().expect("encoded");
     assert_eq!(
         ServingState::read_from_buffer(&bytes).expect("decoded"),
@@ -146,7 +149,7 @@
 }
 
 #[test]
-fn a_former_log_with_commands_above_the_first_level_is_applied_by_them() {
+fn a_command_above_the_first_level_raises_the_level() {
     let mut state = ServingState::at(FeatureLevel::FIRST);
     state.apply(1, ServingCommand::RegisterAll(Vec::new()));
     assert_eq!(state.level(), FeatureLevel::SHARED_GRANTS);
@@ -165,31 +168,31 @@
 }
 
 #[test]
-fn the_level_is_raised_only_once_all_members_have_said_that_they_can() {
-    let own = ReplicaId(1);
-    let high = FeatureLevel::OF_THIS_BUILD;
+fn the_level_is_raised_only_once_all_members_support_it() {
+    let leader = ReplicaId(1);
+    let highest = FeatureLevel::OF_THIS_BUILD;
     let group = membership(3, 1);
     let mut levels = MemberLevels::default();
     for member in 2..=4 {
-        levels.hear(ReplicaId(member), high, 10);
+        levels.hear(ReplicaId(member), highest, 10);
     }
     // What was said before the lead began may be out of date.
-    assert_eq!(levels.common(own, &group), FeatureLevel::FIRST);
+    assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
     levels.note_lead(true, 20);
-    assert_eq!(levels.common(own, &group), FeatureLevel::FIRST);
-    levels.hear(ReplicaId(2), high, 30);
-    levels.hear(ReplicaId(3), high, 30);
+    assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
+    levels.hear(ReplicaId(2), highest, 30);
+    levels.hear(ReplicaId(3), highest, 30);
     // The learner has said nothing.
-    assert_eq!(levels.common(own, &group), FeatureLevel::FIRST);
-    levels.hear(ReplicaId(4), high, 31);
-    assert_eq!(levels.common(own, &group), high);
+    assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
+    levels.hear(ReplicaId(4), highest, 31);
+    assert_eq!(levels.common(leader, &group), highest);
     // One is replaced by the former build again.
     levels.hear(ReplicaId(3), FeatureLevel::FIRST, 40);
-    assert_eq!(levels.common(own, &group), FeatureLevel::FIRST);
-    levels.hear(ReplicaId(3), FeatureLevel(high.0 + 1), 50);
-    assert_eq!(levels.common(own, &group), high);
+    assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
+    levels.hear(ReplicaId(3), FeatureLevel(highest.0 + 1), 50);
+    assert_eq!(levels.common(leader, &group), highest);
     levels.note_lead(false, 60);
-    assert_eq!(levels.common(own, &group), FeatureLevel::FIRST);
+    assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
     levels.note_lead(true, 70);
-    assert_eq!(levels.common(own, &membership(1, 0)), high);
+    assert_eq!(levels.common(leader, &membership(1, 0)), highest);
 }
--- a/crates/control/tests/lives.rs
+++ b/crates/control/tests/incarnations.rs
@@ -8,14 +8,14 @@
 
 const REPLICA: &str = "i-1";
 
-fn name(born_ms: Option<u64>) -> String {
+fn id(born_ms: Option<u64>) -> String {
     let replica = REPLICA;
     Life { replica, born_ms }.to_string()
 }
 
 fn record(born_ms: Option<u64>, address: &str) -> ReplicaRecord {
     ReplicaRecord {
-        id: name(born_ms),
+        id: id(born_ms),
         service: "pool".to_owned(),
         address: address.to_owned(),
         zone: "a".to_owned(),
@@ -35,74 +35,74 @@
 }
 
 /// The births of the replica's lives that the state holds.
-fn present(state: &ServingState) -> Vec<Option<u64>> {
+fn start_times(state: &ServingState) -> Vec<Option<u64>> {
     let names = state.replicas().keys();
     names.map(|name| Life::named(name).born_ms).collect()
 }
 
 #[test]
-fn a_life_is_named_by_its_replica_and_its_birth() {
-    let life = Life {
+fn an_incarnation_id_holds_the_replica_and_its_start_time() {
+    let incarnation = Life {
         replica: REPLICA,
         born_ms: Some(17),
     };
-    assert_eq!(life.to_string(), "i-1#17");
-    assert_eq!(Life::named("i-1#17"), life);
+    assert_eq!(incarnation.to_string(), "i-1#17");
+    assert_eq!(Life::named("i-1#17"), incarnation);
     for replica in ["i-1", "i-1#", "i-1#x", "i-1#-1", ""] {
         let born_ms = None;
         assert_eq!(Life::named(replica), Life { replica, born_ms });
     }
-    assert!(life.is_newer_than(&Life::named(REPLICA)));
-    assert!(!life.is_newer_than(&Life::named("i-1#17")));
-    assert!(!life.is_newer_than(&Life::named("i-2#16")));
+    assert!(incarnation.is_newer_than(&Life::named(REPLICA)));
+    assert!(!incarnation.is_newer_than(&Life::named("i-1#17")));
+    assert!(!incarnation.is_newer_than(&Life::named("i-2#16")));
 }
 
 #[test]
-fn a_newer_life_takes_the_place_of_the_former_one_and_nothing_else_of_it() {
+fn a_newer_incarnation_replaces_the_previous_one_without_its_state() {
     let mut state = ServingState::default();
     let mut leaving = record(Some(1), "h:1");
     leaving.state = ReplicaState::Leaving;
     state.apply(1, ServingCommand::Register(leaving));
-    let right = state.apply(
+    let acquired = state.apply(
         2,
         ServingCommand::AcquireOrders {
             holder: "c".to_owned(),
         },
     );
-    assert!(matches!(right, ServingOutcome::OrdersAcquired { .. }));
+    assert!(matches!(acquired, ServingOutcome::OrdersAcquired { .. }));
     let order = PendingOrder {
         model: "m".to_owned(),
         version: 9,
     };
-    let begun = ServingCommand::BeginOrder {
+    let begin_order = ServingCommand::BeginOrder {
         token: 2,
-        replica: name(Some(1)),
+        replica: id(Some(1)),
         order,
     };
-    assert_eq!(state.apply(3, begun), ServingOutcome::Done);
-    let mut anew = record(Some(2), "h:1");
-    anew.weights[0].version = 1;
+    assert_eq!(state.apply(3, begin_order), ServingOutcome::Done);
+    let mut restarted = record(Some(2), "h:1");
+    restarted.weights[0].version = 1;
     assert_eq!(
-        state.apply(4, ServingCommand::Register(anew.clone())),
+        state.apply(4, ServingCommand::Register(restarted.clone())),
         ServingOutcome::Done
     );
-    let known = &state.replicas()[&name(Some(2))];
+    let known = &state.replicas()[&id(Some(2))];
     assert_eq!(known.state, ReplicaState::Ready);
     assert_eq!(known.order, None);
-    assert_eq!(known.weights, anew.weights);
-    assert_eq!(present(&state), [Some(2)]);
+    assert_eq!(known.weights, restarted.weights);
+    assert_eq!(start_times(&state), [Some(2)]);
     // Routers that knew the former life end it with the record of the newer one.
     let update = state.update_after(Known::all(3)).expect("news");
-    let told: Vec<&str> = update
+    let updated_ids: Vec<&str> = update
         .replicas
         .iter()
         .map(|record| record.id.as_str())
         .collect();
-    assert_eq!(told, [name(Some(2))]);
+    assert_eq!(updated_ids, [id(Some(2))]);
 }
 
 #[test]
-fn who_leaves_without_saying_in_which_life_leaves_in_the_one_that_is_known() {
+fn deregistering_without_a_start_time_removes_the_known_incarnation() {
     let mut state = ServingState::default();
     state.apply(1, register(5));
     let leave = ServingCommand::Deregister {
@@ -114,10 +114,10 @@
     assert_eq!(state.apply(4, register(6)), ServingOutcome::Done);
     // A leave of the former life that comes late names that one.
     let late = ServingCommand::Deregister {
-        replica: name(Some(5)),
+        replica: id(Some(5)),
     };
     state.apply(5, late);
-    assert_eq!(present(&state), [Some(6)]);
+    assert_eq!(start_times(&state), [Some(6)]);
 }
 
 /// Something that happens to one of the lives.
@@ -133,30 +133,30 @@
 
 impl Arbitrary for Step {
     fn arbitrary(random: &mut Gen) -> Self {
-        let life = u8::arbitrary(random) % 5;
+        let start = u8::arbitrary(random) % 5;
         match u8::arbitrary(random) % 8 {
-            0..=3 => Self::Register(life),
-            4 => Self::Leave(life),
-            5 => Self::Expire(life),
-            6 => Self::Order(life),
+            0..=3 => Self::Register(start),
+            4 => Self::Leave(start),
+            5 => Self::Expire(start),
+            6 => Self::Order(start),
             _ => Self::Restart,
         }
     }
 }
 
 fn apply(state: &mut ServingState, index: u64, step: Step) {
-    let replica = |life: u8| name(Some(u64::from(life)));
+    let replica = |start: u8| id(Some(u64::from(start)));
     let command = match step {
-        Step::Register(life) => register(u64::from(life)),
-        Step::Leave(life) => ServingCommand::Deregister {
-            replica: replica(life),
+        Step::Register(start) => register(u64::from(start)),
+        Step::Leave(start) => ServingCommand::Deregister {
+            replica: replica(start),
         },
-        Step::Expire(life) => ServingCommand::Expire {
-            replica: replica(life),
+        Step::Expire(start) => ServingCommand::Expire {
+            replica: replica(start),
         },
-        Step::Order(life) => ServingCommand::BeginOrder {
+        Step::Order(start) => ServingCommand::BeginOrder {
             token: 1,
-            replica: replica(life),
+            replica: replica(start),
             order: PendingOrder {
                 model: "m".to_owned(),
                 version: 9,
@@ -174,7 +174,7 @@
 quickcheck! {
     /// Whatever comes of several lives of one replica, and in whatever order: a life that a newer one has
     /// followed is never there again, and a replica that starts from a snapshot decides like the others.
-    fn a_former_life_never_comes_back(steps: Vec<Step>) -> bool {
+    fn a_previous_incarnation_never_returns(steps: Vec<Step>) -> bool {
         let acquire = ServingCommand::AcquireOrders { holder: "c".to_owned() };
         let mut state = ServingState::default();
         state.apply(1, acquire.clone());
@@ -187,11 +187,11 @@
             if !matches!(step, Step::Restart) {
                 apply(&mut other, index, step);
             }
-            if let Step::Register(life) | Step::Leave(life) = step {
-                newest = newest.max(Some(u64::from(life)));
+            if let Step::Register(start) | Step::Leave(start) = step {
+                newest = newest.max(Some(u64::from(start)));
             }
-            let held = present(&state);
-            held.len() <= 1 && held.iter().all(|born| *born == newest) && state == other
+            let recorded = start_times(&state);
+            recorded.len() <= 1 && recorded.iter().all(|start| *start == newest) && state == other
         })
     }
 }
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -6,8 +6,11 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use railtack_control::serving::{
-    limits::{ALLOWED_REQUESTS, ALLOWED_SHARE, HeardLimit, LimitLedger, PermitDecision, WINDOW},
-    quota::LEADERSHIP_PROVED_WITHIN,
+    limits::{
+        LimitLedger, LimitObservation, MAX_WINDOW_RATIO, PermitDecision, WINDOW,
+        WINDOW_SLACK_REQUESTS,
+    },
+    quota::MAX_LEADERSHIP_PROOF_AGE,
 };
 use railtack_rpc::serving::GRANT_LIFE;
 use railtack_serving::RequestLimit;
@@ -21,7 +24,7 @@
 const ROUTERS: usize = 30;
 const LIFE: &str = "i-1";
 /// Time in which an answer takes effect at the leader unless messages rest, and a new limit binds all routers.
-const BINDS_AFTER_MS: u64 = 3_000;
+const LIMIT_EFFECTIVE_AFTER_MS: u64 = 3_000;
 
 /// A safeguard that is taken away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,11 +36,11 @@
     /// Each router keeps to the limit by itself.
     NoSharing,
     /// Routers use permits however late the answer is.
-    LatePermitsUsed,
+    LatePermitsAccepted,
     /// A former leader goes on giving permits until it hears of the new one.
-    FormerLeaderGoesOn,
+    StaleLeaderGrants,
     /// Whatever a leader is told last raises or lifts a limit.
-    LastWordWins,
+    LastReportWins,
 }
 
 fn at(start: Instant, milliseconds: u64) -> Instant {
@@ -57,88 +60,88 @@
 
 /// When a permit was given, and by whom.
 #[derive(Clone, Copy)]
-struct Given {
+struct GrantedPermit {
     leader: usize,
     at_ms: u64,
 }
 
 /// What a router heard.
 #[derive(Clone, Copy)]
-struct Statement {
+struct Report {
     limit: Option<RequestLimit>,
-    heard_ms: u64,
-    permit: Option<Given>,
+    received_ms: u64,
+    permit: Option<GrantedPermit>,
 }
 
 enum Event {
     /// A question, or what a router tells, arrives at a leader.
-    Question {
+    PermitRequest {
         router: usize,
-        asked_ms: u64,
+        requested_ms: u64,
         leader: usize,
-        statement: Statement,
+        report: Report,
         wants_permit: bool,
     },
     /// The answer arrives at the router.
-    Permit {
+    PermitReply {
         router: usize,
-        asked_ms: u64,
-        given: Option<Given>,
+        requested_ms: u64,
+        granted: Option<GrantedPermit>,
     },
     /// The back end's answer arrives at the router.
-    Answer {
+    Response {
         router: usize,
         limit: Option<RequestLimit>,
-        permit: Option<Given>,
+        permit: Option<GrantedPermit>,
     },
 }
 
-struct World {
+struct Simulation {
     random: StdRng,
     mutant: Mutant,
     start: Instant,
     now_ms: u64,
     leaders: Vec<Leader>,
     /// What the back end names in its next answer.
-    names: Option<RequestLimit>,
+    advertised: Option<RequestLimit>,
     /// What it named, each with the moment of the first answer that did.
-    named: Vec<(u64, Option<RequestLimit>)>,
+    advertised_history: Vec<(u64, Option<RequestLimit>)>,
     /// What each router heard last; kept until a leader says that there is no limit.
-    heard: Vec<Option<Statement>>,
+    known_limits: Vec<Option<Report>>,
     /// When each router sent something last, for a mutant.
     sent_ms: Vec<u64>,
     events: BTreeMap<u64, Vec<Event>>,
     /// Until when permits that are given rest on their way, and come all at once.
-    permits_rest_until_ms: u64,
+    permits_delayed_until_ms: u64,
     arrivals: Vec<u64>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, mutant: Mutant) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             random: StdRng::seed_from_u64(seed),
             mutant,
             start: Instant::now(),
             now_ms: 0,
             leaders: Vec::new(),
-            names: None,
-            named: Vec::new(),
-            heard: vec![None; ROUTERS],
+            advertised: None,
+            advertised_history: Vec::new(),
+            known_limits: vec![None; ROUTERS],
             sent_ms: vec![0; ROUTERS],
             events: BTreeMap::new(),
-            permits_rest_until_ms: 0,
+            permits_delayed_until_ms: 0,
             arrivals: Vec::new(),
         };
-        world.elect();
-        world.change_limit();
-        world
+        simulation.elect();
+        simulation.change_limit();
+        simulation
     }
 
     fn elect(&mut self) {
         let proof_age = self.random.random_range(0..200);
         let now_ms = self.now_ms;
-        if let Some(former) = self.leaders.last_mut() {
-            former.last_proof_ms = Some(now_ms.saturating_sub(proof_age));
+        if let Some(previous) = self.leaders.last_mut() {
+            previous.last_proof_ms = Some(now_ms.saturating_sub(proof_age));
         }
         self.leaders.push(Leader {
             ledger: LimitLedger::default(),
@@ -157,14 +160,14 @@
             Some(40.0),
         ];
         let choice = choices[self.random.random_range(0..choices.len())];
-        self.names = choice.map(|per_s| RequestLimit::per_s(per_s).expect("a limit"));
+        self.advertised = choice.map(|per_s| RequestLimit::per_s(per_s).expect("a limit"));
     }
 
-    fn says(&mut self) -> Option<RequestLimit> {
-        if self.named.last().map(|(_, limit)| *limit) != Some(self.names) {
-            self.named.push((self.now_ms, self.names));
+    fn advertise(&mut self) -> Option<RequestLimit> {
+        if self.advertised_history.last().map(|(_, limit)| *limit) != Some(self.advertised) {
+            self.advertised_history.push((self.now_ms, self.advertised));
         }
-        self.names
+        self.advertised
     }
 
     /// Mostly short; now and then a message or a process rests for seconds.
@@ -176,134 +179,143 @@
         }
     }
 
-    fn later(&mut self, event: Event) {
+    fn schedule(&mut self, event: Event) {
         let mut due = self.now_ms + self.delay();
-        if matches!(event, Event::Permit { .. }) {
-            due = due.max(self.permits_rest_until_ms);
+        if matches!(event, Event::PermitReply { .. }) {
+            due = due.max(self.permits_delayed_until_ms);
         }
         self.events.entry(due).or_default().push(event);
     }
 
     fn leader(&mut self) -> usize {
-        let to_former = self.leaders.len() > 1 && self.random.random_bool(0.3);
-        self.leaders.len() - 1 - usize::from(to_former)
+        let to_previous = self.leaders.len() > 1 && self.random.random_bool(0.3);
+        self.leaders.len() - 1 - usize::from(to_previous)
     }
 
     /// A router has a request for the back end.
-    fn request(&mut self, router: usize) {
-        let Some(statement) = self.heard[router] else {
+    fn handle_demand(&mut self, router: usize) {
+        let Some(report) = self.known_limits[router] else {
             return self.send(router, None);
         };
         match self.mutant {
             Mutant::NoPermits => self.send(router, None),
             Mutant::NoSharing => {
-                let per_s = statement.limit.map_or(40.0, RequestLimit::requests_per_s);
-                let apart_ms = (1e3 / per_s.max(0.25)) as u64;
-                if self.now_ms >= self.sent_ms[router] + apart_ms {
+                let per_s = report.limit.map_or(40.0, RequestLimit::requests_per_s);
+                let interval_ms = (1e3 / per_s.max(0.25)) as u64;
+                if self.now_ms >= self.sent_ms[router] + interval_ms {
                     self.send(router, None);
                 }
             }
-            _ => self.ask(router, statement, true),
+            _ => self.request_permit(router, report, true),
         }
     }
 
-    fn ask(&mut self, router: usize, statement: Statement, wants_permit: bool) {
-        let question = Event::Question {
+    fn request_permit(&mut self, router: usize, report: Report, wants_permit: bool) {
+        let request = Event::PermitRequest {
             router,
-            asked_ms: self.now_ms,
+            requested_ms: self.now_ms,
             leader: self.leader(),
-            statement,
+            report,
             wants_permit,
         };
-        self.later(question);
+        self.schedule(request);
     }
 
-    fn send(&mut self, router: usize, permit: Option<Given>) {
+    fn send(&mut self, router: usize, permit: Option<GrantedPermit>) {
         self.arrivals.push(self.now_ms);
         self.sent_ms[router] = self.now_ms;
-        let limit = self.says();
-        self.later(Event::Answer {
+        let limit = self.advertise();
+        self.schedule(Event::Response {
             router,
             limit,
             permit,
         });
     }
 
-    fn answer(&mut self, router: usize, limit: Option<RequestLimit>, permit: Option<Given>) {
-        let statement = Statement {
+    fn handle_response(
+        &mut self,
+        router: usize,
+        limit: Option<RequestLimit>,
+        permit: Option<GrantedPermit>,
+    ) {
+        let report = Report {
             limit,
-            heard_ms: self.now_ms,
+            received_ms: self.now_ms,
             permit,
         };
         if limit.is_some() {
             // Without the permit it came by, as it is told again later.
             let permit = None;
-            self.heard[router] = Some(Statement {
-                permit,
-                ..statement
-            });
+            self.known_limits[router] = Some(Report { permit, ..report });
         }
-        let knows = self.heard[router].is_some();
-        if knows || permit.is_some() {
-            self.ask(router, statement, false);
+        let knows_limit = self.known_limits[router].is_some();
+        if knows_limit || permit.is_some() {
+            self.request_permit(router, report, false);
         }
     }
 
-    fn question(
+    fn handle_permit_request(
         &mut self,
-        (router, asked_ms): (usize, u64),
-        position: usize,
-        statement: Statement,
+        (router, requested_ms): (usize, u64),
+        leader_index: usize,
+        report: Report,
         wants_permit: bool,
     ) {
         let now = at(self.start, self.now_ms);
-        let leader = &mut self.leaders[position];
-        let proved_within = if self.mutant == Mutant::FormerLeaderGoesOn {
+        let leader = &mut self.leaders[leader_index];
+        let max_proof_age = if self.mutant == Mutant::StaleLeaderGrants {
             Duration::from_secs(8)
         } else {
-            LEADERSHIP_PROVED_WITHIN
+            MAX_LEADERSHIP_PROOF_AGE
         };
         let proof_age = leader.last_proof_ms.map_or(0, |proof| self.now_ms - proof);
-        if proof_age >= milliseconds(proved_within) {
+        if proof_age >= milliseconds(max_proof_age) {
             return;
         }
         // The message's own time counts as the router's.
-        let age = Duration::from_millis(asked_ms.saturating_sub(statement.heard_ms));
-        let given = statement.permit.filter(|given| given.leader == position);
-        let heard = HeardLimit {
-            limit: statement.limit,
-            heard_at: now - age.min(Duration::from_millis(self.now_ms)),
+        let age = Duration::from_millis(requested_ms.saturating_sub(report.received_ms));
+        let granted = report
+            .permit
+            .filter(|granted| granted.leader == leader_index);
+        let observation = LimitObservation {
+            limit: report.limit,
+            observed_at: now - age.min(Duration::from_millis(self.now_ms)),
             permitted_at: match self.mutant {
-                Mutant::LastWordWins => Some(now),
-                _ => given.map(|given| at(self.start, given.at_ms)),
+                Mutant::LastReportWins => Some(now),
+                _ => granted.map(|granted| at(self.start, granted.at_ms)),
             },
         };
-        leader.ledger.note(LIFE, heard, now);
+        leader.ledger.record(LIFE, observation, now);
         if !wants_permit {
             return;
         }
-        let given = match leader.ledger.take(LIFE, now) {
-            PermitDecision::Given(_) => Some(Given {
-                leader: position,
+        let granted = match leader.ledger.acquire(LIFE, now) {
+            PermitDecision::Granted(_) => Some(GrantedPermit {
+                leader: leader_index,
                 at_ms: self.now_ms,
             }),
-            PermitDecision::Withheld { .. } => return,
+            PermitDecision::Denied { .. } => return,
             PermitDecision::Unlimited => {
-                self.heard[router] = None;
+                self.known_limits[router] = None;
                 None
             }
         };
-        self.later(Event::Permit {
+        self.schedule(Event::PermitReply {
             router,
-            asked_ms,
-            given,
+            requested_ms,
+            granted,
         });
     }
 
-    fn permit(&mut self, router: usize, asked_ms: u64, given: Option<Given>) {
-        let is_fresh = self.now_ms <= asked_ms + milliseconds(GRANT_LIFE);
-        if is_fresh || self.mutant == Mutant::LatePermitsUsed {
-            self.send(router, given);
+    fn handle_permit_reply(
+        &mut self,
+        router: usize,
+        requested_ms: u64,
+        granted: Option<GrantedPermit>,
+    ) {
+        let is_fresh = self.now_ms <= requested_ms + milliseconds(GRANT_LIFE);
+        if is_fresh || self.mutant == Mutant::LatePermitsAccepted {
+            self.send(router, granted);
         }
     }
 
@@ -321,40 +333,46 @@
                 self.change_limit();
             }
             if self.random.random_ratio(1, 9_000) {
-                self.permits_rest_until_ms = self.now_ms + self.random.random_range(1_000..4_000);
+                self.permits_delayed_until_ms =
+                    self.now_ms + self.random.random_range(1_000..4_000);
             }
             for event in self.events.remove(&self.now_ms).unwrap_or_default() {
                 match event {
-                    Event::Question {
+                    Event::PermitRequest {
                         router,
-                        asked_ms,
+                        requested_ms,
+                        leader,
+                        report,
+                        wants_permit,
+                    } => self.handle_permit_request(
+                        (router, requested_ms),
                         leader,
-                        statement,
+                        report,
                         wants_permit,
-                    } => self.question((router, asked_ms), leader, statement, wants_permit),
-                    Event::Permit {
+                    ),
+                    Event::PermitReply {
                         router,
-                        asked_ms,
-                        given,
-                    } => self.permit(router, asked_ms, given),
-                    Event::Answer {
+                        requested_ms,
+                        granted,
+                    } => self.handle_permit_reply(router, requested_ms, granted),
+                    Event::Response {
                         router,
                         limit,
                         permit,
-                    } => self.answer(router, limit, permit),
+                    } => self.handle_response(router, limit, permit),
                 }
             }
             // All routers are told of a limit by the digest, a while after it was named.
-            self.tell_all();
+            self.broadcast_digest();
             if self.random.random_ratio(1, pause_limit) {
                 let router = self.random.random_range(0..ROUTERS);
-                self.request(router);
+                self.handle_demand(router);
             }
         }
     }
 
     /// Twice a second the digest tells all routers what the newest leader heard last.
-    fn tell_all(&mut self) {
+    fn broadcast_digest(&mut self) {
         if !self.now_ms.is_multiple_of(500) || self.mutant == Mutant::NoPermits {
             return;
         }
@@ -363,21 +381,21 @@
         let Some((_, limit, age)) = leader.ledger.limited(now).next() else {
             return;
         };
-        let told = Statement {
+        let digest_limit = Report {
             limit: Some(limit),
-            heard_ms: self.now_ms.saturating_sub(milliseconds(age)),
+            received_ms: self.now_ms.saturating_sub(milliseconds(age)),
             permit: None,
         };
-        for heard in &mut self.heard {
-            let is_newer = heard.is_none_or(|heard| heard.heard_ms < told.heard_ms);
+        for known in &mut self.known_limits {
+            let is_newer = known.is_none_or(|known| known.received_ms < digest_limit.received_ms);
             if is_newer {
-                *heard = Some(told);
+                *known = Some(digest_limit);
             }
         }
     }
 
     /// The first window in which more arrived than is allowed, with both figures.
-    fn broken_window(&self) -> Option<(u64, usize, f64)> {
+    fn violated_window(&self) -> Option<(u64, usize, f64)> {
         let window_ms = milliseconds(WINDOW);
         let mut end = 0;
         for (begin, began_ms) in self.arrivals.iter().enumerate() {
@@ -397,43 +415,47 @@
     /// What a window allows; `None` for any number. What was named before counts until the next binds.
     fn allowed(&self, began_ms: u64, ended_ms: u64) -> Option<f64> {
         let mut largest: f64 = 0.0;
-        for (position, (from_ms, limit)) in self.named.iter().enumerate() {
-            let until_ms = self.named.get(position + 1).map_or(u64::MAX, |next| next.0);
-            let counts = *from_ms < ended_ms && until_ms.saturating_add(BINDS_AFTER_MS) > began_ms;
-            let is_first = position == 0 && began_ms < from_ms + BINDS_AFTER_MS;
+        for (position, (from_ms, limit)) in self.advertised_history.iter().enumerate() {
+            let until_ms = self
+                .advertised_history
+                .get(position + 1)
+                .map_or(u64::MAX, |next| next.0);
+            let counts =
+                *from_ms < ended_ms && until_ms.saturating_add(LIMIT_EFFECTIVE_AFTER_MS) > began_ms;
+            let is_first = position == 0 && began_ms < from_ms + LIMIT_EFFECTIVE_AFTER_MS;
             if counts || is_first {
                 largest = largest.max((*limit)?.requests_per_s());
             }
         }
-        let first_ms = self.named[0].0;
-        (began_ms >= first_ms + BINDS_AFTER_MS)
-            .then(|| ALLOWED_SHARE * largest * WINDOW.as_secs_f64() + ALLOWED_REQUESTS)
+        let first_ms = self.advertised_history[0].0;
+        (began_ms >= first_ms + LIMIT_EFFECTIVE_AFTER_MS)
+            .then(|| MAX_WINDOW_RATIO * largest * WINDOW.as_secs_f64() + WINDOW_SLACK_REQUESTS)
     }
 }
 
-fn broken_seed(mutant: Mutant, seeds: u64) -> Option<(u64, (u64, usize, f64))> {
+fn failing_seed(mutant: Mutant, seeds: u64) -> Option<(u64, (u64, usize, f64))> {
     (0..seeds).find_map(|seed| {
-        let mut world = World::new(seed, mutant);
-        world.run();
-        world.broken_window().map(|window| (seed, window))
+        let mut simulation = Simulation::new(seed, mutant);
+        simulation.run();
+        simulation.violated_window().map(|window| (seed, window))
     })
 }
 
 #[test]
 fn no_window_exceeds_what_a_limit_allows() {
-    assert_eq!(broken_seed(Mutant::None, SEEDS), None);
+    assert_eq!(failing_seed(Mutant::None, SEEDS), None);
 }
 
 #[test]
-fn each_safeguard_is_needed() {
+fn each_mutant_is_detected() {
     for mutant in [
         Mutant::NoPermits,
         Mutant::NoSharing,
-        Mutant::LatePermitsUsed,
-        Mutant::FormerLeaderGoesOn,
-        Mutant::LastWordWins,
+        Mutant::LatePermitsAccepted,
+        Mutant::StaleLeaderGrants,
+        Mutant::LastReportWins,
     ] {
-        let noticed = broken_seed(mutant, MUTANT_SEEDS);
-        assert!(noticed.is_some(), "{mutant:?} was not noticed");
+        let detected = failing_seed(mutant, MUTANT_SEEDS);
+        assert!(detected.is_some(), "{mutant:?} was not noticed");
     }
 }
