--- a/crates/control/tests/former_build.rs
+++ b/crates/control/tests/previous_builds.rs
@@ -73,7 +73,7 @@
     folder
 }
 
-fn lead(replica: &mut Replica) {
+fn elect_as_leader(replica: &mut Replica) {
     let mut now = 0;
     while !replica.leads_with_current_state() {
         now += 10;
@@ -84,10 +84,10 @@
 }
 
 #[test]
-fn the_folder_of_a_former_build_is_opened_with_all_that_it_holds() {
+fn a_data_folder_of_a_previous_build_is_opened() {
     let media = FileMedia::open(copy_of_folder("production", "former-folder")).expect("a folder");
     let mut replica = Replica::open(&media, options(), 0).expect("opened");
-    lead(&mut replica);
+    elect_as_leader(&mut replica);
     let serving = replica.state().serving();
     assert_eq!(serving.content(), Some(b"document 4".as_slice()));
     let tenants = &serving.configuration().tenants;
@@ -97,12 +97,12 @@
     assert_eq!(serving.weights()["valuation"], 2);
     let replicas: Vec<&str> = serving.replicas().keys().map(String::as_str).collect();
     assert_eq!(replicas, ["r-3"]);
-    assert!(serving.is_retired("r-1"));
-    assert!(serving.is_retired("r-2"));
+    assert!(serving.has_departed("r-1"));
+    assert!(serving.has_departed("r-2"));
 }
 
 #[test]
-fn messages_of_a_former_build_are_read() {
+fn messages_of_a_previous_build_are_decoded() {
     let ControlRequest::Watch { request: watch } = request("watch-request") else {
         panic!("no question");
     };
@@ -184,7 +184,7 @@
 
 /// That build passes over what follows the message that it knows.
 #[test]
-fn what_is_written_begins_with_what_a_former_build_wrote() {
+fn encoded_messages_begin_with_the_previous_layout() {
     let requests = [
         "watch-request",
         "alive-notice",
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_former_state_is_written_as_it_was() {
+fn a_state_of_a_previous_build_is_written_unchanged() {
     let media = FileMedia::open(copy_of_folder("production", "former-state")).expect("a folder");
     let replica = Replica::open(&media, options(), 0).expect("opened");
     let bytes = &replica.raft().log().snapshot().state;
@@ -219,14 +219,14 @@
 
 /// Builds after it wrote each tenant's quota behind the tenant, without saying so.
 #[test]
-fn the_folder_of_a_build_with_quotas_among_the_tenants_is_opened() {
+fn a_data_folder_with_inline_quotas_is_opened() {
     let folder = copy_of_folder("inline_quotas", "inline-quotas");
     let media = FileMedia::open(folder).expect("a folder");
     let mut replica = Replica::open(&media, options(), 0).expect("opened");
     let snapshot = replica.state().serving();
     assert_eq!(snapshot.content(), Some(b"document 3".as_slice()));
     assert_eq!(snapshot.level(), FeatureLevel::SHARED_GRANTS);
-    lead(&mut replica);
+    elect_as_leader(&mut replica);
     let serving = replica.state().serving();
     assert_eq!(serving.content(), Some(b"document 4".as_slice()));
     let tenants = &serving.configuration().tenants;
@@ -238,12 +238,12 @@
     assert_eq!(tenants[1].api_keys, ["key-2"]);
     let replicas: Vec<&str> = serving.replicas().keys().map(String::as_str).collect();
     assert_eq!(replicas, ["r-2", "r-3"]);
-    assert!(serving.is_retired("r-1"));
+    assert!(serving.has_departed("r-1"));
 }
 
 /// A build that is older than the disk must not take what it cannot read for nothing.
 #[test]
-fn what_follows_a_known_layout_is_an_error() {
+fn trailing_bytes_after_a_known_layout_are_rejected() {
     let mut bytes = message("propose-request");
     let mut command = bytes.split_off(4);
     assert!(read_proposal(&command).is_ok());
--- a/crates/control/tests/production_state/mod.rs
+++ b/crates/control/tests/production_state/mod.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether a replica of this identity has left.
-    pub fn is_retired(&self, replica: &str) -> bool {
+    pub fn has_departed(&self, replica: &str) -> bool {
         self.ended.contains(replica)
     }
 
@@ -88,7 +88,7 @@
     }
 
     fn register(&mut self, index: LogIndex, mut record: ReplicaRecord) -> ServingOutcome {
-        if self.is_retired(&record.id) {
+        if self.has_departed(&record.id) {
             return ServingOutcome::UnknownReplica;
         }
         self.deregister_previous_at(index, &record);
@@ -124,7 +124,7 @@
     }
 
     fn deregister(&mut self, index: LogIndex, replica: &str) -> ServingOutcome {
-        if self.is_retired(replica) {
+        if self.has_departed(replica) {
             return ServingOutcome::Done;
         }
         self.ended.insert_mut(replica.to_owned());
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -20,9 +20,9 @@
 const OTHER: ContentKey = ContentKey(2);
 
 /// Records ends of replicas 1, 2, 3 and so on, each with the requests that ran there.
-fn after(ends: &[&[ContentKey]]) -> Quarantine {
+fn quarantine_after(crashes: &[&[ContentKey]]) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for (position, contents) in ends.iter().enumerate() {
+    for (position, contents) in crashes.iter().enumerate() {
         let index = position as u64 + 1;
         quarantine.record_end(index, ReplicaKey(index as u32), contents);
     }
@@ -34,17 +34,17 @@
 }
 
 #[test]
-fn a_request_is_quarantined_at_the_third_end_under_it() {
-    assert_eq!(quarantined(&after(&[&[FATAL], &[FATAL]])), []);
+fn a_request_is_quarantined_after_its_third_crash() {
+    assert_eq!(quarantined(&quarantine_after(&[&[FATAL], &[FATAL]])), []);
     assert_eq!(
-        quarantined(&after(&[&[FATAL], &[FATAL], &[FATAL]])),
+        quarantined(&quarantine_after(&[&[FATAL], &[FATAL], &[FATAL]])),
         [FATAL]
     );
 }
 
 #[test]
-fn a_report_that_comes_again_or_in_parts_counts_once() {
-    let mut quarantine = after(&[&[FATAL], &[FATAL]]);
+fn repeated_and_partial_reports_count_once() {
+    let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL]]);
     for index in 3..10 {
         quarantine.record_end(index, ReplicaKey(2), &[OTHER, FATAL]);
     }
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn a_request_that_shared_some_ends_is_not_condemned() {
-    let quarantine = after(&[
+fn a_request_present_at_some_crashes_is_not_quarantined() {
+    let quarantine = quarantine_after(&[
         &[FATAL, OTHER],
         &[FATAL, OTHER],
         &[FATAL],
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn as_long_as_two_were_at_all_the_same_ends_neither_is_condemned() {
+fn requests_present_at_the_same_crashes_are_not_quarantined() {
     let together: &[ContentKey] = &[OTHER, FATAL];
-    let mut quarantine = after(&[together, together, together]);
+    let mut quarantine = quarantine_after(&[together, together, together]);
     assert_eq!(quarantined(&quarantine), []);
     // The next end tells them apart.
     quarantine.record_end(4, ReplicaKey(4), &[FATAL]);
@@ -73,26 +73,29 @@
 }
 
 #[test]
-fn two_with_as_many_ends_that_would_explain_each_other_wait_for_the_next_end() {
-    let mut quarantine = after(&[&[FATAL, OTHER], &[FATAL, OTHER], &[FATAL], &[OTHER]]);
+fn equally_suspected_requests_wait_for_the_next_crash() {
+    let mut quarantine = quarantine_after(&[&[FATAL, OTHER], &[FATAL, OTHER], &[FATAL], &[OTHER]]);
     assert_eq!(quarantined(&quarantine), []);
     quarantine.record_end(5, ReplicaKey(5), &[FATAL]);
     assert_eq!(quarantined(&quarantine), [FATAL]);
 }
 
 #[test]
-fn replicas_are_spared_in_the_end_though_two_cannot_be_told_apart() {
+fn indistinguishable_requests_are_quarantined_after_more_crashes() {
     let together: &[ContentKey] = &[FATAL, OTHER];
-    let before = vec![together; ENDS_DESPITE_RIVAL - 1];
-    assert_eq!(quarantined(&after(&before)), []);
-    let by_then = vec![together; ENDS_DESPITE_RIVAL];
-    assert_eq!(quarantined(&after(&by_then)), [FATAL, OTHER]);
+    let below_threshold = vec![together; ENDS_DESPITE_RIVAL - 1];
+    assert_eq!(quarantined(&quarantine_after(&below_threshold)), []);
+    let at_threshold = vec![together; ENDS_DESPITE_RIVAL];
+    assert_eq!(
+        quarantined(&quarantine_after(&at_threshold)),
+        [FATAL, OTHER]
+    );
 }
 
 #[test]
-fn a_late_report_puts_a_hasty_judgement_right() {
+fn a_late_report_corrects_a_wrong_quarantine() {
     // The first reports of the third end name only the request that shared it.
-    let mut quarantine = after(&[&[FATAL, OTHER], &[FATAL, OTHER], &[OTHER]]);
+    let mut quarantine = quarantine_after(&[&[FATAL, OTHER], &[FATAL, OTHER], &[OTHER]]);
     assert_eq!(quarantined(&quarantine), [OTHER]);
     quarantine.record_end(4, ReplicaKey(3), &[FATAL]);
     assert_eq!(quarantined(&quarantine), []);
@@ -101,8 +104,8 @@
 }
 
 #[test]
-fn two_that_are_both_to_blame_are_both_found() {
-    let quarantine = after(&[
+fn two_fatal_requests_are_both_quarantined() {
+    let quarantine = quarantine_after(&[
         &[FATAL],
         &[OTHER],
         &[FATAL],
@@ -115,8 +118,8 @@
 }
 
 #[test]
-fn a_good_end_clears_a_request() {
-    let mut quarantine = after(&[&[FATAL], &[FATAL]]);
+fn a_successful_run_clears_a_request() {
+    let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL]]);
     assert_eq!(quarantine.told().watched, [FATAL]);
     quarantine.clear(8, &[FATAL]);
     assert!(quarantine.suspects().is_empty());
@@ -125,8 +128,8 @@
 }
 
 #[test]
-fn a_released_request_is_quarantined_again_at_the_next_end() {
-    let mut quarantine = after(&[&[FATAL], &[FATAL], &[FATAL]]);
+fn a_released_request_is_quarantined_again_at_the_next_crash() {
+    let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL], &[FATAL]]);
     let changed_at = quarantine.suspects()[&FATAL].changed_at();
     quarantine.release(10, FATAL, changed_at);
     assert_eq!(quarantined(&quarantine), []);
@@ -135,8 +138,8 @@
 }
 
 #[test]
-fn a_release_that_does_not_know_the_last_end_does_nothing() {
-    let mut quarantine = after(&[&[FATAL], &[FATAL], &[FATAL]]);
+fn a_release_with_an_outdated_position_does_nothing() {
+    let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL], &[FATAL]]);
     let changed_at = quarantine.suspects()[&FATAL].changed_at();
     quarantine.record_end(5, ReplicaKey(5), &[FATAL]);
     quarantine.release(6, FATAL, changed_at);
@@ -144,8 +147,8 @@
 }
 
 #[test]
-fn one_that_is_released_and_stays_harmless_is_forgotten() {
-    let mut quarantine = after(&[&[FATAL], &[FATAL], &[FATAL]]);
+fn a_released_request_without_further_crashes_is_forgotten() {
+    let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL], &[FATAL]]);
     for index in [10, 11] {
         let changed_at = quarantine.suspects()[&FATAL].changed_at();
         quarantine.release(index, FATAL, changed_at);
@@ -154,25 +157,25 @@
 }
 
 #[test]
-fn a_request_is_due_for_release_a_while_after_its_last_end() {
+fn a_request_is_due_for_release_after_the_quarantine_time() {
     let start = Instant::now();
     let mut timers = ReleaseTimers::default();
-    let mut quarantine = after(&[&[FATAL], &[FATAL], &[FATAL]]);
+    let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL], &[FATAL]]);
     assert_eq!(timers.due(&quarantine, start), []);
     assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME / 2), []);
     // One more end begins the time anew.
     quarantine.record_end(9, ReplicaKey(9), &[FATAL]);
     assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME / 2), []);
     assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME), []);
-    let over = start + QUARANTINE_TIME + QUARANTINE_TIME / 2;
-    assert_eq!(timers.due(&quarantine, over), [(FATAL, 9)]);
+    let expired = start + QUARANTINE_TIME + QUARANTINE_TIME / 2;
+    assert_eq!(timers.due(&quarantine, expired), [(FATAL, 9)]);
     // A new leader measures from when it first sees it.
-    assert_eq!(ReleaseTimers::default().due(&quarantine, over), []);
+    assert_eq!(ReleaseTimers::default().due(&quarantine, expired), []);
 }
 
 #[test]
-fn the_state_stays_bounded_and_keeps_those_to_blame() {
-    let mut quarantine = after(&[&[FATAL], &[FATAL], &[FATAL]]);
+fn the_state_is_bounded_and_keeps_quarantined_requests() {
+    let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL], &[FATAL]]);
     for number in 0..5_000_u64 {
         let content = ContentKey(u128::from(number) + 100);
         quarantine.record_end(number + 10, ReplicaKey(number as u32 + 10), &[content]);
@@ -182,36 +185,36 @@
 }
 
 #[test]
-fn routers_are_told_only_what_changed_for_them() {
+fn routers_receive_only_changed_lists() {
     let mut state = ServingState::default();
-    let end = |replica: u32| ServingCommand::RecordEnd {
+    let crash = |replica: u32| ServingCommand::RecordEnd {
         replica: ReplicaKey(replica),
         contents: vec![FATAL],
         witness: None,
     };
-    state.apply(1, end(1));
+    state.apply(1, crash(1));
     assert_eq!(
         state.update_after(Known::all(0)),
         None,
         "one end is no news for routers"
     );
-    state.apply(2, end(2));
-    state.apply(3, end(3));
+    state.apply(2, crash(2));
+    state.apply(3, crash(3));
     let update = state.update_after(Known::all(2)).expect("news");
-    let told = update.quarantine.expect("a quarantine");
-    assert_eq!(told.quarantined, [FATAL]);
+    let received = update.quarantine.expect("a quarantine");
+    assert_eq!(received.quarantined, [FATAL]);
     // A router that has just started learns all of it; one that knows it hears nothing more.
-    let first = state.update_after(Known::all(0)).expect("everything");
-    assert_eq!(first.quarantine, Some(told));
+    let full = state.update_after(Known::all(0)).expect("everything");
+    assert_eq!(full.quarantine, Some(received));
     assert_eq!(state.update_after(Known::all(3)), None);
 }
 
 #[test]
-fn each_end_under_a_watched_request_is_news_though_the_lists_stay() {
-    let mut quarantine = after(&[&[FATAL, OTHER], &[FATAL, OTHER]]);
-    let before = quarantine.told().clone();
+fn each_crash_of_a_watched_request_is_an_update_though_the_lists_stay() {
+    let mut quarantine = quarantine_after(&[&[FATAL, OTHER], &[FATAL, OTHER]]);
+    let previous = quarantine.told().clone();
     quarantine.record_end(3, ReplicaKey(3), &[FATAL, OTHER]);
-    assert_eq!(quarantine.told().watched, before.watched);
+    assert_eq!(quarantine.told().watched, previous.watched);
     assert_eq!(quarantine.told().changed_at, 3);
     // The same report again is none.
     quarantine.record_end(4, ReplicaKey(3), &[FATAL, OTHER]);
@@ -222,7 +225,7 @@
 }
 
 #[test]
-fn a_snapshot_keeps_it_and_one_of_an_earlier_build_is_read_without_it() {
+fn snapshots_keep_the_quarantine_and_previous_layouts_are_read() {
     let mut state = ServingState::default();
     let empty = state.write_to_vec().expect("a snapshot");
     for replica in 1..=3 {
@@ -244,14 +247,14 @@
     );
     // The layout that ended before: two tables and two lists, all empty, a position, the group's level and the
     // empty list of quotas less.
-    let earlier = &empty[..empty.len() - (4 + 8 + 4 + 4 + 4) - (4 + 4)];
-    let read = ServingState::read_from_buffer(earlier).expect("a state");
-    let of_former_builds = ServingState::at(FeatureLevel::FIRST);
-    assert_eq!(read, of_former_builds);
+    let without_quarantine = &empty[..empty.len() - (4 + 8 + 4 + 4 + 4) - (4 + 4)];
+    let read = ServingState::read_from_buffer(without_quarantine).expect("a state");
+    let first_level = ServingState::at(FeatureLevel::FIRST);
+    assert_eq!(read, first_level);
     // A group that still has members of that build writes just this.
     assert_eq!(
-        of_former_builds.write_to_vec().expect("a snapshot"),
-        earlier
+        first_level.write_to_vec().expect("a snapshot"),
+        without_quarantine
     );
     // The one that ended before the level: its builds did all that the level stands for.
     let without_level = &empty[..empty.len() - (4 + 4)];
@@ -262,13 +265,13 @@
 quickcheck! {
     /// Whatever else runs beside it, one that is at every end is found, and nobody who was at fewer
     /// than three ends is condemned.
-    fn the_one_at_every_end_is_found(shared: Vec<Vec<u8>>) -> TestResult {
-        if shared.len() < ENDS_DESPITE_RIVAL {
+    fn a_request_present_at_every_crash_is_quarantined(others_per_crash: Vec<Vec<u8>>) -> TestResult {
+        if others_per_crash.len() < ENDS_DESPITE_RIVAL {
             return TestResult::discard();
         }
         let mut quarantine = Quarantine::default();
         let mut counts = std::collections::BTreeMap::new();
-        for (position, others) in shared.iter().take(16).enumerate() {
+        for (position, others) in others_per_crash.iter().take(16).enumerate() {
             let mut contents: Vec<ContentKey> =
                 others.iter().map(|other| ContentKey(u128::from(*other) + 10)).collect();
             contents.sort();
@@ -281,8 +284,8 @@
             quarantine.record_end(index, ReplicaKey(index as u32), &contents);
         }
         let found = quarantined(&quarantine);
-        let few = |content: &ContentKey| counts.get(content).copied().unwrap_or(0) < ENDS_TO_QUARANTINE;
-        let wronged = found.iter().any(|content| *content != FATAL && few(content));
-        TestResult::from_bool(found.contains(&FATAL) && !wronged)
+        let has_few_crashes = |content: &ContentKey| counts.get(content).copied().unwrap_or(0) < ENDS_TO_QUARANTINE;
+        let is_wrongly_quarantined = found.iter().any(|content| *content != FATAL && has_few_crashes(content));
+        TestResult::from_bool(found.contains(&FATAL) && !is_wrongly_quarantined)
     }
 }
--- a/crates/control/tests/quota.rs
+++ b/crates/control/tests/quota.rs
@@ -7,7 +7,7 @@
 
 use railtack_control::serving::{
     ledger::{LedgerAnswer, QuotaLedger, Withdrawal},
-    quota::{LEADERSHIP_PROVED_WITHIN, grant_times},
+    quota::{MAX_LEADERSHIP_PROOF_AGE, grant_times},
 };
 use railtack_rpc::serving::GRANT_LIFE;
 use railtack_serving::{QuotaBounds, QuotaUnit, TenantQuota};
@@ -29,11 +29,11 @@
     /// Every request is let through.
     NoLimit,
     /// Routers use what they are granted however late the answer is.
-    LateGrantsUsed,
+    LateGrantsAccepted,
     /// A new term begins with full buckets.
-    FullAtNewTerm,
+    FullBucketsAtNewTerm,
     /// A former leader goes on granting until it hears of the new one.
-    FormerLeaderGoesOn,
+    StaleLeaderGrants,
 }
 
 fn bounds() -> QuotaBounds {
@@ -66,20 +66,20 @@
 
 /// What a tenant's requests used, and when they were sent to a replica.
 #[derive(Clone, Copy)]
-struct Use {
+struct Usage {
     at_ms: u64,
     cost: u64,
 }
 
 /// A question on its way to a leader.
 #[derive(Clone, Copy)]
-struct Question {
-    asked_ms: u64,
+struct QuotaRequest {
+    requested_ms: u64,
     cost: u64,
     leader: usize,
 }
 
-struct World {
+struct Simulation {
     random: StdRng,
     mutant: Mutant,
     start: Instant,
@@ -87,37 +87,37 @@
     /// Quotas, each with the moment from which it is in force.
     quotas: Vec<(u64, TenantQuota)>,
     /// Questions by the moment at which they arrive.
-    on_their_way: BTreeMap<u64, Vec<Question>>,
-    uses: Vec<Use>,
+    in_flight: BTreeMap<u64, Vec<QuotaRequest>>,
+    usages: Vec<Usage>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, mutant: Mutant) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let rate = random.random_range(40_000..600_000);
         let burst = random.random_range(rate / 2..rate * 2);
-        let mut world = Self {
+        let mut simulation = Self {
             random,
             mutant,
             start: Instant::now(),
             leaders: Vec::new(),
             quotas: vec![(0, quota(rate, burst))],
-            on_their_way: BTreeMap::new(),
-            uses: Vec::new(),
+            in_flight: BTreeMap::new(),
+            usages: Vec::new(),
         };
-        world.elect(0);
-        world
+        simulation.elect(0);
+        simulation
     }
 
     /// A new leader; the former one's last proof is some time old.
     fn elect(&mut self, now_ms: u64) {
         let proof_age = self.random.random_range(0..200);
-        if let Some(former) = self.leaders.last_mut() {
-            former.last_proof_ms = Some(now_ms.saturating_sub(proof_age));
+        if let Some(previous) = self.leaders.last_mut() {
+            previous.last_proof_ms = Some(now_ms.saturating_sub(proof_age));
         }
         let began = at(self.start, now_ms);
         let mut ledger = QuotaLedger::new(bounds(), grant_times(), began);
-        if self.mutant == Mutant::FullAtNewTerm {
+        if self.mutant == Mutant::FullBucketsAtNewTerm {
             ledger = QuotaLedger::new(bounds(), grant_times(), began - Duration::from_secs(60));
         }
         self.leaders.push(Leader {
@@ -138,38 +138,35 @@
     }
 
     /// One router asks one of those that believe to lead.
-    fn ask(&mut self, now_ms: u64, cost: u64) {
-        let to_former = self.leaders.len() > 1 && self.random.random_bool(0.5);
-        let question = Question {
-            asked_ms: now_ms,
+    fn send_request(&mut self, now_ms: u64, cost: u64) {
+        let to_previous = self.leaders.len() > 1 && self.random.random_bool(0.5);
+        let request = QuotaRequest {
+            requested_ms: now_ms,
             cost,
-            leader: self.leaders.len() - 1 - usize::from(to_former),
+            leader: self.leaders.len() - 1 - usize::from(to_previous),
         };
         let arrives_ms = now_ms + self.delay();
-        self.on_their_way
-            .entry(arrives_ms)
-            .or_default()
-            .push(question);
+        self.in_flight.entry(arrives_ms).or_default().push(request);
     }
 
     /// The question arrives; the router sends its request if the answer allows it.
-    fn answer(&mut self, now_ms: u64, question: Question) {
+    fn handle_request(&mut self, now_ms: u64, request: QuotaRequest) {
         let quota = self.current_quota();
-        let proved_within = if self.mutant == Mutant::FormerLeaderGoesOn {
+        let max_proof_age = if self.mutant == Mutant::StaleLeaderGrants {
             Duration::from_secs(8)
         } else {
-            LEADERSHIP_PROVED_WITHIN
+            MAX_LEADERSHIP_PROOF_AGE
         };
         let start = self.start;
-        let leader = &mut self.leaders[question.leader];
+        let leader = &mut self.leaders[request.leader];
         let proof_age = leader.last_proof_ms.map_or(0, |proof| now_ms - proof);
-        if Duration::from_millis(proof_age) >= proved_within {
+        if Duration::from_millis(proof_age) >= max_proof_age {
             return;
         }
         let withdrawal = Withdrawal {
             holder: TENANT,
             quota,
-            cost: question.cost,
+            cost: request.cost,
             longest_wait: Duration::from_millis(100),
         };
         let wait_ms = match leader.ledger.withdraw(withdrawal, at(start, now_ms)) {
@@ -177,13 +174,13 @@
             LedgerAnswer::Refused { .. } if self.mutant == Mutant::NoLimit => 0,
             LedgerAnswer::Refused { .. } => return,
         };
-        let answered_ms = now_ms + self.delay();
-        let used_ms = answered_ms + wait_ms;
-        let in_time = used_ms <= question.asked_ms + wait_ms + GRANT_LIFE.as_millis() as u64;
-        if in_time || self.mutant == Mutant::LateGrantsUsed {
-            self.uses.push(Use {
+        let replied_ms = now_ms + self.delay();
+        let used_ms = replied_ms + wait_ms;
+        let in_time = used_ms <= request.requested_ms + wait_ms + GRANT_LIFE.as_millis() as u64;
+        if in_time || self.mutant == Mutant::LateGrantsAccepted {
+            self.usages.push(Usage {
                 at_ms: used_ms,
-                cost: question.cost,
+                cost: request.cost,
             });
         }
     }
@@ -212,35 +209,35 @@
             if self.random.random_ratio(1, 12_000) {
                 self.change_quota(now_ms);
             }
-            for question in self.on_their_way.remove(&now_ms).unwrap_or_default() {
-                self.answer(now_ms, question);
+            for request in self.in_flight.remove(&now_ms).unwrap_or_default() {
+                self.handle_request(now_ms, request);
             }
             if self.random.random_ratio(1, pause_limit) {
                 // Which of the routers asks makes no difference: none of them keeps anything.
                 let _router = self.random.random_range(0..ROUTERS);
                 let cost = self.random.random_range(200..50_000);
-                self.ask(now_ms, cost);
+                self.send_request(now_ms, cost);
             }
         }
     }
 
     /// The first window in which more ran than the bound allows, with both figures.
-    fn broken_window(&mut self) -> Option<(u64, f64, f64)> {
-        self.uses.sort_by_key(|used| used.at_ms);
+    fn violated_window(&mut self) -> Option<(u64, f64, f64)> {
+        self.usages.sort_by_key(|used| used.at_ms);
         let window = bounds().window_ms;
         let mut end = 0;
         let mut sum = 0.0;
-        for begin in 0..self.uses.len() {
-            let began_ms = self.uses[begin].at_ms;
-            while end < self.uses.len() && self.uses[end].at_ms < began_ms + window {
-                sum += self.uses[end].cost as f64;
+        for begin in 0..self.usages.len() {
+            let began_ms = self.usages[begin].at_ms;
+            while end < self.usages.len() && self.usages[end].at_ms < began_ms + window {
+                sum += self.usages[end].cost as f64;
                 end += 1;
             }
             let bound = self.bound(began_ms, window);
             if sum > bound {
                 return Some((began_ms, sum, bound));
             }
-            sum -= self.uses[begin].cost as f64;
+            sum -= self.usages[begin].cost as f64;
         }
         None
     }
@@ -266,29 +263,29 @@
     }
 }
 
-fn broken_seed(mutant: Mutant, seeds: u64) -> Option<(u64, (u64, f64, f64))> {
+fn failing_seed(mutant: Mutant, seeds: u64) -> Option<(u64, (u64, f64, f64))> {
     (0..seeds).find_map(|seed| {
-        let mut world = World::new(seed, mutant);
-        world.run();
-        world.broken_window().map(|window| (seed, window))
+        let mut simulation = Simulation::new(seed, mutant);
+        simulation.run();
+        simulation.violated_window().map(|window| (seed, window))
     })
 }
 
 #[test]
 fn no_window_exceeds_the_bound() {
-    assert_eq!(broken_seed(Mutant::None, SEEDS), None);
+    assert_eq!(failing_seed(Mutant::None, SEEDS), None);
 }
 
 #[test]
-fn each_safeguard_is_needed() {
+fn each_mutant_is_detected() {
     for mutant in [
         Mutant::NoLimit,
-        Mutant::LateGrantsUsed,
-        Mutant::FullAtNewTerm,
-        Mutant::FormerLeaderGoesOn,
+        Mutant::LateGrantsAccepted,
+        Mutant::FullBucketsAtNewTerm,
+        Mutant::StaleLeaderGrants,
     ] {
-        let noticed = broken_seed(mutant, MUTANT_SEEDS);
-        assert!(noticed.is_some(), "{mutant:?} was not noticed");
+        let detected = failing_seed(mutant, MUTANT_SEEDS);
+        assert!(detected.is_some(), "{mutant:?} was not noticed");
     }
 }
 
@@ -303,7 +300,7 @@
 }
 
 #[test]
-fn below_the_limit_nothing_is_refused() {
+fn requests_below_the_quota_are_granted() {
     let start = Instant::now();
     let mut ledger = QuotaLedger::new(bounds(), grant_times(), start);
     let mut random = StdRng::seed_from_u64(7);
@@ -313,14 +310,14 @@
         // A mean of 75,000 tokens a second, in requests that come at random.
         now_ms += -random.random_range(0.0_f64..1.0).max(1e-9).ln() * 120.0;
         let cost = random.random_range(1_000..17_000);
-        let answer = withdraw(&mut ledger, cost, at(start, now_ms as u64));
-        refused += u32::from(matches!(answer, LedgerAnswer::Refused { .. }));
+        let decision = withdraw(&mut ledger, cost, at(start, now_ms as u64));
+        refused += u32::from(matches!(decision, LedgerAnswer::Refused { .. }));
     }
     assert!(refused < 10, "{refused} of 10,000 refused");
 }
 
 #[test]
-fn a_large_request_is_not_passed_for_ever_by_small_ones() {
+fn small_requests_do_not_starve_a_large_one() {
     let start = Instant::now();
     let mut ledger = QuotaLedger::new(bounds(), grant_times(), start);
     let mut now = at(start, 5_000);
@@ -342,25 +339,25 @@
 }
 
 #[test]
-fn refused_callers_come_back_one_after_the_other() {
+fn refused_callers_get_increasing_retry_delays() {
     let start = Instant::now();
     let mut ledger = QuotaLedger::new(bounds(), grant_times(), start);
     let now = at(start, 5_000);
-    let mut pauses = Vec::new();
+    let mut retry_delays = Vec::new();
     for _ in 0..60 {
         if let LedgerAnswer::Refused { retry_after, .. } = withdraw(&mut ledger, 10_000, now) {
-            pauses.push(retry_after);
+            retry_delays.push(retry_after);
         }
     }
-    assert!(pauses.len() > 10);
+    assert!(retry_delays.len() > 10);
     assert!(
-        pauses.windows(2).all(|pair| pair[0] < pair[1]),
-        "{pauses:?}"
+        retry_delays.windows(2).all(|pair| pair[0] < pair[1]),
+        "{retry_delays:?}"
     );
 }
 
 #[test]
-fn a_groups_first_ledger_is_full_and_later_ones_are_empty() {
+fn the_first_ledger_starts_full_and_later_ones_empty() {
     let start = Instant::now();
     let mut first = QuotaLedger::first(bounds(), grant_times(), start);
     let mut later = QuotaLedger::new(bounds(), grant_times(), start);
@@ -375,7 +372,7 @@
 }
 
 #[test]
-fn a_raised_limit_is_usable_at_once() {
+fn a_raised_quota_is_usable_at_once() {
     let start = Instant::now();
     let mut ledger = QuotaLedger::new(bounds(), grant_times(), start);
     let mut now = at(start, 5_000);
@@ -390,6 +387,9 @@
         cost: 50_000,
         longest_wait: Duration::from_millis(100),
     };
-    let answer = ledger.withdraw(raised, now);
-    assert!(matches!(answer, LedgerAnswer::Granted { .. }), "{answer:?}");
+    let decision = ledger.withdraw(raised, now);
+    assert!(
+        matches!(decision, LedgerAnswer::Granted { .. }),
+        "{decision:?}"
+    );
 }
--- a/crates/control/tests/registrations.rs
+++ b/crates/control/tests/registrations.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::quickcheck;
 use railtack_control::{
-    serving::registrations::{BATCH, Registrations},
+    serving::registrations::{BATCH, RegistrationQueue},
     serving_state::ServingState,
 };
 use railtack_rpc::serving::{Known, Registration, ServingCommand, ServingOutcome, ServingUpdate};
@@ -32,32 +32,34 @@
 }
 
 /// Control replicas that record into one log, each with one batch under way at a time.
-struct Group {
+struct ControlGroup {
     state: ServingState,
     index: u64,
-    replicas: Vec<Registrations<usize>>,
+    queues: Vec<RegistrationQueue<usize>>,
 }
 
-impl Group {
+impl ControlGroup {
     fn new(replicas: usize) -> Self {
         Self {
             state: ServingState::default(),
             index: 0,
-            replicas: (0..replicas).map(|_| Registrations::default()).collect(),
+            queues: (0..replicas)
+                .map(|_| RegistrationQueue::default())
+                .collect(),
         }
     }
 
     /// Every control replica records one batch; tells the records that were under way together.
     fn round(&mut self) -> usize {
-        let mut under_way = 0;
-        for replica in &mut self.replicas {
+        let mut in_flight = 0;
+        for queue in &mut self.queues {
             let known = self.state.replicas();
-            let is_wanted = |record: &ReplicaRecord| !known.contains_key(&record.id);
-            let (batch, _) = replica.next_batch(is_wanted);
+            let needs_recording = |record: &ReplicaRecord| !known.contains_key(&record.id);
+            let (batch, _) = queue.next_batch(needs_recording);
             if batch.is_empty() {
                 continue;
             }
-            under_way += batch.len();
+            in_flight += batch.len();
             self.index += 1;
             let outcome = self
                 .state
@@ -65,90 +67,90 @@
             let ServingOutcome::Registered(outcomes) = outcome else {
                 panic!("{outcome:?}");
             };
-            replica.settle(outcomes);
+            queue.complete_batch(outcomes);
         }
-        under_way
+        in_flight
     }
 }
 
 /// Ten thousand replicas send heartbeats to ten control replicas and, unanswered, send them again to
 /// others. One entry for each of these would be 40,000, and all of them could be under way at once.
 #[test]
-fn a_storm_of_registrations_takes_few_entries_and_a_bounded_backlog() {
-    let mut group = Group::new(10);
+fn many_registrations_take_few_entries_and_a_bounded_backlog() {
+    let mut group = ControlGroup::new(10);
     for repeat in 0..4 {
         for number in 0..10_000 {
-            let asked = (number + repeat * 3) % 10;
-            assert!(group.replicas[asked].offer(record(number), Some(number)));
+            let target = (number + repeat * 3) % 10;
+            assert!(group.queues[target].enqueue(record(number), Some(number)));
         }
     }
-    let mut most_under_way = 0;
+    let mut max_in_flight = 0;
     for _ in 0..200 {
-        most_under_way = most_under_way.max(group.round());
+        max_in_flight = max_in_flight.max(group.round());
     }
     assert_eq!(group.state.replicas().size(), 10_000);
-    assert!(most_under_way <= 10 * BATCH, "{most_under_way} under way");
+    assert!(max_in_flight <= 10 * BATCH, "{max_in_flight} in flight");
     assert!(group.index <= 160, "{} entries", group.index);
 }
 
 #[test]
-fn a_replica_has_one_place_however_often_its_heartbeat_comes() {
-    let mut registrations = Registrations::default();
-    for asker in 0..5 {
-        assert!(registrations.offer(record(1), Some(asker)));
+fn repeated_heartbeats_of_a_replica_share_one_queue_entry() {
+    let mut queue = RegistrationQueue::default();
+    for waiter in 0..5 {
+        assert!(queue.enqueue(record(1), Some(waiter)));
     }
-    let (batch, _) = registrations.next_batch(|_| true);
+    let (batch, _) = queue.next_batch(|_| true);
     assert_eq!(batch, [record(1)]);
     // One that comes while the batch is under way waits for the same answer.
-    assert!(registrations.offer(record(1), Some(5)));
-    assert_eq!(registrations.waiting(), 0);
-    let settled = registrations.settle(vec![Registration::Recorded]);
-    assert_eq!(settled[0].askers, [0, 1, 2, 3, 4, 5]);
+    assert!(queue.enqueue(record(1), Some(5)));
+    assert_eq!(queue.queued_count(), 0);
+    let completed = queue.complete_batch(vec![Registration::Recorded]);
+    assert_eq!(completed[0].waiters, [0, 1, 2, 3, 4, 5]);
 }
 
 #[test]
-fn what_was_not_recorded_waits_again_and_a_later_word_prevails() {
-    let mut registrations = Registrations::default();
-    assert!(registrations.offer(record(1), Some(0)));
-    assert!(registrations.offer(record(2), Some(1)));
-    let (batch, _) = registrations.next_batch(|_| true);
+fn an_unrecorded_batch_is_requeued_and_later_reports_win() {
+    let mut queue = RegistrationQueue::default();
+    assert!(queue.enqueue(record(1), Some(0)));
+    assert!(queue.enqueue(record(2), Some(1)));
+    let (batch, _) = queue.next_batch(|_| true);
     assert_eq!(batch.len(), 2);
-    assert!(registrations.offer(leaving(1), Some(2)));
-    registrations.retry();
-    let (batch, _) = registrations.next_batch(|_| true);
+    assert!(queue.enqueue(leaving(1), Some(2)));
+    queue.requeue_batch();
+    let (batch, _) = queue.next_batch(|_| true);
     assert_eq!(batch, [leaving(1), record(2)]);
-    let settled = registrations.settle(vec![Registration::Recorded, Registration::Recorded]);
-    assert_eq!(settled[0].askers, [2, 0]);
+    let completed = queue.complete_batch(vec![Registration::Recorded, Registration::Recorded]);
+    assert_eq!(completed[0].waiters, [2, 0]);
 }
 
 #[test]
-fn a_replica_that_leaves_goes_before_those_that_come_and_never_turns_back() {
-    let mut registrations = Registrations::default();
+fn a_leaving_replica_is_recorded_first_and_stays_leaving() {
+    let mut queue = RegistrationQueue::default();
     for number in 0..1_000 {
-        assert!(registrations.offer(record(number), Some(number)));
+        assert!(queue.enqueue(record(number), Some(number)));
     }
-    assert!(registrations.offer(leaving(900), Some(1_000)));
-    assert!(registrations.offer(record(900), Some(1_001)));
-    let (batch, _) = registrations.next_batch(|_| true);
+    assert!(queue.enqueue(leaving(900), Some(1_000)));
+    assert!(queue.enqueue(record(900), Some(1_001)));
+    let (batch, _) = queue.next_batch(|_| true);
     assert_eq!(batch[0], leaving(900));
     assert_eq!(batch.len(), BATCH);
 }
 
 #[test]
-fn replicas_that_another_control_replica_has_recorded_are_answered_and_not_recorded_again() {
-    let mut registrations = Registrations::default();
+fn replicas_already_recorded_elsewhere_are_completed_without_an_entry() {
+    let mut queue = RegistrationQueue::default();
     for number in 0..10 {
-        assert!(registrations.offer(record(number), Some(number)));
+        assert!(queue.enqueue(record(number), Some(number)));
     }
-    let (batch, answered) = registrations.next_batch(|record| record.id == "i-7");
+    let (batch, already_recorded) = queue.next_batch(|record| record.id == "i-7");
     assert_eq!(batch, [record(7)]);
-    assert_eq!(answered.len(), 9);
+    assert_eq!(already_recorded.len(), 9);
 }
 
 /// A router that knows nothing is told of all replicas in answers of a bounded size, whatever changes
 /// in between, and ends with the same records as the group.
 #[test]
-fn a_whole_state_is_told_in_pieces() {
+fn a_full_copy_is_sent_in_bounded_updates() {
     let mut state = ServingState::default();
     for (position, first) in (0..10_000).step_by(BATCH).enumerate() {
         let batch: Vec<_> = (first..(first + BATCH).min(10_000)).map(record).collect();
@@ -156,63 +158,68 @@
     }
     let mut index = 100;
     let mut known = Known::default();
-    let mut told = BTreeMap::new();
-    let mut answers = 0;
+    let mut copy = BTreeMap::new();
+    let mut updates = 0;
     while let Some(update) = state.update_after(known) {
-        answers += 1;
+        updates += 1;
         assert!(
             update.replicas.len() <= 4 * BATCH,
             "{}",
             update.replicas.len()
         );
-        known = apply(&mut told, update, known);
+        known = apply(&mut copy, update, known);
         // What it knows so far may be served from.
         assert!(known.is_current());
-        assert!(is_part(&told, &state));
-        if answers <= 5 {
+        assert!(is_subset(&copy, &state));
+        if updates <= 5 {
             // A replica that was told already is gone, one that was not told yet leaves.
             index += 1;
-            let gone = format!("i-{answers}");
-            state.apply(index, ServingCommand::Deregister { replica: gone });
+            let removed_id = format!("i-{updates}");
+            state.apply(
+                index,
+                ServingCommand::Deregister {
+                    replica: removed_id,
+                },
+            );
             index += 1;
             state.apply(
                 index,
-                ServingCommand::RegisterAll(vec![leaving(9_000 + answers)]),
+                ServingCommand::RegisterAll(vec![leaving(9_000 + updates)]),
             );
         }
     }
-    assert!(answers > 10, "{answers}");
+    assert!(updates > 10, "{updates}");
     assert_eq!(known, Known::all(state.changed_at()));
     let recorded = state.replicas().iter();
     let recorded = recorded.map(|(id, record)| (id.clone(), record.clone()));
-    assert_eq!(told, recorded.collect());
+    assert_eq!(copy, recorded.collect());
     // Whoever lags behind what a router knows tells it nothing.
     assert_eq!(state.update_after(Known::all(index + 1)), None);
 }
 
-fn apply(told: &mut BTreeMap<String, ReplicaRecord>, update: ServingUpdate, known: Known) -> Known {
+fn apply(copy: &mut BTreeMap<String, ReplicaRecord>, update: ServingUpdate, known: Known) -> Known {
     assert!(update.known.through >= known.through);
     assert!(update.complete == (known.through == 0));
     for replica in &update.removed {
-        told.remove(replica);
+        copy.remove(replica);
     }
     for record in update.replicas {
-        told.insert(record.id.clone(), record);
+        copy.insert(record.id.clone(), record);
     }
     update.known
 }
 
 /// Whether a router that was told these knows nothing that is outdated.
-fn is_part(told: &BTreeMap<String, ReplicaRecord>, state: &ServingState) -> bool {
-    let mut told = told.iter();
-    told.all(|(id, record)| state.replicas().get(id) == Some(record))
+fn is_subset(copy: &BTreeMap<String, ReplicaRecord>, state: &ServingState) -> bool {
+    let mut copy = copy.iter();
+    copy.all(|(id, record)| state.replicas().get(id) == Some(record))
 }
 
 quickcheck! {
     /// A router that is told changes of a fleet while it is told the fleet itself knows nothing outdated
     /// whenever it is current, and in the end what a whole copy holds. Routers that were away for a while
     /// ask from where they were.
-    fn any_order_of_changes_and_answers_gives_a_whole_copy(events: Vec<(u8, u16, bool)>) -> bool {
+    fn any_order_of_changes_and_updates_gives_a_full_copy(events: Vec<(u8, u16, bool)>) -> bool {
         let mut state = ServingState::default();
         let mut index = 1;
         state.apply(index, ServingCommand::RegisterAll((0..100).map(record).collect()));
@@ -222,9 +229,9 @@
             state.apply(index, ServingCommand::RegisterAll(batch));
         }
         let mut known = Known::default();
-        let mut told = BTreeMap::new();
+        let mut copy = BTreeMap::new();
         let mut holds = true;
-        for (kind, number, asks) in events {
+        for (kind, number, polls) in events {
             index += 1;
             let number = usize::from(number) % 2_000;
             let changed = (number..number + usize::from(kind) * 4).map(leaving).collect();
@@ -234,15 +241,15 @@
                 _ => ServingCommand::RegisterAll(vec![leaving(number)]),
             };
             state.apply(index, command);
-            if asks && let Some(update) = state.update_after(known) {
-                known = apply(&mut told, update, known);
-                holds &= !known.is_current() || is_part(&told, &state);
+            if polls && let Some(update) = state.update_after(known) {
+                known = apply(&mut copy, update, known);
+                holds &= !known.is_current() || is_subset(&copy, &state);
             }
         }
         while let Some(update) = state.update_after(known) {
-            known = apply(&mut told, update, known);
-            holds &= !known.is_current() || is_part(&told, &state);
+            known = apply(&mut copy, update, known);
+            holds &= !known.is_current() || is_subset(&copy, &state);
         }
-        holds && told.len() == state.replicas().size() && is_part(&told, &state)
+        holds && copy.len() == state.replicas().size() && is_subset(&copy, &state)
     }
 }
--- a/crates/control/tests/weights.rs
+++ b/crates/control/tests/rollout_plan.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use railtack_control::{
-    serving::order_giver::Right,
-    serving::weights::{NamedVersion, RolloutFacts, RolloutStep, next_steps},
+    serving::order_dispatcher::HeldOrderLock,
+    serving::rollout_plan::{RolloutInputs, RolloutStep, TargetVersion, plan_rollout},
     serving_state::ServingState,
 };
 use railtack_rpc::serving::ServingCommand;
@@ -20,7 +20,7 @@
 }
 
 /// Replicas with the versions given, and version `named` wanted.
-fn state(versions: &[u64], named: u64) -> ServingState {
+fn state(versions: &[u64], target: u64) -> ServingState {
     let mut state = ServingState::default();
     for (position, version) in versions.iter().enumerate() {
         let record = ReplicaRecord {
@@ -36,7 +36,7 @@
         };
         state.apply(position as u64 + 1, ServingCommand::Register(record));
     }
-    state.apply(100, ServingCommand::NameWeights(held(named)));
+    state.apply(100, ServingCommand::NameWeights(held(target)));
     let acquire = ServingCommand::AcquireOrders {
         holder: "n".to_owned(),
     };
@@ -44,44 +44,44 @@
     state
 }
 
-fn begun(state: &ServingState, named: &[(u64, u64)], interval_ms: u64) -> Vec<String> {
-    let versions = named
+fn begun_loads(state: &ServingState, targets: &[(u64, u64)], load_interval_ms: u64) -> Vec<String> {
+    let versions = targets
         .iter()
-        .map(|(version, age_ms)| NamedVersion {
+        .map(|(version, age_ms)| TargetVersion {
             version: *version,
             age_ms: *age_ms,
         })
         .collect();
-    let named = BTreeMap::from([("m".to_owned(), versions)]);
-    let facts = RolloutFacts {
-        named: &named,
+    let targets_by_model = BTreeMap::from([("m".to_owned(), versions)]);
+    let inputs = RolloutInputs {
+        targets: &targets_by_model,
         version_ms: VERSION_MS,
-        interval_ms: Some(interval_ms),
+        load_interval_ms: Some(load_interval_ms),
     };
-    let steps = next_steps(state, facts);
+    let steps = plan_rollout(state, inputs);
     let begun = steps.into_iter().filter_map(|step| match step {
         RolloutStep::Begin { replica, order } => {
             assert_eq!(order.model, "m");
             Some(replica)
         }
-        RolloutStep::Follow { .. } => None,
+        RolloutStep::Check { .. } => None,
     });
     begun.collect()
 }
 
 #[test]
-fn a_rollout_begins_at_once_and_ends_when_nothing_is_left() {
+fn a_rollout_starts_at_once_and_ends_when_all_replicas_are_current() {
     let state = state(&[1; 12], 2);
-    assert_eq!(begun(&state, &[(2, 0)], 200).len(), 3);
+    assert_eq!(begun_loads(&state, &[(2, 0)], 200).len(), 3);
     let done = self::state(&[2; 12], 2);
-    assert!(begun(&done, &[(2, 7_000)], 1_000).is_empty());
+    assert!(begun_loads(&done, &[(2, 7_000)], 1_000).is_empty());
 }
 
 /// Found on a quiet day: replicas were changed again while others kept the oldest weights.
 #[test]
-fn the_oldest_weights_go_first() {
+fn the_oldest_weights_are_replaced_first() {
     let state = state(&[2, 2, 2, 2, 2, 2, 2, 2, 2, 2, 1, 1], 3);
-    let chosen = begun(&state, &[(2, 6_000), (3, 2_800)], 400);
+    let chosen = begun_loads(&state, &[(2, 6_000), (3, 2_800)], 400);
     assert!(
         chosen.starts_with(&["r10".to_owned(), "r11".to_owned()]),
         "{chosen:?}"
@@ -92,7 +92,7 @@
 fn at_most_half_load_at_once_and_one_always_serves() {
     for replicas in 1..20 {
         let state = state(&vec![1; replicas], 2);
-        let chosen = begun(&state, &[(2, VERSION_MS)], 5_000).len();
+        let chosen = begun_loads(&state, &[(2, VERSION_MS)], 5_000).len();
         assert!(chosen >= 1);
         assert!(chosen <= replicas.div_ceil(2));
         assert!(replicas == 1 || chosen < replicas);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn orders_under_way_count_and_are_followed() {
+fn pending_orders_count_toward_the_limit() {
     let mut state = state(&[1; 4], 2);
     let order = PendingOrder {
         model: "m".to_owned(),
@@ -114,20 +114,20 @@
         };
         state.apply(200 + index as u64, command);
     }
-    assert!(begun(&state, &[(2, VERSION_MS)], 1_000).is_empty());
+    assert!(begun_loads(&state, &[(2, VERSION_MS)], 1_000).is_empty());
 }
 
 /// Found on a random day: a former leader that woke acquired the right through the new leader, whose
 /// own right was then refused for as long as it led, so that no order was given any more.
 #[test]
-fn a_right_that_was_refused_is_not_held() {
-    let right = Right {
+fn a_refused_lock_is_not_held() {
+    let order_lock = HeldOrderLock {
         term: 3,
         token: 53,
         usable_from: tokio::time::Instant::now(),
     };
-    assert!(right.is_held(3, 0));
-    assert!(right.is_held(3, 52));
-    assert!(!right.is_held(3, 53));
-    assert!(!right.is_held(4, 0));
+    assert!(order_lock.is_held(3, 0));
+    assert!(order_lock.is_held(3, 52));
+    assert!(!order_lock.is_held(3, 53));
+    assert!(!order_lock.is_held(4, 0));
 }
--- a/crates/control/tests/serving_state.rs
+++ b/crates/control/tests/serving_state.rs
@@ -40,7 +40,7 @@
     ServingCommand::Register(record(id, address, version))
 }
 
-fn order(version: u64) -> PendingOrder {
+fn pending_order(version: u64) -> PendingOrder {
     PendingOrder {
         model: "m".to_owned(),
         version,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_highest_version_prevails_whatever_comes_later() {
+fn the_highest_document_revision_wins() {
     let mut state = ServingState::default();
     assert_eq!(state.content(), None);
     assert_eq!(state.apply(1, document(5, "five")), ServingOutcome::Done);
@@ -85,14 +85,14 @@
 
 /// Found by a hunt: a live replica that was counted as silent was never taken in again.
 #[test]
-fn a_replica_that_was_silent_comes_back_with_its_next_heartbeat() {
+fn an_expired_replica_returns_with_its_next_heartbeat() {
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
     let expire = ServingCommand::Expire {
         replica: "r".to_owned(),
     };
     assert_eq!(state.apply(2, expire), ServingOutcome::Done);
-    assert!(!state.is_retired("r"));
+    assert!(!state.has_departed("r"));
     assert_eq!(
         state.apply(3, register("r", "h:1", 1)),
         ServingOutcome::Done
@@ -104,7 +104,7 @@
 /// Which of two that claim one address is alive is not decided by who comes last: a heartbeat of the
 /// former life may have been held back.
 #[test]
-fn an_address_belongs_to_one_replica_until_that_one_is_removed() {
+fn an_address_belongs_to_one_replica_until_it_is_removed() {
     let mut state = ServingState::default();
     state.apply(1, register("old", "h:1", 1));
     let held = ServingOutcome::AddressHeld {
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_former_life_that_was_silent_does_not_take_its_address_back() {
+fn an_expired_replica_does_not_reclaim_its_address() {
     let mut state = ServingState::default();
     state.apply(1, register("old", "h:1", 1));
     let expire = ServingCommand::Expire {
@@ -145,26 +145,26 @@
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["new"]);
 }
 
-fn ended(replica: &str, witness: Option<&str>) -> ServingCommand {
+fn crash_report(replica: &str, reporter: Option<&str>) -> ServingCommand {
     ServingCommand::RecordEnd {
         replica: ReplicaKey::of(replica),
         contents: vec![ContentKey(7)],
-        witness: witness.map(str::to_owned),
+        witness: reporter.map(str::to_owned),
     }
 }
 
 #[test]
-fn a_replica_that_has_ended_is_removed_for_all_routers() {
+fn a_crash_reported_by_two_routers_removes_the_replica() {
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
     state.apply(2, register("other", "h:2", 1));
     // A router that hears from nobody does not know whether it is the replica.
-    state.apply(3, ended("r", None));
+    state.apply(3, crash_report("r", None));
     // One that hears from others does, unless its path to this one is broken; a second one shows.
-    state.apply(3, ended("r", Some("router-1")));
-    state.apply(3, ended("r", Some("router-1")));
+    state.apply(3, crash_report("r", Some("router-1")));
+    state.apply(3, crash_report("r", Some("router-1")));
     assert_eq!(state.replicas().size(), 2);
-    state.apply(4, ended("r", Some("router-2")));
+    state.apply(4, crash_report("r", Some("router-2")));
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["other"]);
     let update = state.update_after(Known::all(3)).expect("news");
     assert_eq!(update.removed, ["r"]);
@@ -177,19 +177,19 @@
 
 /// Found while reading the code: a path on which connections are refused though the replica lives.
 #[test]
-fn a_replica_that_comes_back_was_not_gone_and_is_not_removed_again() {
+fn a_replica_that_returns_is_not_removed_by_further_reports() {
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
-    state.apply(2, ended("r", Some("router-1")));
-    state.apply(2, ended("r", Some("router-2")));
+    state.apply(2, crash_report("r", Some("router-1")));
+    state.apply(2, crash_report("r", Some("router-2")));
     assert!(state.replicas().is_empty());
     assert_eq!(state.quarantine().suspects().len(), 1);
     state.apply(3, register("r", "h:1", 1));
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["r"]);
     assert!(state.quarantine().suspects().is_empty());
     for index in 4..8 {
-        state.apply(index, ended("r", Some("router-1")));
-        state.apply(index, ended("r", Some("router-3")));
+        state.apply(index, crash_report("r", Some("router-1")));
+        state.apply(index, crash_report("r", Some("router-3")));
         assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["r"]);
     }
 }
@@ -197,8 +197,8 @@
 /// A control replica that does not learn in time what became of a batch has it recorded again; between the
 /// two a replica of the batch may have ended.
 #[test]
-fn a_batch_that_is_recorded_again_does_not_bring_an_ended_replica_back() {
-    let heard_at = |position| {
+fn a_repeated_batch_does_not_restore_a_crashed_replica() {
+    let received_at = |position| {
         let heartbeat = ReplicaRecord {
             changed_at: position,
             ..record("r", "h:1", 1)
@@ -206,20 +206,20 @@
         ServingCommand::RegisterAll(vec![heartbeat])
     };
     let mut state = ServingState::default();
-    state.apply(2, heard_at(1));
-    state.apply(3, ended("r", Some("router-1")));
-    state.apply(4, ended("r", Some("router-2")));
-    state.apply(5, heard_at(1));
+    state.apply(2, received_at(1));
+    state.apply(3, crash_report("r", Some("router-1")));
+    state.apply(4, crash_report("r", Some("router-2")));
+    state.apply(5, received_at(1));
     assert!(state.replicas().is_empty());
     assert_eq!(state.quarantine().suspects().len(), 1);
     // A heartbeat that came after its removal shows that it lives.
-    state.apply(6, heard_at(5));
+    state.apply(6, received_at(5));
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["r"]);
     assert!(state.quarantine().suspects().is_empty());
 }
 
 #[test]
-fn weights_only_rise_and_end_their_order() {
+fn weight_versions_only_rise_and_complete_their_order() {
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
     let acquired = state.apply(
@@ -232,16 +232,16 @@
         panic!("{acquired:?}");
     };
     assert!(!taken_over);
-    let begin = |token, version| ServingCommand::BeginOrder {
+    let begin_order = |token, version| ServingCommand::BeginOrder {
         token,
         replica: "r".to_owned(),
-        order: order(version),
+        order: pending_order(version),
     };
-    assert_eq!(state.apply(3, begin(token, 3)), ServingOutcome::Done);
-    assert_eq!(state.replicas()["r"].order, Some(order(3)));
+    assert_eq!(state.apply(3, begin_order(token, 3)), ServingOutcome::Done);
+    assert_eq!(state.replicas()["r"].order, Some(pending_order(3)));
     // A heartbeat that was sent before the load had ended changes nothing.
     state.apply(4, register("r", "h:1", 1));
-    assert_eq!(state.replicas()["r"].order, Some(order(3)));
+    assert_eq!(state.replicas()["r"].order, Some(pending_order(3)));
     state.apply(5, register("r", "h:1", 3));
     assert_eq!(state.replicas()["r"].order, None);
     state.apply(6, register("r", "h:1", 1));
@@ -260,11 +260,14 @@
             taken_over: true
         }
     ));
-    assert_eq!(state.apply(8, begin(token, 4)), ServingOutcome::NotHolder);
+    assert_eq!(
+        state.apply(8, begin_order(token, 4)),
+        ServingOutcome::NotHolder
+    );
 }
 
 #[test]
-fn a_router_is_told_only_what_changed() {
+fn updates_hold_only_changes() {
     let mut state = ServingState::default();
     state.apply(1, document(1, "one"));
     state.apply(2, register("a", "h:1", 1));
@@ -275,20 +278,20 @@
     assert!(!next.complete && next.configuration.is_none());
     assert_eq!(next.replicas.len(), 1);
     assert_eq!(state.update_after(Known::all(3)), None);
-    let named = HeldWeights {
+    let target = HeldWeights {
         model: "m".to_owned(),
         version: 2,
     };
-    state.apply(4, ServingCommand::NameWeights(named.clone()));
+    state.apply(4, ServingCommand::NameWeights(target.clone()));
     assert_eq!(
         state.update_after(Known::all(3)).expect("weights").weights,
-        [named]
+        [target]
     );
 }
 
 /// Found by the sweep: a copy of all records at each registration took the memory of control.
 #[test]
-fn a_copy_shares_what_did_not_change() {
+fn clones_share_unchanged_records() {
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
     let copy = state.clone();
@@ -298,7 +301,7 @@
 }
 
 #[test]
-fn a_state_is_read_back_from_a_snapshot_as_it_was() {
+fn a_snapshot_restores_the_same_state() {
     let mut state = ServingState::default();
     for number in 1..50_u64 {
         let command = register(&format!("r{number}"), &format!("h:{number}"), 1);
@@ -317,7 +320,7 @@
 /// A heartbeat that reaches several control replicas is recorded more than once; a record that says
 /// nothing new must not be told to every router again.
 #[test]
-fn a_record_that_says_nothing_new_is_no_news() {
+fn an_unchanged_record_does_not_advance_the_position() {
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
     assert_eq!(
@@ -331,7 +334,7 @@
 }
 
 #[test]
-fn an_order_that_is_recorded_already_is_no_news() {
+fn a_repeated_order_does_not_advance_the_position() {
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
     let acquired = ServingCommand::AcquireOrders {
@@ -340,12 +343,12 @@
     let ServingOutcome::OrdersAcquired { token, .. } = state.apply(2, acquired) else {
         panic!("the right was not acquired");
     };
-    let begin = || ServingCommand::BeginOrder {
+    let begin_order = || ServingCommand::BeginOrder {
         token,
         replica: "r".to_owned(),
-        order: order(2),
+        order: pending_order(2),
     };
-    assert_eq!(state.apply(3, begin()), ServingOutcome::Done);
-    assert_eq!(state.apply(4, begin()), ServingOutcome::Done);
+    assert_eq!(state.apply(3, begin_order()), ServingOutcome::Done);
+    assert_eq!(state.apply(4, begin_order()), ServingOutcome::Done);
     assert_eq!(state.changed_at(), 3);
 }
--- a/crates/control/tests/watch.rs
+++ b/crates/control/tests/watch.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use railtack_control::serving::watch::{gathering_interval, gathering_time, longest_gathering};
+use railtack_control::serving::watch::{batching_delay, max_update_interval, update_interval};
 use railtack_rpc::serving::{Known, WatchRequest};
 use railtack_serving::{Bounds, QuotaBounds};
 
-const LONGEST: Duration = Duration::from_millis(400);
+const MAX_INTERVAL: Duration = Duration::from_millis(400);
 
-fn question(known: u64, wait_ms: u64) -> WatchRequest {
+fn request(known: u64, wait_ms: u64) -> WatchRequest {
     WatchRequest {
         router: "r".to_owned(),
         known: Known::all(known),
@@ -21,50 +21,50 @@
 }
 
 #[test]
-fn only_changes_close_behind_an_answer_wait_for_others() {
-    let asked = Duration::from_millis;
-    let interval = gathering_interval(3, LONGEST);
-    let gathering = |known, asked| gathering_time(&question(known, 500), asked, interval);
-    assert_eq!(gathering(0, asked(0)), Duration::ZERO);
-    assert!(gathering(7, asked(1)) > Duration::from_millis(10));
-    assert_eq!(gathering(7, asked(300)), Duration::ZERO);
+fn only_changes_right_after_a_reply_are_batched() {
+    let elapsed = Duration::from_millis;
+    let interval = update_interval(3, MAX_INTERVAL);
+    let delay = |known, elapsed| batching_delay(&request(known, 500), elapsed, interval);
+    assert_eq!(delay(0, elapsed(0)), Duration::ZERO);
+    assert!(delay(7, elapsed(1)) > Duration::from_millis(10));
+    assert_eq!(delay(7, elapsed(300)), Duration::ZERO);
     // A router asks again at once: what waits is far below any bound on changes.
-    assert!(gathering(7, asked(0)) <= Duration::from_millis(50));
+    assert!(delay(7, elapsed(0)) <= Duration::from_millis(50));
 }
 
 /// A router without a lease allows no time and gives the question up soon: with hundreds of
 /// routers it would never have an answer, and no lease.
 #[test]
-fn no_answer_waits_beyond_the_time_that_the_router_allows() {
-    let interval = gathering_interval(60, LONGEST);
+fn no_reply_is_delayed_beyond_the_wait_of_the_request() {
+    let interval = update_interval(60, MAX_INTERVAL);
     assert!(interval > Duration::from_millis(300));
-    let gathering = |wait_ms| gathering_time(&question(7, wait_ms), Duration::ZERO, interval);
-    assert_eq!(gathering(0), Duration::ZERO);
-    assert_eq!(gathering(100), Duration::from_millis(100));
+    let delay = |wait_ms| batching_delay(&request(7, wait_ms), Duration::ZERO, interval);
+    assert_eq!(delay(0), Duration::ZERO);
+    assert_eq!(delay(100), Duration::from_millis(100));
 }
 
 /// It waits for the confirmation instead, which is no news that is gathered.
 #[test]
-fn a_router_without_a_lease_is_answered_without_gathering() {
-    let interval = gathering_interval(60, LONGEST);
-    let request = WatchRequest {
+fn a_router_without_a_lease_gets_its_reply_without_batching() {
+    let interval = update_interval(60, MAX_INTERVAL);
+    let without_lease = WatchRequest {
         has_lease: false,
-        ..question(7, 500)
+        ..request(7, 500)
     };
     assert_eq!(
-        gathering_time(&request, Duration::ZERO, interval),
+        batching_delay(&without_lease, Duration::ZERO, interval),
         Duration::ZERO
     );
-    let in_pieces = WatchRequest {
+    let partial = WatchRequest {
         known: Known {
             through: 9,
             changes_through: 5,
             records_through: 5,
         },
-        ..question(7, 500)
+        ..request(7, 500)
     };
     assert_eq!(
-        gathering_time(&in_pieces, Duration::ZERO, interval),
+        batching_delay(&partial, Duration::ZERO, interval),
         Duration::ZERO
     );
 }
@@ -72,19 +72,19 @@
 /// A rollout changes hundreds of records in a second. However many routers ask one control
 /// replica, the answers that it gives in a second stay the same in number.
 #[test]
-fn answers_with_news_do_not_grow_with_the_number_of_routers() {
+fn the_rate_of_updates_does_not_grow_with_the_number_of_routers() {
     for routers in [8_u32, 33, 55] {
-        let interval = gathering_interval(routers, LONGEST).as_secs_f64();
-        let answers_per_second = f64::from(routers) / interval;
+        let interval = update_interval(routers, MAX_INTERVAL).as_secs_f64();
+        let updates_per_second = f64::from(routers) / interval;
         assert!(
-            answers_per_second <= 151.0,
-            "{routers} routers are given {answers_per_second} answers in a second",
+            updates_per_second <= 151.0,
+            "{routers} routers receive {updates_per_second} updates per second",
         );
     }
 }
 
 #[test]
-fn news_waits_for_a_small_part_of_the_deployments_bounds() {
+fn updates_are_delayed_by_a_small_part_of_the_deployments_bounds() {
     let mut bounds = Bounds {
         config_apply_ms: 3_000,
         revoke_ms: 5_000,
@@ -105,9 +105,9 @@
             slack: 110_000.0,
         },
     };
-    let longest = longest_gathering(&bounds);
-    assert_eq!(longest, Duration::from_millis(250));
-    assert_eq!(gathering_interval(4_000, longest), longest);
+    let max_interval = max_update_interval(&bounds);
+    assert_eq!(max_interval, Duration::from_millis(250));
+    assert_eq!(update_interval(4_000, max_interval), max_interval);
     bounds.config_apply_ms = 800;
-    assert_eq!(longest_gathering(&bounds), Duration::from_millis(100));
+    assert_eq!(max_update_interval(&bounds), Duration::from_millis(100));
 }
