--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -312,7 +312,7 @@
     }
 
     fn quarantine_after(&self, known: LogIndex) -> Option<QuarantineUpdate> {
-        let told = self.state.serving().quarantine().told();
+        let told = self.state.serving().quarantine().update();
         Some(told).filter(|told| told.changed_at > known).cloned()
     }
 
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -47,7 +47,7 @@
     replica::{Replica, ReplicaOptions},
     rollout::{self, EnginesSeen, RolloutStep},
     serving::{
-        leader::LeaderLink, liveness::Liveness, permits::PermitServer, quarantine,
+        leader::LeaderClient, liveness::Liveness, permits::PermitServer, quarantine,
         quota::QuotaServer, watch::WatchServer,
     },
     state::IssuedOrder,
@@ -131,8 +131,8 @@
         shutdown.clone(),
     ));
     tokio::spawn(roll_out(handle.clone(), settings.platform));
-    let link = LeaderLink::new(handle.clone(), settings.listen.to_string());
-    tokio::spawn(quarantine::keep_released(Arc::new(link), metrics));
+    let link = LeaderClient::new(handle.clone(), settings.listen.to_string());
+    tokio::spawn(quarantine::run_release_timers(Arc::new(link), metrics));
     tokio::select! {
         outcome = ended => outcome.map_err(|_| Report::new(ControlError::Stopped))?,
         () = shutdown.cancelled() => {
@@ -201,7 +201,7 @@
 /// What a replica of a group that serves routers by watches has besides.
 #[derive(Clone)]
 pub(crate) struct GroupServices {
-    pub(crate) link: Arc<LeaderLink>,
+    pub(crate) link: Arc<LeaderClient>,
     pub(crate) watch: Arc<WatchServer>,
     pub(crate) liveness: Arc<Liveness>,
     pub(crate) quotas: Arc<QuotaServer>,
@@ -282,7 +282,7 @@
 
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
         match &self.group {
-            Some(group) => group.watch.answer(request).await,
+            Some(group) => group.watch.handle(request).await,
             None => unwatched_reply(),
         }
     }
@@ -308,7 +308,7 @@
     async fn alive(self, _: Context, notice: AliveNotice) -> AliveReply {
         let group = self.group.as_ref();
         group.map_or_else(AliveReply::default, |group| {
-            group.liveness.take_notice(notice)
+            group.liveness.merge_report(notice)
         })
     }
 
@@ -329,12 +329,12 @@
     async fn take_quota(self, _: Context, request: QuotaRequest) -> QuotaReply {
         let group = self.group.as_ref();
         group.map_or(QuotaReply::NotLeader { leader: None }, |group| {
-            group.quotas.take(&request)
+            group.quotas.handle(&request)
         })
     }
 
     async fn take_permit(self, _: Context, request: PermitRequest) -> PermitReply {
-        self.permits.take(&request)
+        self.permits.handle(&request)
     }
 
     async fn snapshot(self, _: Context) -> u64 {
--- a/crates/control/src/serving/daemon.rs
+++ b/crates/control/src/serving/daemon.rs
@@ -20,7 +20,7 @@
     serving::{
         formation,
         handle::GroupHandle,
-        leader::LeaderLink,
+        leader::LeaderClient,
         liveness::{self, Liveness},
         order_channel::OrderChannel,
         permits::PermitServer,
@@ -100,7 +100,7 @@
         read_document: options.read_document,
     };
     let (node, _) = node::start(replica, peers, metrics.clone(), started, node_options);
-    let link = Arc::new(LeaderLink::new(node.clone(), options.listen.to_string()));
+    let link = Arc::new(LeaderClient::new(node.clone(), options.listen.to_string()));
     let liveness = Arc::new(Liveness::new(options.replica_heartbeat));
     let watch = Arc::new(WatchServer::new(
         Arc::clone(&link),
@@ -128,7 +128,7 @@
         quotas: Arc::clone(&quotas),
     });
     tokio::spawn(quota::run_ledgers(quotas));
-    tokio::spawn(quarantine::keep_released(
+    tokio::spawn(quarantine::run_release_timers(
         Arc::clone(&link),
         metrics.clone(),
     ));
--- a/crates/control/src/serving/formation.rs
+++ b/crates/control/src/serving/formation.rs
@@ -14,7 +14,7 @@
 };
 use tokio::time::{Instant, sleep};
 
-use crate::serving::leader::LeaderLink;
+use crate::serving::leader::LeaderClient;
 
 /// Time between two looks at whether this replica is a member.
 const CHECK_INTERVAL: Duration = Duration::from_millis(400);
@@ -31,7 +31,7 @@
 
 /// Asks to be taken in for as long as this replica is outside.
 pub async fn run_join_loop(
-    link: Arc<LeaderLink>,
+    link: Arc<LeaderClient>,
     replica: ReplicaId,
     disk: DiskId,
     seeds: Vec<SocketAddr>,
@@ -48,7 +48,7 @@
             let request = JoinRequest {
                 replica,
                 disk,
-                address: link.own_address().to_owned(),
+                address: link.local_address().to_owned(),
                 level: FeatureLevel::OF_THIS_BUILD,
             };
             send_join_requests(&link, &request, &view.voters, &seeds).await;
@@ -57,7 +57,7 @@
 }
 
 async fn send_join_requests(
-    link: &LeaderLink,
+    link: &LeaderClient,
     request: &JoinRequest,
     voters: &[String],
     seeds: &[SocketAddr],
@@ -66,7 +66,7 @@
     targets.extend(voters.iter().cloned());
     targets.sort();
     targets.dedup();
-    targets.retain(|target| target != link.own_address());
+    targets.retain(|target| target != link.local_address());
     let mut position = 0;
     // Each target may name the leader, which is then asked too.
     while let Some(target) = targets.get(position).cloned() {
@@ -82,7 +82,7 @@
 }
 
 async fn send_join_request(
-    link: &LeaderLink,
+    link: &LeaderClient,
     request: &JoinRequest,
     target: &str,
 ) -> Option<JoinReply> {
--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -15,7 +15,7 @@
     metrics::ControlMetrics,
     serving::{
         errors::Unavailable,
-        leader::LeaderLink,
+        leader::LeaderClient,
         liveness::Liveness,
         registrar::{Registrar, needs_recording},
     },
@@ -35,17 +35,17 @@
 
 /// Where the later heartbeats of a replica should go.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HeartbeatPlace {
+pub enum HeartbeatTarget {
     /// To this control replica.
-    Here,
+    Keep,
     /// To the control replica with this internal address.
-    There(String),
+    Redirect(String),
 }
 
 /// A handle on this process's control replica.
 #[derive(Clone)]
 pub struct GroupHandle {
-    link: Arc<LeaderLink>,
+    link: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
     registrar: Arc<Registrar>,
     replica: ReplicaId,
@@ -56,7 +56,7 @@
 impl GroupHandle {
     /// A handle over `replica`, the one behind `link`.
     pub fn new(
-        link: Arc<LeaderLink>,
+        link: Arc<LeaderClient>,
         liveness: Arc<Liveness>,
         registrar: Arc<Registrar>,
         replica: ReplicaId,
@@ -98,7 +98,10 @@
     }
 
     /// Names the weights that a model's replicas are to hold.
-    pub async fn name_weights(&self, target: HeldWeights) -> Result<ServingOutcome, Unavailable> {
+    pub async fn set_target_weights(
+        &self,
+        target: HeldWeights,
+    ) -> Result<ServingOutcome, Unavailable> {
         self.require_formed()?;
         self.propose(ServingCommand::NameWeights(target)).await
     }
@@ -112,7 +115,7 @@
         &self,
         mut record: ReplicaRecord,
         sequence: u64,
-    ) -> Result<HeartbeatPlace, Unavailable> {
+    ) -> Result<HeartbeatTarget, Unavailable> {
         let view = self.link.view();
         if !is_service_configured(&view, &record) {
             self.metrics.registrations_unnamed.inc();
@@ -120,7 +123,7 @@
                 replica = record.id,
                 service = record.service,
             });
-            return Ok(HeartbeatPlace::Here);
+            return Ok(HeartbeatTarget::Keep);
         }
         record.changed_at = view.applied;
         record.id = id_at_level(&view, record.id);
@@ -138,20 +141,20 @@
 
     /// Where the heartbeats of a replica should go: here, where its connection is, unless more come here
     /// than this control replica's share, as after others were away.
-    fn heartbeat_target(&self, view: &NodeView, replica: &str) -> HeartbeatPlace {
+    fn heartbeat_target(&self, view: &NodeView, replica: &str) -> HeartbeatTarget {
         let replica_count = view.serving.replicas().size();
         let share = replica_count / view.voters.len().max(1);
         if self.liveness.local_replica_count() <= share * MAX_SHARE_TENTHS / 10 + SHARE_SLACK {
-            return HeartbeatPlace::Here;
+            return HeartbeatTarget::Keep;
         }
         let key = ReplicaKey::of(replica).0 as usize;
         let voters = view.voters.iter();
         let others: Vec<&String> = voters
-            .filter(|other| *other != self.link.own_address())
+            .filter(|other| *other != self.link.local_address())
             .collect();
         match others.get(key % others.len().max(1)) {
-            Some(other) => HeartbeatPlace::There((*other).clone()),
-            None => HeartbeatPlace::Here,
+            Some(other) => HeartbeatTarget::Redirect((*other).clone()),
+            None => HeartbeatTarget::Keep,
         }
     }
 
@@ -178,7 +181,7 @@
     /// before, or asks to be taken in.
     pub async fn leave(&self) {
         let leader = self.link.view().leader;
-        let remote_leader = leader.filter(|leader| leader != self.link.own_address());
+        let remote_leader = leader.filter(|leader| leader != self.link.local_address());
         let Some(connection) = remote_leader.and_then(|leader| self.link.connection(&leader))
         else {
             return;
--- a/crates/control/src/serving/leader.rs
+++ b/crates/control/src/serving/leader.rs
@@ -29,18 +29,18 @@
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The other replicas, and this one.
-pub struct LeaderLink {
+pub struct LeaderClient {
     node: NodeHandle,
-    own_address: String,
+    local_address: String,
     connections: Mutex<HashMap<String, Arc<ControlConnection>>>,
 }
 
-impl LeaderLink {
+impl LeaderClient {
     /// A link for the replica at `own_address`.
-    pub fn new(node: NodeHandle, own_address: String) -> Self {
+    pub fn new(node: NodeHandle, local_address: String) -> Self {
         Self {
             node,
-            own_address,
+            local_address,
             connections: Mutex::default(),
         }
     }
@@ -51,8 +51,8 @@
     }
 
     /// Internal address of this replica.
-    pub fn own_address(&self) -> &str {
-        &self.own_address
+    pub fn local_address(&self) -> &str {
+        &self.local_address
     }
 
     /// The replica's present belief.
@@ -142,7 +142,7 @@
         timeout_after: Duration,
     ) -> Option<ProposeReply> {
         let leader = self.view().leader?;
-        if leader == self.own_address {
+        if leader == self.local_address {
             return self.propose_locally(proposal, timeout_after).await;
         }
         let connection = self.connection(&leader)?;
@@ -173,7 +173,7 @@
 
     async fn read_index(&self) -> Option<LogIndex> {
         let leader = self.view().leader?;
-        let reply = if leader == self.own_address {
+        let reply = if leader == self.local_address {
             let reply = self.node.ask(Input::ReadIndex);
             timeout(ATTEMPT_TIMEOUT, reply).await.ok()?.ok()?
         } else {
--- a/crates/control/src/serving/ledger.rs
+++ b/crates/control/src/serving/ledger.rs
@@ -25,7 +25,7 @@
 
 /// The answer to one question for a part of a quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum LedgerAnswer {
+pub enum LedgerReply {
     /// The request may be sent once `wait` has passed.
     Granted {
         /// Time until what was granted is there.
@@ -44,13 +44,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Withdrawal<'a> {
     /// The tenant, or the service whose retries are lent.
-    pub holder: &'a str,
+    pub account: &'a str,
     /// Its quota as configured now.
     pub quota: TenantQuota,
     /// What the request costs, in the quota's unit.
     pub cost: u64,
     /// Longest time for which the request may wait.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// All tenants' buckets in one term of a leader.
@@ -77,7 +77,7 @@
     }
 
     /// The ledger of a group's first term: its buckets are full.
-    pub fn first(bounds: QuotaBounds, times: GrantTimes, now: Instant) -> Self {
+    pub fn with_full_buckets(bounds: QuotaBounds, times: GrantTimes, now: Instant) -> Self {
         Self {
             starts_full: true,
             ..Self::new(bounds, times, now)
@@ -85,7 +85,7 @@
     }
 
     /// Takes what a request needs, if it is there or will be within the time allowed.
-    pub fn withdraw(&mut self, withdrawal: Withdrawal<'_>, now: Instant) -> LedgerAnswer {
+    pub fn withdraw(&mut self, withdrawal: Withdrawal<'_>, now: Instant) -> LedgerReply {
         let bucket = self.bounds.bucket(&withdrawal.quota, self.times);
         // What is in use now says little of what will be after a whole window.
         let max_retry_after = Duration::from_millis(self.bounds.window_ms);
@@ -95,14 +95,14 @@
         let needed = cost.min(bucket.capacity);
         let shortfall = (needed - state.level).max(0.0);
         let wait = refill_time(shortfall, bucket);
-        if wait <= withdrawal.longest_wait {
+        if wait <= withdrawal.max_wait {
             state.level -= cost;
-            return LedgerAnswer::Granted { wait };
+            return LedgerReply::Granted { wait };
         }
         let retry_after =
             refill_time(shortfall + state.pending_retry_cost, bucket).min(max_retry_after);
         state.pending_retry_cost += cost;
-        LedgerAnswer::Refused {
+        LedgerReply::Refused {
             retry_after,
             level: state.level,
         }
@@ -126,7 +126,7 @@
         };
         let state = self
             .buckets
-            .entry(withdrawal.holder.to_owned())
+            .entry(withdrawal.account.to_owned())
             .or_insert(new_state);
         if state.quota != withdrawal.quota {
             // The time since the last request may lie on either side of the change.
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -18,7 +18,7 @@
 use crate::{
     serving::{
         fleet::{FleetView, KnownReplica},
-        leader::LeaderLink,
+        leader::LeaderClient,
         permits::PermitServer,
     },
     view::NodeView,
@@ -128,7 +128,7 @@
     }
 
     /// Takes in what another control replica has heard.
-    pub fn take_notice(&self, notice: AliveNotice) -> AliveReply {
+    pub fn merge_report(&self, notice: AliveNotice) -> AliveReply {
         let now = Instant::now();
         let signs = notice.signs();
         let fleet = {
@@ -289,7 +289,7 @@
     /// While leading: removes a replica at whose address another one wants to be taken in, if it has
     /// been silent for long enough. Two cannot listen at one address, and a heartbeat that was held back
     /// may come after its sender has crashed and another life has taken the address.
-    pub async fn remove_if_silent(&self, link: &LeaderLink, replica: &str) -> bool {
+    pub async fn remove_if_silent(&self, link: &LeaderClient, replica: &str) -> bool {
         let takeover_delay = self.address_takeover_delay();
         let is_free = link.view().leads && self.is_silent(replica, takeover_delay);
         spdlog::info!("address is held", kv: { holder = replica.to_owned(), is_free });
@@ -380,7 +380,7 @@
 }
 
 /// Removes a replica that is silent.
-async fn expire(link: &LeaderLink, replica: String) {
+async fn expire(link: &LeaderClient, replica: String) {
     spdlog::info!("replica silent", kv: { replica = replica.clone() });
     let command = ServingCommand::Expire { replica };
     // Looked at again after the next interval.
@@ -389,7 +389,7 @@
 
 /// Tells the leader who was heard from; as the leader, removes replicas that are silent.
 pub async fn run_reports(
-    link: Arc<LeaderLink>,
+    link: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
     permits: Arc<PermitServer>,
 ) {
@@ -419,7 +419,7 @@
 }
 
 async fn send_report(
-    link: &LeaderLink,
+    link: &LeaderClient,
     liveness: &Liveness,
     leader: String,
     group_level: FeatureLevel,
@@ -427,7 +427,7 @@
     let Some(connection) = link.connection(&leader) else {
         return;
     };
-    let (notice, through) = liveness.build_report(link.own_address(), &leader, group_level);
+    let (notice, through) = liveness.build_report(link.local_address(), &leader, group_level);
     let reply = connection
         .call(|client| async move { client.alive(call_deadline(REPORT_TIMEOUT), notice).await })
         .await;
--- a/crates/control/src/serving/mod.rs
+++ b/crates/control/src/serving/mod.rs
@@ -15,7 +15,7 @@
 //! | [`orders`], [`order_giver`] | carrying out the rollout of weights |
 //! | [`order_channel`] | how orders reach back ends |
 //! | [`weights`] | the rollout's pure decision |
-//! | [`registrations`], [`registrar`] | recording back-end replicas in batches (the former is pure) |
+//! | [`registration_queue`], [`registrar`] | recording back-end replicas in batches (the former is pure) |
 //! | [`watch`] | answering routers |
 
 pub mod daemon;
@@ -33,12 +33,12 @@
 pub mod quarantine;
 pub mod quota;
 pub mod registrar;
-pub mod registrations;
+pub mod registration_queue;
 pub mod rollout_driver;
 pub mod rollout_plan;
 pub mod watch;
 
 pub use daemon::{GroupOptions, start};
 pub use errors::Unavailable;
-pub use handle::{GroupHandle, HeartbeatPlace};
-pub use order_channel::{OrderAnswer, OrderChannel, OrderRequest, WeightsReport};
+pub use handle::{GroupHandle, HeartbeatTarget};
+pub use order_channel::{OrderChannel, OrderReply, OrderRequest, WeightsReport};
--- a/crates/control/src/serving/order_channel.rs
+++ b/crates/control/src/serving/order_channel.rs
@@ -12,7 +12,7 @@
     /// The weights to load.
     pub order: PendingOrder,
     /// Names the control replica that gives it.
-    pub holder: String,
+    pub issuer: String,
     /// Its fencing token.
     pub token: u64,
     /// Orders that the back end had taken when it was last asked.
@@ -21,7 +21,7 @@
 
 /// What a back end answered to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderReply {
     /// It is carrying the order out.
     Taken,
     /// It already holds what was ordered.
@@ -40,11 +40,11 @@
 
 /// Why a back end gave no report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoReport {
+pub enum ReportError {
     /// It turned the question away, and wants nothing from this machine for so long.
     BackOff(Duration),
     /// No answer that could be read.
-    Unanswered,
+    NoReply,
 }
 
 /// What a back end says of its weights.
@@ -57,7 +57,7 @@
     /// Orders that it has taken.
     pub sequence: u64,
     /// Requests that wait there and would be declined by an order.
-    pub waiting: u64,
+    pub queued_requests: u64,
 }
 
 /// A future that an adapter returns.
@@ -69,7 +69,7 @@
     fn report<'a>(
         &'a self,
         replica: &'a ReplicaRecord,
-    ) -> ChannelFuture<'a, Result<WeightsReport, NoReport>>;
+    ) -> ChannelFuture<'a, Result<WeightsReport, ReportError>>;
     /// Gives an order.
-    fn order(&self, request: OrderRequest) -> ChannelFuture<'_, OrderAnswer>;
+    fn order(&self, request: OrderRequest) -> ChannelFuture<'_, OrderReply>;
 }
--- a/crates/control/src/serving/order_dispatcher.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -18,8 +18,8 @@
 
 use crate::{
     serving::{
-        leader::LeaderLink,
-        order_channel::{NoReport, OrderAnswer, OrderChannel, OrderRequest, WeightsReport},
+        leader::LeaderClient,
+        order_channel::{OrderChannel, OrderReply, OrderRequest, ReportError, WeightsReport},
         rollout_plan::RolloutStep,
         watch::WatchServer,
     },
@@ -60,7 +60,7 @@
 
 /// Gives orders. Each back end is dealt with by one task at a time.
 pub struct OrderDispatcher {
-    link: Arc<LeaderLink>,
+    link: Arc<LeaderClient>,
     /// Tells routers of orders.
     watch: Arc<WatchServer>,
     channel: Arc<dyn OrderChannel>,
@@ -85,7 +85,7 @@
 impl OrderDispatcher {
     /// A giver for the control replica behind `link`, whose clock began at `started`.
     pub fn new(
-        link: Arc<LeaderLink>,
+        link: Arc<LeaderClient>,
         watch: Arc<WatchServer>,
         channel: Arc<dyn OrderChannel>,
         node: String,
@@ -187,7 +187,7 @@
         let deadline = Instant::now() + MAX_DRAIN_WAIT;
         loop {
             let report = self.report(record).await?;
-            if report.waiting == 0 || Instant::now() >= deadline {
+            if report.queued_requests == 0 || Instant::now() >= deadline {
                 return Some(report);
             }
             sleep(DRAIN_POLL_INTERVAL).await;
@@ -229,11 +229,11 @@
         let reply = timeout(EXCHANGE_TIMEOUT, self.channel.report(record));
         match reply.await {
             Ok(Ok(report)) => Some(report),
-            Ok(Err(NoReport::BackOff(delay))) => {
+            Ok(Err(ReportError::BackOff(delay))) => {
                 self.record_back_off(record, delay);
                 None
             }
-            Ok(Err(NoReport::Unanswered)) | Err(_) => None,
+            Ok(Err(ReportError::NoReply)) | Err(_) => None,
         }
     }
 
@@ -280,16 +280,16 @@
         let request = OrderRequest {
             replica: record.clone(),
             order: order.clone(),
-            holder: self.node.clone(),
+            issuer: self.node.clone(),
             token: order_lock.token,
             expected_sequence: report.sequence,
         };
         let reply = timeout(EXCHANGE_TIMEOUT, self.channel.order(request))
             .await
-            .unwrap_or(OrderAnswer::Unknown);
+            .unwrap_or(OrderReply::Unknown);
         match reply {
-            OrderAnswer::Fenced => self.record_refused_lock(order_lock),
-            OrderAnswer::BackOff(delay) => self.record_back_off(record, delay),
+            OrderReply::Fenced => self.record_refused_lock(order_lock),
+            OrderReply::BackOff(delay) => self.record_back_off(record, delay),
             _ => {}
         }
         spdlog::info!("order given", kv: {
--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -77,7 +77,7 @@
     }
 
     /// Takes in what a router heard, and gives it a permit if it wants one and there is room.
-    pub fn take(&self, request: &PermitRequest) -> PermitReply {
+    pub fn handle(&self, request: &PermitRequest) -> PermitReply {
         let receiver = self.node.view();
         let view = receiver.borrow();
         if !has_fresh_leadership(&view, self.started) {
--- a/crates/control/src/serving/quarantine.rs
+++ b/crates/control/src/serving/quarantine.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    metrics::ControlMetrics, serving::leader::LeaderLink, serving_state::quarantine::Quarantine,
+    metrics::ControlMetrics, serving::leader::LeaderClient, serving_state::quarantine::Quarantine,
 };
 
 /// Time between looks; a release may be late by this.
@@ -53,7 +53,7 @@
 }
 
 /// Keeps the timers, the counters and the log lines of the quarantine, for as long as the process runs.
-pub async fn keep_released(link: Arc<LeaderLink>, metrics: ControlMetrics) {
+pub async fn run_release_timers(link: Arc<LeaderClient>, metrics: ControlMetrics) {
     let mut timers = ReleaseTimers::default();
     let mut quarantined = BTreeSet::new();
     loop {
@@ -76,7 +76,7 @@
     }
 }
 
-async fn release(link: &LeaderLink, content: ContentKey, changed_at: LogIndex) {
+async fn release(link: &LeaderClient, content: ContentKey, changed_at: LogIndex) {
     let command = ServingCommand::ReleaseContent {
         content,
         changed_at,
@@ -90,7 +90,7 @@
 }
 
 fn log_changes(quarantine: &Quarantine, previous: &mut BTreeSet<ContentKey>) {
-    let current: BTreeSet<ContentKey> = quarantine.told().quarantined.iter().copied().collect();
+    let current: BTreeSet<ContentKey> = quarantine.update().quarantined.iter().copied().collect();
     for content in current.difference(previous) {
         let suspect = quarantine.suspects().get(content);
         spdlog::warn!("request quarantined", kv: {
--- a/crates/control/src/serving/quota.rs
+++ b/crates/control/src/serving/quota.rs
@@ -22,7 +22,7 @@
 use crate::{
     metrics::ControlMetrics,
     node::NodeHandle,
-    serving::ledger::{LedgerAnswer, QuotaLedger, Withdrawal},
+    serving::ledger::{LedgerReply, QuotaLedger, Withdrawal},
     view::NodeView,
 };
 
@@ -54,7 +54,7 @@
 impl TermLedgers {
     fn new(term: u64, bounds: &Bounds, now: Instant) -> Self {
         let new_ledger = if term == FIRST_TERM {
-            QuotaLedger::first
+            QuotaLedger::with_full_buckets
         } else {
             QuotaLedger::new
         };
@@ -91,7 +91,7 @@
     }
 
     /// Takes a part of a tenant's quota, or a service's retry, for one request.
-    pub fn take(&self, request: &QuotaRequest) -> QuotaReply {
+    pub fn handle(&self, request: &QuotaRequest) -> QuotaReply {
         let receiver = self.node.view();
         let view = receiver.borrow();
         if !has_fresh_leadership(&view, self.started) {
@@ -100,7 +100,7 @@
             };
         }
         self.metrics.quota_asked.inc();
-        let (holder, quota) = match &request.subject {
+        let (account, quota) = match &request.subject {
             QuotaSubject::Tenant { name } => {
                 let Some(quota) = configured_quota(&view, name) else {
                     return QuotaReply::Granted { wait_ms: 0 };
@@ -116,21 +116,21 @@
             }
         };
         let withdrawal = Withdrawal {
-            holder,
+            account,
             quota,
             cost: quota.cost(request.stated_tokens),
-            longest_wait: Duration::from_millis(u64::from(request.longest_wait_ms)),
+            max_wait: Duration::from_millis(u64::from(request.longest_wait_ms)),
         };
         let decision = self.withdraw(view.term, &request.subject, withdrawal);
         self.reply(decision, &withdrawal, view.term)
     }
 
-    fn reply(&self, decision: LedgerAnswer, withdrawal: &Withdrawal<'_>, term: u64) -> QuotaReply {
+    fn reply(&self, decision: LedgerReply, withdrawal: &Withdrawal<'_>, term: u64) -> QuotaReply {
         match decision {
-            LedgerAnswer::Granted { wait } => QuotaReply::Granted {
+            LedgerReply::Granted { wait } => QuotaReply::Granted {
                 wait_ms: wait.as_millis() as u32,
             },
-            LedgerAnswer::Refused { retry_after, level } => {
+            LedgerReply::Refused { retry_after, level } => {
                 self.refuse(retry_after, withdrawal.quota.rate_per_s, level, term)
             }
         }
@@ -151,7 +151,7 @@
         term: u64,
         subject: &QuotaSubject,
         withdrawal: Withdrawal<'_>,
-    ) -> LedgerAnswer {
+    ) -> LedgerReply {
         let mut ledgers = self.lock();
         let now = Instant::now();
         let ledger = self
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -21,9 +21,9 @@
     metrics::ControlMetrics,
     serving::{
         errors::Unavailable,
-        leader::LeaderLink,
+        leader::LeaderClient,
         liveness::Liveness,
-        registrations::{CompletedRegistration, RegistrationQueue},
+        registration_queue::{CompletedRegistration, RegistrationQueue},
     },
     view::NodeView,
 };
@@ -46,7 +46,7 @@
 
 /// Records replicas in batches, one at a time.
 pub struct Registrar {
-    link: Arc<LeaderLink>,
+    link: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
     metrics: ControlMetrics,
     queue: Mutex<RegistrationQueue<ReplySender>>,
@@ -65,7 +65,7 @@
 
 impl Registrar {
     /// A registrar over the replica behind `link`.
-    pub fn new(link: Arc<LeaderLink>, liveness: Arc<Liveness>, metrics: ControlMetrics) -> Self {
+    pub fn new(link: Arc<LeaderClient>, liveness: Arc<Liveness>, metrics: ControlMetrics) -> Self {
         Self {
             link,
             liveness,
@@ -258,7 +258,7 @@
         let Some(leader) = self.link.view().leader else {
             return false;
         };
-        if leader == self.link.own_address() {
+        if leader == self.link.local_address() {
             return self.liveness.remove_if_silent(&self.link, holder).await;
         }
         let Some(connection) = self.link.connection(&leader) else {
--- a/crates/control/src/serving/registrations.rs
+++ b/crates/control/src/serving/registration_queue.rs
@@ -14,7 +14,7 @@
 
 /// Records in one entry of the log, some 40 kB: ten control replicas have at most 0.4 MB under way, and
 /// 10,000 replicas take 40 entries.
-pub const BATCH: usize = 256;
+pub const MAX_BATCH_RECORDS: usize = 256;
 
 /// Replicas that may wait at one control replica, some 8 MB: more than all of a fleet twice as large as
 /// any that is planned for. A heartbeat beyond is refused, and comes again.
@@ -95,7 +95,7 @@
         if !self.in_flight.is_empty() {
             return (Vec::new(), already_recorded);
         }
-        while self.in_flight.len() < BATCH {
+        while self.in_flight.len() < MAX_BATCH_RECORDS {
             let Some(id) = self.queue_order.pop_front() else {
                 break;
             };
--- a/crates/control/src/serving/rollout_driver.rs
+++ b/crates/control/src/serving/rollout_driver.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     serving::{
-        leader::LeaderLink,
+        leader::LeaderClient,
         order_channel::OrderChannel,
         order_dispatcher::{HeldOrderLock, OrderDispatcher},
         rollout_plan::{RolloutInputs, TargetVersion, plan_rollout},
@@ -39,7 +39,7 @@
 
 /// Rolls weights out for as long as the process runs.
 pub async fn run(
-    link: Arc<LeaderLink>,
+    link: Arc<LeaderClient>,
     watch: Arc<WatchServer>,
     channel: Arc<dyn OrderChannel>,
     node: String,
@@ -72,7 +72,7 @@
 }
 
 struct Rollout {
-    link: Arc<LeaderLink>,
+    link: Arc<LeaderClient>,
     node: String,
     bounds: Bounds,
     dispatcher: Arc<OrderDispatcher>,
--- a/crates/control/src/serving/watch.rs
+++ b/crates/control/src/serving/watch.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::{
-    serving::{leader::LeaderLink, liveness::Liveness},
+    serving::{leader::LeaderClient, liveness::Liveness},
     view::NodeView,
 };
 
@@ -34,7 +34,7 @@
 
 /// Answers routers from this replica's state.
 pub struct WatchServer {
-    link: Arc<LeaderLink>,
+    link: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
     zone: String,
     /// Zero of the replica's clock.
@@ -55,7 +55,7 @@
     /// A server over the replica behind `link`, whose clock began at `started`, under the
     /// deployment's bounds.
     pub fn new(
-        link: Arc<LeaderLink>,
+        link: Arc<LeaderClient>,
         liveness: Arc<Liveness>,
         zone: String,
         started: BootInstant,
@@ -72,7 +72,7 @@
     }
 
     /// Answers one question, at the latest after the time that it allows.
-    pub async fn answer(&self, mut request: WatchRequest) -> WatchReply {
+    pub async fn handle(&self, mut request: WatchRequest) -> WatchReply {
         let received_at = Instant::now();
         // The router subtracts the age of the confirmation from this time, so both count suspensions.
         let held_since = BootInstant::now();
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -192,7 +192,7 @@
                     self.report_crash(index, replica, witness);
                 }
                 let told = self.update_quarantine(|quarantine| {
-                    quarantine.record_end(index, replica, &contents);
+                    quarantine.record_crash(index, replica, &contents);
                 });
                 ServingOutcome::EndRecorded(told.clone())
             }
@@ -374,7 +374,7 @@
     /// Routers are woken only if what they are told changes.
     fn update_quarantine(&mut self, update: impl FnOnce(&mut Quarantine)) -> &QuarantineUpdate {
         update(Arc::make_mut(&mut self.quarantine));
-        let told = self.quarantine.told();
+        let told = self.quarantine.update();
         self.changed_at = self.changed_at.max(told.changed_at);
         told
     }
--- a/crates/control/src/serving_state/quarantine.rs
+++ b/crates/control/src/serving_state/quarantine.rs
@@ -22,7 +22,7 @@
 const CRASHES_FOR_BLAME: usize = ENDS_TO_QUARANTINE as usize;
 /// Ends at which a request is quarantined though another one was there each time: by then replicas
 /// matter more than a request that may be innocent and has found no replica that outlived it.
-pub const ENDS_DESPITE_RIVAL: usize = 6;
+pub const CRASHES_DESPITE_RIVAL: usize = 6;
 /// Ends after which routers tell when a request has run to a good end: fewer are common after any
 /// replica's end, and would be told to all routers for nothing.
 const CRASHES_TO_WATCH: usize = 2;
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Quarantine {
     suspects: BTreeMap<ContentKey, Suspect>,
-    told: QuarantineUpdate,
+    update: QuarantineUpdate,
 }
 
 impl Quarantine {
@@ -84,15 +84,15 @@
     }
 
     /// What routers are told.
-    pub fn told(&self) -> &QuarantineUpdate {
-        &self.told
+    pub fn update(&self) -> &QuarantineUpdate {
+        &self.update
     }
 
     /// Notes that a replica ended while these requests ran there. A report that comes twice, or in
     /// parts from several routers, counts once. Each end under a request that is watched or quarantined is
     /// news for routers, though their lists may not change: they send none of those that are suspected
     /// until all reports of it are in.
-    pub fn record_end(&mut self, index: LogIndex, replica: ReplicaKey, contents: &[ContentKey]) {
+    pub fn record_crash(&mut self, index: LogIndex, replica: ReplicaKey, contents: &[ContentKey]) {
         let mut is_visible_to_routers = false;
         for content in contents {
             self.evict_if_full(content);
@@ -111,7 +111,7 @@
         }
         self.recompute(index);
         if is_visible_to_routers {
-            self.told.changed_at = index;
+            self.update.changed_at = index;
         }
     }
 
@@ -177,7 +177,7 @@
     /// Notes what routers are told now, if it has changed.
     fn refresh_update(&mut self, index: LogIndex) {
         let mut told = QuarantineUpdate {
-            changed_at: self.told.changed_at,
+            changed_at: self.update.changed_at,
             ..QuarantineUpdate::default()
         };
         for (content, suspect) in &self.suspects {
@@ -187,9 +187,9 @@
                 told.watched.push(*content);
             }
         }
-        if told != self.told {
+        if told != self.update {
             told.changed_at = index;
-            self.told = told;
+            self.update = told;
         }
     }
 
@@ -219,7 +219,7 @@
             if rivals.is_empty() {
                 return vec![*content];
             }
-            if crashes.len() >= ENDS_DESPITE_RIVAL {
+            if crashes.len() >= CRASHES_DESPITE_RIVAL {
                 return rivals.into_iter().chain([*content]).collect();
             }
         }
--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -73,7 +73,7 @@
         };
         let configuration =
             (self.configuration_at > known.through).then(|| self.configuration().clone());
-        let quarantine = Some(self.quarantine.told())
+        let quarantine = Some(self.quarantine.update())
             .filter(|told| told.changed_at > known.through)
             .cloned();
         Some(ServingUpdate {
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -5,7 +5,7 @@
     serving::quarantine::ReleaseTimers,
     serving_state::{
         ServingState,
-        quarantine::{ENDS_DESPITE_RIVAL, Quarantine},
+        quarantine::{CRASHES_DESPITE_RIVAL, Quarantine},
     },
 };
 use railtack_rpc::{
@@ -24,13 +24,13 @@
     let mut quarantine = Quarantine::default();
     for (position, contents) in crashes.iter().enumerate() {
         let index = position as u64 + 1;
-        quarantine.record_end(index, ReplicaKey(index as u32), contents);
+        quarantine.record_crash(index, ReplicaKey(index as u32), contents);
     }
     quarantine
 }
 
 fn quarantined(quarantine: &Quarantine) -> Vec<ContentKey> {
-    quarantine.told().quarantined.clone()
+    quarantine.update().quarantined.clone()
 }
 
 #[test]
@@ -46,7 +46,7 @@
 fn repeated_and_partial_reports_count_once() {
     let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL]]);
     for index in 3..10 {
-        quarantine.record_end(index, ReplicaKey(2), &[OTHER, FATAL]);
+        quarantine.record_crash(index, ReplicaKey(2), &[OTHER, FATAL]);
     }
     assert_eq!(quarantined(&quarantine), []);
 }
@@ -68,7 +68,7 @@
     let mut quarantine = quarantine_after(&[together, together, together]);
     assert_eq!(quarantined(&quarantine), []);
     // The next end tells them apart.
-    quarantine.record_end(4, ReplicaKey(4), &[FATAL]);
+    quarantine.record_crash(4, ReplicaKey(4), &[FATAL]);
     assert_eq!(quarantined(&quarantine), [FATAL]);
 }
 
@@ -76,16 +76,16 @@
 fn equally_suspected_requests_wait_for_the_next_crash() {
     let mut quarantine = quarantine_after(&[&[FATAL, OTHER], &[FATAL, OTHER], &[FATAL], &[OTHER]]);
     assert_eq!(quarantined(&quarantine), []);
-    quarantine.record_end(5, ReplicaKey(5), &[FATAL]);
+    quarantine.record_crash(5, ReplicaKey(5), &[FATAL]);
     assert_eq!(quarantined(&quarantine), [FATAL]);
 }
 
 #[test]
 fn indistinguishable_requests_are_quarantined_after_more_crashes() {
     let together: &[ContentKey] = &[FATAL, OTHER];
-    let below_threshold = vec![together; ENDS_DESPITE_RIVAL - 1];
+    let below_threshold = vec![together; CRASHES_DESPITE_RIVAL - 1];
     assert_eq!(quarantined(&quarantine_after(&below_threshold)), []);
-    let at_threshold = vec![together; ENDS_DESPITE_RIVAL];
+    let at_threshold = vec![together; CRASHES_DESPITE_RIVAL];
     assert_eq!(
         quarantined(&quarantine_after(&at_threshold)),
         [FATAL, OTHER]
@@ -97,9 +97,9 @@
     // The first reports of the third end name only the request that shared it.
     let mut quarantine = quarantine_after(&[&[FATAL, OTHER], &[FATAL, OTHER], &[OTHER]]);
     assert_eq!(quarantined(&quarantine), [OTHER]);
-    quarantine.record_end(4, ReplicaKey(3), &[FATAL]);
+    quarantine.record_crash(4, ReplicaKey(3), &[FATAL]);
     assert_eq!(quarantined(&quarantine), []);
-    quarantine.record_end(5, ReplicaKey(4), &[FATAL]);
+    quarantine.record_crash(5, ReplicaKey(4), &[FATAL]);
     assert_eq!(quarantined(&quarantine), [FATAL]);
 }
 
@@ -120,10 +120,10 @@
 #[test]
 fn a_successful_run_clears_a_request() {
     let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL]]);
-    assert_eq!(quarantine.told().watched, [FATAL]);
+    assert_eq!(quarantine.update().watched, [FATAL]);
     quarantine.clear(8, &[FATAL]);
     assert!(quarantine.suspects().is_empty());
-    quarantine.record_end(9, ReplicaKey(9), &[FATAL]);
+    quarantine.record_crash(9, ReplicaKey(9), &[FATAL]);
     assert_eq!(quarantined(&quarantine), []);
 }
 
@@ -133,7 +133,7 @@
     let changed_at = quarantine.suspects()[&FATAL].changed_at();
     quarantine.release(10, FATAL, changed_at);
     assert_eq!(quarantined(&quarantine), []);
-    quarantine.record_end(11, ReplicaKey(11), &[FATAL]);
+    quarantine.record_crash(11, ReplicaKey(11), &[FATAL]);
     assert_eq!(quarantined(&quarantine), [FATAL]);
 }
 
@@ -141,7 +141,7 @@
 fn a_release_with_an_outdated_position_does_nothing() {
     let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL], &[FATAL]]);
     let changed_at = quarantine.suspects()[&FATAL].changed_at();
-    quarantine.record_end(5, ReplicaKey(5), &[FATAL]);
+    quarantine.record_crash(5, ReplicaKey(5), &[FATAL]);
     quarantine.release(6, FATAL, changed_at);
     assert_eq!(quarantined(&quarantine), [FATAL]);
 }
@@ -164,7 +164,7 @@
     assert_eq!(timers.due(&quarantine, start), []);
     assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME / 2), []);
     // One more end begins the time anew.
-    quarantine.record_end(9, ReplicaKey(9), &[FATAL]);
+    quarantine.record_crash(9, ReplicaKey(9), &[FATAL]);
     assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME / 2), []);
     assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME), []);
     let expired = start + QUARANTINE_TIME + QUARANTINE_TIME / 2;
@@ -178,7 +178,7 @@
     let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL], &[FATAL]]);
     for number in 0..5_000_u64 {
         let content = ContentKey(u128::from(number) + 100);
-        quarantine.record_end(number + 10, ReplicaKey(number as u32 + 10), &[content]);
+        quarantine.record_crash(number + 10, ReplicaKey(number as u32 + 10), &[content]);
     }
     assert!(quarantine.suspects().len() <= 1_024);
     assert_eq!(quarantined(&quarantine), [FATAL]);
@@ -212,16 +212,16 @@
 #[test]
 fn each_crash_of_a_watched_request_is_an_update_though_the_lists_stay() {
     let mut quarantine = quarantine_after(&[&[FATAL, OTHER], &[FATAL, OTHER]]);
-    let previous = quarantine.told().clone();
-    quarantine.record_end(3, ReplicaKey(3), &[FATAL, OTHER]);
-    assert_eq!(quarantine.told().watched, previous.watched);
-    assert_eq!(quarantine.told().changed_at, 3);
+    let previous = quarantine.update().clone();
+    quarantine.record_crash(3, ReplicaKey(3), &[FATAL, OTHER]);
+    assert_eq!(quarantine.update().watched, previous.watched);
+    assert_eq!(quarantine.update().changed_at, 3);
     // The same report again is none.
-    quarantine.record_end(4, ReplicaKey(3), &[FATAL, OTHER]);
-    assert_eq!(quarantine.told().changed_at, 3);
+    quarantine.record_crash(4, ReplicaKey(3), &[FATAL, OTHER]);
+    assert_eq!(quarantine.update().changed_at, 3);
     // Nor is the end of a replica under others.
-    quarantine.record_end(5, ReplicaKey(5), &[ContentKey(9)]);
-    assert_eq!(quarantine.told().changed_at, 3);
+    quarantine.record_crash(5, ReplicaKey(5), &[ContentKey(9)]);
+    assert_eq!(quarantine.update().changed_at, 3);
 }
 
 #[test]
@@ -266,7 +266,7 @@
     /// Whatever else runs beside it, one that is at every end is found, and nobody who was at fewer
     /// than three ends is condemned.
     fn a_request_present_at_every_crash_is_quarantined(others_per_crash: Vec<Vec<u8>>) -> TestResult {
-        if others_per_crash.len() < ENDS_DESPITE_RIVAL {
+        if others_per_crash.len() < CRASHES_DESPITE_RIVAL {
             return TestResult::discard();
         }
         let mut quarantine = Quarantine::default();
@@ -281,7 +281,7 @@
             }
             contents.push(FATAL);
             let index = position as u64 + 1;
-            quarantine.record_end(index, ReplicaKey(index as u32), &contents);
+            quarantine.record_crash(index, ReplicaKey(index as u32), &contents);
         }
         let found = quarantined(&quarantine);
         let has_few_crashes = |content: &ContentKey| counts.get(content).copied().unwrap_or(0) < ENDS_TO_QUARANTINE;
--- a/crates/control/tests/quota.rs
+++ b/crates/control/tests/quota.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use railtack_control::serving::{
-    ledger::{LedgerAnswer, QuotaLedger, Withdrawal},
+    ledger::{LedgerReply, QuotaLedger, Withdrawal},
     quota::{MAX_LEADERSHIP_PROOF_AGE, grant_times},
 };
 use railtack_rpc::serving::GRANT_LIFE;
@@ -164,15 +164,15 @@
             return;
         }
         let withdrawal = Withdrawal {
-            holder: TENANT,
+            account: TENANT,
             quota,
             cost: request.cost,
-            longest_wait: Duration::from_millis(100),
+            max_wait: Duration::from_millis(100),
         };
         let wait_ms = match leader.ledger.withdraw(withdrawal, at(start, now_ms)) {
-            LedgerAnswer::Granted { wait } => wait.as_millis() as u64,
-            LedgerAnswer::Refused { .. } if self.mutant == Mutant::NoLimit => 0,
-            LedgerAnswer::Refused { .. } => return,
+            LedgerReply::Granted { wait } => wait.as_millis() as u64,
+            LedgerReply::Refused { .. } if self.mutant == Mutant::NoLimit => 0,
+            LedgerReply::Refused { .. } => return,
         };
         let replied_ms = now_ms + self.delay();
         let used_ms = replied_ms + wait_ms;
@@ -289,12 +289,12 @@
     }
 }
 
-fn withdraw(ledger: &mut QuotaLedger, cost: u64, now: Instant) -> LedgerAnswer {
+fn withdraw(ledger: &mut QuotaLedger, cost: u64, now: Instant) -> LedgerReply {
     let withdrawal = Withdrawal {
-        holder: TENANT,
+        account: TENANT,
         quota: quota(100_000, 100_000),
         cost,
-        longest_wait: Duration::from_millis(100),
+        max_wait: Duration::from_millis(100),
     };
     ledger.withdraw(withdrawal, now)
 }
@@ -311,7 +311,7 @@
         now_ms += -random.random_range(0.0_f64..1.0).max(1e-9).ln() * 120.0;
         let cost = random.random_range(1_000..17_000);
         let decision = withdraw(&mut ledger, cost, at(start, now_ms as u64));
-        refused += u32::from(matches!(decision, LedgerAnswer::Refused { .. }));
+        refused += u32::from(matches!(decision, LedgerReply::Refused { .. }));
     }
     assert!(refused < 10, "{refused} of 10,000 refused");
 }
@@ -321,19 +321,19 @@
     let start = Instant::now();
     let mut ledger = QuotaLedger::new(bounds(), grant_times(), start);
     let mut now = at(start, 5_000);
-    while matches!(withdraw(&mut ledger, 5_000, now), LedgerAnswer::Granted { wait } if wait.is_zero())
+    while matches!(withdraw(&mut ledger, 5_000, now), LedgerReply::Granted { wait } if wait.is_zero())
     {
     }
     // What the bucket will hold within 100 ms goes to the large one; the small one waits behind it.
     now += Duration::from_millis(400);
     let large = withdraw(&mut ledger, 45_000, now);
-    assert!(matches!(large, LedgerAnswer::Granted { .. }), "{large:?}");
+    assert!(matches!(large, LedgerReply::Granted { .. }), "{large:?}");
     let small = withdraw(&mut ledger, 5_000, now);
-    let LedgerAnswer::Granted { wait: large_wait } = large else {
+    let LedgerReply::Granted { wait: large_wait } = large else {
         return;
     };
     assert!(
-        !matches!(small, LedgerAnswer::Granted { wait } if wait < large_wait),
+        !matches!(small, LedgerReply::Granted { wait } if wait < large_wait),
         "{small:?}"
     );
 }
@@ -345,7 +345,7 @@
     let now = at(start, 5_000);
     let mut retry_delays = Vec::new();
     for _ in 0..60 {
-        if let LedgerAnswer::Refused { retry_after, .. } = withdraw(&mut ledger, 10_000, now) {
+        if let LedgerReply::Refused { retry_after, .. } = withdraw(&mut ledger, 10_000, now) {
             retry_delays.push(retry_after);
         }
     }
@@ -359,12 +359,12 @@
 #[test]
 fn the_first_ledger_starts_full_and_later_ones_empty() {
     let start = Instant::now();
-    let mut first = QuotaLedger::first(bounds(), grant_times(), start);
+    let mut first = QuotaLedger::with_full_buckets(bounds(), grant_times(), start);
     let mut later = QuotaLedger::new(bounds(), grant_times(), start);
     let granted = |ledger: &mut QuotaLedger| {
         matches!(
             withdraw(ledger, 90_000, start),
-            LedgerAnswer::Granted { wait } if wait.is_zero()
+            LedgerReply::Granted { wait } if wait.is_zero()
         )
     };
     assert!(granted(&mut first));
@@ -378,18 +378,18 @@
     let mut now = at(start, 5_000);
     while matches!(
         withdraw(&mut ledger, 20_000, now),
-        LedgerAnswer::Granted { .. }
+        LedgerReply::Granted { .. }
     ) {}
     now += Duration::from_millis(100);
     let raised = Withdrawal {
-        holder: TENANT,
+        account: TENANT,
         quota: quota(1_000_000, 1_000_000),
         cost: 50_000,
-        longest_wait: Duration::from_millis(100),
+        max_wait: Duration::from_millis(100),
     };
     let decision = ledger.withdraw(raised, now);
     assert!(
-        matches!(decision, LedgerAnswer::Granted { .. }),
+        matches!(decision, LedgerReply::Granted { .. }),
         "{decision:?}"
     );
 }
--- a/crates/control/tests/registrations.rs
+++ b/crates/control/tests/registration_queue.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::quickcheck;
 use railtack_control::{
-    serving::registrations::{BATCH, RegistrationQueue},
+    serving::registration_queue::{MAX_BATCH_RECORDS, RegistrationQueue},
     serving_state::ServingState,
 };
 use railtack_rpc::serving::{Known, Registration, ServingCommand, ServingOutcome, ServingUpdate};
@@ -89,7 +89,10 @@
         max_in_flight = max_in_flight.max(group.round());
     }
     assert_eq!(group.state.replicas().size(), 10_000);
-    assert!(max_in_flight <= 10 * BATCH, "{max_in_flight} in flight");
+    assert!(
+        max_in_flight <= 10 * MAX_BATCH_RECORDS,
+        "{max_in_flight} in flight"
+    );
     assert!(group.index <= 160, "{} entries", group.index);
 }
 
@@ -133,7 +136,7 @@
     assert!(queue.enqueue(record(900), Some(1_001)));
     let (batch, _) = queue.next_batch(|_| true);
     assert_eq!(batch[0], leaving(900));
-    assert_eq!(batch.len(), BATCH);
+    assert_eq!(batch.len(), MAX_BATCH_RECORDS);
 }
 
 #[test]
@@ -152,8 +155,10 @@
 #[test]
 fn a_full_copy_is_sent_in_bounded_updates() {
     let mut state = ServingState::default();
-    for (position, first) in (0..10_000).step_by(BATCH).enumerate() {
-        let batch: Vec<_> = (first..(first + BATCH).min(10_000)).map(record).collect();
+    for (position, first) in (0..10_000).step_by(MAX_BATCH_RECORDS).enumerate() {
+        let batch: Vec<_> = (first..(first + MAX_BATCH_RECORDS).min(10_000))
+            .map(record)
+            .collect();
         state.apply(position as u64 + 1, ServingCommand::RegisterAll(batch));
     }
     let mut index = 100;
@@ -163,7 +168,7 @@
     while let Some(update) = state.update_after(known) {
         updates += 1;
         assert!(
-            update.replicas.len() <= 4 * BATCH,
+            update.replicas.len() <= 4 * MAX_BATCH_RECORDS,
             "{}",
             update.replicas.len()
         );
--- a/crates/lab/tests/lent_retries.rs
+++ b/crates/lab/tests/lent_retries.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use railtack_control::serving::{
-    ledger::{LedgerAnswer, QuotaLedger, Withdrawal},
+    ledger::{LedgerReply, QuotaLedger, Withdrawal},
     quota::grant_times,
 };
 use railtack_proxy::budget::{BudgetRule, RetryBudget};
@@ -66,7 +66,7 @@
     fn first(bounds: Bounds, now: Instant) -> Self {
         Self {
             bounds,
-            ledger: QuotaLedger::first(lent_bounds(&bounds), grant_times(), now),
+            ledger: QuotaLedger::with_full_buckets(lent_bounds(&bounds), grant_times(), now),
         }
     }
 
@@ -83,14 +83,14 @@
             return false;
         };
         let withdrawal = Withdrawal {
-            holder: "portal",
+            account: "portal",
             quota,
             cost: quota.cost(None),
-            longest_wait: Duration::ZERO,
+            max_wait: Duration::ZERO,
         };
         matches!(
             self.ledger.withdraw(withdrawal, now),
-            LedgerAnswer::Granted { .. }
+            LedgerReply::Granted { .. }
         )
     }
 }
--- a/crates/lab/tests/lives.rs
+++ b/crates/lab/tests/lives.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeSet;
 
 use quickcheck::quickcheck;
-use railtack_control::{serving::registrations::BATCH, serving_state::ServingState};
+use railtack_control::{
+    serving::registration_queue::MAX_BATCH_RECORDS, serving_state::ServingState,
+};
 use railtack_proxy::view::ServingView;
 use railtack_rpc::serving::{ServingCommand, ServingUpdate};
 use railtack_serving::{HeldWeights, Life, ReplicaRecord, ReplicaState};
@@ -46,7 +48,7 @@
 
 /// Has records taken in as control replicas do, a batch after the other.
 fn register(state: &mut ServingState, index: &mut u64, records: &[ReplicaRecord]) {
-    for batch in records.chunks(BATCH) {
+    for batch in records.chunks(MAX_BATCH_RECORDS) {
         *index += 1;
         state.apply(*index, ServingCommand::RegisterAll(batch.to_vec()));
     }
--- a/crates/lab/tests/parted_reports.rs
+++ b/crates/lab/tests/parted_reports.rs
@@ -14,7 +14,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use railtack_control::serving_state::quarantine::{ENDS_DESPITE_RIVAL, Quarantine};
+use railtack_control::serving_state::quarantine::{CRASHES_DESPITE_RIVAL, Quarantine};
 use railtack_proxy::quarantine::QuarantineKnowledge;
 use railtack_rpc::serving::QuarantineUpdate;
 use railtack_serving::{ContentKey, ReplicaKey};
@@ -27,7 +27,7 @@
 const SEEDS: u64 = 2_000;
 const ROUTERS: usize = 2;
 /// Ends at which both are quarantined, and the copy that the other router has on its way by then.
-const MOST_ENDS: u32 = ENDS_DESPITE_RIVAL as u32 + ROUTERS as u32 - 1;
+const MOST_ENDS: u32 = CRASHES_DESPITE_RIVAL as u32 + ROUTERS as u32 - 1;
 /// Time from the end of a replica until a router's report of it is recorded, milliseconds: gathering, a look
 /// at the port, a commit.
 const REPORT_MS: std::ops::Range<u64> = 15..90;
@@ -104,9 +104,9 @@
         self.recorded += 1;
         let contents = &report.contents;
         self.quarantine
-            .record_end(self.recorded, report.replica, contents);
+            .record_crash(self.recorded, report.replica, contents);
         for router in 0..ROUTERS {
-            let told = self.quarantine.told().clone();
+            let told = self.quarantine.update().clone();
             // Its own report is answered with what it led to.
             let takes_ms = if router == report.router {
                 1
