--- a/crates/proxy/src/quarantine.rs
+++ b/crates/proxy/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! What this router knows of requests that end the replicas that run them. Pure: times are passed in.
+//! Quarantine state of requests that crash the replicas that run them. Pure.
 //!
-//! One router sees few of the times at which such a request comes. So routers tell the control group
-//! under which of their requests a replica ended; it decides, and all routers refuse what it
-//! quarantines. *Weighed:* a count at each router: seven routers let a request end three replicas each.
+//! A single router sees few occurrences of such a request. Routers therefore report to the control
+//! group which of their requests were running when a replica crashed; the group decides, and all
+//! routers refuse the requests that it quarantines.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -13,62 +13,61 @@
 use railtack_serving::ContentKey;
 use tokio::time::Instant;
 
-/// Time in which the other connections to a replica that ended break, too: one look reports them all.
-pub const GATHERING: Duration = Duration::from_millis(15);
-/// Time after which an end that could not be recorded is given up: longer than the control group is
-/// without a leader in any failure that it outlives.
-pub const RECORD_LIMIT: Duration = Duration::from_secs(30);
-/// Shortest pause that the caller of a quarantined request is told: its release takes a moment.
+/// Time in which the other connections to a crashed replica break as well; they share one report.
+pub const REPORT_BATCH_DELAY: Duration = Duration::from_millis(15);
+/// Time after which an unrecorded crash report is dropped; longer than the control group is
+/// expected to be without a leader.
+pub const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Minimum retry delay of a quarantined request; its release takes a moment.
 const SHORTEST_PAUSE: Duration = Duration::from_secs(1);
-/// Time after news of an end in which requests that are suspected, but not quarantined, wait. Routers report
-/// one end in parts, some tens of milliseconds apart, and each part is judged as it comes: one that names only
-/// a harmless request which was there as well clears the one to blame until the next part is in. Without it,
-/// 31 of 100 simulated requests ended one to nine replicas more than can be needed to tell two apart.
-pub const REPORTS_COME_IN: Duration = Duration::from_millis(150);
-/// Requests with a good end that are remembered: those of a minute at 17 requests a second, 32 KB.
-const GOOD_ENDS_KEPT: usize = 1_024;
-/// Time for which a good end clears a request: work that many callers ask for is then not blamed when
-/// several replicas end at the same moment. Replicas that run it badly since an update of theirs are
-/// lost under it for no longer than this.
-const GOOD_END_COUNTS: Duration = Duration::from_secs(60);
-/// Requests remembered of one replica whose connections broke: more than are open there.
-const BROKEN_KEPT: usize = 256;
-
-/// The requests that the control group has quarantined, and those that it watches.
+/// Time for which suspected requests wait after an update. Routers report one crash in several
+/// parts, tens of milliseconds apart, and each part is evaluated on arrival. A part that names only
+/// a harmless request clears the harmful one until the next part arrives.
+pub const REPORT_SETTLE_TIME: Duration = Duration::from_millis(150);
+/// Maximum number of remembered successful requests; a minute at 17 requests per second, 32 KB.
+const MAX_SUCCESSES: usize = 1_024;
+/// Time for which a success clears a request of suspicion, so that popular requests are not blamed
+/// when several replicas crash at once. If a new version of the replicas crashes on such a request,
+/// its crashes are ignored for at most this time.
+const SUCCESS_VALIDITY: Duration = Duration::from_secs(60);
+/// Maximum number of requests remembered per crashed replica; more than are open at one.
+const MAX_UNREPORTED: usize = 256;
+
+/// Requests that the control group has quarantined or watches.
 #[derive(Debug, Default)]
-pub struct QuarantineKnowledge {
-    /// With the time at which this router learned of it.
+pub struct QuarantineState {
+    /// Quarantined requests, with the time at which this router learned of each.
     quarantined: HashMap<ContentKey, Instant>,
-    /// Those of which a good end is still to be told.
+    /// Suspected requests whose next success has to be reported.
     watched: HashSet<ContentKey>,
-    /// All that are suspected.
+    /// All suspected requests.
     suspected: HashSet<ContentKey>,
-    /// When all reports of the last end are in.
+    /// Time by which all reports of the latest crash have arrived.
     settled_at: Option<Instant>,
-    /// Log position of what was learned last.
+    /// Log position of the latest update.
     changed_at: u64,
 }
 
-/// What changed for one request.
+/// Change of a request's quarantine state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// It is sent to no replica any more.
+    /// The request is no longer sent to replicas.
     Quarantined(ContentKey),
-    /// It is sent to replicas again.
+    /// The request is sent to replicas again.
     Released(ContentKey),
 }
 
-impl QuarantineKnowledge {
-    /// Takes in what the control group tells; it is complete. It comes with answers to watches and to
-    /// this router's own reports, in any order.
-    pub fn learn(&mut self, told: &QuarantineUpdate, now: Instant) -> Vec<QuarantineChange> {
-        if told.changed_at <= self.changed_at {
+impl QuarantineState {
+    /// Applies a complete update from the control group. Updates arrive in watch replies and in
+    /// replies to this router's own reports, in any order.
+    pub fn apply(&mut self, update: &QuarantineUpdate, now: Instant) -> Vec<QuarantineChange> {
+        if update.changed_at <= self.changed_at {
             return Vec::new();
         }
-        self.changed_at = told.changed_at;
+        self.changed_at = update.changed_at;
         let before = std::mem::take(&mut self.quarantined);
         let mut changes = Vec::new();
-        for content in &told.quarantined {
+        for content in &update.quarantined {
             let since = before.get(content).copied();
             if since.is_none() {
                 changes.push(QuarantineChange::Quarantined(*content));
@@ -79,14 +78,14 @@
             .into_keys()
             .filter(|content| !self.quarantined.contains_key(content));
         changes.extend(released.map(QuarantineChange::Released));
-        self.watched = told.suspected.iter().copied().collect();
+        self.watched = update.suspected.iter().copied().collect();
         self.suspected.clone_from(&self.watched);
-        self.settled_at = Some(now + REPORTS_COME_IN);
+        self.settled_at = Some(now + REPORT_SETTLE_TIME);
         changes
     }
 
-    /// When the caller of a quarantined request should come back; `None` if it is not quarantined.
-    pub fn pause(&self, content: ContentKey, now: Instant) -> Option<Duration> {
+    /// Returns the retry delay of a quarantined request; `None` if it is not quarantined.
+    pub fn retry_after(&self, content: ContentKey, now: Instant) -> Option<Duration> {
         let since = self.quarantined.get(&content)?;
         let passed = now.saturating_duration_since(*since);
         Some(
@@ -96,53 +95,55 @@
         )
     }
 
-    /// Whether replicas have ended under the request, and it is not quarantined.
+    /// Whether the request is suspected but not quarantined.
     pub fn is_suspected(&self, content: ContentKey) -> bool {
         self.suspected.contains(&content)
     }
 
-    /// When all reports of the last end are in, if the request is suspected and they may not be yet.
-    pub fn settles_at(&self, content: ContentKey, now: Instant) -> Option<Instant> {
+    /// Returns the time by which all reports of the latest crash have arrived, if the request is
+    /// suspected and that time lies ahead.
+    pub fn reports_complete_at(&self, content: ContentKey, now: Instant) -> Option<Instant> {
         self.settled_at
             .filter(|at| self.is_suspected(content) && now < *at)
     }
 
-    /// Whether a good end of the request is to be told; for one that is only watched, once.
-    pub fn take_good_end(&mut self, content: ContentKey) -> bool {
+    /// Whether a success of the request has to be reported: once for a watched request, always for
+    /// a quarantined one.
+    pub fn should_report_success(&mut self, content: ContentKey) -> bool {
         self.watched.remove(&content) || self.quarantined.contains_key(&content)
     }
 
-    /// Log position of what was learned last.
+    /// Returns the log position of the latest update.
     pub fn changed_at(&self) -> u64 {
         self.changed_at
     }
 
-    /// Requests that are quarantined.
+    /// Returns the number of quarantined requests.
     pub fn quarantined(&self) -> usize {
         self.quarantined.len()
     }
 }
 
-/// The ends that this router's own requests met.
+/// Successes and broken connections of this router's own requests.
 #[derive(Debug, Default)]
-pub struct EndsMet {
-    good: VecDeque<(ContentKey, Instant)>,
-    broken: HashMap<String, Broken>,
+pub struct CrashTracker {
+    successes: VecDeque<(ContentKey, Instant)>,
+    broken: HashMap<String, BrokenConnections>,
 }
 
 /// Requests whose connections to one replica broke.
 #[derive(Debug)]
-struct Broken {
-    /// Those that are not reported yet.
+struct BrokenConnections {
+    /// Requests not reported yet.
     unreported: Vec<ContentKey>,
-    /// Those that are being reported.
+    /// Requests being reported.
     reporting: Vec<ContentKey>,
-    /// Whether it will be known within a moment what became of the replica.
+    /// Whether the check of the replica is expected to finish soon.
     is_awaited: bool,
 }
 
-impl Broken {
-    fn awaited() -> Self {
+impl BrokenConnections {
+    fn pending() -> Self {
         Self {
             unreported: Vec::new(),
             reporting: Vec::new(),
@@ -151,49 +152,54 @@
     }
 }
 
-impl EndsMet {
-    /// Notes that a replica outlived a request.
-    pub fn outlived(&mut self, content: ContentKey, now: Instant) {
-        if self.good.len() >= GOOD_ENDS_KEPT {
-            self.good.pop_front();
+impl CrashTracker {
+    /// Records that a request completed without a crash.
+    pub fn record_success(&mut self, content: ContentKey, now: Instant) {
+        if self.successes.len() >= MAX_SUCCESSES {
+            self.successes.pop_front();
         }
-        self.good.push_back((content, now));
+        self.successes.push_back((content, now));
     }
 
-    /// Notes that the connection over which a replica had a request broke. True if nobody looks yet
-    /// whether the replica has ended.
-    pub fn broke(&mut self, replica: &str, content: ContentKey, now: Instant) -> bool {
+    /// Records that the connection of a running request broke. Returns true if no check of the
+    /// replica is in progress yet.
+    pub fn record_broken_connection(
+        &mut self,
+        replica: &str,
+        content: ContentKey,
+        now: Instant,
+    ) -> bool {
         let is_first = !self.broken.contains_key(replica);
-        let is_cleared = self.good.iter().rev().any(|(good, at)| {
-            *good == content && now.saturating_duration_since(*at) < GOOD_END_COUNTS
+        let is_cleared = self.successes.iter().rev().any(|(success, at)| {
+            *success == content && now.saturating_duration_since(*at) < SUCCESS_VALIDITY
         });
         let broken = self
             .broken
             .entry(replica.to_owned())
-            .or_insert_with(Broken::awaited);
-        if !is_cleared && broken.unreported.len() < BROKEN_KEPT {
+            .or_insert_with(BrokenConnections::pending);
+        if !is_cleared && broken.unreported.len() < MAX_UNREPORTED {
             broken.unreported.push(content);
         }
         is_first
     }
 
-    /// Whether it will be known within a moment if a replica ended under this request.
-    pub fn is_awaited(&self, content: ContentKey) -> bool {
+    /// Whether a check that involves this request is expected to finish soon.
+    pub fn is_crash_check_pending(&self, content: ContentKey) -> bool {
         let awaited = self.broken.values().filter(|broken| broken.is_awaited);
         let mut contents =
             awaited.flat_map(|broken| broken.unreported.iter().chain(&broken.reporting));
         contents.any(|known| *known == content)
     }
 
-    /// Notes that it may take long to learn what became of a replica.
-    pub fn stop_awaiting(&mut self, replica: &str) {
+    /// Records that the check of a replica may take long, so that requests stop waiting for it.
+    pub fn stop_blocking(&mut self, replica: &str) {
         if let Some(broken) = self.broken.get_mut(replica) {
             broken.is_awaited = false;
         }
     }
 
-    /// The next requests to report of a replica that has ended; none, if all are reported.
-    pub fn next_report(&mut self, replica: &str) -> Vec<ContentKey> {
+    /// Returns the next requests to report for a crashed replica; empty if all are reported.
+    pub fn take_unreported(&mut self, replica: &str) -> Vec<ContentKey> {
         let Some(broken) = self.broken.get_mut(replica) else {
             return Vec::new();
         };
@@ -201,7 +207,7 @@
         broken.reporting.clone()
     }
 
-    /// Forgets what broke at a replica.
+    /// Removes all records of a replica.
     pub fn forget(&mut self, replica: &str) {
         self.broken.remove(replica);
     }
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -6,7 +6,7 @@
 };
 
 use railtack_proxy::permits::{
-    KnownLimit, LimitedRouter, Permission, Permit, is_lacking, note_answer, take,
+    KnownLimit, Permit, PermitClient, PermitDecision, acquire, handle_response, lacks_valid_permit,
 };
 use railtack_rpc::{
     permits::{PermitReply, PermitRequest, PermitStamp},
@@ -35,7 +35,7 @@
     /// What the leader answers; nothing if it is away.
     reply: Option<PermitReply>,
     asked: Vec<PermitRequest>,
-    unanswered_until: MonotonicTime,
+    permit_requests_suspended_until: MonotonicTime,
     room_at: Option<MonotonicTime>,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-impl LimitedRouter for Router {
+impl PermitClient for Router {
     fn uptime(&self) -> MonotonicTime {
         self.started.elapsed()
     }
@@ -66,26 +66,26 @@
         Some(KnownLimit {
             limit,
             age: Duration::from_millis(40),
-            own: Some(AdvertisedLimit {
+            advertised_here: Some(AdvertisedLimit {
                 limit,
                 advertised_at: self.uptime(),
             }),
         })
     }
 
-    fn unanswered_until(&self) -> MonotonicTime {
-        self.state().unanswered_until
+    fn permit_requests_suspended_until(&self) -> MonotonicTime {
+        self.state().permit_requests_suspended_until
     }
 
-    fn note_unanswered(&self, until: MonotonicTime) {
-        self.state().unanswered_until = until;
+    fn suspend_permit_requests(&self, until: MonotonicTime) {
+        self.state().permit_requests_suspended_until = until;
     }
 
-    fn note_withheld(&self, _: &str, _: RequestLimit, room_at: MonotonicTime) {
+    fn record_denied(&self, _: &str, _: RequestLimit, room_at: MonotonicTime) {
         self.state().room_at = Some(room_at);
     }
 
-    fn note_over(&self, _: &str, _: MonotonicTime) {
+    fn clear_limit(&self, _: &str, _: MonotonicTime) {
         // Digests go on naming it for a while.
     }
 
@@ -104,9 +104,9 @@
 }
 
 async fn taken(router: &Arc<Router>) -> Option<Permit> {
-    match take(&**router, LIFE, OBJECTIVE).await {
-        Permission::Given(permit) => permit,
-        Permission::Withheld => panic!("withheld"),
+    match acquire(&**router, LIFE, OBJECTIVE).await {
+        PermitDecision::Granted(permit) => permit,
+        PermitDecision::Denied => panic!("withheld"),
     }
 }
 
@@ -114,7 +114,7 @@
 async fn where_no_limit_is_known_nobody_is_asked() {
     let router = Router::new(None, None);
     assert!(taken(&router).await.is_none());
-    assert!(!is_lacking(&*router, LIFE, None));
+    assert!(!lacks_valid_permit(&*router, LIFE, None));
     assert!(router.state().asked.is_empty());
 }
 
@@ -122,10 +122,10 @@
 async fn a_permit_is_void_after_a_while() {
     let router = Router::new(Some(limit(2.0)), given());
     let permit = taken(&router).await;
-    assert!(is_lacking(&*router, LIFE, None));
-    assert!(!is_lacking(&*router, LIFE, permit));
+    assert!(lacks_valid_permit(&*router, LIFE, None));
+    assert!(!lacks_valid_permit(&*router, LIFE, permit));
     advance(GRANT_TTL + Duration::from_millis(1)).await;
-    assert!(is_lacking(&*router, LIFE, permit));
+    assert!(lacks_valid_permit(&*router, LIFE, permit));
     let asked = router.state().asked[0].clone();
     assert!(asked.wants_permit);
     assert_eq!(asked.report.limit, Some(limit(2.0)));
@@ -138,17 +138,20 @@
 async fn the_leaders_word_that_there_is_no_limit_lets_the_request_be_sent() {
     let router = Router::new(Some(limit(2.0)), Some(PermitReply::Unlimited));
     let permit = taken(&router).await;
-    assert!(!is_lacking(&*router, LIFE, permit));
+    assert!(!lacks_valid_permit(&*router, LIFE, permit));
     advance(GRANT_TTL + Duration::from_millis(1)).await;
-    assert!(is_lacking(&*router, LIFE, permit), "it may have one again");
+    assert!(
+        lacks_valid_permit(&*router, LIFE, permit),
+        "it may have one again"
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn without_a_leader_nothing_is_sent_and_others_do_not_ask_for_a_moment() {
     let router = Router::new(Some(limit(2.0)), None);
     for _ in 0..5 {
-        let permission = take(&*router, LIFE, OBJECTIVE).await;
-        assert!(matches!(permission, Permission::Withheld));
+        let permission = acquire(&*router, LIFE, OBJECTIVE).await;
+        assert!(matches!(permission, PermitDecision::Denied));
     }
     assert_eq!(router.state().asked.len(), 1);
     let room_at = router.state().room_at.expect("a moment");
@@ -164,7 +167,7 @@
     let permit = taken(&router).await;
     let told = async |stated, is_news| {
         let before = router.state().asked.len();
-        note_answer(&router, LIFE, permit, stated, is_news);
+        handle_response(&router, LIFE, permit, stated, is_news);
         tokio::task::yield_now().await;
         router.state().asked.get(before).cloned()
     };
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -5,8 +5,8 @@
 use hyper::HeaderMap;
 use railtack_backend_api::REQUEST_LIMIT_HEADER;
 use railtack_proxy::{
-    backend::stated_limit,
-    permits::{self, KnownLimit, LimitedRouter, Permission, Permit},
+    backend::parse_limit_header,
+    permits::{self, KnownLimit, Permit, PermitClient, PermitDecision},
 };
 use railtack_rpc::permits::{PermitReply, PermitRequest};
 use railtack_serving::{
@@ -44,7 +44,7 @@
     }
 }
 
-impl LimitedRouter for RouterState {
+impl PermitClient for RouterState {
     fn uptime(&self) -> MonotonicTime {
         RouterState::uptime(self)
     }
@@ -57,26 +57,26 @@
         Some(KnownLimit {
             limit: own.limit,
             age: self.uptime().saturating_sub(own.advertised_at),
-            own: Some(own),
+            advertised_here: Some(own),
         })
     }
 
-    fn unanswered_until(&self) -> MonotonicTime {
+    fn permit_requests_suspended_until(&self) -> MonotonicTime {
         *lock(&self.permits_unanswered_until)
     }
 
-    fn note_unanswered(&self, until: MonotonicTime) {
+    fn suspend_permit_requests(&self, until: MonotonicTime) {
         *lock(&self.permits_unanswered_until) = until;
     }
 
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
+    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
         self.metrics.permits_withheld.inc();
         self.with_announced(life, |announced| {
             announced.set_limited_until(limit, room_at)
         });
     }
 
-    fn note_over(&self, life: &str, named_at: MonotonicTime) {
+    fn clear_limit(&self, life: &str, named_at: MonotonicTime) {
         self.with_announced(life, |announced| announced.clear_limit(named_at));
     }
 
@@ -86,8 +86,8 @@
 }
 
 /// Takes a permit for one request, if the engine or back end has a limit.
-pub async fn permission(state: &RouterState, life: &str) -> Permission {
-    permits::take(state, life, ASKED_WITHIN).await
+pub async fn permission(state: &RouterState, life: &str) -> PermitDecision {
+    permits::acquire(state, life, ASKED_WITHIN).await
 }
 
 /// Takes in what an answer says of the limit of the engine or back end that gave it.
@@ -97,7 +97,7 @@
     permit: Option<Permit>,
     headers: &HeaderMap,
 ) {
-    let stated = stated_limit(headers, REQUEST_LIMIT_HEADER);
+    let stated = parse_limit_header(headers, REQUEST_LIMIT_HEADER);
     let news = match stated {
         LimitHeader::Absent => SignalChanges::default(),
         LimitHeader::Invalid(error) => {
@@ -120,7 +120,7 @@
             )
         }
     };
-    permits::note_answer(state, life, permit, stated, news.limit.is_some());
+    permits::handle_response(state, life, permit, stated, news.limit.is_some());
 }
 
 fn log_news(life: &str, news: SignalChanges) -> SignalChanges {
