--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -106,7 +106,7 @@
 
 /// Whether nobody listens at an address: its port refuses connections. False if it accepts them, and
 /// if nothing is heard within `limit`.
-pub async fn port_refuses(address: SocketAddr, limit: Duration) -> bool {
+pub async fn is_port_closed(address: SocketAddr, limit: Duration) -> bool {
     let connected = timeout(limit, TcpStream::connect(address)).await;
     let refused = |error: &io::Error| error.kind() == io::ErrorKind::ConnectionRefused;
     connected.is_ok_and(|connected| connected.as_ref().err().is_some_and(refused))
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -20,7 +20,7 @@
         return response;
     }
     if let Some(id) = path.strip_prefix("/explain/") {
-        let records = lock(&state.decisions).about(id);
+        let records = lock(&state.decisions).for_request(id);
         let status = if records.is_empty() { 404 } else { 200 };
         return body::json(status, &records);
     }
@@ -38,5 +38,5 @@
 }
 
 fn is_ready(state: &RouterState) -> bool {
-    state.require_serving().is_ok() && state.knows_back_ends()
+    state.require_serving().is_ok() && state.back_ends_known()
 }
--- a/crates/router/src/completions.rs
+++ b/crates/router/src/completions.rs
@@ -20,48 +20,48 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    answers::{self, AnswerWriter, Shape},
     api::CompletionBody,
     dispatch::{self, Job},
     prompt, quarantine,
     refusal::Refusal,
     request_log,
     resolved::{Resolved, ResolvedService},
+    responses::{self, ApiKind, ResponseWriter},
     state::{RouterState, lock},
 };
 
 /// Steps of an answer that may wait for a slow caller before the engine's stream waits too.
-const ANSWER_BUFFER: usize = 64;
+const RESPONSE_BUFFER: usize = 64;
 /// Pause told to a caller whose model no engine runs, milliseconds.
-const NO_ENGINE_PAUSE_MS: u64 = 1_000;
+const NO_ENGINE_RETRY_MS: u64 = 1_000;
 /// Smallest pause told to a refused caller, milliseconds.
-const SHORTEST_PAUSE_MS: u64 = 100;
+const MIN_RETRY_MS: u64 = 100;
 
 /// Runs one model request.
 pub async fn complete(
     state: Arc<RouterState>,
     bearer: Option<String>,
     body: CompletionBody,
-    shape: Shape,
+    api: ApiKind,
 ) -> Response<Body> {
-    let request = RequestId(rand::random());
+    let request_id = RequestId(rand::random());
     let stream = body.stream;
     let template = body.template.0.clone();
-    match prepare(&state, bearer.as_deref(), body, request) {
+    match prepare(&state, bearer.as_deref(), body, request_id) {
         Ok(job) => {
-            let writer = AnswerWriter {
-                request,
-                shape,
-                model: job.key.model.0.clone(),
+            let writer = ResponseWriter {
+                request_id,
+                api,
+                model: job.model_key.model.0.clone(),
             };
-            let (sender, events) = mpsc::channel(ANSWER_BUFFER);
+            let (sender, events) = mpsc::channel(RESPONSE_BUFFER);
             tokio::spawn(dispatch::run(state, job, sender));
             writer.respond(events, stream).await
         }
         Err(refusal) => {
-            request_log::refused(request, &template, &refusal);
-            state.metrics.refused(refusal.code);
-            answers::with_request_id(refusal.response(), request)
+            request_log::log_refusal(request_id, &template, &refusal);
+            state.metrics.record_refusal(refusal.code);
+            responses::with_request_id(refusal.response(), request_id)
         }
     }
 }
@@ -70,13 +70,13 @@
     state: &RouterState,
     bearer: Option<&str>,
     body: CompletionBody,
-    request: RequestId,
+    request_id: RequestId,
 ) -> Result<Job, Refusal> {
     state.require_serving()?;
     let resolved = state.resolved.load();
     let tenant = resolved.authenticate(bearer)?;
     let service = resolved.service(tenant, &body.template)?;
-    let job = build_job(state, &resolved, service, body, request)?;
+    let job = build_job(state, &resolved, service, body, request_id)?;
     admit(state, &service, job)
 }
 
@@ -85,7 +85,7 @@
     resolved: &Resolved,
     service: ResolvedService<'_>,
     body: CompletionBody,
-    request: RequestId,
+    request_id: RequestId,
 ) -> Result<Job, Refusal> {
     let template = service.template;
     let Target::Model { model, adapter } = &template.target else {
@@ -94,14 +94,14 @@
     };
     let prompt = prompt::build(template, service.service, &body.parameters, &body.prompt)?;
     let target = resolved.weights_version(model);
-    let key = ModelKey {
+    let model_key = ModelKey {
         model: model.clone(),
         weights_version: serving_version(state, model, target, &service.tenant.name),
     };
     let namespace = CacheNamespace::derive(
         &service.tenant.name,
         model,
-        key.weights_version,
+        model_key.weights_version,
         adapter.as_deref(),
     );
     let block_tokens = state.block_tokens.load(Ordering::Relaxed).max(1);
@@ -110,7 +110,7 @@
     let limits = &state.settings.limits;
     let deadline_ms = body.deadline_ms.unwrap_or(limits.default_deadline_ms);
     let deadline_ms = deadline_ms.min(limits.longest_deadline_ms);
-    let content = ContentKey::of(RequestContent {
+    let content_key = ContentKey::of(RequestContent {
         method: "POST",
         host: model.0.as_str(),
         target: template.name.as_str(),
@@ -118,11 +118,11 @@
         body: prompt.text.as_bytes(),
     });
     Ok(Job {
-        request,
-        content,
+        request_id,
+        content_key,
         tenant: service.tenant.name.clone(),
         template: template.name.clone(),
-        key,
+        model_key,
         namespace,
         prompt: prompt.text,
         chain,
@@ -142,15 +142,15 @@
     target: WeightsVersion,
     tenant: &TenantName,
 ) -> WeightsVersion {
-    let point = xxh3_64(tenant.as_str().as_bytes()) as f64 / u64::MAX as f64;
+    let position = xxh3_64(tenant.as_str().as_bytes()) as f64 / u64::MAX as f64;
     lock(&state.scheduler)
         .engines
-        .serving_version(model, target, point)
+        .serving_version(model, target, position)
 }
 
 /// Chooses an engine and asks whether the request may run there in time.
 fn admit(state: &RouterState, service: &ResolvedService<'_>, mut job: Job) -> Result<Job, Refusal> {
-    if let Some(refusal) = quarantine::refusal(state, job.content) {
+    if let Some(refusal) = quarantine::refusal(state, job.content_key) {
         return Err(refusal);
     }
     let now = state.now_us();
@@ -168,7 +168,7 @@
     };
     lock(&state.admission)
         .admit(request, now)
-        .map_err(refused_admission)?;
+        .map_err(admission_refusal)?;
     lock(&state.retry_budgets)
         .entry(job.tenant.clone())
         .or_default()
@@ -179,26 +179,26 @@
 
 fn choose_first(state: &RouterState, job: &Job, now: u64) -> Result<Decision, Refusal> {
     let shape = RequestShape {
-        key: &job.key,
+        key: &job.model_key,
         chain: &job.chain,
         boundaries: &job.boundaries,
         priority: job.priority,
         excluded: &[],
     };
     let decision = lock(&state.scheduler).choose(shape, now, rand::random());
-    decision.ok_or_else(|| without_engine(state, &job.key))
+    decision.ok_or_else(|| no_engine_refusal(state, &job.model_key))
 }
 
 /// What the caller of a request is told that no engine takes now.
-pub fn without_engine(state: &RouterState, key: &ModelKey) -> Refusal {
+pub fn no_engine_refusal(state: &RouterState, key: &ModelKey) -> Refusal {
     let opens_in = lock(&state.scheduler).opens_in(key, state.now_us());
-    let pause_ms = opens_in.map_or(NO_ENGINE_PAUSE_MS, |wait| wait.div_ceil(1_000));
+    let retry_after_ms = opens_in.map_or(NO_ENGINE_RETRY_MS, |wait| wait.div_ceil(1_000));
     let detail = format!("no engine runs {} {}", key.model, key.weights_version);
-    Refusal::not_run(RefusalCode::NoBackend, detail).retry_after_ms(pause_ms)
+    Refusal::not_run(RefusalCode::NoBackend, detail).retry_after_ms(retry_after_ms)
 }
 
-fn refused_admission(refusal: AdmissionRefusal) -> Refusal {
-    let pause_ms = (refusal.retry_after_us() / 1_000).max(SHORTEST_PAUSE_MS);
+fn admission_refusal(refusal: AdmissionRefusal) -> Refusal {
+    let retry_after_ms = (refusal.retry_after_us() / 1_000).max(MIN_RETRY_MS);
     let code = match refusal {
         AdmissionRefusal::RateLimit { .. } | AdmissionRefusal::ConcurrencyLimit { .. } => {
             RefusalCode::TenantLimit
@@ -207,5 +207,5 @@
             RefusalCode::Overloaded
         }
     };
-    Refusal::not_run(code, refusal.to_string()).retry_after_ms(pause_ms)
+    Refusal::not_run(code, refusal.to_string()).retry_after_ms(retry_after_ms)
 }
--- a/crates/router/src/control_link.rs
+++ b/crates/router/src/control_link.rs
@@ -27,13 +27,13 @@
 /// Time for one poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Pause before asking again when a replica has told of an entry that was not sent yet.
-const CATCH_UP_PAUSE: Duration = Duration::from_millis(20);
+const CATCH_UP_DELAY: Duration = Duration::from_millis(20);
 /// Time for one proposal to one replica.
 const PROPOSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Control replicas that are asked for one permit: one that does not lead, and the leader that it names.
-const PERMIT_TRIES: usize = 3;
+const PERMIT_ATTEMPTS: usize = 3;
 /// Pause before the next replica is tried.
-const PROPOSE_PAUSE: Duration = Duration::from_millis(30);
+const PROPOSE_RETRY_DELAY: Duration = Duration::from_millis(30);
 
 type Connections = BTreeMap<ReplicaId, Arc<ControlConnection>>;
 
@@ -41,7 +41,7 @@
 pub struct ControlLink {
     connections: Mutex<Connections>,
     leader: Mutex<Option<SocketAddr>>,
-    level: KnownLevel,
+    group_level: KnownLevel,
 }
 
 impl ControlLink {
@@ -54,14 +54,14 @@
         Self {
             connections: Mutex::new(connections.collect()),
             leader: Mutex::new(None),
-            level: KnownLevel::default(),
+            group_level: KnownLevel::default(),
         }
     }
 
     /// Whether the group grants permits and records ends. A member of a build that does not would close the
     /// connection on a question that it cannot read.
-    pub fn grants(&self) -> bool {
-        self.level.get() >= FeatureLevel::SHARED_GRANTS
+    pub fn supports_shared_grants(&self) -> bool {
+        self.group_level.get() >= FeatureLevel::SHARED_GRANTS
     }
 
     /// Follows a change of the voters.
@@ -103,35 +103,41 @@
             };
             position += 1;
             let answer = send_proposal(&connection, &command).await;
-            self.follow_leader(&connection, &answer);
+            self.update_leader(&connection, &answer);
             if let Some(proposed) = run.answered(answer) {
                 return proposed;
             }
-            sleep(PROPOSE_PAUSE).await;
+            sleep(PROPOSE_RETRY_DELAY).await;
         }
         run.expired()
     }
 
     /// Tells the leader what is known of a limit, and may take a permit; `None` without an answer. Whoever does
     /// not lead may name the leader, who is asked in the same time.
-    pub async fn take_permit(
+    pub async fn request_permit(
         &self,
-        question: PermitRequest,
+        request: PermitRequest,
         limit: Duration,
     ) -> Option<PermitReply> {
-        if !self.grants() {
+        if !self.supports_shared_grants() {
             return None;
         }
         let deadline = Instant::now() + limit;
-        for position in 0..PERMIT_TRIES {
+        for position in 0..PERMIT_ATTEMPTS {
             let connection = self.proposal_target(position)?;
-            let left = deadline.saturating_duration_since(Instant::now());
-            let sent = question.clone();
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let permit_request = request.clone();
             let answer = connection
-                .call(|client| async move { client.take_permit(call_deadline(left), sent).await })
+                .call(|client| async move {
+                    client
+                        .take_permit(call_deadline(remaining), permit_request)
+                        .await
+                })
                 .await;
             let leader = match answer {
-                Ok(PermitReply::NotLeader { leader }) => leader.and_then(|told| told.parse().ok()),
+                Ok(PermitReply::NotLeader { leader }) => {
+                    leader.and_then(|address| address.parse().ok())
+                }
                 Ok(reply) => {
                     *lock(&self.leader) = Some(connection.address());
                     return Some(reply);
@@ -150,7 +156,7 @@
         None
     }
 
-    fn follow_leader(&self, connection: &ControlConnection, answer: &ProposalAnswer) {
+    fn update_leader(&self, connection: &ControlConnection, answer: &ProposalAnswer) {
         let leader = match answer {
             ProposalAnswer::Reply(ProposeReply::Done(_)) => Some(connection.address()),
             ProposalAnswer::Reply(ProposeReply::NotLeader { leader }) => leader
@@ -165,11 +171,11 @@
     fn proposal_target(&self, position: usize) -> Option<Arc<ControlConnection>> {
         let connections = self.connections();
         let leader = *lock(&self.leader);
-        let led = connections
+        let known_leader = connections
             .iter()
             .find(|(_, connection)| Some(connection.address()) == leader);
         let (_, connection) =
-            led.or_else(|| connections.get(position % connections.len().max(1)))?;
+            known_leader.or_else(|| connections.get(position % connections.len().max(1)))?;
         Some(Arc::clone(connection))
     }
 }
@@ -200,13 +206,13 @@
 ///
 /// The first round starts at once, so that a restarted router serves as soon as a majority has
 /// answered. Routers restarted together spread over the replicas by their number.
-pub async fn keep_current(state: Arc<RouterState>) {
+pub async fn poll_replicas(state: Arc<RouterState>) {
     let interval = Duration::from_millis(state.settings.lease.confirm_interval_ms);
     let mut round = state.settings.router_id.0 as usize;
     loop {
         let behind = poll_all(&state, round).await;
         round += 1;
-        sleep(if behind { CATCH_UP_PAUSE } else { interval }).await;
+        sleep(if behind { CATCH_UP_DELAY } else { interval }).await;
     }
 }
 
@@ -222,15 +228,15 @@
             let state = Arc::clone(state);
             tokio::spawn(async move { poll_one(&state, &connection, want_update).await })
         });
-    let mut last_told = 0;
+    let mut last_reported = 0;
     for poll in polls.collect::<Vec<_>>() {
-        if let Ok(Some(told)) = poll.await {
-            last_told = last_told.max(told);
+        if let Ok(Some(reported)) = poll.await {
+            last_reported = last_reported.max(reported);
         }
     }
     let applied = state.resolved.load().applied;
     state.metrics.applied.set(applied);
-    last_told > applied || !state.is_confirmed()
+    last_reported > applied || !state.is_confirmed()
 }
 
 async fn poll_one(
@@ -238,7 +244,7 @@
     connection: &ControlConnection,
     want_update: bool,
 ) -> Option<u64> {
-    let asked_at = state.now_ms();
+    let sent_at = state.now_ms();
     let request = PollRequest {
         router: state.settings.router_id,
         applied: state.resolved.load().applied,
@@ -249,12 +255,12 @@
         .call(|client| async move { client.poll(call_deadline(POLL_TIMEOUT), request).await })
         .await
         .ok()?;
-    let told = reply.last_configuration_index;
-    take_reply(state, reply, asked_at);
-    Some(told)
+    let reported = reply.last_configuration_index;
+    apply_reply(state, reply, sent_at);
+    Some(reported)
 }
 
-fn take_reply(state: &RouterState, reply: PollReply, asked_at: u64) {
+fn apply_reply(state: &RouterState, reply: PollReply, sent_at: u64) {
     if let Some(update) = &reply.update {
         // Updates of several replicas may cross; `updated` takes none that would move back.
         state
@@ -264,14 +270,14 @@
                 None => Arc::clone(known),
             });
     }
-    if let Some(told) = &reply.quarantine {
-        quarantine::learn(state, told);
+    if let Some(update) = &reply.quarantine {
+        quarantine::apply_update(state, update);
     }
-    state.control.level.learn(reply.group_level);
+    state.control.group_level.learn(reply.group_level);
     if reply.voter {
         lock(&state.admission).set_routers(reply.routers);
     }
-    if lock(&state.lease).take_reply(&reply, asked_at) {
+    if lock(&state.lease).take_reply(&reply, sent_at) {
         state.control.set_voters(&reply.voters);
     }
 }
--- a/crates/router/src/decisions.rs
+++ b/crates/router/src/decisions.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Decisions kept.
-const DECISIONS_KEPT: usize = 4_096;
+const MAX_DECISIONS: usize = 4_096;
 
 /// Why a request went where it went.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -52,15 +52,15 @@
 
 impl DecisionLog {
     /// Adds a decision and drops the oldest if there are too many.
-    pub fn add(&mut self, record: DecisionRecord) {
+    pub fn push(&mut self, record: DecisionRecord) {
         self.records.push_back(record);
-        if self.records.len() > DECISIONS_KEPT {
+        if self.records.len() > MAX_DECISIONS {
             self.records.pop_front();
         }
     }
 
     /// Decisions about a request.
-    pub fn about(&self, request: &str) -> Vec<DecisionRecord> {
+    pub fn for_request(&self, request: &str) -> Vec<DecisionRecord> {
         let matching = self
             .records
             .iter()
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -18,7 +18,6 @@
 use tokio::{sync::mpsc, time::Instant};
 
 use crate::{
-    answers::AnswerEvent,
     attempts::{AfterAttempt, AttemptEnd, Attempts},
     completions,
     decisions::{CandidateRecord, DecisionRecord},
@@ -26,27 +25,28 @@
     quarantine::{self, BackEndLife, engine_life},
     relay::{EndMarker, Relay},
     request_log::RequestLog,
+    responses::ResponseEvent,
     state::{RouterState, lock},
 };
 
 mod exchange;
 
 /// Engine priority of interactive work; batch work has 0.
-const URGENT: u8 = 1;
+const INTERACTIVE_PRIORITY: u8 = 1;
 
 /// A request that was admitted.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// The request.
-    pub request: RequestId,
+    pub request_id: RequestId,
     /// Names what the caller sent, the same each time it sends it again.
-    pub content: ContentKey,
+    pub content_key: ContentKey,
     /// The tenant.
     pub tenant: TenantName,
     /// The template.
     pub template: TemplateName,
     /// What the engine must have loaded.
-    pub key: ModelKey,
+    pub model_key: ModelKey,
     /// Root of the cache namespace.
     pub namespace: CacheNamespace,
     /// The prompt.
@@ -68,10 +68,10 @@
 }
 
 /// Runs a job and reports its answer step by step. Dropping the receiver cancels it.
-pub async fn run(state: Arc<RouterState>, job: Job, events: mpsc::Sender<AnswerEvent>) {
+pub async fn run(state: Arc<RouterState>, job: Job, events: mpsc::Sender<ResponseEvent>) {
     state.metrics.open_requests.inc();
     let job = Arc::new(job);
-    let mut run = Run {
+    let mut dispatch = Dispatch {
         state: &state,
         job: &job,
         log: RequestLog::new(Arc::clone(&job)),
@@ -80,20 +80,20 @@
         attempts: Attempts::default(),
         excluded: Vec::new(),
     };
-    let last = run.run_attempts().await;
+    let event = dispatch.run_attempts().await;
     lock(&state.admission).release(&job.tenant);
     state.metrics.open_requests.dec();
-    if let Some(event) = last {
-        run.count_end(&event);
+    if let Some(event) = event {
+        dispatch.record_outcome(&event);
         let _ = events.send(event).await;
     }
 }
 
-struct Run<'a> {
+struct Dispatch<'a> {
     state: &'a Arc<RouterState>,
     job: &'a Job,
     log: RequestLog,
-    events: &'a mpsc::Sender<AnswerEvent>,
+    events: &'a mpsc::Sender<ResponseEvent>,
     relay: Relay,
     attempts: Attempts,
     excluded: Vec<EngineSlot>,
@@ -109,33 +109,33 @@
     /// Leading blocks that the engine was known to hold before.
     held_blocks: u32,
     /// Whether its first token has not come yet.
-    waits_for_token: bool,
+    awaiting_first_token: bool,
     /// The permit by which it was sent, if the engine has a limit.
     permit: Option<Permit>,
 }
 
-impl Run<'_> {
+impl Dispatch<'_> {
     /// Attempts until one brings the whole answer; `None` if the caller is gone.
-    async fn run_attempts(&mut self) -> Option<AnswerEvent> {
+    async fn run_attempts(&mut self) -> Option<ResponseEvent> {
         let mut decision = self.job.first_decision.clone();
         loop {
             let Some(chosen) = decision.take().or_else(|| self.choose()) else {
-                return last_event(self.without_engine());
+                return final_event(self.no_engine_outcome());
             };
-            if let Some(refusal) = quarantine::refusal(self.state, self.job.content) {
-                return last_event(self.attempts.refused(refusal));
+            if let Some(refusal) = quarantine::refusal(self.state, self.job.content_key) {
+                return final_event(self.attempts.refused(refusal));
             }
-            let Some(permit) = self.permit(&chosen).await else {
+            let Some(permit) = self.acquire_permit(&chosen).await else {
                 // Its limit has no room, which is known since: the next choice leaves it out.
                 continue;
             };
-            self.record(&chosen);
+            self.record_decision(&chosen);
             let end = self.attempt(&chosen, permit).await;
-            self.log.attempted(&end);
+            self.log.record_attempt(&end);
             let (state, tenant) = (self.state, &self.job.tenant);
             let after = self.attempts.ended(end, || spend_retry(state, tenant));
             if after != AfterAttempt::Again {
-                return last_event(after);
+                return final_event(after);
             }
             self.excluded.push(chosen.chosen.engine);
             self.state.metrics.retries.inc();
@@ -144,7 +144,7 @@
 
     fn choose(&self) -> Option<Decision> {
         let shape = RequestShape {
-            key: &self.job.key,
+            key: &self.job.model_key,
             chain: &self.job.chain,
             boundaries: &self.job.boundaries,
             priority: self.job.priority,
@@ -155,16 +155,16 @@
 
     /// What the caller is told when no engine may be tried: before the first attempt, when one takes requests
     /// again.
-    fn without_engine(&self) -> AfterAttempt {
+    fn no_engine_outcome(&self) -> AfterAttempt {
         if self.attempts.made() > 0 {
             return self.attempts.no_engine();
         }
-        let refusal = completions::without_engine(self.state, &self.job.key);
+        let refusal = completions::no_engine_refusal(self.state, &self.job.model_key);
         self.attempts.refused(refusal)
     }
 
     /// The permit to send the chosen engine the request, if it has a limit; `None` if that has no room.
-    async fn permit(&self, decision: &Decision) -> Option<Option<Permit>> {
+    async fn acquire_permit(&self, decision: &Decision) -> Option<Option<Permit>> {
         let life = {
             let scheduler = lock(&self.state.scheduler);
             let view = scheduler.engines.view(decision.chosen.engine);
@@ -174,7 +174,7 @@
         let Some(life) = life else {
             return Some(None);
         };
-        match limits::permission(self.state, &life).await {
+        match limits::acquire_permit(self.state, &life).await {
             Permission::Given(permit) => Some(permit),
             Permission::Withheld => None,
         }
@@ -192,14 +192,14 @@
             address,
             uncached_tokens: u64::from(decision.chosen.uncached_tokens),
             held_blocks: decision.chosen.held_tokens / self.job.chain.block_tokens.max(1),
-            waits_for_token: true,
+            awaiting_first_token: true,
             permit,
         };
         self.relay.begin(attempt.id);
-        self.begin(&attempt);
+        self.on_attempt_started(&attempt);
         let end = self.exchange(&mut attempt, &request).await;
-        self.finish(&attempt, &end);
-        self.note_life(&attempt, &end);
+        self.on_attempt_finished(&attempt, &end);
+        self.report_back_end_health(&attempt, &end);
         let may_still_run = matches!(
             end,
             AttemptEnd::CallerGone | AttemptEnd::TooLate | AttemptEnd::Lost
@@ -211,12 +211,12 @@
     }
 
     /// Notes what the end of an attempt says of whether the engine outlived the request.
-    fn note_life(&self, attempt: &Attempt, end: &AttemptEnd) {
+    fn report_back_end_health(&self, attempt: &Attempt, end: &AttemptEnd) {
         match end {
-            AttemptEnd::Whole(_) => quarantine::outlived(self.state, self.job.content),
+            AttemptEnd::Whole(_) => quarantine::record_success(self.state, self.job.content_key),
             AttemptEnd::Lost => {
                 let life = self.life_of(attempt);
-                quarantine::connection_broke(self.state, life, self.job.content);
+                quarantine::record_broken_connection(self.state, life, self.job.content_key);
             }
             _ => {}
         }
@@ -232,13 +232,13 @@
         let request = EngineRequest {
             attempt: Hex(rand::random()),
             incarnation,
-            model: self.job.key.model.clone(),
-            weights_version: self.job.key.weights_version,
+            model: self.job.model_key.model.clone(),
+            weights_version: self.job.model_key.weights_version,
             cache_namespace: Hex(self.job.namespace.0),
             prompt: self.job.prompt.clone(),
             delivered_tokens: self.relay.delivered(),
             max_tokens: self.job.max_tokens,
-            priority: self.priority(),
+            priority: self.engine_priority(),
         };
         Some((request, address))
     }
@@ -251,33 +251,36 @@
         }
     }
 
-    fn begin(&self, attempt: &Attempt) {
+    fn on_attempt_started(&self, attempt: &Attempt) {
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
         view.breaker.begin();
-        view.sent(attempt.uncached_tokens, self.is_urgent());
+        view.sent(attempt.uncached_tokens, self.is_interactive());
         if view.incarnation == attempt.incarnation {
             scheduler.expect_cached(attempt.engine, &self.job.chain);
         }
     }
 
-    fn note_first_token(&mut self, attempt: &mut Attempt) {
-        if !attempt.waits_for_token {
+    fn on_first_token(&mut self, attempt: &mut Attempt) {
+        if !attempt.awaiting_first_token {
             return;
         }
-        attempt.waits_for_token = false;
+        attempt.awaiting_first_token = false;
         if self.relay.delivered() == 1 {
-            self.log.first_byte();
-            let waited = self.job.received.elapsed();
-            self.state.metrics.first_token.observe(waited.as_secs_f64());
+            self.log.record_first_byte();
+            let elapsed = self.job.received.elapsed();
+            self.state
+                .metrics
+                .first_token
+                .observe(elapsed.as_secs_f64());
         }
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
-        view.prefilled(attempt.uncached_tokens, self.is_urgent());
+        view.prefilled(attempt.uncached_tokens, self.is_interactive());
         view.breaker.succeed();
     }
 
-    fn finish(&self, attempt: &Attempt, end: &AttemptEnd) {
+    fn on_attempt_finished(&self, attempt: &Attempt, end: &AttemptEnd) {
         let now = self.state.now_us();
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
@@ -285,30 +288,30 @@
         if matches!(end, AttemptEnd::Lost | AttemptEnd::NotSent) {
             view.breaker.fail(now);
         }
-        if attempt.waits_for_token {
-            view.prefilled(attempt.uncached_tokens, self.is_urgent());
+        if attempt.awaiting_first_token {
+            view.prefilled(attempt.uncached_tokens, self.is_interactive());
             scheduler.withdraw_expectation(attempt.engine, &self.job.chain, attempt.held_blocks);
         }
     }
 
-    fn count_end(&mut self, event: &AnswerEvent) {
+    fn record_outcome(&mut self, event: &ResponseEvent) {
         let metrics = &self.state.metrics;
         match event {
-            AnswerEvent::Ended(end) => {
-                self.log.whole();
+            ResponseEvent::Ended(end) => {
+                self.log.record_completion();
                 metrics.completed.inc();
                 metrics.prompt_tokens.inc_by(u64::from(end.prompt_tokens));
                 metrics.cached_tokens.inc_by(u64::from(end.cached_tokens));
             }
-            AnswerEvent::Failed(refusal) => {
-                self.log.failed(refusal);
-                metrics.refused(refusal.code);
+            ResponseEvent::Failed(refusal) => {
+                self.log.record_failure(refusal);
+                metrics.record_refusal(refusal.code);
             }
-            AnswerEvent::Token(_) => {}
+            ResponseEvent::Token(_) => {}
         }
     }
 
-    fn record(&mut self, decision: &Decision) {
+    fn record_decision(&mut self, decision: &Decision) {
         if self.relay.delivered() > 0 {
             self.state.metrics.continued.inc();
         }
@@ -325,7 +328,7 @@
             }
         });
         let record = DecisionRecord {
-            request: format!("{:032x}", self.job.request.0),
+            request: format!("{:032x}", self.job.request_id.0),
             tenant: self.job.tenant.clone(),
             template: self.job.template.clone(),
             attempt: self.attempts.made() + 1,
@@ -334,24 +337,29 @@
             candidates: candidates.collect(),
         };
         drop(scheduler);
-        self.log.chose(record.engine, decision.chosen.held_tokens);
-        lock(&self.state.decisions).add(record);
+        self.log
+            .record_choice(record.engine, decision.chosen.held_tokens);
+        lock(&self.state.decisions).push(record);
     }
 
-    fn is_urgent(&self) -> bool {
+    fn is_interactive(&self) -> bool {
         self.job.priority == Priority::Interactive
     }
 
-    fn priority(&self) -> u8 {
-        if self.is_urgent() { URGENT } else { 0 }
+    fn engine_priority(&self) -> u8 {
+        if self.is_interactive() {
+            INTERACTIVE_PRIORITY
+        } else {
+            0
+        }
     }
 }
 
 /// The event that ends an answer; `None` if nobody waits for it.
-fn last_event(after: AfterAttempt) -> Option<AnswerEvent> {
+fn final_event(after: AfterAttempt) -> Option<ResponseEvent> {
     match after {
-        AfterAttempt::Whole(end) => Some(AnswerEvent::Ended(end)),
-        AfterAttempt::Fail(refusal) => Some(AnswerEvent::Failed(refusal)),
+        AfterAttempt::Whole(end) => Some(ResponseEvent::Ended(end)),
+        AfterAttempt::Fail(refusal) => Some(ResponseEvent::Failed(refusal)),
         AfterAttempt::Again | AfterAttempt::Abandon => None,
     }
 }
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -11,28 +11,28 @@
 use railtack_serving::BackEndNotice;
 use tokio::time::{sleep, timeout, timeout_at};
 
-use super::{Attempt, Run};
+use super::{Attempt, Dispatch};
 use crate::{
-    answers::AnswerEvent,
     attempts::AttemptEnd,
-    engine_link::{engine_is_silent, refresh_status},
+    engine_link::{refresh_status, wait_until_silent},
     limits,
     relay::FrameStep,
+    responses::ResponseEvent,
     state::lock,
 };
 
 /// Tries to resume a stream on the engine where it broke.
-const RESUME_TRIES: u32 = 2;
+const RESUME_ATTEMPTS: u32 = 2;
 /// Pause before a stream is resumed.
-const RESUME_PAUSE: Duration = Duration::from_millis(30);
+const RESUME_DELAY: Duration = Duration::from_millis(30);
 /// Time for cancelling an attempt.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for an engine's refusal to arrive.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Largest refusal of an engine, bytes.
-const REFUSAL_LIMIT: usize = 16 * 1024;
+const MAX_REFUSAL_BYTES: usize = 16 * 1024;
 
-impl Run<'_> {
+impl Dispatch<'_> {
     /// One exchange with an engine, given up when nothing is heard of the engine any more: a
     /// frozen process keeps its connections open in silence.
     pub(super) async fn exchange(
@@ -44,7 +44,7 @@
         let engine = attempt.engine;
         tokio::select! {
             end = self.exchange_frames(attempt, request) => end,
-            () = engine_is_silent(state, engine) => AttemptEnd::Lost,
+            () = wait_until_silent(state, engine) => AttemptEnd::Lost,
         }
     }
 
@@ -65,9 +65,9 @@
             Some(Err(SendError::MaybeSent)) => return self.resume(attempt).await,
             Some(Ok(response)) => response,
         };
-        self.note_limit(attempt, &response);
+        self.record_limit(attempt, &response);
         if response.status() != 200 {
-            return self.refused(attempt, response).await;
+            return self.handle_refusal(attempt, response).await;
         }
         match self.relay(attempt, response).await {
             AttemptEnd::Lost => self.resume(attempt).await,
@@ -86,8 +86,8 @@
 
     /// Asks the same engine for the rest; it keeps a stream for a while after a connection broke.
     async fn resume(&mut self, attempt: &mut Attempt) -> AttemptEnd {
-        for _ in 0..RESUME_TRIES {
-            sleep(RESUME_PAUSE).await;
+        for _ in 0..RESUME_ATTEMPTS {
+            sleep(RESUME_DELAY).await;
             let uri = format!(
                 "http://{}/v1/streams/{:032x}?from={}",
                 attempt.address,
@@ -140,8 +140,8 @@
                 FrameStep::Gap => return AttemptEnd::Lost,
                 FrameStep::Whole(end) => return AttemptEnd::Whole(end),
                 FrameStep::Deliver(text) => {
-                    self.note_first_token(attempt);
-                    let token = AnswerEvent::Token(text);
+                    self.on_first_token(attempt);
+                    let token = ResponseEvent::Token(text);
                     if self.events.send(token).await.is_err() {
                         return AttemptEnd::CallerGone;
                     }
@@ -151,11 +151,11 @@
         }
     }
 
-    async fn refused(&self, attempt: &Attempt, response: Response<Incoming>) -> AttemptEnd {
-        if let Some(time) = back_off(response.status(), response.headers()) {
-            self.note_back_off(attempt, time);
+    async fn handle_refusal(&self, attempt: &Attempt, response: Response<Incoming>) -> AttemptEnd {
+        if let Some(delay) = back_off(response.status(), response.headers()) {
+            self.record_back_off(attempt, delay);
         }
-        let content = read_body(response.into_body(), REFUSAL_LIMIT, REFUSAL_TIMEOUT).await;
+        let content = read_body(response.into_body(), MAX_REFUSAL_BYTES, REFUSAL_TIMEOUT).await;
         let error = content
             .ok()
             .and_then(|bytes| serde_json::from_slice::<EngineError>(&bytes).ok());
@@ -168,16 +168,16 @@
     }
 
     /// Takes in what the answer says of the engine's limit.
-    fn note_limit(&self, attempt: &Attempt, response: &Response<Incoming>) {
+    fn record_limit(&self, attempt: &Attempt, response: &Response<Incoming>) {
         let life = self.life_of(attempt);
-        limits::note_answer(self.state, &life.name, attempt.permit, response.headers());
+        limits::record_response(self.state, &life.name, attempt.permit, response.headers());
     }
 
     /// Notes that the engine asked for no requests for a time.
-    fn note_back_off(&self, attempt: &Attempt, time: Duration) {
+    fn record_back_off(&self, attempt: &Attempt, delay: Duration) {
         let now = self.state.uptime();
         let notice = BackEndNotice {
-            back_off: Some(time),
+            back_off: Some(delay),
             ..BackEndNotice::default()
         };
         let mut scheduler = lock(&self.state.scheduler);
@@ -187,7 +187,7 @@
         }
         spdlog::info!("engine asked for rest", kv: {
             engine = view.id.to_string(),
-            back_off_ms = time.as_millis() as u64,
+            back_off_ms = delay.as_millis() as u64,
         });
     }
 
--- a/crates/router/src/engine_link.rs
+++ b/crates/router/src/engine_link.rs
@@ -22,23 +22,23 @@
 use crate::state::{RouterState, ServiceBackends, lock};
 
 /// Silence after which an engine counts as lost; its state is asked for twice a second.
-const ENGINE_SILENCE_US: u64 = 2_500_000;
+const ENGINE_SILENCE_TIMEOUT_US: u64 = 2_500_000;
 /// Time between looks at whether an engine is silent.
-const SILENCE_CHECK: Duration = Duration::from_millis(250);
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time between two looks at the platform's list.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before an engine is tried again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// Silence after which an event stream counts as broken. Engines report load several times a
 /// second.
-const EVENT_SILENCE: Duration = Duration::from_secs(3);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Follows the list for as long as the router runs.
-pub async fn follow_platform(state: Arc<RouterState>) {
-    let followed = Arc::new(Mutex::new(HashSet::new()));
+pub async fn watch_machine_list(state: Arc<RouterState>) {
+    let watched = Arc::new(Mutex::new(HashSet::new()));
     loop {
         let list = state
             .client
@@ -46,16 +46,16 @@
             .await;
         // A list that cannot be had changes nothing: engines are also heard directly.
         if let Ok(list) = list {
-            take_list(&state, &list, &followed);
-            state.list_taken.store(true, Ordering::Relaxed);
+            apply_list(&state, &list, &watched);
+            state.machine_list_received.store(true, Ordering::Relaxed);
         }
         sleep(LIST_INTERVAL).await;
     }
 }
 
-type Followed = Arc<Mutex<HashSet<(EngineId, SocketAddr)>>>;
+type WatchedEngines = Arc<Mutex<HashSet<(EngineId, SocketAddr)>>>;
 
-fn take_list(state: &Arc<RouterState>, list: &MachineList, followed: &Followed) {
+fn apply_list(state: &Arc<RouterState>, list: &MachineList, watched: &WatchedEngines) {
     let mut services: HashMap<String, Vec<SocketAddr>> = HashMap::new();
     let mut leaving = HashSet::new();
     for machine in &list.machines {
@@ -65,12 +65,12 @@
                     leaving.insert(*engine);
                 }
                 lock(&state.engine_addresses).insert(*engine, machine.address);
-                if lock(followed).insert((*engine, machine.address)) {
-                    let task = follow_engine(
+                if lock(watched).insert((*engine, machine.address)) {
+                    let task = watch_engine(
                         Arc::clone(state),
                         *engine,
                         machine.address,
-                        Arc::clone(followed),
+                        Arc::clone(watched),
                     );
                     tokio::spawn(task);
                 }
@@ -84,7 +84,7 @@
             MachineKind::Service { .. } => {}
         }
     }
-    withdraw(state, list, &leaving);
+    update_listed(state, list, &leaving);
     let mut known = lock(&state.services);
     known.retain(|name, _| services.contains_key(name));
     for (name, live) in services {
@@ -94,7 +94,7 @@
 }
 
 /// Takes engines that are leaving, or no longer listed, out of service.
-fn withdraw(state: &RouterState, list: &MachineList, leaving: &HashSet<EngineId>) {
+fn update_listed(state: &RouterState, list: &MachineList, leaving: &HashSet<EngineId>) {
     let listed: HashSet<EngineId> = list
         .machines
         .iter()
@@ -124,24 +124,24 @@
 }
 
 /// Follows one engine until it is no longer listed at this address.
-async fn follow_engine(
+async fn watch_engine(
     state: Arc<RouterState>,
     engine: EngineId,
     address: SocketAddr,
-    followed: Followed,
+    watched: WatchedEngines,
 ) {
-    tokio::spawn(watch_status(Arc::clone(&state), engine, address));
+    tokio::spawn(poll_status(Arc::clone(&state), engine, address));
     while is_current(&state, engine, address) {
         if let Some(slot) = refresh_status(&state, address).await {
-            follow_events(&state, address, slot).await;
+            read_events(&state, address, slot).await;
         }
-        sleep(RECONNECT_PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
-    lock(&followed).remove(&(engine, address));
+    lock(&watched).remove(&(engine, address));
 }
 
 /// Looks at the engine's own word regularly: a draining engine says so before the list does.
-async fn watch_status(state: Arc<RouterState>, engine: EngineId, address: SocketAddr) {
+async fn poll_status(state: Arc<RouterState>, engine: EngineId, address: SocketAddr) {
     while is_current(&state, engine, address) {
         sleep(LIST_INTERVAL).await;
         if refresh_status(&state, address).await.is_none() {
@@ -168,10 +168,10 @@
         .get_json::<EngineStatus>(address, "/status", CALL_TIMEOUT)
         .await
         .ok()?;
-    Some(take_status(state, status))
+    Some(apply_status(state, status))
 }
 
-fn take_status(state: &RouterState, status: EngineStatus) -> EngineSlot {
+fn apply_status(state: &RouterState, status: EngineStatus) -> EngineSlot {
     state
         .block_tokens
         .store(status.block_tokens, Ordering::Relaxed);
@@ -202,8 +202,8 @@
 
 /// Reads an engine's events until the stream breaks. Begins with a full listing, because nothing
 /// is known of what happened before.
-async fn follow_events(state: &RouterState, address: SocketAddr, slot: EngineSlot) {
-    let Some((incarnation, mut sequence)) = resynchronise(state, address, slot).await else {
+async fn read_events(state: &RouterState, address: SocketAddr, slot: EngineSlot) {
+    let Some((incarnation, mut sequence)) = resync(state, address, slot).await else {
         return;
     };
     let uri = format!("http://{address}/events?after={sequence}");
@@ -214,7 +214,7 @@
         return;
     };
     let mut events = lines(response.into_body());
-    while let Ok(Some(Ok(line))) = timeout(EVENT_SILENCE, events.next()).await {
+    while let Ok(Some(Ok(line))) = timeout(EVENT_TIMEOUT, events.next()).await {
         let Ok(event) = serde_json::from_str::<EngineEvent>(&line) else {
             return;
         };
@@ -229,7 +229,7 @@
         if is_cache_event && event.sequence != sequence + 1 {
             state.metrics.event_gaps.inc();
             lock(&state.scheduler).engines.view_mut(slot).suspect = true;
-            match resynchronise(state, address, slot).await {
+            match resync(state, address, slot).await {
                 Some((same, resumed_at)) if same == incarnation => sequence = resumed_at,
                 _ => return,
             }
@@ -238,12 +238,12 @@
         if is_cache_event {
             sequence = event.sequence;
         }
-        take_event(state, slot, event);
+        apply_event(state, slot, event);
     }
 }
 
 /// Replaces the view of an engine's cache by the engine's own listing.
-async fn resynchronise(
+async fn resync(
     state: &RouterState,
     address: SocketAddr,
     slot: EngineSlot,
@@ -258,20 +258,20 @@
         return None;
     }
     scheduler.index.forget(slot);
-    scheduler.index.stored(slot, hashes(&listing.blocks));
+    scheduler.index.stored(slot, block_hashes(&listing.blocks));
     scheduler.engines.view_mut(slot).suspect = false;
     Some((listing.incarnation, listing.sequence))
 }
 
-fn take_event(state: &RouterState, slot: EngineSlot, event: EngineEvent) {
+fn apply_event(state: &RouterState, slot: EngineSlot, event: EngineEvent) {
     let now = state.now_us();
     let mut scheduler = lock(&state.scheduler);
     if scheduler.engines.view(slot).incarnation != event.incarnation {
         return;
     }
     match event.event {
-        EngineEventKind::Stored { blocks } => scheduler.index.stored(slot, hashes(&blocks)),
-        EngineEventKind::Removed { blocks } => scheduler.index.removed(slot, hashes(&blocks)),
+        EngineEventKind::Stored { blocks } => scheduler.index.stored(slot, block_hashes(&blocks)),
+        EngineEventKind::Removed { blocks } => scheduler.index.removed(slot, block_hashes(&blocks)),
         EngineEventKind::Load(load) => scheduler.engines.report(slot, load, now),
     }
     state
@@ -280,16 +280,16 @@
         .set(scheduler.index.len() as u64);
 }
 
-fn hashes(blocks: &[Hex]) -> impl Iterator<Item = BlockHash> {
+fn block_hashes(blocks: &[Hex]) -> impl Iterator<Item = BlockHash> {
     blocks.iter().map(|block| BlockHash(block.0))
 }
 
 /// Ends when nothing was heard of an engine for too long.
-pub async fn engine_is_silent(state: &RouterState, engine: EngineSlot) {
+pub async fn wait_until_silent(state: &RouterState, engine: EngineSlot) {
     loop {
-        sleep(SILENCE_CHECK).await;
+        sleep(SILENCE_CHECK_INTERVAL).await;
         let heard_at = lock(&state.scheduler).engines.view(engine).heard_at;
-        if state.now_us().saturating_sub(heard_at) > ENGINE_SILENCE_US {
+        if state.now_us().saturating_sub(heard_at) > ENGINE_SILENCE_TIMEOUT_US {
             return;
         }
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -2,11 +2,10 @@
 //!
 //! A request passes these modules in order: [`server`] accepts it, [`api`] and [`prompt`] check and
 //! render it, [`completions`] or [`services`] admit it, [`dispatch`] or [`keyed`] run it, and
-//! [`answers`] writes what the caller sees. [`control_link`] and [`engine_link`] keep the router's
+//! [`responses`] writes what the caller sees. [`control_link`] and [`engine_link`] keep the router's
 //! view of configuration and engines current.
 
 pub mod admin;
-pub mod answers;
 pub mod api;
 pub mod attempts;
 pub mod cli;
@@ -27,6 +26,7 @@
 pub mod relay;
 pub mod request_log;
 pub mod resolved;
+pub mod responses;
 pub mod server;
 pub mod services;
 pub mod state;
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -17,13 +17,13 @@
 };
 
 /// Time for one question to the leader: other engines and back ends may be asked after it.
-const ASKED_WITHIN: Duration = Duration::from_millis(800);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl RouterState {
     /// Looks at what an engine or a back end of a service announced, by the name of its life or its address.
-    fn with_announced<T>(&self, life: &str, look: impl FnOnce(&mut Announced) -> T) -> T {
+    fn with_announced<T>(&self, life: &str, apply: impl FnOnce(&mut Announced) -> T) -> T {
         if life.parse::<SocketAddr>().is_ok() {
-            return look(lock(&self.back_ends_available).of(life));
+            return apply(lock(&self.back_end_availability).of(life));
         }
         let mut scheduler = lock(&self.scheduler);
         let views = scheduler.engines.views();
@@ -35,9 +35,9 @@
             scheduler.engines.slot(id)
         });
         match slot {
-            Some(slot) => look(&mut scheduler.engines.view_mut(slot).announced),
+            Some(slot) => apply(&mut scheduler.engines.view_mut(slot).announced),
             // A former life: nothing is kept of it.
-            None => look(&mut Announced::default()),
+            None => apply(&mut Announced::default()),
         }
     }
 }
@@ -49,7 +49,7 @@
 
     fn known_limit(&self, life: &str) -> Option<KnownLimit> {
         let own = match life.parse::<SocketAddr>() {
-            Ok(_) => lock(&self.back_ends_available).limit(life),
+            Ok(_) => lock(&self.back_end_availability).limit(life),
             Err(_) => self.with_announced(life, |announced| announced.limit()),
         }?;
         Some(KnownLimit {
@@ -60,15 +60,15 @@
     }
 
     fn unanswered_until(&self) -> Moment {
-        *lock(&self.permits_unanswered_until)
+        *lock(&self.permit_requests_paused_until)
     }
 
     fn note_unanswered(&self, until: Moment) {
-        *lock(&self.permits_unanswered_until) = until;
+        *lock(&self.permit_requests_paused_until) = until;
     }
 
     fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment) {
-        self.metrics.permits_withheld.inc();
+        self.metrics.permits_denied.inc();
         self.with_announced(life, |announced| announced.has_room_at(limit, room_at));
     }
 
@@ -76,18 +76,18 @@
         self.with_announced(life, |announced| announced.limit_is_over(named_at));
     }
 
-    async fn ask_leader(&self, question: PermitRequest, limit: Duration) -> Option<PermitReply> {
-        self.control.take_permit(question, limit).await
+    async fn ask_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
+        self.control.request_permit(request, timeout).await
     }
 }
 
 /// Takes a permit for one request, if the engine or back end has a limit.
-pub async fn permission(state: &RouterState, life: &str) -> Permission {
-    permits::take(state, life, ASKED_WITHIN).await
+pub async fn acquire_permit(state: &RouterState, life: &str) -> Permission {
+    permits::take(state, life, PERMIT_TIMEOUT).await
 }
 
 /// Takes in what an answer says of the limit of the engine or back end that gave it.
-pub fn note_answer(
+pub fn record_response(
     state: &Arc<RouterState>,
     life: &str,
     permit: Option<Permit>,
@@ -97,7 +97,7 @@
     let news = match stated {
         StatedLimit::NotNamed => News::default(),
         StatedLimit::Unreadable(error) => {
-            state.metrics.limits_unread.inc();
+            state.metrics.unreadable_limits.inc();
             spdlog::info!("limit not read", kv: {
                 replica = life.to_owned(),
                 cause = error.to_string(),
@@ -110,16 +110,16 @@
                 ..BackEndNotice::default()
             };
             let now = state.uptime();
-            log_news(
+            log_new_limit(
                 life,
-                state.with_announced(life, |said| said.note(notice, now)),
+                state.with_announced(life, |announced| announced.note(notice, now)),
             )
         }
     };
     permits::note_answer(state, life, permit, stated, news.limit.is_some());
 }
 
-fn log_news(life: &str, news: News) -> News {
+fn log_new_limit(life: &str, news: News) -> News {
     if let Some(limit) = news.limit {
         spdlog::info!("back end names a limit", kv: {
             replica = life.to_owned(),
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -49,11 +49,11 @@
     /// Configuration position applied.
     pub applied: Gauge<u64, AtomicU64>,
     /// Back ends that ended while they had requests of this router.
-    pub back_end_ends: Counter,
+    pub back_end_failures: Counter,
     /// Requests that were not sent to an engine or back end because its limit had no room.
-    pub permits_withheld: Counter,
+    pub permits_denied: Counter,
     /// Answers whose limit could not be read.
-    pub limits_unread: Counter,
+    pub unreadable_limits: Counter,
     /// Requests that are sent nowhere because back ends ended under them.
     pub quarantined: Gauge,
     /// Open requests.
@@ -77,9 +77,9 @@
             first_token: Histogram::new(exponential_buckets(0.001, 2.0, 16)),
             event_gaps: Counter::default(),
             applied: Gauge::default(),
-            back_end_ends: Counter::default(),
-            permits_withheld: Counter::default(),
-            limits_unread: Counter::default(),
+            back_end_failures: Counter::default(),
+            permits_denied: Counter::default(),
+            unreadable_limits: Counter::default(),
             quarantined: Gauge::default(),
             open_requests: Gauge::default(),
             indexed_blocks: Gauge::default(),
@@ -89,7 +89,7 @@
 
 impl RouterMetrics {
     /// Counts a refusal.
-    pub fn refused(&self, code: RefusalCode) {
+    pub fn record_refusal(&self, code: RefusalCode) {
         let labels = RefusalLabels {
             code: code.as_str().to_owned(),
         };
@@ -153,17 +153,17 @@
         registry.register(
             "router_back_end_ends",
             "Back ends that ended while they had requests of this router",
-            self.back_end_ends.clone(),
+            self.back_end_failures.clone(),
         );
         registry.register(
             "router_permits_withheld",
             "Requests not sent to a back end because its limit had no room",
-            self.permits_withheld.clone(),
+            self.permits_denied.clone(),
         );
         registry.register(
             "router_limits_unread",
             "Answers whose limit on requests could not be read",
-            self.limits_unread.clone(),
+            self.unreadable_limits.clone(),
         );
         registry.register(
             "router_quarantined",
--- a/crates/router/src/prompt.rs
+++ b/crates/router/src/prompt.rs
@@ -34,7 +34,7 @@
     template: &Template,
     service: &Service,
     parameters: &BTreeMap<String, String>,
-    question: &str,
+    user_prompt: &str,
 ) -> Result<Prompt, Refusal> {
     check_parameters(template, parameters)?;
     let value = |name: &str| {
@@ -47,7 +47,7 @@
         text.push_str(&render(segment, value));
         segment_ends.push(text.len());
     }
-    text.push_str(question);
+    text.push_str(user_prompt);
     if tokens_of(&text) > template.max_prompt_tokens {
         let limit = template.max_prompt_tokens;
         return Err(Refusal::not_run(
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -4,7 +4,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use railtack_core::{EngineId, EngineIncarnation, RefusalCode};
-use railtack_http::client::port_refuses;
+use railtack_http::client::is_port_closed;
 use railtack_proxy::quarantine::{GATHERING, RECORD_LIMIT};
 use railtack_rpc::{
     protocol::{Command, Outcome},
@@ -20,7 +20,7 @@
 };
 
 /// Time in which a port that nobody listens at refuses a connection.
-const PORT_TIMEOUT: Duration = Duration::from_millis(350);
+const PORT_CHECK_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// One life of an engine or back end.
 #[derive(Clone, Debug)]
@@ -45,12 +45,12 @@
 }
 
 /// Takes in what the control group has quarantined.
-pub fn learn(state: &RouterState, told: &QuarantineUpdate) {
+pub fn apply_update(state: &RouterState, update: &QuarantineUpdate) {
     let mut quarantine = lock(&state.quarantine);
-    for change in quarantine.learn(told, Instant::now()) {
+    for change in quarantine.learn(update, Instant::now()) {
         spdlog::info!("quarantine changed", kv: {
             change = format!("{change:?}"),
-            changed_at = told.changed_at,
+            changed_at = update.changed_at,
         });
     }
     state
@@ -60,44 +60,44 @@
 }
 
 /// Notes that a back end outlived a request; tells the control group if that request is suspect.
-pub fn outlived(state: &Arc<RouterState>, content: ContentKey) {
-    lock(&state.ends_met).outlived(content, Instant::now());
+pub fn record_success(state: &Arc<RouterState>, content: ContentKey) {
+    lock(&state.observed_failures).outlived(content, Instant::now());
     if lock(&state.quarantine).take_good_end(content) {
         let state = Arc::clone(state);
         let contents = vec![content];
         tokio::spawn(
-            async move { record(&state, ServingCommand::ClearContents { contents }).await },
+            async move { propose(&state, ServingCommand::ClearContents { contents }).await },
         );
     }
 }
 
 /// Notes that the connection over which a back end had a request broke; looks in the background whether
 /// it has ended: its port refuses connections.
-pub fn connection_broke(state: &Arc<RouterState>, life: BackEndLife, content: ContentKey) {
-    if lock(&state.ends_met).broke(&life.name, content, Instant::now()) {
+pub fn record_broken_connection(state: &Arc<RouterState>, life: BackEndLife, content: ContentKey) {
+    if lock(&state.observed_failures).broke(&life.name, content, Instant::now()) {
         let state = Arc::clone(state);
-        tokio::spawn(async move { look(&state, &life).await });
+        tokio::spawn(async move { check_ended(&state, &life).await });
     }
 }
 
-async fn look(state: &RouterState, life: &BackEndLife) {
-    let has_ended = port_refuses(life.address, PORT_TIMEOUT).await;
+async fn check_ended(state: &RouterState, life: &BackEndLife) {
+    let has_ended = is_port_closed(life.address, PORT_CHECK_TIMEOUT).await;
     spdlog::info!("replica looked at after a connection broke", kv: {
         replica = life.name.clone(),
         address = life.address.to_string(),
         has_ended,
     });
     if has_ended {
-        state.metrics.back_end_ends.inc();
+        state.metrics.back_end_failures.inc();
         sleep(GATHERING).await;
-        report_end(state, life).await;
+        report_failure(state, life).await;
     }
-    lock(&state.ends_met).forget(&life.name);
+    lock(&state.observed_failures).forget(&life.name);
 }
 
-async fn report_end(state: &RouterState, life: &BackEndLife) {
+async fn report_failure(state: &RouterState, life: &BackEndLife) {
     loop {
-        let contents = lock(&state.ends_met).next_report(&life.name);
+        let contents = lock(&state.observed_failures).next_report(&life.name);
         if contents.is_empty() {
             return;
         }
@@ -108,12 +108,12 @@
             // Engines and back ends are listed by the platform.
             witness: None,
         };
-        record(state, command).await;
+        propose(state, command).await;
     }
 }
 
-async fn record(state: &RouterState, command: ServingCommand) {
-    if !state.control.grants() {
+async fn propose(state: &RouterState, command: ServingCommand) {
+    if !state.control.supports_shared_grants() {
         spdlog::info!("report kept back: the group does not record it yet");
         return;
     }
@@ -122,7 +122,9 @@
         .propose(Command::Serving(command), RECORD_LIMIT)
         .await;
     match proposed {
-        Proposed::Done(Outcome::Serving(ServingOutcome::EndRecorded(told))) => learn(state, &told),
+        Proposed::Done(Outcome::Serving(ServingOutcome::EndRecorded(update))) => {
+            apply_update(state, &update)
+        }
         Proposed::Done(_) => {}
         other => spdlog::warn!("report given up", kv: { outcome = format!("{other:?}") }),
     }
--- a/crates/router/src/request_log.rs
+++ b/crates/router/src/request_log.rs
@@ -30,13 +30,13 @@
     }
 
     /// Notes a choice of engine; the line at the end tells of the last one only.
-    pub fn chose(&mut self, engine: EngineId, held_tokens: u32) {
+    pub fn record_choice(&mut self, engine: EngineId, held_tokens: u32) {
         self.replica = engine.to_string();
         self.kept_tokens = held_tokens;
         self.attempts += 1;
         if self.attempts > 1 {
             spdlog::info!("chosen again", kv: {
-                request = id(self.job.request),
+                request = format_id(self.job.request_id),
                 attempt = self.attempts,
                 replica = self.replica.clone(),
                 kept_tokens = held_tokens,
@@ -45,12 +45,12 @@
     }
 
     /// Notes how an attempt ended.
-    pub fn attempted(&self, end: &AttemptEnd) {
+    pub fn record_attempt(&self, end: &AttemptEnd) {
         if matches!(end, AttemptEnd::Whole(_)) {
             return;
         }
         spdlog::info!("exchange failed", kv: {
-            request = id(self.job.request),
+            request = format_id(self.job.request_id),
             replica = self.replica.clone(),
             cause = format!("{end:?}"),
             attempt = self.attempts,
@@ -58,17 +58,17 @@
     }
 
     /// Notes the first token.
-    pub fn first_byte(&mut self) {
+    pub fn record_first_byte(&mut self) {
         self.first_byte = Some(self.job.received.elapsed());
     }
 
     /// Notes that the answer is whole.
-    pub fn whole(&mut self) {
+    pub fn record_completion(&mut self) {
         "streamed".clone_into(&mut self.outcome);
     }
 
     /// Notes that the request failed.
-    pub fn failed(&mut self, refusal: &Refusal) {
+    pub fn record_failure(&mut self, refusal: &Refusal) {
         self.outcome = refusal.code.as_str().to_owned();
     }
 }
@@ -77,26 +77,26 @@
     fn drop(&mut self) {
         let job = &self.job;
         spdlog::info!("request", kv: {
-            request = id(job.request),
+            request = format_id(job.request_id),
             outcome = self.outcome.clone(),
             route = job.template.0.clone(),
             tenant = job.tenant.as_str().to_owned(),
             replica = self.replica.clone(),
-            model = job.key.model.0.clone(),
-            weights = job.key.weights_version.0,
+            model = job.model_key.model.0.clone(),
+            weights = job.model_key.weights_version.0,
             prompt_tokens = job.chain.total_tokens,
             kept_tokens = self.kept_tokens,
             attempts = self.attempts,
-            first_byte_ms = self.first_byte.map_or(0, |waited| waited.as_millis() as u64),
+            first_byte_ms = self.first_byte.map_or(0, |elapsed| elapsed.as_millis() as u64),
             total_ms = job.received.elapsed().as_millis() as u64,
         });
     }
 }
 
 /// Logs a model request that was refused before it was sent anywhere.
-pub fn refused(request: RequestId, template: &str, refusal: &Refusal) {
+pub fn log_refusal(request_id: RequestId, template: &str, refusal: &Refusal) {
     spdlog::info!("request", kv: {
-        request = id(request),
+        request = format_id(request_id),
         outcome = refusal.code.as_str().to_owned(),
         route = template.to_owned(),
         attempts = 0,
@@ -104,6 +104,6 @@
     });
 }
 
-fn id(request: RequestId) -> String {
-    format!("{:032x}", request.0)
+fn format_id(request_id: RequestId) -> String {
+    format!("{:032x}", request_id.0)
 }
--- a/crates/router/src/answers.rs
+++ b/crates/router/src/responses.rs
@@ -14,11 +14,11 @@
 /// Header that names the request, for `railtackctl explain`.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 /// Last event of a whole answer. A stream without it was cut.
-const DONE: &str = "data: [DONE]\n\n";
+const DONE_EVENT: &str = "data: [DONE]\n\n";
 
 /// The published shape in which a caller asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum ApiKind {
     /// `/v1/completions`.
     Completion,
     /// `/v1/chat/completions`.
@@ -27,7 +27,7 @@
 
 /// One step of an answer, in order. The last is `Ended` or `Failed`.
 #[derive(Clone, Debug)]
-pub enum AnswerEvent {
+pub enum ResponseEvent {
     /// Text of one token.
     Token(String),
     /// The answer is whole.
@@ -37,10 +37,10 @@
 }
 
 /// The steps of an answer as they come.
-pub type AnswerEvents = mpsc::Receiver<AnswerEvent>;
+pub type ResponseEvents = mpsc::Receiver<ResponseEvent>;
 
 #[derive(Serialize)]
-struct Answer<'a> {
+struct CompletionResponse<'a> {
     id: String,
     object: &'static str,
     model: &'a str,
@@ -95,109 +95,109 @@
 
 /// How the answer to one request is written.
 #[derive(Clone, Debug)]
-pub struct AnswerWriter {
+pub struct ResponseWriter {
     /// The request.
-    pub request: RequestId,
+    pub request_id: RequestId,
     /// The published shape.
-    pub shape: Shape,
+    pub api: ApiKind,
     /// The model's name.
     pub model: String,
 }
 
-impl AnswerWriter {
+impl ResponseWriter {
     /// Waits for the first event, so that a refusal still has its own status, then answers.
-    pub async fn respond(self, mut events: AnswerEvents, stream: bool) -> Response<Body> {
-        let request = self.request;
+    pub async fn respond(self, mut events: ResponseEvents, stream: bool) -> Response<Body> {
+        let request_id = self.request_id;
         let response = match events.recv().await {
-            Some(AnswerEvent::Failed(refusal)) => refusal.response(),
+            Some(ResponseEvent::Failed(refusal)) => refusal.response(),
             Some(first) if stream => self.stream(first, events),
             Some(first) => self.collect(first, events).await,
-            None => abandoned().response(),
+            None => aborted().response(),
         };
-        with_request_id(response, request)
+        with_request_id(response, request_id)
     }
 
-    fn stream(self, first: AnswerEvent, mut events: AnswerEvents) -> Response<Body> {
+    fn stream(self, first: ResponseEvent, mut events: ResponseEvents) -> Response<Body> {
         let (mut sender, stream_body) = streaming();
         tokio::spawn(async move {
             let mut next = Some(first);
             while let Some(event) = next {
-                let is_last = !matches!(event, AnswerEvent::Token(_));
+                let is_last = !matches!(event, ResponseEvent::Token(_));
                 // A failed send means that the caller is gone; dropping `events` stops the work.
                 if sender.send(self.event_bytes(&event)).await.is_err() || is_last {
                     return;
                 }
                 next = events.recv().await;
             }
-            let bytes = self.event_bytes(&AnswerEvent::Failed(abandoned()));
+            let bytes = self.event_bytes(&ResponseEvent::Failed(aborted()));
             let _ = sender.send(bytes).await;
         });
         body::with_type(200, "text/event-stream", stream_body)
     }
 
-    async fn collect(self, first: AnswerEvent, mut events: AnswerEvents) -> Response<Body> {
+    async fn collect(self, first: ResponseEvent, mut events: ResponseEvents) -> Response<Body> {
         let mut text = String::new();
         let mut next = Some(first);
         loop {
             match next {
-                Some(AnswerEvent::Token(token)) => text.push_str(&token),
-                Some(AnswerEvent::Ended(end)) => return self.whole(&text, end),
-                Some(AnswerEvent::Failed(refusal)) => return refusal.response(),
-                None => return abandoned().response(),
+                Some(ResponseEvent::Token(token)) => text.push_str(&token),
+                Some(ResponseEvent::Ended(end)) => return self.complete_response(&text, end),
+                Some(ResponseEvent::Failed(refusal)) => return refusal.response(),
+                None => return aborted().response(),
             }
             next = events.recv().await;
         }
     }
 
-    fn whole(&self, text: &str, end: StreamEnd) -> Response<Body> {
-        let choice = match self.shape {
-            Shape::Completion => choice_with_text(text, Some("length")),
-            Shape::Chat => Choice {
+    fn complete_response(&self, text: &str, end: StreamEnd) -> Response<Body> {
+        let choice = match self.api {
+            ApiKind::Completion => choice_with_text(text, Some("length")),
+            ApiKind::Chat => Choice {
                 message: Some(assistant(text)),
                 ..choice_without_text(Some("length"))
             },
         };
-        body::json(200, &self.answer(choice, Some(end), false))
+        body::json(200, &self.completion(choice, Some(end), false))
     }
 
-    fn event_bytes(&self, event: &AnswerEvent) -> Bytes {
+    fn event_bytes(&self, event: &ResponseEvent) -> Bytes {
         match event {
-            AnswerEvent::Token(token) => {
+            ResponseEvent::Token(token) => {
                 let choice = self.chunk_choice(token, None);
-                data_line(&self.answer(choice, None, true))
+                data_line(&self.completion(choice, None, true))
             }
-            AnswerEvent::Ended(end) => {
+            ResponseEvent::Ended(end) => {
                 let choice = self.chunk_choice("", Some("length"));
-                let mut bytes = data_line(&self.answer(choice, Some(*end), true)).to_vec();
-                bytes.extend_from_slice(DONE.as_bytes());
+                let mut bytes = data_line(&self.completion(choice, Some(*end), true)).to_vec();
+                bytes.extend_from_slice(DONE_EVENT.as_bytes());
                 Bytes::from(bytes)
             }
-            AnswerEvent::Failed(refusal) => data_line(&refusal.body()),
+            ResponseEvent::Failed(refusal) => data_line(&refusal.body()),
         }
     }
 
     fn chunk_choice<'a>(&self, text: &'a str, finish: Option<&'static str>) -> Choice<'a> {
-        match self.shape {
-            Shape::Completion => choice_with_text(text, finish),
-            Shape::Chat => Choice {
+        match self.api {
+            ApiKind::Completion => choice_with_text(text, finish),
+            ApiKind::Chat => Choice {
                 delta: Some(assistant(text)),
                 ..choice_without_text(finish)
             },
         }
     }
 
-    fn answer<'a>(
+    fn completion<'a>(
         &'a self,
         choice: Choice<'a>,
         end: Option<StreamEnd>,
         is_chunk: bool,
-    ) -> Answer<'a> {
-        Answer {
-            id: format!("{:032x}", self.request.0),
-            object: match (self.shape, is_chunk) {
-                (Shape::Completion, _) => "text_completion",
-                (Shape::Chat, true) => "chat.completion.chunk",
-                (Shape::Chat, false) => "chat.completion",
+    ) -> CompletionResponse<'a> {
+        CompletionResponse {
+            id: format!("{:032x}", self.request_id.0),
+            object: match (self.api, is_chunk) {
+                (ApiKind::Completion, _) => "text_completion",
+                (ApiKind::Chat, true) => "chat.completion.chunk",
+                (ApiKind::Chat, false) => "chat.completion",
             },
             model: &self.model,
             choices: [choice],
@@ -207,15 +207,15 @@
 }
 
 /// Names the request in the response's head.
-pub fn with_request_id(mut response: Response<Body>, request: RequestId) -> Response<Body> {
-    if let Ok(value) = HeaderValue::from_str(&format!("{:032x}", request.0)) {
+pub fn with_request_id(mut response: Response<Body>, request_id: RequestId) -> Response<Body> {
+    if let Ok(value) = HeaderValue::from_str(&format!("{:032x}", request_id.0)) {
         response.headers_mut().insert(REQUEST_ID_HEADER, value);
     }
     response
 }
 
 /// The task that ran the request ended without saying how.
-fn abandoned() -> Refusal {
+fn aborted() -> Refusal {
     let code = railtack_core::RefusalCode::BackendFailed;
     Refusal::unknown(code, "the request was abandoned")
 }
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -19,12 +19,12 @@
 
 use crate::{
     admin,
-    answers::Shape,
     api::{ChatBody, CompletionBody},
     completions, control_link, engine_link,
     errors::RouterError,
     refusal::Refusal,
-    services::{self, KEY_HEADER, ServiceRequest},
+    responses::ApiKind,
+    services::{self, IDEMPOTENCY_KEY_HEADER, ServiceRequest},
     state::RouterState,
 };
 
@@ -74,10 +74,10 @@
             linger: railtack_http::server::LINGER,
             drain: Duration::from_millis(state.settings.drain_ms),
         };
-        tokio::spawn(control_link::keep_current(Arc::clone(&state)));
-        tokio::spawn(engine_link::follow_platform(Arc::clone(&state)));
+        tokio::spawn(control_link::poll_replicas(Arc::clone(&state)));
+        tokio::spawn(engine_link::watch_machine_list(Arc::clone(&state)));
         tokio::spawn(serve_admin(Arc::clone(&state), self.admin_listener));
-        tokio::spawn(stop_when(Arc::clone(&state), shutdown.clone()));
+        tokio::spawn(begin_stop_on(Arc::clone(&state), shutdown.clone()));
         let handler = move |request| handle(Arc::clone(&state), request);
         serve(self.listener, options, shutdown, handler).await
     }
@@ -89,7 +89,7 @@
         .change_context(RouterError::Listen { address })
 }
 
-async fn stop_when(state: Arc<RouterState>, shutdown: CancellationToken) {
+async fn begin_stop_on(state: Arc<RouterState>, shutdown: CancellationToken) {
     shutdown.cancelled().await;
     state.begin_stop();
 }
@@ -118,7 +118,7 @@
     match route(Arc::clone(&state), request).await {
         Ok(response) => response,
         Err(refusal) => {
-            state.metrics.refused(refusal.code);
+            state.metrics.record_refusal(refusal.code);
             refusal.response()
         }
     }
@@ -133,11 +133,11 @@
     match path.as_str() {
         "/v1/completions" if is_post => {
             let (bearer, body) = read_json::<CompletionBody>(&state, request).await?;
-            Ok(completions::complete(state, bearer, body, Shape::Completion).await)
+            Ok(completions::complete(state, bearer, body, ApiKind::Completion).await)
         }
         "/v1/chat/completions" if is_post => {
             let (bearer, body) = read_json::<ChatBody>(&state, request).await?;
-            Ok(completions::complete(state, bearer, body.into(), Shape::Chat).await)
+            Ok(completions::complete(state, bearer, body.into(), ApiKind::Chat).await)
         }
         "/healthz" => Ok(railtack_http::body::with_type(
             200,
@@ -177,14 +177,14 @@
     let path = format!("/{path}");
     let headers = request.headers();
     let key = headers
-        .get(KEY_HEADER)
+        .get(IDEMPOTENCY_KEY_HEADER)
         .map(|value| String::from_utf8_lossy(value.as_bytes()).into_owned());
     let content_type = headers.get(CONTENT_TYPE).cloned();
     let bearer = bearer(headers);
     let method = request.method().clone();
     let content = receive(state, request)
         .await
-        .map_err(|refusal| services::without_proof(refusal, key.as_ref()))?;
+        .map_err(|refusal| services::with_unknown_execution(refusal, key.as_ref()))?;
     Ok(ServiceRequest {
         bearer,
         template,
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -26,21 +26,21 @@
 };
 
 /// Header that names a request which may not be repeated.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Header that tells a service whose request it is.
 const TENANT_HEADER: &str = "x-railtack-tenant";
 /// Longest key, bytes.
-const KEY_LIMIT: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 /// Attempts at a request that may be repeated.
-const REPEATABLE_ATTEMPTS: u32 = 3;
+const MAX_REPEATABLE_ATTEMPTS: u32 = 3;
 /// Pause told to a caller whose service has no back end that could be reached, milliseconds.
-const NO_BACK_END_PAUSE_MS: u64 = 1_000;
+const NO_BACK_END_RETRY_MS: u64 = 1_000;
 /// Time for connecting to a back end.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest exchange with a service. Well below the age at which an unsettled claim counts as lost.
-const LONGEST_EXCHANGE: Duration = Duration::from_secs(300);
+const MAX_EXCHANGE_TIME: Duration = Duration::from_secs(300);
 /// Largest answer of a service, bytes.
-const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A request to an ordinary service, read as a whole.
 #[derive(Clone, Debug)]
@@ -62,7 +62,7 @@
 }
 
 /// What is sent to the back end.
-struct Forwarded<'a> {
+struct ForwardedRequest<'a> {
     request: &'a ServiceRequest,
     tenant: TenantName,
     service: String,
@@ -73,31 +73,31 @@
 /// Runs one request.
 pub async fn serve(state: Arc<RouterState>, request: ServiceRequest) -> Response<Body> {
     match run(&state, &request).await {
-        Ok(answer) => response(answer),
+        Ok(answer) => to_response(answer),
         Err(refusal) => {
-            state.metrics.refused(refusal.code);
+            state.metrics.record_refusal(refusal.code);
             refusal.response()
         }
     }
 }
 
 async fn run(state: &Arc<RouterState>, request: &ServiceRequest) -> Result<StoredAnswer, Refusal> {
-    let key = checked_key(request)?;
+    let key = validate_key(request)?;
     // Before anything is known of the key, "not run" would be a guess about its other arrivals.
     state
         .require_serving()
-        .map_err(|refusal| without_proof(refusal, key.as_ref()))?;
+        .map_err(|refusal| with_unknown_execution(refusal, key.as_ref()))?;
     let resolved = state.resolved.load_full();
     let tenant = resolved.authenticate(request.bearer.as_deref())?;
     let service = resolved
         .service(tenant, &request.template)
-        .map_err(|refusal| without_proof(refusal, key.as_ref()))?;
+        .map_err(|refusal| with_unknown_execution(refusal, key.as_ref()))?;
     let Target::Service { service: name } = &service.template.target else {
         let refusal = Refusal::not_run(
             RefusalCode::UnknownRoute,
             "this template is served under /v1",
         );
-        return Err(without_proof(refusal, key.as_ref()));
+        return Err(with_unknown_execution(refusal, key.as_ref()));
     };
     let content = ContentKey::of(RequestContent {
         method: request.method.as_str(),
@@ -107,19 +107,19 @@
         body: &request.content,
     });
     if let Some(refusal) = quarantine::refusal(state, content) {
-        return Err(without_proof(refusal, key.as_ref()));
+        return Err(with_unknown_execution(refusal, key.as_ref()));
     }
-    let forwarded = Forwarded {
+    let forwarded = ForwardedRequest {
         request,
         content,
         tenant: tenant.name.clone(),
         service: name.clone(),
         limit: Duration::from_millis(state.settings.limits.default_deadline_ms)
-            .min(LONGEST_EXCHANGE),
+            .min(MAX_EXCHANGE_TIME),
     };
     match (service.template.repeatable, key) {
         (true, None) => run_repeatable(state, &forwarded).await,
-        (true, Some(key)) | (false, Some(key)) => run_once(state, &forwarded, key).await,
+        (true, Some(key)) | (false, Some(key)) => run_idempotent(state, &forwarded, key).await,
         (false, None) => Err(Refusal::not_run(
             RefusalCode::MissingIdempotencyKey,
             "this service may not be repeated: name the request by an Idempotency-Key header",
@@ -127,19 +127,19 @@
     }
 }
 
-fn checked_key(request: &ServiceRequest) -> Result<Option<IdempotencyKey>, Refusal> {
+fn validate_key(request: &ServiceRequest) -> Result<Option<IdempotencyKey>, Refusal> {
     let Some(key) = &request.key else {
         return Ok(None);
     };
-    if key.is_empty() || key.len() > KEY_LIMIT {
-        let detail = format!("an Idempotency-Key has 1 to {KEY_LIMIT} bytes");
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
+        let detail = format!("an Idempotency-Key has 1 to {MAX_KEY_BYTES} bytes");
         return Err(Refusal::not_run(RefusalCode::MalformedRequest, detail));
     }
     Ok(Some(IdempotencyKey(key.clone())))
 }
 
 /// A refusal of a request with a key, before anything is known of the key's other arrivals.
-pub fn without_proof<K>(refusal: Refusal, key: Option<&K>) -> Refusal {
+pub fn with_unknown_execution<K>(refusal: Refusal, key: Option<&K>) -> Refusal {
     match key {
         Some(_) => Refusal {
             execution: railtack_core::Execution::Unknown,
@@ -151,14 +151,14 @@
 
 async fn run_repeatable(
     state: &Arc<RouterState>,
-    forwarded: &Forwarded<'_>,
+    forwarded: &ForwardedRequest<'_>,
 ) -> Result<StoredAnswer, Refusal> {
     let mut may_have_run = false;
-    for _ in 0..REPEATABLE_ATTEMPTS {
+    for _ in 0..MAX_REPEATABLE_ATTEMPTS {
         if may_have_run && quarantine::refusal(state, forwarded.content).is_some() {
             break;
         }
-        let Some(chosen) = permitted_backend(state, &forwarded.service).await else {
+        let Some(chosen) = acquire_backend(state, &forwarded.service).await else {
             break;
         };
         match forward(state, chosen, forwarded).await {
@@ -170,13 +170,13 @@
     Err(if may_have_run {
         Refusal::unknown(RefusalCode::BackendFailed, "the service failed")
     } else {
-        no_backend(state, &forwarded.service)
+        no_backend_refusal(state, &forwarded.service)
     })
 }
 
-async fn run_once(
+async fn run_idempotent(
     state: &Arc<RouterState>,
-    forwarded: &Forwarded<'_>,
+    forwarded: &ForwardedRequest<'_>,
     key: IdempotencyKey,
 ) -> Result<StoredAnswer, Refusal> {
     let (run, first) = KeyedRun::begin(
@@ -192,14 +192,14 @@
     let service = forwarded.service.clone();
     let (limit, content) = (forwarded.limit, forwarded.content);
     let task = tokio::spawn(async move {
-        let forwarded = Forwarded {
+        let forwarded = ForwardedRequest {
             request: &request,
             tenant,
             service,
             limit,
             content,
         };
-        carry_out(state, &forwarded, run, first).await
+        run_steps(state, &forwarded, run, first).await
     });
     task.await.unwrap_or_else(|_| {
         Err(Refusal::unknown(
@@ -210,9 +210,9 @@
 }
 
 /// Carries out the steps of one arrival of a key.
-async fn carry_out(
+async fn run_steps(
     state: Arc<RouterState>,
-    forwarded: &Forwarded<'_>,
+    forwarded: &ForwardedRequest<'_>,
     mut run: KeyedRun,
     first: KeyedStep,
 ) -> Result<StoredAnswer, Refusal> {
@@ -237,41 +237,41 @@
 
 async fn send_once(
     state: &Arc<RouterState>,
-    forwarded: &Forwarded<'_>,
+    forwarded: &ForwardedRequest<'_>,
 ) -> Result<StoredAnswer, SendError> {
-    let chosen = permitted_backend(state, &forwarded.service).await;
+    let chosen = acquire_backend(state, &forwarded.service).await;
     forward(state, chosen.ok_or(SendError::NotSent)?, forwarded).await
 }
 
 async fn forward(
     state: &Arc<RouterState>,
-    Chosen { address, permit }: Chosen,
-    forwarded: &Forwarded<'_>,
+    AcquiredBackend { address, permit }: AcquiredBackend,
+    forwarded: &ForwardedRequest<'_>,
 ) -> Result<StoredAnswer, SendError> {
-    let request = outgoing(forwarded)?;
+    let request = build_request(forwarded)?;
     let exchange = async {
         let response = send_on_new_connection(address, request, CONNECT_TIMEOUT).await?;
         if let Some(time) = back_off(response.status(), response.headers()) {
-            note_back_off(state, address, time);
+            record_back_off(state, address, time);
         }
-        limits::note_answer(state, &address.to_string(), permit, response.headers());
-        read_answer(response, forwarded.limit).await
+        limits::record_response(state, &address.to_string(), permit, response.headers());
+        read_response(response, forwarded.limit).await
     };
     let Ok(answered) = timeout(forwarded.limit, exchange).await else {
         return Err(SendError::MaybeSent);
     };
     match &answered {
-        Ok(_) => quarantine::outlived(state, forwarded.content),
+        Ok(_) => quarantine::record_success(state, forwarded.content),
         Err(SendError::MaybeSent) => {
-            let life = state.life_of_back_end(address);
-            quarantine::connection_broke(state, life, forwarded.content);
+            let life = state.back_end_life(address);
+            quarantine::record_broken_connection(state, life, forwarded.content);
         }
         Err(SendError::NotSent) => {}
     }
     answered
 }
 
-fn outgoing(forwarded: &Forwarded<'_>) -> Result<Request<Full<Bytes>>, SendError> {
+fn build_request(forwarded: &ForwardedRequest<'_>) -> Result<Request<Full<Bytes>>, SendError> {
     let request = forwarded.request;
     let mut builder = Request::builder()
         .method(request.method.clone())
@@ -281,14 +281,14 @@
         builder = builder.header(CONTENT_TYPE, content_type);
     }
     if let Some(key) = &request.key {
-        builder = builder.header(KEY_HEADER, key);
+        builder = builder.header(IDEMPOTENCY_KEY_HEADER, key);
     }
     builder
         .body(Full::new(request.content.clone()))
         .map_err(|_| SendError::NotSent)
 }
 
-async fn read_answer(
+async fn read_response(
     response: Response<Incoming>,
     limit: Duration,
 ) -> Result<StoredAnswer, SendError> {
@@ -299,7 +299,7 @@
         .and_then(|value| value.to_str().ok())
         .unwrap_or("application/octet-stream")
         .to_owned();
-    let content = read_body(response.into_body(), ANSWER_LIMIT, limit)
+    let content = read_body(response.into_body(), MAX_RESPONSE_BYTES, limit)
         .await
         .map_err(|_| SendError::MaybeSent)?;
     Ok(StoredAnswer {
@@ -309,7 +309,7 @@
     })
 }
 
-fn response(answer: StoredAnswer) -> Response<Body> {
+fn to_response(answer: StoredAnswer) -> Response<Body> {
     let mut response = Response::new(body::full(answer.body.unwrap_or_default()));
     if let Ok(status) = hyper::StatusCode::from_u16(answer.status) {
         *response.status_mut() = status;
@@ -322,25 +322,26 @@
 
 /// A back end that was chosen, with the permit to send it one call if it has a limit.
 #[derive(Clone, Copy)]
-struct Chosen {
+struct AcquiredBackend {
     address: SocketAddr,
     permit: Option<Permit>,
 }
 
 /// The next back end that takes calls, and whose limit has room if it has one.
-async fn permitted_backend(state: &RouterState, service: &str) -> Option<Chosen> {
+async fn acquire_backend(state: &RouterState, service: &str) -> Option<AcquiredBackend> {
     loop {
         let address = next_backend(state, service)?;
         // One that has no room is left out next time.
-        if let Permission::Given(permit) = limits::permission(state, &address.to_string()).await {
-            return Some(Chosen { address, permit });
+        if let Permission::Given(permit) = limits::acquire_permit(state, &address.to_string()).await
+        {
+            return Some(AcquiredBackend { address, permit });
         }
     }
 }
 
 fn next_backend(state: &RouterState, service: &str) -> Option<SocketAddr> {
     let now = state.uptime();
-    let mut available = lock(&state.back_ends_available);
+    let mut available = lock(&state.back_end_availability);
     available.forget_past(now);
     let mut services = lock(&state.services);
     let backends = services.get_mut(service)?;
@@ -355,7 +356,7 @@
 }
 
 /// Notes that a back end asked for no calls for a time.
-fn note_back_off(state: &RouterState, address: SocketAddr, time: Duration) {
+fn record_back_off(state: &RouterState, address: SocketAddr, time: Duration) {
     spdlog::info!("back end asked for rest", kv: {
         address = address.to_string(),
         back_off_ms = time.as_millis() as u64,
@@ -364,14 +365,14 @@
         back_off: Some(time),
         ..BackEndNotice::default()
     };
-    let mut available = lock(&state.back_ends_available);
+    let mut available = lock(&state.back_end_availability);
     available.note(&address.to_string(), notice, state.uptime());
 }
 
 /// Milliseconds until the first back end of a service takes calls again, if all asked for rest.
-fn opens_in_ms(state: &RouterState, service: &str) -> Option<u64> {
+fn available_in_ms(state: &RouterState, service: &str) -> Option<u64> {
     let now = state.uptime();
-    let available = lock(&state.back_ends_available);
+    let available = lock(&state.back_end_availability);
     let services = lock(&state.services);
     let live = services.get(service)?.live.iter();
     let waits = live.filter_map(|address| available.opens_in(&address.to_string(), now));
@@ -379,13 +380,13 @@
     (wait > 0).then_some(wait)
 }
 
-fn no_backend(state: &RouterState, service: &str) -> Refusal {
+fn no_backend_refusal(state: &RouterState, service: &str) -> Refusal {
     let detail = format!("no back end of {service} takes calls");
-    let pause_ms = opens_in_ms(state, service).unwrap_or(NO_BACK_END_PAUSE_MS);
-    Refusal::not_run(RefusalCode::NoBackend, detail).retry_after_ms(pause_ms)
+    let retry_after_ms = available_in_ms(state, service).unwrap_or(NO_BACK_END_RETRY_MS);
+    Refusal::not_run(RefusalCode::NoBackend, detail).retry_after_ms(retry_after_ms)
 }
 
-fn fingerprint(forwarded: &Forwarded<'_>) -> u128 {
+fn fingerprint(forwarded: &ForwardedRequest<'_>) -> u128 {
     let request = forwarded.request;
     let mut bytes = Vec::with_capacity(request.content.len() + 64);
     for part in [
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -53,7 +53,7 @@
     pub services: Mutex<HashMap<String, ServiceBackends>>,
     /// Which back ends of ordinary services said that they take no calls, by their address. Kept apart from
     /// the list of them, which is made anew twice a second.
-    pub back_ends_available: Mutex<Availability>,
+    pub back_end_availability: Mutex<Availability>,
     /// Limits and shares.
     pub admission: Mutex<Admission>,
     /// Retries that each tenant may still make.
@@ -63,7 +63,7 @@
     /// Requests that the control group has quarantined.
     pub quarantine: Mutex<QuarantineKnowledge>,
     /// Ends of back ends that this router's requests met.
-    pub ends_met: Mutex<EndsMet>,
+    pub observed_failures: Mutex<EndsMet>,
     /// Counters.
     pub metrics: RouterMetrics,
     /// Connections to engines.
@@ -71,11 +71,11 @@
     /// Connections to control replicas.
     pub control: ControlLink,
     /// Until when no permit is asked for, as no leader answered.
-    pub permits_unanswered_until: Mutex<Moment>,
+    pub permit_requests_paused_until: Mutex<Moment>,
     /// Tokens in an engine's cache block, as the engines report it.
     pub block_tokens: std::sync::atomic::AtomicU32,
     /// Whether the platform's list was had at least once.
-    pub list_taken: AtomicBool,
+    pub machine_list_received: AtomicBool,
     stopping: AtomicBool,
     started: BootInstant,
 }
@@ -102,18 +102,18 @@
             scheduler: Mutex::new(Scheduler::new(options)),
             engine_addresses: Mutex::default(),
             services: Mutex::default(),
-            back_ends_available: Mutex::default(),
+            back_end_availability: Mutex::default(),
             admission: Mutex::default(),
             retry_budgets: Mutex::default(),
             decisions: Mutex::default(),
             quarantine: Mutex::default(),
-            ends_met: Mutex::default(),
+            observed_failures: Mutex::default(),
             metrics: RouterMetrics::default(),
             client: HttpClient::new(ENGINE_CONNECT_TIMEOUT),
             control: ControlLink::new(&settings.control),
-            permits_unanswered_until: Mutex::default(),
+            permit_requests_paused_until: Mutex::default(),
             block_tokens: std::sync::atomic::AtomicU32::new(16),
-            list_taken: AtomicBool::new(false),
+            machine_list_received: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             started: BootInstant::now(),
             settings,
@@ -148,9 +148,9 @@
             return Err(refusal.retry_after_ms(0));
         }
         let has_configuration = self.resolved.load().applied > 0;
-        let serves_unconfirmed =
+        let serve_unconfirmed =
             self.settings.lease.when_unconfirmed == WhenUnconfirmed::Serve && has_configuration;
-        if serves_unconfirmed || self.is_confirmed() {
+        if serve_unconfirmed || self.is_confirmed() {
             return Ok(());
         }
         let refusal = Refusal::not_run(
@@ -161,17 +161,17 @@
     }
 
     /// Whether back ends are known: the list was had, and an engine answers if any is listed.
-    pub fn knows_back_ends(&self) -> bool {
-        let lists_engines = !lock(&self.engine_addresses).is_empty();
+    pub fn back_ends_known(&self) -> bool {
+        let engines_listed = !lock(&self.engine_addresses).is_empty();
         let scheduler = lock(&self.scheduler);
-        let answers = scheduler.engines.views().iter().any(|view| view.available);
-        self.list_taken.load(Ordering::Relaxed) && (answers || !lists_engines)
+        let engine_available = scheduler.engines.views().iter().any(|view| view.available);
+        self.machine_list_received.load(Ordering::Relaxed) && (engine_available || !engines_listed)
     }
 
     /// A back end of an ordinary service, which tells nobody in which of its lives it is. Each end that
     /// this router meets counts as another life's; two routers that meet the same one count it twice.
-    pub fn life_of_back_end(&self, address: SocketAddr) -> BackEndLife {
-        let ends = self.metrics.back_end_ends.get();
+    pub fn back_end_life(&self, address: SocketAddr) -> BackEndLife {
+        let ends = self.metrics.back_end_failures.get();
         BackEndLife {
             name: format!("{address}#{}#{ends}", self.settings.router_id.0),
             address,
