--- a/crates/router/src/lease.rs
+++ b/crates/router/src/lease.rs
@@ -1,58 +1,60 @@
-//! The configuration lease: until when a router may trust that its configuration is current.
+//! The configuration lease: the time until which a router may rely on its configuration.
 //!
-//! A voter vouches by telling the last configuration entry of its log. Take the latest moments at
-//! which a majority of voters was asked and had nothing beyond what the router has applied. A
-//! change accepted before the earliest of those moments was synced by a majority, which shares a
-//! voter with the one that vouched, and that voter would have told of it. So whatever was accepted
-//! before that moment is in force here, and the lease counts from it. No leader is needed.
+//! A voter confirms a configuration by reporting the last configuration entry of its log in a poll
+//! reply. The lease starts at the latest time T such that a majority of voters, polled at T or
+//! later, reported no entry beyond what the router has applied. A change accepted before T was
+//! synced by a majority, which shares a voter with the majority of the polls; that voter would have
+//! reported it. So every change accepted before T is applied here. No leader is needed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use railtack_consensus::{LogIndex, Millis, ReplicaId};
 use railtack_rpc::protocol::PollReply;
 
-/// What one voter vouched for: by the last configuration entry that it told of, the latest moment at which
-/// it was asked then. Later moments belong to later entries; any other vouch says less than one that is kept.
-type Vouches = BTreeMap<LogIndex, Millis>;
+/// Confirmations of one voter: for each last configuration entry that it reported, the time of the
+/// latest poll with that report. A higher entry always has a later time; superseded confirmations
+/// are dropped.
+type Confirmations = BTreeMap<LogIndex, Millis>;
 
-/// Tracks vouches. Pure: times are passed in, on one monotonic clock.
+/// Tracks the voters' confirmations. Performs no I/O; callers pass in the time of one monotonic
+/// clock.
 #[derive(Clone, Debug)]
 pub struct Lease {
     duration: Millis,
     membership_index: LogIndex,
     voters: BTreeSet<ReplicaId>,
-    vouches: BTreeMap<ReplicaId, Vouches>,
+    confirmations: BTreeMap<ReplicaId, Confirmations>,
 }
 
 impl Lease {
-    /// A lease that is not confirmed yet.
+    /// Creates an unconfirmed lease.
     pub fn new(duration: Millis, voters: impl IntoIterator<Item = ReplicaId>) -> Self {
         Self {
             duration,
             membership_index: 0,
             voters: voters.into_iter().collect(),
-            vouches: BTreeMap::new(),
+            confirmations: BTreeMap::new(),
         }
     }
 
-    /// Takes in a replica's answer to a poll sent at `asked_at`; true if the voters may have
-    /// changed. Only voters vouch.
-    pub fn take_reply(&mut self, reply: &PollReply, asked_at: Millis) -> bool {
+    /// Records the reply to a poll sent at `sent_at`. Returns true if the set of voters may have
+    /// changed. Replies of non-voters are ignored.
+    pub fn take_reply(&mut self, reply: &PollReply, sent_at: Millis) -> bool {
         if !reply.voter {
             return false;
         }
         let voters = reply.voters.iter().map(|voter| voter.replica);
-        let takes_voters =
+        let voters_updated =
             !reply.voters.is_empty() && self.set_voters(reply.membership_index, voters);
-        self.vouched(reply.replica, asked_at, reply.last_configuration_index);
-        takes_voters
+        self.record_confirmation(reply.replica, sent_at, reply.last_configuration_index);
+        voters_updated
     }
 
-    /// Takes in the voters that a replica knows of; false if a later membership is known here.
+    /// Sets the voters; returns false if a later membership is already known.
     ///
-    /// Replicas that were removed may never learn of it and still name old voters. The latest
-    /// membership heard of wins: as long as no voter of a majority knows a later one, none was
-    /// committed, because consecutive memberships share a voter in any two majorities.
+    /// Removed replicas may never learn of their removal and keep reporting old voters, so the
+    /// latest reported membership wins. If no voter of a majority reports a later membership, none
+    /// was committed, because any two majorities of consecutive memberships share a voter.
     pub fn set_voters(
         &mut self,
         membership_index: LogIndex,
@@ -63,54 +65,53 @@
         }
         self.membership_index = membership_index;
         self.voters = voters.into_iter().collect();
-        self.vouches
+        self.confirmations
             .retain(|replica, _| self.voters.contains(replica));
         true
     }
 
-    /// Notes a voter's answer to a question sent at `asked_at`.
-    pub fn vouched(
+    /// Records a voter's reply to a poll sent at `sent_at`.
+    pub fn record_confirmation(
         &mut self,
         replica: ReplicaId,
-        asked_at: Millis,
+        sent_at: Millis,
         last_configuration_index: LogIndex,
     ) {
         if !self.voters.contains(&replica) {
             return;
         }
-        let vouches = self.vouches.entry(replica).or_default();
-        let mut told_no_more = vouches.range(..=last_configuration_index);
-        if told_no_more.any(|(_, known_at)| *known_at >= asked_at) {
+        let confirmations = self.confirmations.entry(replica).or_default();
+        let mut without_later_entries = confirmations.range(..=last_configuration_index);
+        if without_later_entries.any(|(_, confirmed_at)| *confirmed_at >= sent_at) {
             return;
         }
-        // A voter that tells of a change before it is in force here still vouched, before that, for what is.
-        // With only its last vouch kept, a lease of five seconds was over with each change until that was
-        // applied, and requests were refused meanwhile.
+        // Earlier confirmations are kept: a voter may report a change before it is applied here, and the
+        // lease for the applied configuration must stay valid until then.
         let duration = self.duration;
-        vouches.retain(|index, known_at| {
-            let says_less = *index >= last_configuration_index && *known_at <= asked_at;
-            let is_over = *known_at + duration <= asked_at;
-            !says_less && !is_over
+        confirmations.retain(|index, confirmed_at| {
+            let is_superseded = *index >= last_configuration_index && *confirmed_at <= sent_at;
+            let is_expired = *confirmed_at + duration <= sent_at;
+            !is_superseded && !is_expired
         });
-        vouches.insert(last_configuration_index, asked_at);
+        confirmations.insert(last_configuration_index, sent_at);
     }
 
-    /// When the lease ends if everything up to `applied` is in force; `None` if a majority does
-    /// not vouch for that.
+    /// Returns the end of the lease if all entries up to `applied` are applied; `None` if no majority
+    /// has confirmed them.
     pub fn valid_until(&self, applied: LogIndex) -> Option<Millis> {
-        let mut moments: Vec<Millis> = self
-            .vouches
+        let mut confirmed_times: Vec<Millis> = self
+            .confirmations
             .values()
-            .filter_map(|vouches| vouches.range(..=applied).next_back())
-            .map(|(_, asked_at)| *asked_at)
+            .filter_map(|confirmations| confirmations.range(..=applied).next_back())
+            .map(|(_, sent_at)| *sent_at)
             .collect();
-        moments.sort_unstable_by(|left, right| right.cmp(left));
+        confirmed_times.sort_unstable_by(|left, right| right.cmp(left));
         let quorum = self.voters.len() / 2 + 1;
-        let confirmed_at = moments.get(quorum - 1)?;
+        let confirmed_at = confirmed_times.get(quorum - 1)?;
         Some(confirmed_at + self.duration)
     }
 
-    /// Whether configuration up to `applied` may be used now.
+    /// Whether the configuration up to `applied` may be used at `now`.
     pub fn is_valid(&self, applied: LogIndex, now: Millis) -> bool {
         self.valid_until(applied).is_some_and(|until| now < until)
     }
