--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -1,6 +1,6 @@
-//! Whether a model request is tried again, and what its caller is told if not.
+//! Retry policy of model requests: whether to retry after an attempt, and the error if not.
 //!
-//! Pure: the daemon and the simulator feed it how each attempt ended.
+//! Performs no I/O. The daemon and the simulator report the outcome of each attempt.
 
 use railtack_backend_api::StreamEnd;
 use railtack_core::{Execution, RefusalCode};
@@ -8,42 +8,42 @@
 
 use crate::refusal::Refusal;
 
-/// Attempts of one request.
+/// Maximum attempts of one request.
 pub const ATTEMPT_LIMIT: u32 = 4;
-/// Pause told to the caller of a request that failed, milliseconds.
-const FAILURE_PAUSE_MS: u64 = 1_000;
+/// Retry delay returned to the caller of a failed request, milliseconds.
+const FAILURE_RETRY_MS: u64 = 1_000;
 
-/// How one attempt ended.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The answer is whole.
+    /// The response is complete.
     Whole(StreamEnd),
-    /// The engine refused; nothing ran there.
+    /// The engine refused the request and did not run it.
     Refused,
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
-    /// The engine was lost while it may have been running.
+    /// The connection to the engine was lost; the request may have run.
     Lost,
-    /// The caller is gone.
+    /// The caller disconnected.
     CallerGone,
     /// The deadline passed.
     TooLate,
 }
 
-/// What follows an attempt.
+/// Next step after an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AfterAttempt {
-    /// Choose another engine.
+    /// Retry on another engine.
     Again,
-    /// The answer is whole.
+    /// The response is complete.
     Whole(StreamEnd),
-    /// Tell the caller why there will be no more.
+    /// Return an error to the caller.
     Fail(Refusal),
-    /// Nobody waits for the answer.
+    /// Stop: the caller disconnected.
     Abandon,
 }
 
-/// The attempts of one request.
+/// Attempts of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Attempts {
     made: u32,
@@ -52,13 +52,13 @@
 }
 
 impl Attempts {
-    /// Attempts made so far.
+    /// Number of attempts so far.
     pub fn made(&self) -> u32 {
         self.made
     }
 
-    /// Takes in how an attempt ended. `spend_retry` is asked only for a repeat that may cost an
-    /// engine work a second time.
+    /// Records the outcome of an attempt. `spend_retry` takes a retry from the tenant's budget; it is
+    /// called only if the request may already have run on an engine.
     pub fn ended(&mut self, end: AttemptEnd, spend_retry: impl FnOnce() -> bool) -> AfterAttempt {
         self.made += 1;
         let may_repeat = match end {
@@ -72,7 +72,7 @@
             AttemptEnd::Lost => {
                 self.may_have_run = true;
                 self.lost += 1;
-                // As many ends show that the request is to blame for them.
+                // After this many failures, the request itself is the likely cause.
                 self.lost < ENDS_TO_QUARANTINE && spend_retry()
             }
         };
@@ -82,7 +82,7 @@
         self.no_engine()
     }
 
-    /// What the caller is told when no engine may be tried.
+    /// Fails the request because no further engine may be tried.
     pub fn no_engine(&self) -> AfterAttempt {
         self.fail(
             RefusalCode::BackendFailed,
@@ -90,7 +90,7 @@
         )
     }
 
-    /// What the caller is told when the request is refused before another attempt.
+    /// Fails the request with `refusal`, adjusted for the attempts made so far.
     pub fn refused(&self, refusal: Refusal) -> AfterAttempt {
         AfterAttempt::Fail(Refusal {
             execution: self.execution(),
@@ -111,6 +111,6 @@
             execution: self.execution(),
             ..Refusal::not_run(code, detail)
         };
-        AfterAttempt::Fail(refusal.retry_after_ms(FAILURE_PAUSE_MS))
+        AfterAttempt::Fail(refusal.retry_after_ms(FAILURE_RETRY_MS))
     }
 }
--- a/crates/router/src/decisions.rs
+++ b/crates/router/src/decisions.rs
@@ -1,57 +1,57 @@
-//! Recent decisions, for `railtackctl explain`.
+//! Recent scheduling decisions, shown by `railtackctl explain`.
 
 use std::collections::VecDeque;
 
 use railtack_core::{EngineId, TemplateName, TenantName};
 use serde::{Deserialize, Serialize};
 
-/// Decisions kept.
+/// Maximum number of decisions kept.
 const MAX_DECISIONS: usize = 4_096;
 
-/// Why a request went where it went.
+/// One scheduling decision with the candidates considered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DecisionRecord {
-    /// The request, hexadecimal, as in the `x-request-id` header.
+    /// Request id, hexadecimal, as in the `x-request-id` header.
     pub request: String,
-    /// The tenant.
+    /// Tenant that sent the request.
     pub tenant: TenantName,
-    /// The template.
+    /// Template of the requested service.
     pub template: TemplateName,
-    /// Attempt, from 1.
+    /// Attempt number, from 1.
     pub attempt: u32,
-    /// Engine chosen.
+    /// Chosen engine.
     pub engine: EngineId,
-    /// Prompt tokens.
+    /// Prompt length, tokens.
     pub prompt_tokens: u32,
-    /// All engines considered.
+    /// All engines considered, including the chosen one.
     pub candidates: Vec<CandidateRecord>,
 }
 
-/// One engine that was considered.
+/// One engine considered in a decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CandidateRecord {
-    /// The engine.
+    /// Engine id.
     pub engine: EngineId,
-    /// Prompt tokens that it was known to hold.
+    /// Prompt tokens known to be in the engine's cache.
     pub held_tokens: u32,
-    /// Prompt tokens that it would compute, by estimate.
+    /// Estimated prompt tokens that the engine would have to compute.
     pub uncached_tokens: u32,
     /// Estimated time to first token, microseconds.
     pub first_token_us: u64,
-    /// Requests running there at the last report.
+    /// Requests running on the engine at its last report.
     pub running: u32,
-    /// Requests waiting there at the last report.
+    /// Requests queued on the engine at its last report.
     pub waiting: u32,
 }
 
-/// The last decisions, oldest first.
+/// Bounded log of recent decisions, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct DecisionLog {
     records: VecDeque<DecisionRecord>,
 }
 
 impl DecisionLog {
-    /// Adds a decision and drops the oldest if there are too many.
+    /// Appends a decision and drops the oldest beyond the limit.
     pub fn push(&mut self, record: DecisionRecord) {
         self.records.push_back(record);
         if self.records.len() > MAX_DECISIONS {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Decisions about a request.
+    /// Returns the decisions for the request with this id.
     pub fn for_request(&self, request: &str) -> Vec<DecisionRecord> {
         let matching = self
             .records
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -1,9 +1,10 @@
-//! Running a model request: attempts, relay of frames, resumption and continuation.
+//! Dispatch of model requests: attempts, frame relay, resumption and failover.
 //!
-//! Every attempt has an id of its own, and every frame carries its attempt and its position in the
-//! answer. So a late or crossed frame is recognised and dropped, a lost connection is resumed
-//! where it broke, and a dead engine's answer is continued elsewhere from the tokens already
-//! delivered. An answer ends only by an engine's explicit end; anything else is an explicit error.
+//! Each attempt has a unique id, and each frame carries its attempt's id and its sequence number in
+//! the response. Late and duplicate frames are thus detected and dropped, a broken stream is resumed
+//! at the first missing frame, and the response of a failed engine is continued by another engine
+//! after the tokens already delivered. A response is complete only with an end frame; otherwise the
+//! caller gets an error.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -31,43 +32,43 @@
 
 mod exchange;
 
-/// Engine priority of interactive work; batch work has 0.
+/// Engine priority of interactive requests; batch requests have 0.
 const INTERACTIVE_PRIORITY: u8 = 1;
 
-/// A request that was admitted.
+/// An admitted model request.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The request.
+    /// Id of this request, returned to the caller.
     pub request_id: RequestId,
-    /// Names what the caller sent, the same each time it sends it again.
+    /// Hash of the request's content; equal for identical requests.
     pub content_key: ContentKey,
-    /// The tenant.
+    /// Tenant that sent the request.
     pub tenant: TenantName,
-    /// The template.
+    /// Template of the requested service.
     pub template: TemplateName,
-    /// What the engine must have loaded.
+    /// Model and weights version that the engine must run.
     pub model_key: ModelKey,
-    /// Root of the cache namespace.
+    /// Namespace of the request's prefix-cache blocks.
     pub namespace: CacheNamespace,
-    /// The prompt.
+    /// Rendered prompt.
     pub prompt: String,
-    /// Its block hashes.
+    /// Block hashes of the prompt.
     pub chain: PrefixChain,
-    /// Where its segments end, blocks.
+    /// Ends of the template's segments, in blocks.
     pub boundaries: Vec<u32>,
-    /// Class of the work.
+    /// Scheduling class.
     pub priority: Priority,
-    /// Length of the answer, tokens.
+    /// Maximum length of the response, tokens.
     pub max_tokens: u32,
-    /// When it was received.
+    /// Time at which the request was received.
     pub received: Instant,
-    /// When the caller gives up.
+    /// Time by which the response must be complete.
     pub deadline: Instant,
-    /// The choice on which it was admitted.
+    /// Scheduling decision of the admission check, used by the first attempt.
     pub first_decision: Option<Decision>,
 }
 
-/// Runs a job and reports its answer step by step. Dropping the receiver cancels it.
+/// Runs a job and sends its response as events. Dropping the receiver cancels the job.
 pub async fn run(state: Arc<RouterState>, job: Job, events: mpsc::Sender<ResponseEvent>) {
     state.metrics.open_requests.inc();
     let job = Arc::new(job);
@@ -99,45 +100,45 @@
     excluded: Vec<EngineSlot>,
 }
 
-/// One dispatch to one engine.
+/// One attempt on one engine.
 struct Attempt {
     id: AttemptId,
     engine: EngineSlot,
     incarnation: EngineIncarnation,
     address: SocketAddr,
     uncached_tokens: u64,
-    /// Leading blocks that the engine was known to hold before.
+    /// Leading blocks that the engine was known to have cached before the attempt.
     held_blocks: u32,
-    /// Whether its first token has not come yet.
     awaiting_first_token: bool,
-    /// The permit by which it was sent, if the engine has a limit.
+    /// Permit for this attempt, if the engine has a rate limit.
     permit: Option<Permit>,
 }
 
 impl Dispatch<'_> {
-    /// Attempts until one brings the whole answer; `None` if the caller is gone.
+    /// Runs attempts until one completes or none may follow. Returns the final event, or `None` if
+    /// the caller disconnected.
     async fn run_attempts(&mut self) -> Option<ResponseEvent> {
-        let mut decision = self.job.first_decision.clone();
+        let mut first_decision = self.job.first_decision.clone();
         loop {
-            let Some(chosen) = decision.take().or_else(|| self.choose()) else {
+            let Some(decision) = first_decision.take().or_else(|| self.choose()) else {
                 return final_event(self.no_engine_outcome());
             };
             if let Some(refusal) = quarantine::refusal(self.state, self.job.content_key) {
                 return final_event(self.attempts.refused(refusal));
             }
-            let Some(permit) = self.acquire_permit(&chosen).await else {
-                // Its limit has no room, which is known since: the next choice leaves it out.
+            let Some(permit) = self.acquire_permit(&decision).await else {
+                // The denial was recorded, so the next decision skips this engine.
                 continue;
             };
-            self.record_decision(&chosen);
-            let end = self.attempt(&chosen, permit).await;
+            self.record_decision(&decision);
+            let end = self.attempt(&decision, permit).await;
             self.log.record_attempt(&end);
             let (state, tenant) = (self.state, &self.job.tenant);
             let after = self.attempts.ended(end, || spend_retry(state, tenant));
             if after != AfterAttempt::Again {
                 return final_event(after);
             }
-            self.excluded.push(chosen.chosen.engine);
+            self.excluded.push(decision.chosen.engine);
             self.state.metrics.retries.inc();
         }
     }
@@ -153,8 +154,8 @@
         lock(&self.state.scheduler).choose(shape, self.state.now_us(), rand::random())
     }
 
-    /// What the caller is told when no engine may be tried: before the first attempt, when one takes requests
-    /// again.
+    /// Outcome when no engine accepts the request. Before the first attempt, the refusal includes the
+    /// time after which to retry.
     fn no_engine_outcome(&self) -> AfterAttempt {
         if self.attempts.made() > 0 {
             return self.attempts.no_engine();
@@ -163,7 +164,8 @@
         self.attempts.refused(refusal)
     }
 
-    /// The permit to send the chosen engine the request, if it has a limit; `None` if that has no room.
+    /// Acquires a permit if the chosen engine has a rate limit. Returns `None` if the permit was
+    /// denied, `Some(None)` if no permit is needed.
     async fn acquire_permit(&self, decision: &Decision) -> Option<Option<Permit>> {
         let life = {
             let scheduler = lock(&self.state.scheduler);
@@ -210,7 +212,7 @@
         end
     }
 
-    /// Notes what the end of an attempt says of whether the engine outlived the request.
+    /// Reports to the quarantine whether the engine survived the request.
     fn report_back_end_health(&self, attempt: &Attempt, end: &AttemptEnd) {
         match end {
             AttemptEnd::Whole(_) => quarantine::record_success(self.state, self.job.content_key),
@@ -355,7 +357,7 @@
     }
 }
 
-/// The event that ends an answer; `None` if nobody waits for it.
+/// Returns the event that ends a response; `None` if the caller disconnected.
 fn final_event(after: AfterAttempt) -> Option<ResponseEvent> {
     match after {
         AfterAttempt::Whole(end) => Some(ResponseEvent::Ended(end)),
@@ -364,7 +366,7 @@
     }
 }
 
-/// Repeats that cost an engine work come out of the tenant's budget.
+/// Takes one retry from the tenant's budget; returns false if it is exhausted.
 fn spend_retry(state: &RouterState, tenant: &TenantName) -> bool {
     let mut budgets = lock(&state.retry_budgets);
     budgets.entry(tenant.clone()).or_default().spend()
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with one engine: sending, relaying frames, resuming where the connection broke.
+//! One exchange with an engine: sends the request, relays frames and resumes broken streams.
 
 use std::time::Duration;
 
@@ -21,20 +21,20 @@
     state::lock,
 };
 
-/// Tries to resume a stream on the engine where it broke.
+/// Attempts to resume a broken stream on the same engine.
 const RESUME_ATTEMPTS: u32 = 2;
-/// Pause before a stream is resumed.
+/// Delay before each attempt to resume a stream.
 const RESUME_DELAY: Duration = Duration::from_millis(30);
-/// Time for cancelling an attempt.
+/// Timeout of the request that cancels an attempt.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for an engine's refusal to arrive.
+/// Timeout for reading the body of an engine's refusal.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest refusal of an engine, bytes.
+/// Maximum body size of an engine's refusal, bytes.
 const MAX_REFUSAL_BYTES: usize = 16 * 1024;
 
 impl Dispatch<'_> {
-    /// One exchange with an engine, given up when nothing is heard of the engine any more: a
-    /// frozen process keeps its connections open in silence.
+    /// Runs one exchange. Fails it if the engine stops reporting its status, since a hung process keeps
+    /// its connections open without sending data.
     pub(super) async fn exchange(
         &mut self,
         attempt: &mut Attempt,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Relays frames until the answer, or at least this connection, ends.
+    /// Relays frames until the response is complete or the connection ends.
     async fn relay(&mut self, attempt: &mut Attempt, response: Response<Incoming>) -> AttemptEnd {
         let end = self.relay_frames(attempt, response).await;
         if end == AttemptEnd::Lost && self.relay.is_whole_when_closed() {
@@ -84,7 +84,8 @@
         end
     }
 
-    /// Asks the same engine for the rest; it keeps a stream for a while after a connection broke.
+    /// Requests the remaining frames from the same engine, which retains a stream for some time after
+    /// its connection broke.
     async fn resume(&mut self, attempt: &mut Attempt) -> AttemptEnd {
         for _ in 0..RESUME_ATTEMPTS {
             sleep(RESUME_DELAY).await;
@@ -112,7 +113,7 @@
         AttemptEnd::Lost
     }
 
-    /// Hands frames to the caller in order, each once.
+    /// Delivers each frame to the caller exactly once, in order.
     async fn relay_frames(
         &mut self,
         attempt: &mut Attempt,
@@ -161,19 +162,19 @@
             .and_then(|bytes| serde_json::from_slice::<EngineError>(&bytes).ok());
         let is_stale = error.is_none_or(|error| error.error != EngineRefusal::QueueFull);
         if is_stale {
-            // The view of this engine is out of date: look again before the next choice.
+            // The cached status of this engine is stale: refresh it before the next decision.
             refresh_status(self.state, attempt.address).await;
         }
         AttemptEnd::Refused
     }
 
-    /// Takes in what the answer says of the engine's limit.
+    /// Records the rate limit that the response headers announce.
     fn record_limit(&self, attempt: &Attempt, response: &Response<Incoming>) {
         let life = self.life_of(attempt);
         limits::record_response(self.state, &life.name, attempt.permit, response.headers());
     }
 
-    /// Notes that the engine asked for no requests for a time.
+    /// Records the engine's `Retry-After` delay.
     fn record_back_off(&self, attempt: &Attempt, delay: Duration) {
         let now = self.state.uptime();
         let notice = BackEndNotice {
@@ -191,7 +192,7 @@
         });
     }
 
-    /// Stops an attempt whose answer nobody waits for, without waiting for the engine.
+    /// Cancels an attempt in the background.
     pub(super) fn cancel(&self, attempt: &Attempt) {
         let uri = format!(
             "http://{}/v1/streams/{:032x}",
@@ -202,7 +203,7 @@
         };
         let client = self.state.client.clone();
         tokio::spawn(async move {
-            // An engine that is gone needs no cancelling.
+            // An error is ignored: an engine that has exited no longer runs the attempt.
             let _ = timeout(CANCEL_TIMEOUT, client.send(request)).await;
         });
     }
--- a/crates/router/src/keyed.rs
+++ b/crates/router/src/keyed.rs
@@ -25,11 +25,11 @@
 /// Time for recording how a claim ended in the background.
 pub const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// When a caller may ask again for the outcome of a request in progress, milliseconds.
-const IN_PROGRESS_PAUSE_MS: u64 = 500;
+const IN_PROGRESS_RETRY_MS: u64 = 500;
 /// When a caller may ask again after a failure, milliseconds.
-const FAILURE_PAUSE_MS: u64 = 1_000;
+const FAILURE_RETRY_MS: u64 = 1_000;
 /// Largest answer that is kept for later arrivals, bytes.
-const STORED_ANSWER_LIMIT: usize = 64 * 1024;
+const MAX_STORED_BODY_BYTES: usize = 64 * 1024;
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -105,7 +105,7 @@
                     RefusalCode::ControlUnavailable,
                     "the claim could not be recorded; this arrival was not sent",
                 )
-                .retry_after_ms(FAILURE_PAUSE_MS),
+                .retry_after_ms(FAILURE_RETRY_MS),
             ),
         }
     }
@@ -114,7 +114,7 @@
     pub fn sent(&mut self, sent: Result<StoredAnswer, SendError>) -> KeyedStep {
         match sent {
             Ok(answer) => {
-                let outcome = ClaimOutcome::Completed(storable(&answer));
+                let outcome = ClaimOutcome::Completed(without_large_body(&answer));
                 self.settle(Ok(answer), outcome)
             }
             Err(SendError::NotSent) => {
@@ -122,7 +122,7 @@
                     RefusalCode::NoBackend,
                     "no back end of the service could be reached",
                 )
-                .retry_after_ms(FAILURE_PAUSE_MS);
+                .retry_after_ms(FAILURE_RETRY_MS);
                 let outcome = ClaimOutcome::NotRun { code: refusal.code };
                 self.settle(Err(refusal), outcome)
             }
@@ -150,7 +150,7 @@
                     RefusalCode::InProgress,
                     "an earlier arrival of this key has not ended",
                 )
-                .retry_after_ms(IN_PROGRESS_PAUSE_MS),
+                .retry_after_ms(IN_PROGRESS_RETRY_MS),
             ),
             ClaimAnswer::KeyReused => refuse(Refusal::unknown(
                 RefusalCode::IdempotencyKeyReused,
@@ -211,11 +211,11 @@
     }
 }
 
-fn storable(answer: &StoredAnswer) -> StoredAnswer {
+fn without_large_body(answer: &StoredAnswer) -> StoredAnswer {
     let body = answer
         .body
         .clone()
-        .filter(|content| content.len() <= STORED_ANSWER_LIMIT);
+        .filter(|content| content.len() <= MAX_STORED_BODY_BYTES);
     StoredAnswer {
         body,
         ..answer.clone()
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,4 +1,4 @@
-//! What the router knows of the limits that engines and back ends name, and how it reaches the leader.
+//! Rate limits announced by engines and back ends, and the permits that the control leader grants.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,11 +16,12 @@
     state::{RouterState, lock},
 };
 
-/// Time for one question to the leader: other engines and back ends may be asked after it.
+/// Timeout of a permit request, which leaves time to try other engines and back ends.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl RouterState {
-    /// Looks at what an engine or a back end of a service announced, by the name of its life or its address.
+    /// Calls `apply` with the announced state of an engine, given its incarnation name, or of a service's
+    /// back end, given its address.
     fn with_announced<T>(&self, life: &str, apply: impl FnOnce(&mut Announced) -> T) -> T {
         if life.parse::<SocketAddr>().is_ok() {
             return apply(lock(&self.back_end_availability).of(life));
@@ -36,7 +37,7 @@
         });
         match slot {
             Some(slot) => apply(&mut scheduler.engines.view_mut(slot).announced),
-            // A former life: nothing is kept of it.
+            // A former incarnation, which has no state.
             None => apply(&mut Announced::default()),
         }
     }
@@ -48,14 +49,14 @@
     }
 
     fn known_limit(&self, life: &str) -> Option<KnownLimit> {
-        let own = match life.parse::<SocketAddr>() {
+        let announced = match life.parse::<SocketAddr>() {
             Ok(_) => lock(&self.back_end_availability).limit(life),
             Err(_) => self.with_announced(life, |announced| announced.limit()),
         }?;
         Some(KnownLimit {
-            limit: own.limit,
-            age: self.uptime().saturating_sub(own.named_at),
-            own: Some(own),
+            limit: announced.limit,
+            age: self.uptime().saturating_sub(announced.named_at),
+            own: Some(announced),
         })
     }
 
@@ -81,12 +82,12 @@
     }
 }
 
-/// Takes a permit for one request, if the engine or back end has a limit.
+/// Acquires a permit for one request, if the engine or back end has a rate limit.
 pub async fn acquire_permit(state: &RouterState, life: &str) -> Permission {
     permits::take(state, life, PERMIT_TIMEOUT).await
 }
 
-/// Takes in what an answer says of the limit of the engine or back end that gave it.
+/// Records the rate limit that the response headers of an engine or back end announce.
 pub fn record_response(
     state: &Arc<RouterState>,
     life: &str,
--- a/crates/router/src/proposal.rs
+++ b/crates/router/src/proposal.rs
@@ -1,39 +1,39 @@
-//! What is known of a proposal that is sent to one replica after another.
+//! Outcome of a proposal that is sent to one control replica after another.
 //!
-//! Pure: the daemon and the simulator feed it each replica's answer.
+//! Performs no I/O. The daemon and the simulator pass in the response of each replica.
 
 use railtack_rpc::protocol::{Outcome, ProposeReply};
 
-/// How a proposal ended.
+/// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Proposed {
-    /// It is committed and applied.
+    /// The command is committed and applied.
     Done(Outcome),
-    /// No replica took it: it has had no effect and will have none.
+    /// No replica accepted the command; it has no effect and never will.
     NotProposed,
-    /// It may be committed now or later.
+    /// The command may be committed now or later.
     Unknown,
 }
 
-/// One replica's answer to a proposal.
+/// Response of one replica to a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalAnswer {
-    /// The replica answered.
+    /// The replica replied.
     Reply(ProposeReply),
-    /// The replica could not be connected to, so it has not received the proposal.
+    /// The connection failed, so the replica has not received the proposal.
     Unreachable,
-    /// The replica may have received the proposal.
+    /// No reply; the replica may have received the proposal.
     NoAnswer,
 }
 
-/// One proposal over all its sends. Every command is safe to repeat.
+/// State of one proposal over all attempts. Commands are idempotent, so retries are safe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProposalRun {
     may_be_proposed: bool,
 }
 
 impl ProposalRun {
-    /// Takes an answer in; the end if it is known now.
+    /// Records the response of a replica. Returns the outcome once it is known.
     pub fn answered(&mut self, answer: ProposalAnswer) -> Option<Proposed> {
         match answer {
             ProposalAnswer::Reply(ProposeReply::Done(outcome)) => Some(Proposed::Done(outcome)),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The end when there is no time for another send.
+    /// Returns the outcome when no time is left for another attempt.
     pub fn expired(self) -> Proposed {
         if self.may_be_proposed {
             Proposed::Unknown
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests under which engines or back ends end: refusing those that the control group has
-//! quarantined, and telling it what this router's own requests met.
+//! Quarantine of requests that crash engines or back ends: refuses requests that the control group
+//! has quarantined, and reports crashes under this router's requests to the control group.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,24 +19,24 @@
     state::{RouterState, lock},
 };
 
-/// Time in which a port that nobody listens at refuses a connection.
+/// Timeout of the connection attempt that checks whether a port is closed.
 const PORT_CHECK_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// One life of an engine or back end.
+/// One incarnation of an engine or back end.
 #[derive(Clone, Debug)]
 pub struct BackEndLife {
-    /// Names it.
+    /// Unique name of the incarnation.
     pub name: String,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
 }
 
-/// Names one life of an engine.
+/// Returns the unique name of an engine's incarnation.
 pub fn engine_life(engine: EngineId, incarnation: EngineIncarnation) -> String {
     format!("{engine}@{}", incarnation.0)
 }
 
-/// The refusal of a request that is quarantined.
+/// Returns the refusal for a quarantined request; `None` if it is not quarantined.
 pub fn refusal(state: &RouterState, content: ContentKey) -> Option<Refusal> {
     let pause = lock(&state.quarantine).pause(content, Instant::now())?;
     let detail = "back ends ended under this request, one after the other";
@@ -44,7 +44,7 @@
     Some(refusal.retry_after_ms(pause.as_millis() as u64))
 }
 
-/// Takes in what the control group has quarantined.
+/// Applies an update of the control group's quarantine list.
 pub fn apply_update(state: &RouterState, update: &QuarantineUpdate) {
     let mut quarantine = lock(&state.quarantine);
     for change in quarantine.learn(update, Instant::now()) {
@@ -59,7 +59,8 @@
         .set(quarantine.quarantined() as i64);
 }
 
-/// Notes that a back end outlived a request; tells the control group if that request is suspect.
+/// Records that a back end completed a request, and reports this to the control group if the request
+/// is suspected.
 pub fn record_success(state: &Arc<RouterState>, content: ContentKey) {
     lock(&state.observed_failures).outlived(content, Instant::now());
     if lock(&state.quarantine).take_good_end(content) {
@@ -71,8 +72,8 @@
     }
 }
 
-/// Notes that the connection over which a back end had a request broke; looks in the background whether
-/// it has ended: its port refuses connections.
+/// Records a broken connection to a back end that was running a request. Checks in the background
+/// whether the back end has exited, i.e. whether its port refuses connections.
 pub fn record_broken_connection(state: &Arc<RouterState>, life: BackEndLife, content: ContentKey) {
     if lock(&state.observed_failures).broke(&life.name, content, Instant::now()) {
         let state = Arc::clone(state);
@@ -105,7 +106,7 @@
         let command = ServingCommand::RecordEnd {
             replica,
             contents,
-            // Engines and back ends are listed by the platform.
+            // No witness is needed: the platform lists engines and back ends.
             witness: None,
         };
         propose(state, command).await;
--- a/crates/router/src/resolved.rs
+++ b/crates/router/src/resolved.rs
@@ -1,4 +1,4 @@
-//! Configuration as requests look it up.
+//! Configuration with the indexes that request handling needs.
 
 use std::collections::HashMap;
 
@@ -11,32 +11,32 @@
 
 use crate::refusal::Refusal;
 
-/// Weights of a model that no document mentions.
+/// Weights version of a model that no document sets.
 const FIRST_WEIGHTS: WeightsVersion = WeightsVersion(1);
 
-/// Configuration with the look-ups that requests need. Replaced as a whole, never changed.
+/// Immutable configuration with indexes; an update creates a new value.
 #[derive(Clone, Debug, Default)]
 pub struct Resolved {
-    /// Log position that is applied.
+    /// Index of the last applied log entry.
     pub applied: LogIndex,
-    /// The documents.
+    /// Operator documents.
     pub configuration: Configuration,
     tenants_by_key: HashMap<String, TenantName>,
 }
 
-/// A tenant's use of a template.
+/// A tenant's service with its template.
 #[derive(Clone, Copy, Debug)]
 pub struct ResolvedService<'a> {
-    /// The tenant.
+    /// Tenant that owns the service.
     pub tenant: &'a Tenant,
-    /// Its values.
+    /// Service, with the tenant's parameter values.
     pub service: &'a Service,
-    /// The template.
+    /// Template of the service.
     pub template: &'a Template,
 }
 
 impl Resolved {
-    /// This configuration with an update applied. It never moves back.
+    /// Returns this configuration with `update` applied; `None` if the update is not newer.
     pub fn updated(&self, update: ConfigurationUpdate) -> Option<Self> {
         let (through, configuration) = match update {
             ConfigurationUpdate::Snapshot {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The tenant that holds a bearer key.
+    /// Returns the tenant to which a bearer key belongs.
     pub fn authenticate(&self, bearer: Option<&str>) -> Result<&Tenant, Refusal> {
         let refused = || Refusal::not_run(RefusalCode::Unauthorized, "no tenant holds this key");
         let key = bearer.ok_or_else(refused)?;
@@ -83,8 +83,8 @@
         Ok(&tenant.document)
     }
 
-    /// The tenant's service made from a template. Another tenant's template is as unknown as one
-    /// that does not exist.
+    /// Returns the tenant's service for a template. A template that only other tenants use gives the
+    /// same error as one that does not exist, so that its existence is not revealed.
     pub fn service<'a>(
         &'a self,
         tenant: &'a Tenant,
@@ -104,14 +104,14 @@
         })
     }
 
-    /// The weights that a model is to run.
+    /// Returns the target weights version of a model.
     pub fn weights_version(&self, model: &ModelName) -> WeightsVersion {
         let target = self.configuration.models.get(model);
         target.map_or(FIRST_WEIGHTS, |known| known.document.weights_version)
     }
 }
 
-/// SHA-256 of a bearer key in lower-case hexadecimal.
+/// Returns the SHA-256 of a bearer key in lower-case hexadecimal.
 pub fn key_hash(key: &str) -> String {
     let digest = Sha256::digest(key.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -1,4 +1,4 @@
-//! What the router's tasks share.
+//! State shared by the router's tasks.
 
 use std::{
     collections::HashMap,
@@ -25,68 +25,68 @@
     quarantine::BackEndLife, refusal::Refusal, resolved::Resolved,
 };
 
-/// Time for connecting to an engine.
+/// Timeout for connecting to an engine.
 const ENGINE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One ordinary service's back ends.
+/// Back ends of one HTTP service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceBackends {
-    /// Those that may get new work.
+    /// Back ends that may receive new requests.
     pub live: Vec<SocketAddr>,
-    /// Where the next request goes, modulo their number.
+    /// Round-robin position in `live`.
     pub next: usize,
 }
 
-/// State of the router.
+/// Shared state of the router.
 pub struct RouterState {
-    /// Settings.
+    /// Settings of this process.
     pub settings: RouterSettings,
-    /// Configuration in force.
+    /// Last applied configuration.
     pub resolved: ArcSwap<Resolved>,
-    /// Whether it is confirmed.
+    /// Lease under which the configuration may be used.
     pub lease: Mutex<Lease>,
-    /// Engines, caches and choices.
+    /// Engine views, prefix index and engine selection.
     pub scheduler: Mutex<Scheduler>,
-    /// Addresses of engines.
+    /// Addresses of the listed engines.
     pub engine_addresses: Mutex<HashMap<EngineId, SocketAddr>>,
-    /// Back ends of ordinary services by name.
+    /// Back ends of HTTP services, by service name.
     pub services: Mutex<HashMap<String, ServiceBackends>>,
-    /// Which back ends of ordinary services said that they take no calls, by their address. Kept apart from
-    /// the list of them, which is made anew twice a second.
+    /// Availability announced by the back ends of HTTP services, by address. Separate from `services`,
+    /// which is rebuilt with each machine list.
     pub back_end_availability: Mutex<Availability>,
-    /// Limits and shares.
+    /// Tenant limits and fair shares.
     pub admission: Mutex<Admission>,
-    /// Retries that each tenant may still make.
+    /// Remaining retries of each tenant.
     pub retry_budgets: Mutex<HashMap<TenantName, RetryBudget>>,
-    /// Recent decisions.
+    /// Recent scheduling decisions.
     pub decisions: Mutex<DecisionLog>,
     /// Requests that the control group has quarantined.
     pub quarantine: Mutex<QuarantineKnowledge>,
-    /// Ends of back ends that this router's requests met.
+    /// Crashes and broken connections observed under this router's requests.
     pub observed_failures: Mutex<EndsMet>,
-    /// Counters.
+    /// Metrics of this process.
     pub metrics: RouterMetrics,
-    /// Connections to engines.
+    /// HTTP client for engines and the platform.
     pub client: HttpClient,
-    /// Connections to control replicas.
+    /// Connections to the control replicas.
     pub control: ControlLink,
-    /// Until when no permit is asked for, as no leader answered.
+    /// Time before which no permit is requested, because no leader replied.
     pub permit_requests_paused_until: Mutex<Moment>,
-    /// Tokens in an engine's cache block, as the engines report it.
+    /// Size of a cache block as reported by the engines, tokens.
     pub block_tokens: std::sync::atomic::AtomicU32,
-    /// Whether the platform's list was had at least once.
+    /// Whether the platform's machine list was received at least once.
     pub machine_list_received: AtomicBool,
     stopping: AtomicBool,
     started: BootInstant,
 }
 
-/// Locks a mutex; a panic elsewhere while it was held does not stop the router.
+/// Locks a mutex and ignores poisoning, so that a panicked task does not stop the router.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl RouterState {
-    /// State of a router that knows nothing yet.
+    /// Creates the initial state, without configuration or engines.
     pub fn new(settings: RouterSettings) -> Self {
         let voters = settings
             .control
@@ -135,13 +135,13 @@
         self.started.elapsed().as_millis() as Millis
     }
 
-    /// Whether new requests may rely on the configuration.
+    /// Whether the lease allows new requests to use the configuration.
     pub fn is_confirmed(&self) -> bool {
         let applied = self.resolved.load().applied;
         lock(&self.lease).is_valid(applied, self.now_ms())
     }
 
-    /// Refuses new requests while stopping, or while the configuration is not confirmed.
+    /// Returns a refusal if the router is stopping or its configuration is not confirmed.
     pub fn require_serving(&self) -> Result<(), Refusal> {
         if self.stopping.load(Ordering::Relaxed) {
             let refusal = Refusal::not_run(RefusalCode::ShuttingDown, "this router is stopping");
@@ -160,7 +160,7 @@
         Err(refusal.retry_after_ms(self.settings.lease.confirm_interval_ms))
     }
 
-    /// Whether back ends are known: the list was had, and an engine answers if any is listed.
+    /// Whether the machine list was received and, if it contains engines, at least one is available.
     pub fn back_ends_known(&self) -> bool {
         let engines_listed = !lock(&self.engine_addresses).is_empty();
         let scheduler = lock(&self.scheduler);
@@ -168,8 +168,9 @@
         self.machine_list_received.load(Ordering::Relaxed) && (engine_available || !engines_listed)
     }
 
-    /// A back end of an ordinary service, which tells nobody in which of its lives it is. Each end that
-    /// this router meets counts as another life's; two routers that meet the same one count it twice.
+    /// Returns the incarnation of a service's back end. Such back ends report no incarnation, so each
+    /// crash that this router observes starts a new one. Two routers that observe the same crash count
+    /// it twice.
     pub fn back_end_life(&self, address: SocketAddr) -> BackEndLife {
         let ends = self.metrics.back_end_failures.get();
         BackEndLife {
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Begins a planned stop.
+    /// Starts a graceful shutdown: new requests are refused.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
