--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -183,8 +183,8 @@
         async move {
             let status = handle.ask(Input::Status).await;
             let ready = status.is_ok_and(|status| status.leader.is_some());
-            observability::answer(request.uri().path(), &registry, ready)
-                .unwrap_or_else(|| body::with_type(404, "text/plain", body::empty()))
+            observability::respond(request.uri().path(), &registry, ready)
+                .unwrap_or_else(|| body::with_content_type(404, "text/plain", body::empty()))
         }
     };
     railtack_http::serve(listener, ServeOptions::default(), shutdown, handler).await;
--- a/crates/ctl/src/logs/explanation.rs
+++ b/crates/ctl/src/logs/explanation.rs
@@ -122,7 +122,10 @@
         .collect();
     let arrived_us = own.iter().map(|placed| arrival_us(placed)).min()?;
     let ended_us = own.last()?.at_us;
-    let lives: BTreeSet<&str> = own.iter().map(|placed| placed.line.life.as_str()).collect();
+    let lives: BTreeSet<&str> = own
+        .iter()
+        .map(|placed| placed.line.run_id.as_str())
+        .collect();
     let replicas: BTreeSet<&str> = own
         .iter()
         .filter_map(|placed| field(&placed.line, "replica"))
@@ -168,7 +171,7 @@
     let decided: Vec<&LogLine> = own
         .iter()
         .map(|placed| &placed.line)
-        .filter(|line| line.life == life)
+        .filter(|line| line.run_id == life)
         .collect();
     let Some(last) = decided.iter().map(|line| line.sequence).max() else {
         return Vec::new();
--- a/crates/ctl/src/logs/timeline.rs
+++ b/crates/ctl/src/logs/timeline.rs
@@ -28,7 +28,7 @@
     pub fn new(lines: Vec<LogLine>) -> Self {
         let mut lives: BTreeMap<String, BTreeMap<u64, LogLine>> = BTreeMap::new();
         for line in lines {
-            let life = lives.entry(line.life.clone()).or_default();
+            let life = lives.entry(line.run_id.clone()).or_default();
             life.insert(line.sequence, line);
         }
         let mut placed: Vec<PlacedLine> = lives.into_values().flat_map(place).collect();
@@ -36,7 +36,7 @@
             let place = |line: &PlacedLine| (line.at_us, line.line.sequence);
             place(left)
                 .cmp(&place(right))
-                .then_with(|| left.line.life.cmp(&right.line.life))
+                .then_with(|| left.line.run_id.cmp(&right.line.run_id))
         });
         Self { lines: placed }
     }
@@ -51,7 +51,7 @@
         let mut lines: Vec<&PlacedLine> = self
             .lines
             .iter()
-            .filter(|placed| placed.line.life == life)
+            .filter(|placed| placed.line.run_id == life)
             .collect();
         lines.sort_by_key(|placed| placed.line.sequence);
         lines
--- a/crates/emulator/src/engine_server/streams.rs
+++ b/crates/emulator/src/engine_server/streams.rs
@@ -17,7 +17,7 @@
     pub(super) fn stream_from(&self, attempt: u128, from: u32) -> Response<Body> {
         let (sender, stream_body) = streaming();
         tokio::spawn(self.clone().write_stream(attempt, from, sender));
-        body::with_type(200, "text/event-stream", stream_body)
+        body::with_content_type(200, "text/event-stream", stream_body)
     }
 
     async fn write_stream(self, attempt: u128, from: u32, mut sender: BodySender) {
@@ -84,7 +84,7 @@
         let after = query_number(uri, "after").unwrap_or(0);
         let (sender, stream_body) = streaming();
         tokio::spawn(self.clone().write_events(after, sender));
-        body::with_type(200, "application/x-ndjson", stream_body)
+        body::with_content_type(200, "application/x-ndjson", stream_body)
     }
 
     /// Sends new events and a load report at every interval, until the reader goes away.
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -52,11 +52,11 @@
 pub fn json<T: Serialize>(status: u16, content: &T) -> Response<Body> {
     // Serializing our own types cannot fail: they have string keys only.
     let text = serde_json::to_vec(content).unwrap_or_default();
-    with_type(status, "application/json", full(text))
+    with_content_type(status, "application/json", full(text))
 }
 
 /// A response of the given content type.
-pub fn with_type(status: u16, content_type: &'static str, body: Body) -> Response<Body> {
+pub fn with_content_type(status: u16, content_type: &'static str, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
     response
@@ -73,7 +73,7 @@
     let chunks = BodyDataStream::new(body).map(|chunk| chunk.map_err(std::io::Error::other));
     let reader = StreamReader::new(chunks);
     FramedRead::new(reader, LinesCodec::new_with_max_length(LINE_LIMIT))
-        .map(|line| line.map_err(|_| ReceiveError::Broken))
+        .map(|line| line.map_err(|_| ReceiveError::ConnectionLost))
 }
 
 /// Reads a whole body within a size and a time.
@@ -84,11 +84,11 @@
 {
     let collected = timeout(time, Limited::new(body, limit).collect()).await;
     match collected {
-        Err(_) => Err(ReceiveError::TooSlow),
+        Err(_) => Err(ReceiveError::Timeout),
         Ok(Ok(content)) => Ok(content.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             Err(ReceiveError::TooLarge { limit })
         }
-        Ok(Err(_)) => Err(ReceiveError::Broken),
+        Ok(Err(_)) => Err(ReceiveError::ConnectionLost),
     }
 }
--- a/crates/http/src/errors.rs
+++ b/crates/http/src/errors.rs
@@ -15,10 +15,10 @@
     },
     /// It did not arrive in time.
     #[error("the body did not arrive in time")]
-    TooSlow,
+    Timeout,
     /// The connection broke.
     #[error("the connection broke while the body arrived")]
-    Broken,
+    ConnectionLost,
 }
 
 /// Why a request got no response.
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,15 +1,15 @@
 //! HTTP plumbing shared by the daemons, over hyper.
 
-pub mod back_off;
 pub mod body;
 pub mod client;
 pub mod errors;
 pub mod observability;
+pub mod retry_after;
 pub mod server;
 pub mod signals;
 
-pub use back_off::{LONGEST_BACK_OFF, back_off};
 pub use body::{Body, BodySender, empty, full, json, lines, read_body, streaming};
 pub use client::{HttpClient, send_on_new_connection};
 pub use errors::{HttpError, ReceiveError, SendError};
+pub use retry_after::{MAX_RETRY_AFTER, retry_after};
 pub use server::{ConnectionLimits, ServeOptions, serve, serve_limited};
--- a/crates/http/src/back_off.rs
+++ b/crates/http/src/retry_after.rs
@@ -8,11 +8,11 @@
 };
 
 /// Longest time that is reckoned with; keeps sums with any reading of a clock in range.
-pub const LONGEST_BACK_OFF: Duration = Duration::from_secs(365 * 24 * 3_600);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(365 * 24 * 3_600);
 
 /// Time for which the sender of an answer wants no requests: the `Retry-After` of one that turns a request
 /// away, in seconds with fractions. Dates are not taken, as clocks differ.
-pub fn back_off(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
+pub fn retry_after(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
     let turns_away = matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
@@ -35,5 +35,5 @@
     let text = std::str::from_utf8(value).ok()?;
     let seconds = text.trim().parse::<f64>().ok()?;
     let time = Duration::try_from_secs_f64(seconds).ok()?;
-    Some(time.min(LONGEST_BACK_OFF))
+    Some(time.min(MAX_RETRY_AFTER))
 }
--- a/crates/http/tests/back_off.rs
+++ b/crates/http/tests/retry_after.rs
@@ -6,13 +6,13 @@
     HeaderMap, StatusCode,
     header::{HeaderValue, RETRY_AFTER},
 };
-use railtack_http::{LONGEST_BACK_OFF, back_off};
+use railtack_http::{MAX_RETRY_AFTER, retry_after};
 
 fn read(status: StatusCode, value: &[u8]) -> Option<Duration> {
     let mut headers = HeaderMap::new();
     let value = HeaderValue::from_bytes(value).expect("a value");
     headers.insert(RETRY_AFTER, value);
-    back_off(status, &headers)
+    retry_after(status, &headers)
 }
 
 #[test]
@@ -24,7 +24,7 @@
     assert_eq!(read(limited, b"3"), Some(Duration::from_secs(3)));
     assert_eq!(read(StatusCode::OK, b"3"), None);
     assert_eq!(read(StatusCode::MISDIRECTED_REQUEST, b"3"), None);
-    assert_eq!(back_off(busy, &HeaderMap::new()), None);
+    assert_eq!(retry_after(busy, &HeaderMap::new()), None);
 }
 
 #[test]
@@ -51,5 +51,5 @@
 #[test]
 fn a_huge_time_stays_in_range() {
     let huge = read(StatusCode::SERVICE_UNAVAILABLE, b"1000000000000");
-    assert_eq!(huge, Some(LONGEST_BACK_OFF));
+    assert_eq!(huge, Some(MAX_RETRY_AFTER));
 }
--- a/crates/lab/src/scale/cluster.rs
+++ b/crates/lab/src/scale/cluster.rs
@@ -12,7 +12,7 @@
 use hdrhistogram::Histogram;
 use railtack_core::{AttemptId, IdempotencyKey, RouterId, TenantName};
 use railtack_http::HttpClient;
-use railtack_router::{control_link::ControlLink, proposal::Proposed};
+use railtack_router::{control_link::ControlLink, proposal::ProposalOutcome};
 use railtack_rpc::{
     ControlConnection, call_deadline,
     protocol::{ClaimRequest, Command, PollReply, PollRequest},
@@ -221,7 +221,7 @@
         });
         let asked = Instant::now();
         let proposed = link.propose(command, Duration::from_secs(5)).await;
-        if matches!(proposed, Proposed::Done(_)) {
+        if matches!(proposed, ProposalOutcome::Done(_)) {
             times.push(asked.elapsed().as_micros() as u64);
         }
     }
--- a/crates/lab/src/scale/state.rs
+++ b/crates/lab/src/scale/state.rs
@@ -4,7 +4,7 @@
 
 use railtack_control::{configuration::RevisionCheck, state::ControlState};
 use railtack_core::{AttemptId, IdempotencyKey, OperationId, Revision, TenantName};
-use railtack_router::resolved::{Resolved, key_hash};
+use railtack_router::resolved::{ResolvedConfiguration, key_hash};
 use railtack_rpc::protocol::{
     ClaimOutcome, ClaimRequest, Command, ConfigurationChange, ConfigurationUpdate, Proposal,
     StoredAnswer,
@@ -91,7 +91,7 @@
         });
         let before = resident_bytes("self");
         let started = Instant::now();
-        let resolved = Resolved::default().updated(update);
+        let resolved = ResolvedConfiguration::default().with_update(update);
         let whole = started.elapsed();
         let memory = resident_bytes("self").saturating_sub(before);
         let applied = u64::from(TEMPLATES + tenants);
@@ -111,7 +111,7 @@
         };
         let delta_bytes = size(&delta);
         let started = Instant::now();
-        let next = resolved.updated(delta);
+        let next = resolved.with_update(delta);
         let one = started.elapsed();
         std::hint::black_box(next);
         println!(
--- a/crates/lab/src/simulate/control/operators.rs
+++ b/crates/lab/src/simulate/control/operators.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use railtack_core::{ModelName, OperationId, Revision, TemplateName, WeightsVersion};
-use railtack_router::proposal::Proposed;
+use railtack_router::proposal::ProposalOutcome;
 use railtack_rpc::protocol::{Command, ConfigurationChange, Outcome};
 use railtack_settings::documents::{Document, ModelTarget, Priority, Target, Template};
 use rand::RngExt;
@@ -142,7 +142,11 @@
     }
 
     /// An operator learns what came of its change, or that nobody knows.
-    pub fn operator_told(&mut self, operator: u32, proposed: Proposed) -> Result<(), Broken> {
+    pub fn operator_told(
+        &mut self,
+        operator: u32,
+        proposed: ProposalOutcome,
+    ) -> Result<(), Broken> {
         let now = self.schedule.now();
         let pause = self.random.random_range(20..600);
         self.schedule.after(pause, Event::OperatorTurn { operator });
@@ -151,7 +155,7 @@
             return Ok(());
         };
         match proposed {
-            Proposed::Done(outcome) => {
+            ProposalOutcome::Done(outcome) => {
                 match &outcome {
                     Outcome::Accepted { revision } => {
                         self.activity.completed += 1;
@@ -168,7 +172,7 @@
                     .note(now, || format!("{} ended: {outcome:?}", open.operation));
                 self.checks.observed(open.operation, sent, heard, outcome)
             }
-            Proposed::Unknown | Proposed::NotProposed => {
+            ProposalOutcome::Unknown | ProposalOutcome::NotProposed => {
                 if open.sends < SENDS {
                     state.open = Some(open);
                 }
--- a/crates/lab/src/simulate/control/routers.rs
+++ b/crates/lab/src/simulate/control/routers.rs
@@ -4,10 +4,10 @@
 use railtack_core::{AttemptId, Execution, IdempotencyKey, RouterId, TenantName};
 use railtack_http::SendError;
 use railtack_router::{
-    keyed::{KeyedRun, KeyedStep},
+    idempotency::{IdempotentRequest, IdempotentStep},
     lease::Lease,
-    proposal::{ProposalAnswer, ProposalRun, Proposed},
-    resolved::Resolved,
+    proposal::{ProposalAttempts, ProposalOutcome, ReplicaResponse},
+    resolved::ResolvedConfiguration,
 };
 use railtack_rpc::protocol::{Command, PollReply, PollRequest, Proposal, StoredAnswer};
 use rand::RngExt;
@@ -51,7 +51,7 @@
     /// Its clock.
     pub clock: Clock,
     /// Configuration in force.
-    pub resolved: Resolved,
+    pub resolved: ResolvedConfiguration,
     /// Whether it is confirmed.
     pub lease: Lease,
 }
@@ -63,7 +63,7 @@
     /// The router.
     pub router: u32,
     /// Where it stands.
-    pub run: KeyedRun,
+    pub run: IdempotentRequest,
     /// Whether an answer of the service is waited for.
     pub waits_for_service: bool,
 }
@@ -77,7 +77,7 @@
                 life: 0,
                 up: false,
                 clock,
-                resolved: Resolved::default(),
+                resolved: ResolvedConfiguration::default(),
                 lease: new_lease(),
             };
             self.routers.insert(number, router);
@@ -95,7 +95,7 @@
         }
         router.life += 1;
         router.up = true;
-        router.resolved = Resolved::default();
+        router.resolved = ResolvedConfiguration::default();
         router.lease = new_lease();
         let event = Event::Poll {
             router: number,
@@ -200,10 +200,10 @@
                 Ok(())
             }
             (Some(CallPurpose::Task(task)), Reply::Proposed(reply)) => {
-                self.task_answered(task, ProposalAnswer::Reply(reply))
+                self.task_answered(task, ReplicaResponse::Reply(reply))
             }
             (Some(CallPurpose::Task(task)), Reply::Refused) => {
-                self.task_answered(task, ProposalAnswer::Unreachable)
+                self.task_answered(task, ReplicaResponse::Unreachable)
             }
             _ => Ok(()),
         }
@@ -212,7 +212,7 @@
     /// No answer came in time.
     pub fn time_out(&mut self, call: u64) -> Result<(), Broken> {
         match self.calls.remove(&call) {
-            Some(CallPurpose::Task(task)) => self.task_answered(task, ProposalAnswer::NoAnswer),
+            Some(CallPurpose::Task(task)) => self.task_answered(task, ReplicaResponse::NoReply),
             _ => Ok(()),
         }
     }
@@ -222,11 +222,11 @@
             return;
         };
         if let Some(update) = &reply.update
-            && let Some(newer) = router.resolved.updated(update.clone())
+            && let Some(newer) = router.resolved.with_update(update.clone())
         {
             router.resolved = newer;
         }
-        router.lease.take_reply(reply, asked_at);
+        router.lease.record_poll_reply(reply, asked_at);
     }
 
     /// Whether a router would serve now.
@@ -291,7 +291,7 @@
             return Ok(());
         }
         let attempt = AttemptId(u128::from(self.number()));
-        let (run, step) = KeyedRun::begin(
+        let (run, step) = IdempotentRequest::begin(
             TenantName::from("tenant"),
             IdempotencyKey(key.to_string()),
             u128::from(key),
@@ -321,24 +321,27 @@
         key
     }
 
-    fn carry_out(&mut self, arrival: u64, step: KeyedStep) -> Result<(), Broken> {
+    fn carry_out(&mut self, arrival: u64, step: IdempotentStep) -> Result<(), Broken> {
         let Some(state) = self.arrivals.get_mut(&arrival) else {
             return Ok(());
         };
         let place = Place::Router(state.router);
         match step {
-            KeyedStep::Propose(command) => {
+            IdempotentStep::Propose(command) => {
                 let owner = TaskOwner::Arrival(arrival);
                 self.start_task(place, command, CLAIM_TIMEOUT, owner)
             }
-            KeyedStep::Send => self.send_to_service(arrival),
-            KeyedStep::Answer { answer, later } => {
+            IdempotentStep::Send => self.send_to_service(arrival),
+            IdempotentStep::Respond {
+                response,
+                settlement,
+            } => {
                 let key = state.key;
                 self.arrivals.remove(&arrival);
-                if let Some(command) = later {
+                if let Some(command) = settlement {
                     self.start_task(place, command, 60_000, TaskOwner::Background)?;
                 }
-                let execution = match &answer {
+                let execution = match &response {
                     Ok(_) => Execution::Completed,
                     Err(refusal) => refusal.execution,
                 };
@@ -414,7 +417,7 @@
         let Some(state) = self.arrivals.get_mut(&arrival) else {
             return Ok(());
         };
-        let step = state.run.sent(result);
+        let step = state.run.on_response(result);
         self.carry_out(arrival, step)
     }
 
@@ -430,7 +433,7 @@
         let state = Task {
             place,
             command,
-            run: ProposalRun::default(),
+            run: ProposalAttempts::default(),
             deadline: self.schedule.now() + limit,
             owner,
         };
@@ -444,7 +447,7 @@
             return Ok(());
         };
         if self.schedule.now() >= state.deadline {
-            let proposed = state.run.expired();
+            let proposed = state.run.outcome_at_deadline();
             return self.task_ended(task, proposed);
         }
         let place = state.place;
@@ -463,11 +466,11 @@
         Ok(())
     }
 
-    fn task_answered(&mut self, task: u64, answer: ProposalAnswer) -> Result<(), Broken> {
+    fn task_answered(&mut self, task: u64, answer: ReplicaResponse) -> Result<(), Broken> {
         let Some(state) = self.tasks.get_mut(&task) else {
             return Ok(());
         };
-        if let Some(proposed) = state.run.answered(answer) {
+        if let Some(proposed) = state.run.record(answer) {
             return self.task_ended(task, proposed);
         }
         let place = state.place;
@@ -476,7 +479,7 @@
         Ok(())
     }
 
-    fn task_ended(&mut self, task: u64, proposed: Proposed) -> Result<(), Broken> {
+    fn task_ended(&mut self, task: u64, proposed: ProposalOutcome) -> Result<(), Broken> {
         let Some(state) = self.tasks.remove(&task) else {
             return Ok(());
         };
@@ -485,7 +488,7 @@
                 let Some(state) = self.arrivals.get_mut(&arrival) else {
                     return Ok(());
                 };
-                let step = state.run.proposed(proposed);
+                let step = state.run.on_proposal(proposed);
                 self.carry_out(arrival, step)
             }
             TaskOwner::Operator(operator) => self.operator_told(operator, proposed),
--- a/crates/lab/src/simulate/control/world.rs
+++ b/crates/lab/src/simulate/control/world.rs
@@ -4,7 +4,7 @@
 
 use railtack_backend_api::OrderRequest;
 use railtack_consensus::Message;
-use railtack_router::proposal::ProposalRun;
+use railtack_router::proposal::ProposalAttempts;
 use railtack_rpc::protocol::{Command, PollReply, PollRequest, Proposal, ProposeReply};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -162,7 +162,7 @@
     /// What to commit.
     pub command: Command,
     /// What is known of it.
-    pub run: ProposalRun,
+    pub run: ProposalAttempts,
     /// When to give up.
     pub deadline: u64,
     /// Who waits for it.
--- a/crates/lab/src/simulate/streams/requests.rs
+++ b/crates/lab/src/simulate/streams/requests.rs
@@ -7,8 +7,8 @@
 };
 use railtack_emulator::answer::whole_answer;
 use railtack_router::{
-    attempts::{AfterAttempt, AttemptEnd, Attempts},
-    relay::{EndMarker, FrameStep, Relay},
+    attempts::{AttemptOutcome, Attempts, NextStep},
+    relay::{EndMarker, FrameAction, Relay},
 };
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -143,7 +143,7 @@
             .filter(|engine| !request.excluded.contains(engine) && self.known.contains_key(engine))
             .collect();
         if choices.is_empty() {
-            let after = request.attempts.no_engine();
+            let after = request.attempts.fail_without_engine();
             return self.after_attempt(number, after);
         }
         let engine = choices[self.random.random_range(0..choices.len())];
@@ -189,13 +189,13 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
-        match request.relay.take(frame) {
-            FrameStep::Drop => Ok(()),
-            FrameStep::Gap => {
+        match request.relay.accept(frame) {
+            FrameAction::Drop => Ok(()),
+            FrameAction::Gap => {
                 let channel = request.channel;
                 self.closed(number, channel)
             }
-            FrameStep::Deliver(text) => {
+            FrameAction::Deliver(text) => {
                 request.text.push_str(&text);
                 let whole = whole_answer(&request.prompt, request.max_tokens);
                 if whole.starts_with(&request.text) {
@@ -204,7 +204,7 @@
                 let detail = format!("request {number} was given text that is not its own");
                 Err((Promise::WholeAnswer, detail))
             }
-            FrameStep::Whole(end) => self.ended(number, AttemptEnd::Whole(end)),
+            FrameAction::Complete(end) => self.ended(number, AttemptOutcome::Completed(end)),
         }
     }
 
@@ -216,12 +216,12 @@
         if request.channel != channel {
             return Ok(());
         }
-        if request.relay.is_whole_when_closed() {
-            let end = request.relay.presumed_end(0);
-            return self.ended(number, AttemptEnd::Whole(end));
+        if request.relay.is_complete_on_close() {
+            let end = request.relay.implied_end(0);
+            return self.ended(number, AttemptOutcome::Completed(end));
         }
         if request.resumes >= RESUME_TRIES {
-            return self.ended(number, AttemptEnd::Lost);
+            return self.ended(number, AttemptOutcome::Lost);
         }
         request.resumes += 1;
         let event = Event::Resume {
@@ -262,9 +262,9 @@
             return Ok(());
         }
         let end = if request.resumes > 0 {
-            AttemptEnd::Lost
+            AttemptOutcome::Lost
         } else {
-            AttemptEnd::Refused
+            AttemptOutcome::Refused
         };
         let engine = request.engine;
         // The router looks at the engine again before its next choice.
@@ -280,29 +280,29 @@
     /// The caller gives up.
     pub fn deadline(&mut self, number: u64) -> Result<(), Broken> {
         if self.requests.contains_key(&number) {
-            return self.ended(number, AttemptEnd::TooLate);
+            return self.ended(number, AttemptOutcome::DeadlineExceeded);
         }
         Ok(())
     }
 
-    fn ended(&mut self, number: u64, end: AttemptEnd) -> Result<(), Broken> {
+    fn ended(&mut self, number: u64, end: AttemptOutcome) -> Result<(), Broken> {
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
         let budget = &mut self.budget;
-        let after = request.attempts.ended(end, || budget.spend());
+        let after = request.attempts.record(end, || budget.spend());
         request.excluded.push(request.engine);
         let (engine, attempt) = (request.engine, request.attempt);
-        if !matches!(end, AttemptEnd::Whole(_)) {
+        if !matches!(end, AttemptOutcome::Completed(_)) {
             self.cancel(engine, attempt);
         }
         self.after_attempt(number, after)
     }
 
-    fn after_attempt(&mut self, number: u64, after: AfterAttempt) -> Result<(), Broken> {
+    fn after_attempt(&mut self, number: u64, after: NextStep) -> Result<(), Broken> {
         match after {
-            AfterAttempt::Again => self.dispatch(number),
-            AfterAttempt::Whole(_) => {
+            NextStep::Retry => self.dispatch(number),
+            NextStep::Completed(_) => {
                 let Some(request) = self.requests.remove(&number) else {
                     return Ok(());
                 };
@@ -314,7 +314,7 @@
                 let detail = format!("request {number} was cut and looks whole");
                 Err((Promise::WholeAnswer, detail))
             }
-            AfterAttempt::Fail(_) | AfterAttempt::Abandon => {
+            NextStep::Fail(_) | NextStep::Abandon => {
                 // The caller is told explicitly that there will be no more.
                 self.requests.remove(&number);
                 self.activity.refused += 1;
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -321,7 +321,7 @@
         let time = due.saturating_duration_since(Instant::now());
         let read = read_body(self.body, ANSWER_LIMIT, time).await;
         let content = read.map_err(|error| match error {
-            ReceiveError::Broken => FailedExchange::connection_broke("answer broke off"),
+            ReceiveError::ConnectionLost => FailedExchange::connection_broke("answer broke off"),
             _ => FailedExchange::may_have_run("answer not read"),
         })?;
         if self.reusable {
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -16,7 +16,7 @@
     request: &Request<Incoming>,
 ) -> Response<Body> {
     let path = request.uri().path();
-    if let Some(response) = observability::answer(path, registry, is_ready(state)) {
+    if let Some(response) = observability::respond(path, registry, is_ready(state)) {
         return response;
     }
     if let Some(id) = path.strip_prefix("/explain/") {
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -15,9 +15,9 @@
 
 /// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// The response is complete.
-    Whole(StreamEnd),
+    Completed(StreamEnd),
     /// The engine refused the request and did not run it.
     Refused,
     /// The request was not sent.
@@ -25,18 +25,32 @@
     /// The connection to the engine was lost; the request may have run.
     Lost,
     /// The caller disconnected.
-    CallerGone,
+    ClientDisconnected,
     /// The deadline passed.
-    TooLate,
+    DeadlineExceeded,
+}
+
+impl AttemptOutcome {
+    /// Stable name for logs.
+    pub fn label(self) -> &'static str {
+        match self {
+            Self::Completed(_) => "Whole",
+            Self::Refused => "Refused",
+            Self::NotSent => "NotSent",
+            Self::Lost => "Lost",
+            Self::ClientDisconnected => "CallerGone",
+            Self::DeadlineExceeded => "TooLate",
+        }
+    }
 }
 
 /// Next step after an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AfterAttempt {
+pub enum NextStep {
     /// Retry on another engine.
-    Again,
+    Retry,
     /// The response is complete.
-    Whole(StreamEnd),
+    Completed(StreamEnd),
     /// Return an error to the caller.
     Fail(Refusal),
     /// Stop: the caller disconnected.
@@ -46,44 +60,48 @@
 /// Attempts of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Attempts {
-    made: u32,
+    count: u32,
     lost: u32,
     may_have_run: bool,
 }
 
 impl Attempts {
     /// Number of attempts so far.
-    pub fn made(&self) -> u32 {
-        self.made
+    pub fn count(&self) -> u32 {
+        self.count
     }
 
     /// Records the outcome of an attempt. `spend_retry` takes a retry from the tenant's budget; it is
     /// called only if the request may already have run on an engine.
-    pub fn ended(&mut self, end: AttemptEnd, spend_retry: impl FnOnce() -> bool) -> AfterAttempt {
-        self.made += 1;
-        let may_repeat = match end {
-            AttemptEnd::Whole(end) => return AfterAttempt::Whole(end),
-            AttemptEnd::CallerGone => return AfterAttempt::Abandon,
-            AttemptEnd::TooLate => {
+    pub fn record(
+        &mut self,
+        outcome: AttemptOutcome,
+        spend_retry: impl FnOnce() -> bool,
+    ) -> NextStep {
+        self.count += 1;
+        let may_repeat = match outcome {
+            AttemptOutcome::Completed(end) => return NextStep::Completed(end),
+            AttemptOutcome::ClientDisconnected => return NextStep::Abandon,
+            AttemptOutcome::DeadlineExceeded => {
                 self.may_have_run = true;
                 return self.fail(RefusalCode::DeadlineExceeded, "the deadline passed");
             }
-            AttemptEnd::Refused | AttemptEnd::NotSent => true,
-            AttemptEnd::Lost => {
+            AttemptOutcome::Refused | AttemptOutcome::NotSent => true,
+            AttemptOutcome::Lost => {
                 self.may_have_run = true;
                 self.lost += 1;
                 // After this many failures, the request itself is the likely cause.
                 self.lost < ENDS_TO_QUARANTINE && spend_retry()
             }
         };
-        if may_repeat && self.made < ATTEMPT_LIMIT {
-            return AfterAttempt::Again;
+        if may_repeat && self.count < ATTEMPT_LIMIT {
+            return NextStep::Retry;
         }
-        self.no_engine()
+        self.fail_without_engine()
     }
 
     /// Fails the request because no further engine may be tried.
-    pub fn no_engine(&self) -> AfterAttempt {
+    pub fn fail_without_engine(&self) -> NextStep {
         self.fail(
             RefusalCode::BackendFailed,
             "no engine could serve the request",
@@ -91,8 +109,8 @@
     }
 
     /// Fails the request with `refusal`, adjusted for the attempts made so far.
-    pub fn refused(&self, refusal: Refusal) -> AfterAttempt {
-        AfterAttempt::Fail(Refusal {
+    pub fn refused(&self, refusal: Refusal) -> NextStep {
+        NextStep::Fail(Refusal {
             execution: self.execution(),
             ..refusal
         })
@@ -106,11 +124,11 @@
         }
     }
 
-    fn fail(&self, code: RefusalCode, detail: &str) -> AfterAttempt {
+    fn fail(&self, code: RefusalCode, detail: &str) -> NextStep {
         let refusal = Refusal {
             execution: self.execution(),
             ..Refusal::not_run(code, detail)
         };
-        AfterAttempt::Fail(refusal.retry_after_ms(FAILURE_RETRY_MS))
+        NextStep::Fail(refusal.retry_after_ms(FAILURE_RETRY_MS))
     }
 }
--- a/crates/router/src/completions.rs
+++ b/crates/router/src/completions.rs
@@ -25,7 +25,7 @@
     prompt, quarantine,
     refusal::Refusal,
     request_log,
-    resolved::{Resolved, ResolvedService},
+    resolved::{ResolvedConfiguration, ResolvedService},
     responses::{self, ApiKind, ResponseWriter},
     state::{RouterState, lock},
 };
@@ -82,7 +82,7 @@
 
 fn build_job(
     state: &RouterState,
-    resolved: &Resolved,
+    resolved: &ResolvedConfiguration,
     service: ResolvedService<'_>,
     body: CompletionBody,
     request_id: RequestId,
--- a/crates/router/src/control_link.rs
+++ b/crates/router/src/control_link.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    proposal::{ProposalAnswer, ProposalRun, Proposed},
+    proposal::{ProposalAttempts, ProposalOutcome, ReplicaResponse},
     quarantine,
     state::{RouterState, lock},
 };
@@ -93,9 +93,9 @@
     /// Commits a command, asking replica after replica until `limit` has passed.
     ///
     /// The same command may reach the log twice; every command is safe to repeat.
-    pub async fn propose(&self, command: Command, limit: Duration) -> Proposed {
+    pub async fn propose(&self, command: Command, limit: Duration) -> ProposalOutcome {
         let deadline = Instant::now() + limit;
-        let mut run = ProposalRun::default();
+        let mut run = ProposalAttempts::default();
         let mut position = 0;
         while Instant::now() < deadline {
             let Some(connection) = self.proposal_target(position) else {
@@ -104,12 +104,12 @@
             position += 1;
             let answer = send_proposal(&connection, &command).await;
             self.update_leader(&connection, &answer);
-            if let Some(proposed) = run.answered(answer) {
+            if let Some(proposed) = run.record(answer) {
                 return proposed;
             }
             sleep(PROPOSE_RETRY_DELAY).await;
         }
-        run.expired()
+        run.outcome_at_deadline()
     }
 
     /// Tells the leader what is known of a limit, and may take a permit; `None` without an answer. Whoever does
@@ -156,10 +156,10 @@
         None
     }
 
-    fn update_leader(&self, connection: &ControlConnection, answer: &ProposalAnswer) {
+    fn update_leader(&self, connection: &ControlConnection, answer: &ReplicaResponse) {
         let leader = match answer {
-            ProposalAnswer::Reply(ProposeReply::Done(_)) => Some(connection.address()),
-            ProposalAnswer::Reply(ProposeReply::NotLeader { leader }) => leader
+            ReplicaResponse::Reply(ProposeReply::Done(_)) => Some(connection.address()),
+            ReplicaResponse::Reply(ProposeReply::NotLeader { leader }) => leader
                 .as_deref()
                 .and_then(|address| address.parse::<SocketAddr>().ok()),
             _ => None,
@@ -180,7 +180,7 @@
     }
 }
 
-async fn send_proposal(connection: &ControlConnection, command: &Command) -> ProposalAnswer {
+async fn send_proposal(connection: &ControlConnection, command: &Command) -> ReplicaResponse {
     // The replica that takes the proposal puts the time in.
     let proposal = Proposal {
         at: 0,
@@ -194,10 +194,10 @@
         })
         .await;
     match answer {
-        Ok(reply) => ProposalAnswer::Reply(reply),
+        Ok(reply) => ReplicaResponse::Reply(reply),
         Err(report) => match report.current_context() {
-            railtack_rpc::ConnectionError::Unreachable { .. } => ProposalAnswer::Unreachable,
-            railtack_rpc::ConnectionError::NoAnswer { .. } => ProposalAnswer::NoAnswer,
+            railtack_rpc::ConnectionError::Unreachable { .. } => ReplicaResponse::Unreachable,
+            railtack_rpc::ConnectionError::NoAnswer { .. } => ReplicaResponse::NoReply,
         },
     }
 }
@@ -262,10 +262,10 @@
 
 fn apply_reply(state: &RouterState, reply: PollReply, sent_at: u64) {
     if let Some(update) = &reply.update {
-        // Updates of several replicas may cross; `updated` takes none that would move back.
+        // Updates of several replicas may cross; `with_update` ignores older ones.
         state
             .resolved
-            .rcu(|known| match known.updated(update.clone()) {
+            .rcu(|known| match known.with_update(update.clone()) {
                 Some(newer) => Arc::new(newer),
                 None => Arc::clone(known),
             });
@@ -277,7 +277,7 @@
     if reply.voter {
         lock(&state.admission).set_routers(reply.routers);
     }
-    if lock(&state.lease).take_reply(&reply, sent_at) {
+    if lock(&state.lease).record_poll_reply(&reply, sent_at) {
         state.control.set_voters(&reply.voters);
     }
 }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -19,7 +19,7 @@
 use tokio::{sync::mpsc, time::Instant};
 
 use crate::{
-    attempts::{AfterAttempt, AttemptEnd, Attempts},
+    attempts::{AttemptOutcome, Attempts, NextStep},
     completions,
     decisions::{CandidateRecord, DecisionRecord},
     limits,
@@ -134,8 +134,8 @@
             let end = self.attempt(&decision, permit).await;
             self.log.record_attempt(&end);
             let (state, tenant) = (self.state, &self.job.tenant);
-            let after = self.attempts.ended(end, || spend_retry(state, tenant));
-            if after != AfterAttempt::Again {
+            let after = self.attempts.record(end, || spend_retry(state, tenant));
+            if after != NextStep::Retry {
                 return final_event(after);
             }
             self.excluded.push(decision.chosen.engine);
@@ -156,9 +156,9 @@
 
     /// Outcome when no engine accepts the request. Before the first attempt, the refusal includes the
     /// time after which to retry.
-    fn no_engine_outcome(&self) -> AfterAttempt {
-        if self.attempts.made() > 0 {
-            return self.attempts.no_engine();
+    fn no_engine_outcome(&self) -> NextStep {
+        if self.attempts.count() > 0 {
+            return self.attempts.fail_without_engine();
         }
         let refusal = completions::no_engine_refusal(self.state, &self.job.model_key);
         self.attempts.refused(refusal)
@@ -182,10 +182,10 @@
         }
     }
 
-    async fn attempt(&mut self, decision: &Decision, permit: Option<Permit>) -> AttemptEnd {
+    async fn attempt(&mut self, decision: &Decision, permit: Option<Permit>) -> AttemptOutcome {
         let engine = decision.chosen.engine;
         let Some((request, address)) = self.engine_request(engine) else {
-            return AttemptEnd::NotSent;
+            return AttemptOutcome::NotSent;
         };
         let mut attempt = Attempt {
             id: AttemptId(request.attempt.0),
@@ -204,7 +204,9 @@
         self.report_back_end_health(&attempt, &end);
         let may_still_run = matches!(
             end,
-            AttemptEnd::CallerGone | AttemptEnd::TooLate | AttemptEnd::Lost
+            AttemptOutcome::ClientDisconnected
+                | AttemptOutcome::DeadlineExceeded
+                | AttemptOutcome::Lost
         );
         if may_still_run {
             self.cancel(&attempt);
@@ -213,10 +215,12 @@
     }
 
     /// Reports to the quarantine whether the engine survived the request.
-    fn report_back_end_health(&self, attempt: &Attempt, end: &AttemptEnd) {
+    fn report_back_end_health(&self, attempt: &Attempt, end: &AttemptOutcome) {
         match end {
-            AttemptEnd::Whole(_) => quarantine::record_success(self.state, self.job.content_key),
-            AttemptEnd::Lost => {
+            AttemptOutcome::Completed(_) => {
+                quarantine::record_success(self.state, self.job.content_key)
+            }
+            AttemptOutcome::Lost => {
                 let life = self.life_of(attempt);
                 quarantine::record_broken_connection(self.state, life, self.job.content_key);
             }
@@ -282,12 +286,12 @@
         view.breaker.succeed();
     }
 
-    fn on_attempt_finished(&self, attempt: &Attempt, end: &AttemptEnd) {
+    fn on_attempt_finished(&self, attempt: &Attempt, end: &AttemptOutcome) {
         let now = self.state.now_us();
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
         view.closed();
-        if matches!(end, AttemptEnd::Lost | AttemptEnd::NotSent) {
+        if matches!(end, AttemptOutcome::Lost | AttemptOutcome::NotSent) {
             view.breaker.fail(now);
         }
         if attempt.awaiting_first_token {
@@ -333,7 +337,7 @@
             request: format!("{:032x}", self.job.request_id.0),
             tenant: self.job.tenant.clone(),
             template: self.job.template.clone(),
-            attempt: self.attempts.made() + 1,
+            attempt: self.attempts.count() + 1,
             engine: scheduler.engines.view(decision.chosen.engine).id,
             prompt_tokens: self.job.chain.total_tokens,
             candidates: candidates.collect(),
@@ -358,11 +362,11 @@
 }
 
 /// Returns the event that ends a response; `None` if the caller disconnected.
-fn final_event(after: AfterAttempt) -> Option<ResponseEvent> {
+fn final_event(after: NextStep) -> Option<ResponseEvent> {
     match after {
-        AfterAttempt::Whole(end) => Some(ResponseEvent::Ended(end)),
-        AfterAttempt::Fail(refusal) => Some(ResponseEvent::Failed(refusal)),
-        AfterAttempt::Again | AfterAttempt::Abandon => None,
+        NextStep::Completed(end) => Some(ResponseEvent::Ended(end)),
+        NextStep::Fail(refusal) => Some(ResponseEvent::Failed(refusal)),
+        NextStep::Retry | NextStep::Abandon => None,
     }
 }
 
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -7,16 +7,16 @@
 use http_body_util::Full;
 use hyper::{Request, Response, body::Incoming};
 use railtack_backend_api::{EngineError, EngineRefusal, EngineRequest, StreamFrame};
-use railtack_http::{SendError, back_off, lines, read_body};
+use railtack_http::{SendError, lines, read_body, retry_after};
 use railtack_serving::BackEndNotice;
 use tokio::time::{sleep, timeout, timeout_at};
 
 use super::{Attempt, Dispatch};
 use crate::{
-    attempts::AttemptEnd,
+    attempts::AttemptOutcome,
     engine_link::{refresh_status, wait_until_silent},
     limits,
-    relay::FrameStep,
+    relay::FrameAction,
     responses::ResponseEvent,
     state::lock,
 };
@@ -39,12 +39,12 @@
         &mut self,
         attempt: &mut Attempt,
         request: &EngineRequest,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let state = self.state;
         let engine = attempt.engine;
         tokio::select! {
             end = self.exchange_frames(attempt, request) => end,
-            () = wait_until_silent(state, engine) => AttemptEnd::Lost,
+            () = wait_until_silent(state, engine) => AttemptOutcome::Lost,
         }
     }
 
@@ -52,16 +52,16 @@
         &mut self,
         attempt: &mut Attempt,
         request: &EngineRequest,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let content = serde_json::to_vec(request).unwrap_or_default();
         let uri = format!("http://{}/v1/completions", attempt.address);
         let Ok(request) = Request::post(uri).body(Full::new(Bytes::from(content))) else {
-            return AttemptEnd::NotSent;
+            return AttemptOutcome::NotSent;
         };
         let sent = self.within_deadline(self.state.client.send(request)).await;
         let response = match sent {
-            None => return AttemptEnd::TooLate,
-            Some(Err(SendError::NotSent)) => return AttemptEnd::NotSent,
+            None => return AttemptOutcome::DeadlineExceeded,
+            Some(Err(SendError::NotSent)) => return AttemptOutcome::NotSent,
             Some(Err(SendError::MaybeSent)) => return self.resume(attempt).await,
             Some(Ok(response)) => response,
         };
@@ -70,23 +70,27 @@
             return self.handle_refusal(attempt, response).await;
         }
         match self.relay(attempt, response).await {
-            AttemptEnd::Lost => self.resume(attempt).await,
+            AttemptOutcome::Lost => self.resume(attempt).await,
             end => end,
         }
     }
 
     /// Relays frames until the response is complete or the connection ends.
-    async fn relay(&mut self, attempt: &mut Attempt, response: Response<Incoming>) -> AttemptEnd {
+    async fn relay(
+        &mut self,
+        attempt: &mut Attempt,
+        response: Response<Incoming>,
+    ) -> AttemptOutcome {
         let end = self.relay_frames(attempt, response).await;
-        if end == AttemptEnd::Lost && self.relay.is_whole_when_closed() {
-            return AttemptEnd::Whole(self.relay.presumed_end(self.job.chain.total_tokens));
+        if end == AttemptOutcome::Lost && self.relay.is_complete_on_close() {
+            return AttemptOutcome::Completed(self.relay.implied_end(self.job.chain.total_tokens));
         }
         end
     }
 
     /// Requests the remaining frames from the same engine, which retains a stream for some time after
     /// its connection broke.
-    async fn resume(&mut self, attempt: &mut Attempt) -> AttemptEnd {
+    async fn resume(&mut self, attempt: &mut Attempt) -> AttemptOutcome {
         for _ in 0..RESUME_ATTEMPTS {
             sleep(RESUME_DELAY).await;
             let uri = format!(
@@ -96,21 +100,21 @@
                 self.relay.delivered()
             );
             let Ok(request) = Request::get(uri).body(Full::default()) else {
-                return AttemptEnd::Lost;
+                return AttemptOutcome::Lost;
             };
             let response = match self.within_deadline(self.state.client.send(request)).await {
-                None => return AttemptEnd::TooLate,
+                None => return AttemptOutcome::DeadlineExceeded,
                 Some(Ok(response)) if response.status() == 200 => response,
-                Some(Ok(_)) => return AttemptEnd::Lost,
+                Some(Ok(_)) => return AttemptOutcome::Lost,
                 Some(Err(_)) => continue,
             };
             self.state.metrics.resumed.inc();
             match self.relay(attempt, response).await {
-                AttemptEnd::Lost => {}
+                AttemptOutcome::Lost => {}
                 end => return end,
             }
         }
-        AttemptEnd::Lost
+        AttemptOutcome::Lost
     }
 
     /// Delivers each frame to the caller exactly once, in order.
@@ -118,33 +122,33 @@
         &mut self,
         attempt: &mut Attempt,
         response: Response<Incoming>,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let mut frames = lines(response.into_body());
         loop {
             let next = tokio::select! {
                 next = timeout_at(self.job.deadline, frames.next()) => next,
-                () = self.events.closed() => return AttemptEnd::CallerGone,
+                () = self.events.closed() => return AttemptOutcome::ClientDisconnected,
             };
             let line = match next {
-                Err(_) => return AttemptEnd::TooLate,
+                Err(_) => return AttemptOutcome::DeadlineExceeded,
                 Ok(Some(Ok(line))) => line,
-                Ok(_) => return AttemptEnd::Lost,
+                Ok(_) => return AttemptOutcome::Lost,
             };
             let Some(text) = line.strip_prefix("data: ") else {
                 continue;
             };
             let Ok(frame) = serde_json::from_str::<StreamFrame>(text) else {
-                return AttemptEnd::Lost;
+                return AttemptOutcome::Lost;
             };
-            match self.relay.take(frame) {
-                FrameStep::Drop => self.state.metrics.dropped_frames.inc(),
-                FrameStep::Gap => return AttemptEnd::Lost,
-                FrameStep::Whole(end) => return AttemptEnd::Whole(end),
-                FrameStep::Deliver(text) => {
+            match self.relay.accept(frame) {
+                FrameAction::Drop => self.state.metrics.dropped_frames.inc(),
+                FrameAction::Gap => return AttemptOutcome::Lost,
+                FrameAction::Complete(end) => return AttemptOutcome::Completed(end),
+                FrameAction::Deliver(text) => {
                     self.on_first_token(attempt);
                     let token = ResponseEvent::Token(text);
                     if self.events.send(token).await.is_err() {
-                        return AttemptEnd::CallerGone;
+                        return AttemptOutcome::ClientDisconnected;
                     }
                     continue;
                 }
@@ -152,8 +156,12 @@
         }
     }
 
-    async fn handle_refusal(&self, attempt: &Attempt, response: Response<Incoming>) -> AttemptEnd {
-        if let Some(delay) = back_off(response.status(), response.headers()) {
+    async fn handle_refusal(
+        &self,
+        attempt: &Attempt,
+        response: Response<Incoming>,
+    ) -> AttemptOutcome {
+        if let Some(delay) = retry_after(response.status(), response.headers()) {
             self.record_back_off(attempt, delay);
         }
         let content = read_body(response.into_body(), MAX_REFUSAL_BYTES, REFUSAL_TIMEOUT).await;
@@ -165,7 +173,7 @@
             // The cached status of this engine is stale: refresh it before the next decision.
             refresh_status(self.state, attempt.address).await;
         }
-        AttemptEnd::Refused
+        AttemptOutcome::Refused
     }
 
     /// Records the rate limit that the response headers announce.
--- a/crates/router/src/keyed.rs
+++ b/crates/router/src/idempotency.rs
@@ -18,7 +18,7 @@
     ClaimAnswer, ClaimOutcome, ClaimRequest, Command, Outcome, StoredAnswer,
 };
 
-use crate::{proposal::Proposed, refusal::Refusal};
+use crate::{proposal::ProposalOutcome, refusal::Refusal};
 
 /// Time for recording a claim, or its end, before the caller is told that it could not be.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
@@ -33,17 +33,17 @@
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeyedStep {
-    /// Commit the command within [`CLAIM_TIMEOUT`], then call [`KeyedRun::proposed`].
+pub enum IdempotentStep {
+    /// Commit the command within [`CLAIM_TIMEOUT`], then call [`IdempotentRequest::on_proposal`].
     Propose(Command),
-    /// Send the request to a back end, once, then call [`KeyedRun::sent`].
+    /// Send the request to a back end, once, then call [`IdempotentRequest::on_response`].
     Send,
     /// Answer the caller.
-    Answer {
+    Respond {
         /// The answer.
-        answer: Result<StoredAnswer, Refusal>,
+        response: Result<StoredAnswer, Refusal>,
         /// To be committed in the background within [`SETTLE_TIMEOUT`].
-        later: Option<Command>,
+        settlement: Option<Command>,
     },
 }
 
@@ -60,26 +60,26 @@
 
 /// One arrival of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyedRun {
+pub struct IdempotentRequest {
     claim: ClaimRequest,
     stage: Stage,
 }
 
-impl KeyedRun {
+impl IdempotentRequest {
     /// Begins with the claim. `attempt` must be new, `fingerprint` is the request's hash.
     pub fn begin(
         tenant: TenantName,
         key: IdempotencyKey,
         fingerprint: u128,
         attempt: AttemptId,
-    ) -> (Self, KeyedStep) {
+    ) -> (Self, IdempotentStep) {
         let claim = ClaimRequest {
             tenant,
             key,
             fingerprint,
             attempt,
         };
-        let step = KeyedStep::Propose(Command::Claim(claim.clone()));
+        let step = IdempotentStep::Propose(Command::Claim(claim.clone()));
         let run = Self {
             claim,
             stage: Stage::Claiming,
@@ -88,14 +88,16 @@
     }
 
     /// Takes in what came of the last proposal.
-    pub fn proposed(&mut self, proposed: Proposed) -> KeyedStep {
+    pub fn on_proposal(&mut self, outcome: ProposalOutcome) -> IdempotentStep {
         let stage = std::mem::replace(&mut self.stage, Stage::Answered);
-        match (stage, proposed) {
-            (Stage::Claiming, Proposed::Done(Outcome::Claim(answer))) => self.claimed(answer),
-            (Stage::Settling { answer, .. }, Proposed::Done(Outcome::Settled)) => {
-                KeyedStep::Answer {
-                    answer,
-                    later: None,
+        match (stage, outcome) {
+            (Stage::Claiming, ProposalOutcome::Done(Outcome::Claim(answer))) => {
+                self.claimed(answer)
+            }
+            (Stage::Settling { answer, .. }, ProposalOutcome::Done(Outcome::Settled)) => {
+                IdempotentStep::Respond {
+                    response: answer,
+                    settlement: None,
                 }
             }
             (Stage::Settling { answer, outcome }, _) => self.unsettled(answer, outcome),
@@ -111,8 +113,8 @@
     }
 
     /// Takes in what came of sending; `NotSent` must be proven.
-    pub fn sent(&mut self, sent: Result<StoredAnswer, SendError>) -> KeyedStep {
-        match sent {
+    pub fn on_response(&mut self, response: Result<StoredAnswer, SendError>) -> IdempotentStep {
+        match response {
             Ok(answer) => {
                 let outcome = ClaimOutcome::Completed(without_large_body(&answer));
                 self.settle(Ok(answer), outcome)
@@ -128,22 +130,22 @@
             }
             Err(SendError::MaybeSent) => {
                 self.stage = Stage::Answered;
-                KeyedStep::Answer {
-                    answer: Err(Refusal::unknown(
+                IdempotentStep::Respond {
+                    response: Err(Refusal::unknown(
                         RefusalCode::OutcomeUnknown,
                         "the service was lost after the request was sent",
                     )),
-                    later: Some(self.settlement(ClaimOutcome::Unknown)),
+                    settlement: Some(self.settlement(ClaimOutcome::Unknown)),
                 }
             }
         }
     }
 
-    fn claimed(&mut self, answer: ClaimAnswer) -> KeyedStep {
+    fn claimed(&mut self, answer: ClaimAnswer) -> IdempotentStep {
         match answer {
             ClaimAnswer::Granted => {
                 self.stage = Stage::Sending;
-                KeyedStep::Send
+                IdempotentStep::Send
             }
             ClaimAnswer::InProgress => refuse(
                 Refusal::unknown(
@@ -156,9 +158,9 @@
                 RefusalCode::IdempotencyKeyReused,
                 "the key was used for another request",
             )),
-            ClaimAnswer::Ended(ClaimOutcome::Completed(stored)) => KeyedStep::Answer {
-                answer: Ok(stored),
-                later: None,
+            ClaimAnswer::Ended(ClaimOutcome::Completed(stored)) => IdempotentStep::Respond {
+                response: Ok(stored),
+                settlement: None,
             },
             ClaimAnswer::Ended(ClaimOutcome::NotRun { code }) => refuse(Refusal::not_run(
                 code,
@@ -175,22 +177,26 @@
         &mut self,
         answer: Result<StoredAnswer, Refusal>,
         outcome: ClaimOutcome,
-    ) -> KeyedStep {
+    ) -> IdempotentStep {
         let command = self.settlement(outcome.clone());
         self.stage = Stage::Settling { answer, outcome };
-        KeyedStep::Propose(command)
+        IdempotentStep::Propose(command)
     }
 
     /// Without the record a second arrival could not be told from one that may run, so "not run"
     /// becomes "unknown"; an answer is an answer all the same.
-    fn unsettled(&self, answer: Result<StoredAnswer, Refusal>, outcome: ClaimOutcome) -> KeyedStep {
+    fn unsettled(
+        &self,
+        answer: Result<StoredAnswer, Refusal>,
+        outcome: ClaimOutcome,
+    ) -> IdempotentStep {
         let answer = answer.map_err(|refusal| Refusal {
             execution: railtack_core::Execution::Unknown,
             ..refusal
         });
-        KeyedStep::Answer {
-            answer,
-            later: Some(self.settlement(outcome)),
+        IdempotentStep::Respond {
+            response: answer,
+            settlement: Some(self.settlement(outcome)),
         }
     }
 
@@ -204,10 +210,10 @@
     }
 }
 
-fn refuse(refusal: Refusal) -> KeyedStep {
-    KeyedStep::Answer {
-        answer: Err(refusal),
-        later: None,
+fn refuse(refusal: Refusal) -> IdempotentStep {
+    IdempotentStep::Respond {
+        response: Err(refusal),
+        settlement: None,
     }
 }
 
--- a/crates/router/src/lease.rs
+++ b/crates/router/src/lease.rs
@@ -39,7 +39,7 @@
 
     /// Records the reply to a poll sent at `sent_at`. Returns true if the set of voters may have
     /// changed. Replies of non-voters are ignored.
-    pub fn take_reply(&mut self, reply: &PollReply, sent_at: Millis) -> bool {
+    pub fn record_poll_reply(&mut self, reply: &PollReply, sent_at: Millis) -> bool {
         if !reply.voter {
             return false;
         }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,7 +1,7 @@
 //! The data-plane daemon: callers' HTTP, dispatch and stream relay.
 //!
 //! A request passes these modules in order: [`server`] accepts it, [`api`] and [`prompt`] check and
-//! render it, [`completions`] or [`services`] admit it, [`dispatch`] or [`keyed`] run it, and
+//! render it, [`completions`] or [`services`] admit it, [`dispatch`] or [`idempotency`] run it, and
 //! [`responses`] writes what the caller sees. [`control_link`] and [`engine_link`] keep the router's
 //! view of configuration and engines current.
 
@@ -15,7 +15,7 @@
 pub mod dispatch;
 pub mod engine_link;
 pub mod errors;
-pub mod keyed;
+pub mod idempotency;
 pub mod lease;
 pub mod limits;
 pub mod metrics;
--- a/crates/router/src/proposal.rs
+++ b/crates/router/src/proposal.rs
@@ -6,7 +6,7 @@
 
 /// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Proposed {
+pub enum ProposalOutcome {
     /// The command is committed and applied.
     Done(Outcome),
     /// No replica accepted the command; it has no effect and never will.
@@ -17,31 +17,33 @@
 
 /// Response of one replica to a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ProposalAnswer {
+pub enum ReplicaResponse {
     /// The replica replied.
     Reply(ProposeReply),
     /// The connection failed, so the replica has not received the proposal.
     Unreachable,
     /// No reply; the replica may have received the proposal.
-    NoAnswer,
+    NoReply,
 }
 
 /// State of one proposal over all attempts. Commands are idempotent, so retries are safe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ProposalRun {
+pub struct ProposalAttempts {
     may_be_proposed: bool,
 }
 
-impl ProposalRun {
+impl ProposalAttempts {
     /// Records the response of a replica. Returns the outcome once it is known.
-    pub fn answered(&mut self, answer: ProposalAnswer) -> Option<Proposed> {
+    pub fn record(&mut self, answer: ReplicaResponse) -> Option<ProposalOutcome> {
         match answer {
-            ProposalAnswer::Reply(ProposeReply::Done(outcome)) => Some(Proposed::Done(outcome)),
-            ProposalAnswer::Reply(
+            ReplicaResponse::Reply(ProposeReply::Done(outcome)) => {
+                Some(ProposalOutcome::Done(outcome))
+            }
+            ReplicaResponse::Reply(
                 ProposeReply::NotLeader { .. } | ProposeReply::LevelDiffers { .. },
             )
-            | ProposalAnswer::Unreachable => None,
-            ProposalAnswer::Reply(ProposeReply::Unknown) | ProposalAnswer::NoAnswer => {
+            | ReplicaResponse::Unreachable => None,
+            ReplicaResponse::Reply(ProposeReply::Unknown) | ReplicaResponse::NoReply => {
                 self.may_be_proposed = true;
                 None
             }
@@ -49,11 +51,11 @@
     }
 
     /// Returns the outcome when no time is left for another attempt.
-    pub fn expired(self) -> Proposed {
+    pub fn outcome_at_deadline(self) -> ProposalOutcome {
         if self.may_be_proposed {
-            Proposed::Unknown
+            ProposalOutcome::Unknown
         } else {
-            Proposed::NotProposed
+            ProposalOutcome::NotProposed
         }
     }
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    proposal::Proposed,
+    proposal::ProposalOutcome,
     refusal::Refusal,
     state::{RouterState, lock},
 };
@@ -123,10 +123,10 @@
         .propose(Command::Serving(command), RECORD_LIMIT)
         .await;
     match proposed {
-        Proposed::Done(Outcome::Serving(ServingOutcome::EndRecorded(update))) => {
+        ProposalOutcome::Done(Outcome::Serving(ServingOutcome::EndRecorded(update))) => {
             apply_update(state, &update)
         }
-        Proposed::Done(_) => {}
+        ProposalOutcome::Done(_) => {}
         other => spdlog::warn!("report given up", kv: { outcome = format!("{other:?}") }),
     }
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -17,7 +17,7 @@
 
 /// What to do with a frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FrameStep {
+pub enum FrameAction {
     /// Hand the text to the caller.
     Deliver(String),
     /// Late, repeated or of another attempt: drop it.
@@ -25,7 +25,7 @@
     /// Frames are missing before it: ask again from where the caller is.
     Gap,
     /// The answer is whole.
-    Whole(StreamEnd),
+    Complete(StreamEnd),
 }
 
 /// Progress of one answer over all its attempts.
@@ -59,28 +59,28 @@
     }
 
     /// Takes a frame. Invariant: `delivered` tokens went out, in order, without a hole.
-    pub fn take(&mut self, frame: StreamFrame) -> FrameStep {
+    pub fn accept(&mut self, frame: StreamFrame) -> FrameAction {
         if frame.attempt.0 != self.attempt.0 || frame.sequence < self.delivered {
-            return FrameStep::Drop;
+            return FrameAction::Drop;
         }
         if frame.sequence > self.delivered {
-            return FrameStep::Gap;
+            return FrameAction::Gap;
         }
         if let Some(end) = frame.end {
-            return FrameStep::Whole(end);
+            return FrameAction::Complete(end);
         }
         self.delivered += 1;
-        FrameStep::Deliver(frame.text)
+        FrameAction::Deliver(frame.text)
     }
 
     /// Whether the answer is whole although its connection closed without an end mark: every
     /// token that it may have was delivered. Asking for more would make it too long.
-    pub fn is_whole_when_closed(&self) -> bool {
+    pub fn is_complete_on_close(&self) -> bool {
         self.delivered >= self.max_tokens || self.end_marker == EndMarker::Ignored
     }
 
     /// The end of an answer whose engine could not tell it any more.
-    pub fn presumed_end(&self, prompt_tokens: u32) -> StreamEnd {
+    pub fn implied_end(&self, prompt_tokens: u32) -> StreamEnd {
         StreamEnd {
             tokens: self.delivered,
             prompt_tokens,
--- a/crates/router/src/request_log.rs
+++ b/crates/router/src/request_log.rs
@@ -4,7 +4,7 @@
 
 use railtack_core::{EngineId, RequestId};
 
-use crate::{attempts::AttemptEnd, dispatch::Job, refusal::Refusal};
+use crate::{attempts::AttemptOutcome, dispatch::Job, refusal::Refusal};
 
 /// Collects what decided a request and logs it when it ends, also if the caller goes away.
 pub struct RequestLog {
@@ -45,14 +45,14 @@
     }
 
     /// Notes how an attempt ended.
-    pub fn record_attempt(&self, end: &AttemptEnd) {
-        if matches!(end, AttemptEnd::Whole(_)) {
+    pub fn record_attempt(&self, end: &AttemptOutcome) {
+        if matches!(end, AttemptOutcome::Completed(_)) {
             return;
         }
         spdlog::info!("exchange failed", kv: {
             request = format_id(self.job.request_id),
             replica = self.replica.clone(),
-            cause = format!("{end:?}"),
+            cause = end.label().to_owned(),
             attempt = self.attempts,
         });
     }
--- a/crates/router/src/resolved.rs
+++ b/crates/router/src/resolved.rs
@@ -16,7 +16,7 @@
 
 /// Immutable configuration with indexes; an update creates a new value.
 #[derive(Clone, Debug, Default)]
-pub struct Resolved {
+pub struct ResolvedConfiguration {
     /// Index of the last applied log entry.
     pub applied: LogIndex,
     /// Operator documents.
@@ -35,9 +35,9 @@
     pub template: &'a Template,
 }
 
-impl Resolved {
+impl ResolvedConfiguration {
     /// Returns this configuration with `update` applied; `None` if the update is not newer.
-    pub fn updated(&self, update: ConfigurationUpdate) -> Option<Self> {
+    pub fn with_update(&self, update: ConfigurationUpdate) -> Option<Self> {
         let (through, configuration) = match update {
             ConfigurationUpdate::Snapshot {
                 through,
--- a/crates/router/src/responses.rs
+++ b/crates/router/src/responses.rs
@@ -132,7 +132,7 @@
             let bytes = self.event_bytes(&ResponseEvent::Failed(aborted()));
             let _ = sender.send(bytes).await;
         });
-        body::with_type(200, "text/event-stream", stream_body)
+        body::with_content_type(200, "text/event-stream", stream_body)
     }
 
     async fn collect(self, first: ResponseEvent, mut events: ResponseEvents) -> Response<Body> {
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -139,7 +139,7 @@
             let (bearer, body) = read_json::<ChatBody>(&state, request).await?;
             Ok(completions::complete(state, bearer, body.into(), ApiKind::Chat).await)
         }
-        "/healthz" => Ok(railtack_http::body::with_type(
+        "/healthz" => Ok(railtack_http::body::with_content_type(
             200,
             "text/plain",
             railtack_http::full("ok\n"),
@@ -203,8 +203,8 @@
     received.map_err(|error| {
         let code = match error {
             ReceiveError::TooLarge { .. } => RefusalCode::OversizedRequest,
-            ReceiveError::TooSlow => RefusalCode::SlowRequest,
-            ReceiveError::Broken => RefusalCode::MalformedRequest,
+            ReceiveError::Timeout => RefusalCode::SlowRequest,
+            ReceiveError::ConnectionLost => RefusalCode::MalformedRequest,
         };
         Refusal::not_run(code, error.to_string())
     })
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -10,7 +10,7 @@
     header::{CONTENT_TYPE, HeaderValue},
 };
 use railtack_core::{AttemptId, IdempotencyKey, RefusalCode, TemplateName, TenantName};
-use railtack_http::{Body, SendError, back_off, body, read_body, send_on_new_connection};
+use railtack_http::{Body, SendError, body, read_body, retry_after, send_on_new_connection};
 use railtack_proxy::permits::{Permission, Permit};
 use railtack_rpc::protocol::StoredAnswer;
 use railtack_serving::{BackEndNotice, ContentKey, RequestContent};
@@ -19,7 +19,7 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 use crate::{
-    keyed::{self, KeyedRun, KeyedStep},
+    idempotency::{self, IdempotentRequest, IdempotentStep},
     limits, quarantine,
     refusal::Refusal,
     state::{RouterState, lock},
@@ -179,7 +179,7 @@
     forwarded: &ForwardedRequest<'_>,
     key: IdempotencyKey,
 ) -> Result<StoredAnswer, Refusal> {
-    let (run, first) = KeyedRun::begin(
+    let (run, first) = IdempotentRequest::begin(
         forwarded.tenant.clone(),
         key,
         fingerprint(forwarded),
@@ -213,23 +213,32 @@
 async fn run_steps(
     state: Arc<RouterState>,
     forwarded: &ForwardedRequest<'_>,
-    mut run: KeyedRun,
-    first: KeyedStep,
+    mut run: IdempotentRequest,
+    first: IdempotentStep,
 ) -> Result<StoredAnswer, Refusal> {
     let mut step = first;
     loop {
         step = match step {
-            KeyedStep::Propose(command) => {
-                run.proposed(state.control.propose(command, keyed::CLAIM_TIMEOUT).await)
-            }
-            KeyedStep::Send => run.sent(send_once(&state, forwarded).await),
-            KeyedStep::Answer { answer, later } => {
-                if let Some(command) = later {
+            IdempotentStep::Propose(command) => run.on_proposal(
+                state
+                    .control
+                    .propose(command, idempotency::CLAIM_TIMEOUT)
+                    .await,
+            ),
+            IdempotentStep::Send => run.on_response(send_once(&state, forwarded).await),
+            IdempotentStep::Respond {
+                response,
+                settlement,
+            } => {
+                if let Some(command) = settlement {
                     tokio::spawn(async move {
-                        state.control.propose(command, keyed::SETTLE_TIMEOUT).await
+                        state
+                            .control
+                            .propose(command, idempotency::SETTLE_TIMEOUT)
+                            .await
                     });
                 }
-                return answer;
+                return response;
             }
         };
     }
@@ -251,7 +260,7 @@
     let request = build_request(forwarded)?;
     let exchange = async {
         let response = send_on_new_connection(address, request, CONNECT_TIMEOUT).await?;
-        if let Some(time) = back_off(response.status(), response.headers()) {
+        if let Some(time) = retry_after(response.status(), response.headers()) {
             record_back_off(state, address, time);
         }
         limits::record_response(state, &address.to_string(), permit, response.headers());
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -22,7 +22,7 @@
 
 use crate::{
     control_link::ControlLink, decisions::DecisionLog, lease::Lease, metrics::RouterMetrics,
-    quarantine::BackEndLife, refusal::Refusal, resolved::Resolved,
+    quarantine::BackEndLife, refusal::Refusal, resolved::ResolvedConfiguration,
 };
 
 /// Timeout for connecting to an engine.
@@ -42,7 +42,7 @@
     /// Settings of this process.
     pub settings: RouterSettings,
     /// Last applied configuration.
-    pub resolved: ArcSwap<Resolved>,
+    pub resolved: ArcSwap<ResolvedConfiguration>,
     /// Lease under which the configuration may be used.
     pub lease: Mutex<Lease>,
     /// Engine views, prefix index and engine selection.
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -105,7 +105,7 @@
     }
 
     /// Losses to be borne.
-    pub fn tolerance(&self) -> FaultTolerance {
+    pub fn fault_tolerance(&self) -> FaultTolerance {
         FaultTolerance {
             machines: self.tolerated_machines,
         }
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -30,7 +30,7 @@
     },
     /// A value is outside what is allowed.
     #[error("{file}:{line}: {violation}")]
-    Violated {
+    InvalidValue {
         /// The file.
         file: String,
         /// Line, counted from 1; 1 if the key is not in the file.
@@ -110,7 +110,7 @@
 {
     let settings: T = toml::from_str(text).map_err(|error| malformed(name, text, &error))?;
     settings.validate().map_err(|violation| {
-        Report::new(SettingsError::Violated {
+        Report::new(SettingsError::InvalidValue {
             file: name.to_owned(),
             line: line_of_key(text, &violation.key),
             violation,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -109,7 +109,9 @@
         let message = report.current_context().to_string();
         assert!(message.contains(wrong.says), "{message}");
         let line = match report.current_context() {
-            SettingsError::Malformed { line, .. } | SettingsError::Violated { line, .. } => *line,
+            SettingsError::Malformed { line, .. } | SettingsError::InvalidValue { line, .. } => {
+                *line
+            }
             SettingsError::Unreadable { .. } => 0,
         };
         assert_eq!(line, wrong.line, "{message}");
--- a/crates/telemetry/src/line.rs
+++ b/crates/telemetry/src/line.rs
@@ -25,7 +25,8 @@
     #[serde(default)]
     pub node: String,
     /// Names one life of a process; drawn at its start.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub run_id: String,
     /// Place among the lines of this life. A gap means lines that were left out or dropped.
     pub sequence: u64,
     /// What happened.
@@ -39,7 +40,7 @@
 #[derive(Debug)]
 pub struct Process {
     started: Instant,
-    life: String,
+    run_id: String,
     node: OnceLock<String>,
     sequence: AtomicU64,
 }
@@ -50,7 +51,7 @@
         static THIS: OnceLock<Process> = OnceLock::new();
         THIS.get_or_init(|| Self {
             started: Instant::now(),
-            life: format!("{:08x}", rand::random::<u32>()),
+            run_id: format!("{:08x}", rand::random::<u32>()),
             node: OnceLock::new(),
             sequence: AtomicU64::new(0),
         })
@@ -105,7 +106,8 @@
     timestamp: u64,
     uptime_us: u64,
     node: &'a str,
-    life: &'a str,
+    #[serde(rename = "life")]
+    run_id: &'a str,
     sequence: u64,
     payload: &'a str,
     kv: F,
@@ -122,7 +124,7 @@
         timestamp: unix_ms(draft.time),
         uptime_us: process.uptime_us(),
         node: process.node.get().map_or("", String::as_str),
-        life: &process.life,
+        run_id: &process.run_id,
         sequence,
         payload: draft.payload,
         kv: draft.fields,
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -20,7 +20,7 @@
     /// Lines that went into the queue.
     pub written: Counter,
     /// Lines beyond the budget of their event.
-    pub left_out: Counter,
+    pub suppressed: Counter,
     /// Lines that found the queue full: the reader of standard output is too slow.
     pub dropped: Counter,
 }
@@ -36,7 +36,7 @@
         registry.register(
             "log_lines_left_out",
             "Log lines beyond the lines a second of their event",
-            self.left_out.clone(),
+            self.suppressed.clone(),
         );
         registry.register(
             "log_lines_dropped",
--- a/crates/telemetry/src/sink.rs
+++ b/crates/telemetry/src/sink.rs
@@ -64,7 +64,7 @@
         let sequence = Process::this().next_sequence();
         let now_ms = Process::this().uptime_us() / 1_000;
         if !self.is_within_budget(record.payload(), now_ms) {
-            self.metrics.left_out.inc();
+            self.metrics.suppressed.inc();
             return;
         }
         let draft = Draft {
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -69,7 +69,7 @@
     assert_eq!(lines[0].kv["request"], "r1");
     assert_eq!(lines[0].kv["attempts"], 2);
     assert_eq!(lines[1].level, "warn");
-    assert_eq!(lines[0].life, lines[1].life);
+    assert_eq!(lines[0].run_id, lines[1].run_id);
     assert!(lines[0].sequence < lines[1].sequence);
     assert!(lines[0].uptime_us <= lines[1].uptime_us);
     assert!(lines[0].timestamp > 0);
