--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -1,9 +1,10 @@
-//! Running a model request: attempts, relay of frames, resumption and continuation.
+//! Dispatch of model requests: attempts, frame relay, resumption and failover.
 //!
-//! Every attempt has an id of its own, and every frame carries its attempt and its position in the
-//! answer. So a late or crossed frame is recognised and dropped, a lost connection is resumed
-//! where it broke, and a dead engine's answer is continued elsewhere from the tokens already
-//! delivered. An answer ends only by an engine's explicit end; anything else is an explicit error.
+//! Each attempt has a unique id, and each frame carries its attempt's id and its sequence number in
+//! the response. Late and duplicate frames are thus detected and dropped, a broken stream is resumed
+//! at the first missing frame, and the response of a failed engine is continued by another engine
+//! after the tokens already delivered. A response is complete only with an end frame; otherwise the
+//! caller gets an error.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -18,60 +19,60 @@
 use tokio::{sync::mpsc, time::Instant};
 
 use crate::{
-    answers::AnswerEvent,
-    attempts::{AfterAttempt, AttemptEnd, Attempts},
+    attempts::{AttemptOutcome, Attempts, NextStep},
     completions,
     decisions::{CandidateRecord, DecisionRecord},
     limits,
     quarantine::{self, BackEndLife, engine_life},
     relay::{EndMarker, Relay},
     request_log::RequestLog,
+    responses::ResponseEvent,
     state::{RouterState, lock},
 };
 
 mod exchange;
 
-/// Engine priority of interactive work; batch work has 0.
-const URGENT: u8 = 1;
+/// Engine priority of interactive requests; batch requests have 0.
+const INTERACTIVE_PRIORITY: u8 = 1;
 
-/// A request that was admitted.
+/// An admitted model request.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The request.
-    pub request: RequestId,
-    /// Names what the caller sent, the same each time it sends it again.
-    pub content: ContentKey,
-    /// The tenant.
+    /// Id of this request, returned to the caller.
+    pub request_id: RequestId,
+    /// Hash of the request's content; equal for identical requests.
+    pub content_key: ContentKey,
+    /// Tenant that sent the request.
     pub tenant: TenantName,
-    /// The template.
+    /// Template of the requested service.
     pub template: TemplateName,
-    /// What the engine must have loaded.
-    pub key: ModelKey,
-    /// Root of the cache namespace.
+    /// Model and weights version that the engine must run.
+    pub model_key: ModelKey,
+    /// Namespace of the request's prefix-cache blocks.
     pub namespace: CacheNamespace,
-    /// The prompt.
+    /// Rendered prompt.
     pub prompt: String,
-    /// Its block hashes.
+    /// Block hashes of the prompt.
     pub chain: PrefixChain,
-    /// Where its segments end, blocks.
+    /// Ends of the template's segments, in blocks.
     pub boundaries: Vec<u32>,
-    /// Class of the work.
+    /// Scheduling class.
     pub priority: Priority,
-    /// Length of the answer, tokens.
+    /// Maximum length of the response, tokens.
     pub max_tokens: u32,
-    /// When it was received.
+    /// Time at which the request was received.
     pub received: Instant,
-    /// When the caller gives up.
+    /// Time by which the response must be complete.
     pub deadline: Instant,
-    /// The choice on which it was admitted.
+    /// Scheduling decision of the admission check, used by the first attempt.
     pub first_decision: Option<Decision>,
 }
 
-/// Runs a job and reports its answer step by step. Dropping the receiver cancels it.
-pub async fn run(state: Arc<RouterState>, job: Job, events: mpsc::Sender<AnswerEvent>) {
+/// Runs a job and sends its response as events. Dropping the receiver cancels the job.
+pub async fn run(state: Arc<RouterState>, job: Job, events: mpsc::Sender<ResponseEvent>) {
     state.metrics.open_requests.inc();
     let job = Arc::new(job);
-    let mut run = Run {
+    let mut dispatch = Dispatch {
         state: &state,
         job: &job,
         log: RequestLog::new(Arc::clone(&job)),
@@ -80,71 +81,71 @@
         attempts: Attempts::default(),
         excluded: Vec::new(),
     };
-    let last = run.run_attempts().await;
+    let event = dispatch.run_attempts().await;
     lock(&state.admission).release(&job.tenant);
     state.metrics.open_requests.dec();
-    if let Some(event) = last {
-        run.count_end(&event);
+    if let Some(event) = event {
+        dispatch.record_outcome(&event);
         let _ = events.send(event).await;
     }
 }
 
-struct Run<'a> {
+struct Dispatch<'a> {
     state: &'a Arc<RouterState>,
     job: &'a Job,
     log: RequestLog,
-    events: &'a mpsc::Sender<AnswerEvent>,
+    events: &'a mpsc::Sender<ResponseEvent>,
     relay: Relay,
     attempts: Attempts,
     excluded: Vec<EngineSlot>,
 }
 
-/// One dispatch to one engine.
+/// One attempt on one engine.
 struct Attempt {
     id: AttemptId,
     engine: EngineSlot,
     incarnation: EngineIncarnation,
     address: SocketAddr,
     uncached_tokens: u64,
-    /// Leading blocks that the engine was known to hold before.
+    /// Leading blocks that the engine was known to have cached before the attempt.
     held_blocks: u32,
-    /// Whether its first token has not come yet.
-    waits_for_token: bool,
-    /// The permit by which it was sent, if the engine has a limit.
+    awaiting_first_token: bool,
+    /// Permit for this attempt, if the engine has a rate limit.
     permit: Option<Permit>,
 }
 
-impl Run<'_> {
-    /// Attempts until one brings the whole answer; `None` if the caller is gone.
-    async fn run_attempts(&mut self) -> Option<AnswerEvent> {
-        let mut decision = self.job.first_decision.clone();
+impl Dispatch<'_> {
+    /// Runs attempts until one completes or none may follow. Returns the final event, or `None` if
+    /// the caller disconnected.
+    async fn run_attempts(&mut self) -> Option<ResponseEvent> {
+        let mut first_decision = self.job.first_decision.clone();
         loop {
-            let Some(chosen) = decision.take().or_else(|| self.choose()) else {
-                return last_event(self.without_engine());
+            let Some(decision) = first_decision.take().or_else(|| self.choose()) else {
+                return final_event(self.no_engine_outcome());
             };
-            if let Some(refusal) = quarantine::refusal(self.state, self.job.content) {
-                return last_event(self.attempts.refused(refusal));
+            if let Some(refusal) = quarantine::refusal(self.state, self.job.content_key) {
+                return final_event(self.attempts.refused(refusal));
             }
-            let Some(permit) = self.permit(&chosen).await else {
-                // Its limit has no room, which is known since: the next choice leaves it out.
+            let Some(permit) = self.acquire_permit(&decision).await else {
+                // The denial was recorded, so the next decision skips this engine.
                 continue;
             };
-            self.record(&chosen);
-            let end = self.attempt(&chosen, permit).await;
-            self.log.attempted(&end);
+            self.record_decision(&decision);
+            let end = self.attempt(&decision, permit).await;
+            self.log.record_attempt(&end);
             let (state, tenant) = (self.state, &self.job.tenant);
-            let after = self.attempts.ended(end, || spend_retry(state, tenant));
-            if after != AfterAttempt::Again {
-                return last_event(after);
+            let after = self.attempts.record(end, || spend_retry(state, tenant));
+            if after != NextStep::Retry {
+                return final_event(after);
             }
-            self.excluded.push(chosen.chosen.engine);
+            self.excluded.push(decision.chosen.engine);
             self.state.metrics.retries.inc();
         }
     }
 
     fn choose(&self) -> Option<Decision> {
         let shape = RoutingRequest {
-            key: &self.job.key,
+            key: &self.job.model_key,
             chain: &self.job.chain,
             boundaries: &self.job.boundaries,
             priority: self.job.priority,
@@ -153,18 +154,19 @@
         lock(&self.state.scheduler).choose(shape, self.state.now_us(), rand::random())
     }
 
-    /// What the caller is told when no engine may be tried: before the first attempt, when one takes requests
-    /// again.
-    fn without_engine(&self) -> AfterAttempt {
-        if self.attempts.made() > 0 {
-            return self.attempts.no_engine();
+    /// Outcome when no engine accepts the request. Before the first attempt, the refusal includes the
+    /// time after which to retry.
+    fn no_engine_outcome(&self) -> NextStep {
+        if self.attempts.count() > 0 {
+            return self.attempts.fail_without_engine();
         }
-        let refusal = completions::without_engine(self.state, &self.job.key);
+        let refusal = completions::no_engine_refusal(self.state, &self.job.model_key);
         self.attempts.refused(refusal)
     }
 
-    /// The permit to send the chosen engine the request, if it has a limit; `None` if that has no room.
-    async fn permit(&self, decision: &Decision) -> Option<Option<Permit>> {
+    /// Acquires a permit if the chosen engine has a rate limit. Returns `None` if the permit was
+    /// denied, `Some(None)` if no permit is needed.
+    async fn acquire_permit(&self, decision: &Decision) -> Option<Option<Permit>> {
         let life = {
             let scheduler = lock(&self.state.scheduler);
             let view = scheduler.engines.view(decision.chosen.engine);
@@ -174,16 +176,16 @@
         let Some(life) = life else {
             return Some(None);
         };
-        match limits::permission(self.state, &life).await {
+        match limits::acquire_permit(self.state, &life).await {
             PermitDecision::Granted(permit) => Some(permit),
             PermitDecision::Denied => None,
         }
     }
 
-    async fn attempt(&mut self, decision: &Decision, permit: Option<Permit>) -> AttemptEnd {
+    async fn attempt(&mut self, decision: &Decision, permit: Option<Permit>) -> AttemptOutcome {
         let engine = decision.chosen.engine;
         let Some((request, address)) = self.engine_request(engine) else {
-            return AttemptEnd::NotSent;
+            return AttemptOutcome::NotSent;
         };
         let mut attempt = Attempt {
             id: AttemptId(request.attempt.0),
@@ -192,17 +194,19 @@
             address,
             uncached_tokens: u64::from(decision.chosen.uncached_tokens),
             held_blocks: decision.chosen.held_tokens / self.job.chain.block_tokens.max(1),
-            waits_for_token: true,
+            awaiting_first_token: true,
             permit,
         };
         self.relay.begin(attempt.id);
-        self.begin(&attempt);
+        self.on_attempt_started(&attempt);
         let end = self.exchange(&mut attempt, &request).await;
-        self.finish(&attempt, &end);
-        self.note_life(&attempt, &end);
+        self.on_attempt_finished(&attempt, &end);
+        self.report_back_end_health(&attempt, &end);
         let may_still_run = matches!(
             end,
-            AttemptEnd::CallerGone | AttemptEnd::TooLate | AttemptEnd::Lost
+            AttemptOutcome::ClientDisconnected
+                | AttemptOutcome::DeadlineExceeded
+                | AttemptOutcome::Lost
         );
         if may_still_run {
             self.cancel(&attempt);
@@ -210,13 +214,15 @@
         end
     }
 
-    /// Notes what the end of an attempt says of whether the engine outlived the request.
-    fn note_life(&self, attempt: &Attempt, end: &AttemptEnd) {
+    /// Reports to the quarantine whether the engine survived the request.
+    fn report_back_end_health(&self, attempt: &Attempt, end: &AttemptOutcome) {
         match end {
-            AttemptEnd::Whole(_) => quarantine::outlived(self.state, self.job.content),
-            AttemptEnd::Lost => {
+            AttemptOutcome::Completed(_) => {
+                quarantine::record_success(self.state, self.job.content_key)
+            }
+            AttemptOutcome::Lost => {
                 let life = self.life_of(attempt);
-                quarantine::connection_broke(self.state, life, self.job.content);
+                quarantine::record_broken_connection(self.state, life, self.job.content_key);
             }
             _ => {}
         }
@@ -232,13 +238,13 @@
         let request = EngineRequest {
             attempt: Hex(rand::random()),
             incarnation,
-            model: self.job.key.model.clone(),
-            weights_version: self.job.key.weights_version,
+            model: self.job.model_key.model.clone(),
+            weights_version: self.job.model_key.weights_version,
             cache_namespace: Hex(self.job.namespace.0),
             prompt: self.job.prompt.clone(),
             delivered_tokens: self.relay.delivered(),
             max_tokens: self.job.max_tokens,
-            priority: self.priority(),
+            priority: self.engine_priority(),
         };
         Some((request, address))
     }
@@ -251,64 +257,67 @@
         }
     }
 
-    fn begin(&self, attempt: &Attempt) {
+    fn on_attempt_started(&self, attempt: &Attempt) {
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
         view.breaker.record_attempt();
-        view.record_sent(attempt.uncached_tokens, self.is_urgent());
+        view.record_sent(attempt.uncached_tokens, self.is_interactive());
         if view.incarnation == attempt.incarnation {
             scheduler.expect_cached(attempt.engine, &self.job.chain);
         }
     }
 
-    fn note_first_token(&mut self, attempt: &mut Attempt) {
-        if !attempt.waits_for_token {
+    fn on_first_token(&mut self, attempt: &mut Attempt) {
+        if !attempt.awaiting_first_token {
             return;
         }
-        attempt.waits_for_token = false;
+        attempt.awaiting_first_token = false;
         if self.relay.delivered() == 1 {
-            self.log.first_byte();
-            let waited = self.job.received.elapsed();
-            self.state.metrics.first_token.observe(waited.as_secs_f64());
+            self.log.record_first_byte();
+            let elapsed = self.job.received.elapsed();
+            self.state
+                .metrics
+                .first_token
+                .observe(elapsed.as_secs_f64());
         }
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
-        view.record_prefilled(attempt.uncached_tokens, self.is_urgent());
+        view.record_prefilled(attempt.uncached_tokens, self.is_interactive());
         view.breaker.record_success();
     }
 
-    fn finish(&self, attempt: &Attempt, end: &AttemptEnd) {
+    fn on_attempt_finished(&self, attempt: &Attempt, end: &AttemptOutcome) {
         let now = self.state.now_us();
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
         view.record_closed();
-        if matches!(end, AttemptEnd::Lost | AttemptEnd::NotSent) {
+        if matches!(end, AttemptOutcome::Lost | AttemptOutcome::NotSent) {
             view.breaker.record_failure(now);
         }
-        if attempt.waits_for_token {
-            view.record_prefilled(attempt.uncached_tokens, self.is_urgent());
+        if attempt.awaiting_first_token {
+            view.record_prefilled(attempt.uncached_tokens, self.is_interactive());
             scheduler.withdraw_expectation(attempt.engine, &self.job.chain, attempt.held_blocks);
         }
     }
 
-    fn count_end(&mut self, event: &AnswerEvent) {
+    fn record_outcome(&mut self, event: &ResponseEvent) {
         let metrics = &self.state.metrics;
         match event {
-            AnswerEvent::Ended(end) => {
-                self.log.whole();
+            ResponseEvent::Ended(end) => {
+                self.log.record_completion();
                 metrics.completed.inc();
                 metrics.prompt_tokens.inc_by(u64::from(end.prompt_tokens));
                 metrics.cached_tokens.inc_by(u64::from(end.cached_tokens));
             }
-            AnswerEvent::Failed(refusal) => {
-                self.log.failed(refusal);
-                metrics.refused(refusal.code);
+            ResponseEvent::Failed(refusal) => {
+                self.log.record_failure(refusal);
+                metrics.record_refusal(refusal.code);
             }
-            AnswerEvent::Token(_) => {}
+            ResponseEvent::Token(_) => {}
         }
     }
 
-    fn record(&mut self, decision: &Decision) {
+    fn record_decision(&mut self, decision: &Decision) {
         if self.relay.delivered() > 0 {
             self.state.metrics.continued.inc();
         }
@@ -325,38 +334,43 @@
             }
         });
         let record = DecisionRecord {
-            request: format!("{:032x}", self.job.request.0),
+            request: format!("{:032x}", self.job.request_id.0),
             tenant: self.job.tenant.clone(),
             template: self.job.template.clone(),
-            attempt: self.attempts.made() + 1,
+            attempt: self.attempts.count() + 1,
             engine: scheduler.engines.view(decision.chosen.engine).id,
             prompt_tokens: self.job.chain.total_tokens,
             candidates: candidates.collect(),
         };
         drop(scheduler);
-        self.log.chose(record.engine, decision.chosen.held_tokens);
-        lock(&self.state.decisions).add(record);
+        self.log
+            .record_choice(record.engine, decision.chosen.held_tokens);
+        lock(&self.state.decisions).push(record);
     }
 
-    fn is_urgent(&self) -> bool {
+    fn is_interactive(&self) -> bool {
         self.job.priority == Priority::Interactive
     }
 
-    fn priority(&self) -> u8 {
-        if self.is_urgent() { URGENT } else { 0 }
+    fn engine_priority(&self) -> u8 {
+        if self.is_interactive() {
+            INTERACTIVE_PRIORITY
+        } else {
+            0
+        }
     }
 }
 
-/// The event that ends an answer; `None` if nobody waits for it.
-fn last_event(after: AfterAttempt) -> Option<AnswerEvent> {
+/// Returns the event that ends a response; `None` if the caller disconnected.
+fn final_event(after: NextStep) -> Option<ResponseEvent> {
     match after {
-        AfterAttempt::Whole(end) => Some(AnswerEvent::Ended(end)),
-        AfterAttempt::Fail(refusal) => Some(AnswerEvent::Failed(refusal)),
-        AfterAttempt::Again | AfterAttempt::Abandon => None,
+        NextStep::Completed(end) => Some(ResponseEvent::Ended(end)),
+        NextStep::Fail(refusal) => Some(ResponseEvent::Failed(refusal)),
+        NextStep::Retry | NextStep::Abandon => None,
     }
 }
 
-/// Repeats that cost an engine work come out of the tenant's budget.
+/// Takes one retry from the tenant's budget; returns false if it is exhausted.
 fn spend_retry(state: &RouterState, tenant: &TenantName) -> bool {
     let mut budgets = lock(&state.retry_budgets);
     budgets.entry(tenant.clone()).or_default().withdraw()
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with one engine: sending, relaying frames, resuming where the connection broke.
+//! One exchange with an engine: sends the request, relays frames and resumes broken streams.
 
 use std::time::Duration;
 
@@ -7,44 +7,44 @@
 use http_body_util::Full;
 use hyper::{Request, Response, body::Incoming};
 use railtack_backend_api::{EngineError, EngineRefusal, EngineRequest, StreamFrame};
-use railtack_http::{SendError, back_off, lines, read_body};
+use railtack_http::{SendError, lines, read_body, retry_after};
 use railtack_serving::BackEndSignals;
 use tokio::time::{sleep, timeout, timeout_at};
 
-use super::{Attempt, Run};
+use super::{Attempt, Dispatch};
 use crate::{
-    answers::AnswerEvent,
-    attempts::AttemptEnd,
-    engine_link::{engine_is_silent, refresh_status},
+    attempts::AttemptOutcome,
+    engine_link::{refresh_status, wait_until_silent},
     limits,
-    relay::FrameStep,
+    relay::FrameAction,
+    responses::ResponseEvent,
     state::lock,
 };
 
-/// Tries to resume a stream on the engine where it broke.
-const RESUME_TRIES: u32 = 2;
-/// Pause before a stream is resumed.
-const RESUME_PAUSE: Duration = Duration::from_millis(30);
-/// Time for cancelling an attempt.
+/// Attempts to resume a broken stream on the same engine.
+const RESUME_ATTEMPTS: u32 = 2;
+/// Delay before each attempt to resume a stream.
+const RESUME_DELAY: Duration = Duration::from_millis(30);
+/// Timeout of the request that cancels an attempt.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for an engine's refusal to arrive.
+/// Timeout for reading the body of an engine's refusal.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest refusal of an engine, bytes.
-const REFUSAL_LIMIT: usize = 16 * 1024;
+/// Maximum body size of an engine's refusal, bytes.
+const MAX_REFUSAL_BYTES: usize = 16 * 1024;
 
-impl Run<'_> {
-    /// One exchange with an engine, given up when nothing is heard of the engine any more: a
-    /// frozen process keeps its connections open in silence.
+impl Dispatch<'_> {
+    /// Runs one exchange. Fails it if the engine stops reporting its status, since a hung process keeps
+    /// its connections open without sending data.
     pub(super) async fn exchange(
         &mut self,
         attempt: &mut Attempt,
         request: &EngineRequest,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let state = self.state;
         let engine = attempt.engine;
         tokio::select! {
             end = self.exchange_frames(attempt, request) => end,
-            () = engine_is_silent(state, engine) => AttemptEnd::Lost,
+            () = wait_until_silent(state, engine) => AttemptOutcome::Lost,
         }
     }
 
@@ -52,42 +52,47 @@
         &mut self,
         attempt: &mut Attempt,
         request: &EngineRequest,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let content = serde_json::to_vec(request).unwrap_or_default();
         let uri = format!("http://{}/v1/completions", attempt.address);
         let Ok(request) = Request::post(uri).body(Full::new(Bytes::from(content))) else {
-            return AttemptEnd::NotSent;
+            return AttemptOutcome::NotSent;
         };
         let sent = self.within_deadline(self.state.client.send(request)).await;
         let response = match sent {
-            None => return AttemptEnd::TooLate,
-            Some(Err(SendError::NotSent)) => return AttemptEnd::NotSent,
+            None => return AttemptOutcome::DeadlineExceeded,
+            Some(Err(SendError::NotSent)) => return AttemptOutcome::NotSent,
             Some(Err(SendError::MaybeSent)) => return self.resume(attempt).await,
             Some(Ok(response)) => response,
         };
-        self.note_limit(attempt, &response);
+        self.record_limit(attempt, &response);
         if response.status() != 200 {
-            return self.refused(attempt, response).await;
+            return self.handle_refusal(attempt, response).await;
         }
         match self.relay(attempt, response).await {
-            AttemptEnd::Lost => self.resume(attempt).await,
+            AttemptOutcome::Lost => self.resume(attempt).await,
             end => end,
         }
     }
 
-    /// Relays frames until the answer, or at least this connection, ends.
-    async fn relay(&mut self, attempt: &mut Attempt, response: Response<Incoming>) -> AttemptEnd {
+    /// Relays frames until the response is complete or the connection ends.
+    async fn relay(
+        &mut self,
+        attempt: &mut Attempt,
+        response: Response<Incoming>,
+    ) -> AttemptOutcome {
         let end = self.relay_frames(attempt, response).await;
-        if end == AttemptEnd::Lost && self.relay.is_whole_when_closed() {
-            return AttemptEnd::Whole(self.relay.presumed_end(self.job.chain.total_tokens));
+        if end == AttemptOutcome::Lost && self.relay.is_complete_on_close() {
+            return AttemptOutcome::Completed(self.relay.implied_end(self.job.chain.total_tokens));
         }
         end
     }
 
-    /// Asks the same engine for the rest; it keeps a stream for a while after a connection broke.
-    async fn resume(&mut self, attempt: &mut Attempt) -> AttemptEnd {
-        for _ in 0..RESUME_TRIES {
-            sleep(RESUME_PAUSE).await;
+    /// Requests the remaining frames from the same engine, which retains a stream for some time after
+    /// its connection broke.
+    async fn resume(&mut self, attempt: &mut Attempt) -> AttemptOutcome {
+        for _ in 0..RESUME_ATTEMPTS {
+            sleep(RESUME_DELAY).await;
             let uri = format!(
                 "http://{}/v1/streams/{:032x}?from={}",
                 attempt.address,
@@ -95,55 +100,55 @@
                 self.relay.delivered()
             );
             let Ok(request) = Request::get(uri).body(Full::default()) else {
-                return AttemptEnd::Lost;
+                return AttemptOutcome::Lost;
             };
             let response = match self.within_deadline(self.state.client.send(request)).await {
-                None => return AttemptEnd::TooLate,
+                None => return AttemptOutcome::DeadlineExceeded,
                 Some(Ok(response)) if response.status() == 200 => response,
-                Some(Ok(_)) => return AttemptEnd::Lost,
+                Some(Ok(_)) => return AttemptOutcome::Lost,
                 Some(Err(_)) => continue,
             };
             self.state.metrics.resumed.inc();
             match self.relay(attempt, response).await {
-                AttemptEnd::Lost => {}
+                AttemptOutcome::Lost => {}
                 end => return end,
             }
         }
-        AttemptEnd::Lost
+        AttemptOutcome::Lost
     }
 
-    /// Hands frames to the caller in order, each once.
+    /// Delivers each frame to the caller exactly once, in order.
     async fn relay_frames(
         &mut self,
         attempt: &mut Attempt,
         response: Response<Incoming>,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let mut frames = lines(response.into_body());
         loop {
             let next = tokio::select! {
                 next = timeout_at(self.job.deadline, frames.next()) => next,
-                () = self.events.closed() => return AttemptEnd::CallerGone,
+                () = self.events.closed() => return AttemptOutcome::ClientDisconnected,
             };
             let line = match next {
-                Err(_) => return AttemptEnd::TooLate,
+                Err(_) => return AttemptOutcome::DeadlineExceeded,
                 Ok(Some(Ok(line))) => line,
-                Ok(_) => return AttemptEnd::Lost,
+                Ok(_) => return AttemptOutcome::Lost,
             };
             let Some(text) = line.strip_prefix("data: ") else {
                 continue;
             };
             let Ok(frame) = serde_json::from_str::<StreamFrame>(text) else {
-                return AttemptEnd::Lost;
+                return AttemptOutcome::Lost;
             };
-            match self.relay.take(frame) {
-                FrameStep::Drop => self.state.metrics.dropped_frames.inc(),
-                FrameStep::Gap => return AttemptEnd::Lost,
-                FrameStep::Whole(end) => return AttemptEnd::Whole(end),
-                FrameStep::Deliver(text) => {
-                    self.note_first_token(attempt);
-                    let token = AnswerEvent::Token(text);
+            match self.relay.accept(frame) {
+                FrameAction::Drop => self.state.metrics.dropped_frames.inc(),
+                FrameAction::Gap => return AttemptOutcome::Lost,
+                FrameAction::Complete(end) => return AttemptOutcome::Completed(end),
+                FrameAction::Deliver(text) => {
+                    self.on_first_token(attempt);
+                    let token = ResponseEvent::Token(text);
                     if self.events.send(token).await.is_err() {
-                        return AttemptEnd::CallerGone;
+                        return AttemptOutcome::ClientDisconnected;
                     }
                     continue;
                 }
@@ -151,33 +156,37 @@
         }
     }
 
-    async fn refused(&self, attempt: &Attempt, response: Response<Incoming>) -> AttemptEnd {
-        if let Some(time) = back_off(response.status(), response.headers()) {
-            self.note_back_off(attempt, time);
+    async fn handle_refusal(
+        &self,
+        attempt: &Attempt,
+        response: Response<Incoming>,
+    ) -> AttemptOutcome {
+        if let Some(delay) = retry_after(response.status(), response.headers()) {
+            self.record_back_off(attempt, delay);
         }
-        let content = read_body(response.into_body(), REFUSAL_LIMIT, REFUSAL_TIMEOUT).await;
+        let content = read_body(response.into_body(), MAX_REFUSAL_BYTES, REFUSAL_TIMEOUT).await;
         let error = content
             .ok()
             .and_then(|bytes| serde_json::from_slice::<EngineError>(&bytes).ok());
         let is_stale = error.is_none_or(|error| error.error != EngineRefusal::QueueFull);
         if is_stale {
-            // The view of this engine is out of date: look again before the next choice.
+            // The cached status of this engine is stale: refresh it before the next decision.
             refresh_status(self.state, attempt.address).await;
         }
-        AttemptEnd::Refused
+        AttemptOutcome::Refused
     }
 
-    /// Takes in what the answer says of the engine's limit.
-    fn note_limit(&self, attempt: &Attempt, response: &Response<Incoming>) {
+    /// Records the rate limit that the response headers announce.
+    fn record_limit(&self, attempt: &Attempt, response: &Response<Incoming>) {
         let life = self.life_of(attempt);
-        limits::note_answer(self.state, &life.name, attempt.permit, response.headers());
+        limits::record_response(self.state, &life.name, attempt.permit, response.headers());
     }
 
-    /// Notes that the engine asked for no requests for a time.
-    fn note_back_off(&self, attempt: &Attempt, time: Duration) {
+    /// Records the engine's `Retry-After` delay.
+    fn record_back_off(&self, attempt: &Attempt, delay: Duration) {
         let now = self.state.uptime();
         let notice = BackEndSignals {
-            back_off: Some(time),
+            back_off: Some(delay),
             ..BackEndSignals::default()
         };
         let mut scheduler = lock(&self.state.scheduler);
@@ -187,11 +196,11 @@
         }
         spdlog::info!("engine asked for rest", kv: {
             engine = view.id.to_string(),
-            back_off_ms = time.as_millis() as u64,
+            back_off_ms = delay.as_millis() as u64,
         });
     }
 
-    /// Stops an attempt whose answer nobody waits for, without waiting for the engine.
+    /// Cancels an attempt in the background.
     pub(super) fn cancel(&self, attempt: &Attempt) {
         let uri = format!(
             "http://{}/v1/streams/{:032x}",
@@ -202,7 +211,7 @@
         };
         let client = self.state.client.clone();
         tokio::spawn(async move {
-            // An engine that is gone needs no cancelling.
+            // An error is ignored: an engine that has exited no longer runs the attempt.
             let _ = timeout(CANCEL_TIMEOUT, client.send(request)).await;
         });
     }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -1,4 +1,4 @@
-//! What the router's tasks share.
+//! State shared by the router's tasks.
 
 use std::{
     collections::HashMap,
@@ -22,71 +22,71 @@
 
 use crate::{
     control_link::ControlLink, decisions::DecisionLog, lease::Lease, metrics::RouterMetrics,
-    quarantine::BackEndLife, refusal::Refusal, resolved::Resolved,
+    quarantine::BackEndLife, refusal::Refusal, resolved::ResolvedConfiguration,
 };
 
-/// Time for connecting to an engine.
+/// Timeout for connecting to an engine.
 const ENGINE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One ordinary service's back ends.
+/// Back ends of one HTTP service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceBackends {
-    /// Those that may get new work.
+    /// Back ends that may receive new requests.
     pub live: Vec<SocketAddr>,
-    /// Where the next request goes, modulo their number.
+    /// Round-robin position in `live`.
     pub next: usize,
 }
 
-/// State of the router.
+/// Shared state of the router.
 pub struct RouterState {
-    /// Settings.
+    /// Settings of this process.
     pub settings: RouterSettings,
-    /// Configuration in force.
-    pub resolved: ArcSwap<Resolved>,
-    /// Whether it is confirmed.
+    /// Last applied configuration.
+    pub resolved: ArcSwap<ResolvedConfiguration>,
+    /// Lease under which the configuration may be used.
     pub lease: Mutex<Lease>,
-    /// Engines, caches and choices.
+    /// Engine views, prefix index and engine selection.
     pub scheduler: Mutex<Scheduler>,
-    /// Addresses of engines.
+    /// Addresses of the listed engines.
     pub engine_addresses: Mutex<HashMap<EngineId, SocketAddr>>,
-    /// Back ends of ordinary services by name.
+    /// Back ends of HTTP services, by service name.
     pub services: Mutex<HashMap<String, ServiceBackends>>,
-    /// Which back ends of ordinary services said that they take no calls, by their address. Kept apart from
-    /// the list of them, which is made anew twice a second.
-    pub back_ends_available: Mutex<Availability>,
-    /// Limits and shares.
+    /// Availability announced by the back ends of HTTP services, by address. Separate from `services`,
+    /// which is rebuilt with each machine list.
+    pub back_end_availability: Mutex<Availability>,
+    /// Tenant limits and fair shares.
     pub admission: Mutex<Admission>,
-    /// Retries that each tenant may still make.
+    /// Remaining retries of each tenant.
     pub retry_budgets: Mutex<HashMap<TenantName, RetryBudget>>,
-    /// Recent decisions.
+    /// Recent scheduling decisions.
     pub decisions: Mutex<DecisionLog>,
     /// Requests that the control group has quarantined.
     pub quarantine: Mutex<QuarantineState>,
-    /// Ends of back ends that this router's requests met.
-    pub crash_tracker: Mutex<CrashTracker>,
-    /// Counters.
+    /// Crashes and broken connections observed under this router's requests.
+    pub observed_failures: Mutex<CrashTracker>,
+    /// Metrics of this process.
     pub metrics: RouterMetrics,
-    /// Connections to engines.
+    /// HTTP client for engines and the platform.
     pub client: HttpClient,
-    /// Connections to control replicas.
+    /// Connections to the control replicas.
     pub control: ControlLink,
-    /// Until when no permit is asked for, as no leader answered.
-    pub permits_unanswered_until: Mutex<MonotonicTime>,
-    /// Tokens in an engine's cache block, as the engines report it.
+    /// Time before which no permit is requested, because no leader replied.
+    pub permit_requests_paused_until: Mutex<MonotonicTime>,
+    /// Size of a cache block as reported by the engines, tokens.
     pub block_tokens: std::sync::atomic::AtomicU32,
-    /// Whether the platform's list was had at least once.
-    pub list_taken: AtomicBool,
+    /// Whether the platform's machine list was received at least once.
+    pub machine_list_received: AtomicBool,
     stopping: AtomicBool,
     started: BootInstant,
 }
 
-/// Locks a mutex; a panic elsewhere while it was held does not stop the router.
+/// Locks a mutex and ignores poisoning, so that a panicked task does not stop the router.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl RouterState {
-    /// State of a router that knows nothing yet.
+    /// Creates the initial state, without configuration or engines.
     pub fn new(settings: RouterSettings) -> Self {
         let voters = settings
             .control
@@ -102,18 +102,18 @@
             scheduler: Mutex::new(Scheduler::new(options)),
             engine_addresses: Mutex::default(),
             services: Mutex::default(),
-            back_ends_available: Mutex::default(),
+            back_end_availability: Mutex::default(),
             admission: Mutex::default(),
             retry_budgets: Mutex::default(),
             decisions: Mutex::default(),
             quarantine: Mutex::default(),
-            crash_tracker: Mutex::default(),
+            observed_failures: Mutex::default(),
             metrics: RouterMetrics::default(),
             client: HttpClient::new(ENGINE_CONNECT_TIMEOUT),
             control: ControlLink::new(&settings.control),
-            permits_unanswered_until: Mutex::default(),
+            permit_requests_paused_until: Mutex::default(),
             block_tokens: std::sync::atomic::AtomicU32::new(16),
-            list_taken: AtomicBool::new(false),
+            machine_list_received: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             started: BootInstant::now(),
             settings,
@@ -135,22 +135,22 @@
         self.started.elapsed().as_millis() as Millis
     }
 
-    /// Whether new requests may rely on the configuration.
+    /// Whether the lease allows new requests to use the configuration.
     pub fn is_confirmed(&self) -> bool {
         let applied = self.resolved.load().applied;
         lock(&self.lease).is_valid(applied, self.now_ms())
     }
 
-    /// Refuses new requests while stopping, or while the configuration is not confirmed.
+    /// Returns a refusal if the router is stopping or its configuration is not confirmed.
     pub fn require_serving(&self) -> Result<(), Refusal> {
         if self.stopping.load(Ordering::Relaxed) {
             let refusal = Refusal::not_run(RefusalCode::ShuttingDown, "this router is stopping");
             return Err(refusal.retry_after_ms(0));
         }
         let has_configuration = self.resolved.load().applied > 0;
-        let serves_unconfirmed =
+        let serve_unconfirmed =
             self.settings.lease.when_unconfirmed == WhenUnconfirmed::Serve && has_configuration;
-        if serves_unconfirmed || self.is_confirmed() {
+        if serve_unconfirmed || self.is_confirmed() {
             return Ok(());
         }
         let refusal = Refusal::not_run(
@@ -160,25 +160,26 @@
         Err(refusal.retry_after_ms(self.settings.lease.confirm_interval_ms))
     }
 
-    /// Whether back ends are known: the list was had, and an engine answers if any is listed.
-    pub fn knows_back_ends(&self) -> bool {
-        let lists_engines = !lock(&self.engine_addresses).is_empty();
+    /// Whether the machine list was received and, if it contains engines, at least one is available.
+    pub fn back_ends_known(&self) -> bool {
+        let engines_listed = !lock(&self.engine_addresses).is_empty();
         let scheduler = lock(&self.scheduler);
-        let answers = scheduler.engines.views().iter().any(|view| view.available);
-        self.list_taken.load(Ordering::Relaxed) && (answers || !lists_engines)
+        let engine_available = scheduler.engines.views().iter().any(|view| view.available);
+        self.machine_list_received.load(Ordering::Relaxed) && (engine_available || !engines_listed)
     }
 
-    /// A back end of an ordinary service, which tells nobody in which of its lives it is. Each end that
-    /// this router meets counts as another life's; two routers that meet the same one count it twice.
-    pub fn life_of_back_end(&self, address: SocketAddr) -> BackEndLife {
-        let ends = self.metrics.back_end_ends.get();
+    /// Returns the incarnation of a service's back end. Such back ends report no incarnation, so each
+    /// crash that this router observes starts a new one. Two routers that observe the same crash count
+    /// it twice.
+    pub fn back_end_life(&self, address: SocketAddr) -> BackEndLife {
+        let ends = self.metrics.back_end_failures.get();
         BackEndLife {
             name: format!("{address}#{}#{ends}", self.settings.router_id.0),
             address,
         }
     }
 
-    /// Begins a planned stop.
+    /// Starts a graceful shutdown: new requests are refused.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
