--- a/crates/control/src/serving/fleet.rs
+++ b/crates/control/src/serving/fleet.rs
@@ -268,7 +268,7 @@
                 .silent_ms
                 .min(observed.silent_ms.saturating_add(age_ms));
             total.stalled_routers = total
-                .waiting_in_vain
+                .stalled_routers
                 .saturating_add(observed.stalled_routers);
         }
     }
--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -101,7 +101,7 @@
     /// Names the weights that a model's replicas are to hold.
     pub async fn set_target_weights(
         &self,
-        target: HeldWeights,
+        target: ModelWeights,
     ) -> Result<ServingOutcome, Unavailable> {
         self.require_formed()?;
         self.propose(ServingCommand::SetTargetWeights(target)).await
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -13,7 +13,7 @@
 fn observation(
     replica: u32,
     open_requests: u16,
-    heard_ms: u16,
+    silent_ms: u16,
     is_stalled: bool,
 ) -> ReplicaObservation {
     ReplicaObservation {
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -9,7 +9,7 @@
 use std::{sync::Arc, time::Duration};
 
 use railtack_rpc::{
-    call_deadline,
+    call_context,
     protocol::{Command, Outcome, Proposal, ProposeReply},
     serving::{ServingCommand, ServingOutcome},
 };
@@ -81,7 +81,7 @@
         let contents = vec![content];
         spdlog::info!("suspected request ran well", kv: { content = content.to_string() });
         let state = Arc::clone(state);
-        let command = ServingCommand::ClearContents { contents };
+        let command = ServingCommand::ClearSuspects { contents };
         tokio::spawn(async move { propose_until_recorded(&state, command).await });
     }
 }
@@ -130,10 +130,10 @@
         }
         requests += contents.len();
         has_reported = true;
-        let command = ServingCommand::RecordEnd {
+        let command = ServingCommand::RecordCrash {
             replica: ReplicaKey::of(replica),
             contents,
-            witness: witness.clone(),
+            reporter: witness.clone(),
         };
         propose_until_recorded(state, command).await;
     }
@@ -302,7 +302,7 @@
         .control_peers
         .call("report", |client| async move {
             client
-                .propose(call_deadline(PROPOSE_TIMEOUT), proposal)
+                .propose(call_context(PROPOSE_TIMEOUT), proposal)
                 .await
         })
         .await;
@@ -312,13 +312,13 @@
     match reply {
         ProposeReply::Done(outcome) => {
             state.control_peers.set_leader(address);
-            if let Outcome::Serving(ServingOutcome::EndRecorded(update)) = outcome {
+            if let Outcome::Serving(ServingOutcome::CrashRecorded(update)) = outcome {
                 state.apply_quarantine(&update);
             }
             return true;
         }
         ProposeReply::NotLeader { leader } => state.control_peers.follow_redirect(address, leader),
-        ProposeReply::Unknown | ProposeReply::LevelDiffers { .. } => {}
+        ProposeReply::Unknown | ProposeReply::LevelMismatch { .. } => {}
     }
     false
 }
--- a/crates/proxy/src/fleet_view.rs
+++ b/crates/proxy/src/fleet_view.rs
@@ -84,7 +84,10 @@
             .map(|entry| u64::from(entry.open_requests));
         let open = open.sum::<u64>() as f64;
         self.peak = Some((open.max(self.decayed_peak(now)), now));
-        let unresponsive = self.conditions.values().filter(|entry| entry.is_unresponsive);
+        let unresponsive = self
+            .conditions
+            .values()
+            .filter(|entry| entry.is_unresponsive);
         self.unresponsive = unresponsive.count();
         (self.unresponsive != before).then_some(self.unresponsive)
     }
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -142,8 +142,7 @@
         Some(PermitReply::Denied {
             limit,
             retry_after_ms,
-        }) => {
-            deny(limit, Duration::from_millis(u64::from(retry_after_ms))),
+        }) => deny(limit, Duration::from_millis(u64::from(retry_after_ms))),
         Some(PermitReply::Unlimited) => {
             clear_limit(router, life, known.advertised_here);
             let grant = None;
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -158,7 +158,8 @@
         target.save_to = store
             .filter(|_| self.should_save(target.cached_tokens, configuration))
             .map(|store| store.address.clone());
-        self.log.selected(&target, &candidate, cost, view.known.state);
+        self.log
+            .selected(&target, &candidate, cost, view.known.state);
         self.log.prefix = self.path.key().unwrap_or_default();
         self.log.shared_tokens = self.path.shared_tokens();
         self.log.weights = self.expected_weights(&target.record).unwrap_or_default();
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -75,7 +75,8 @@
 /// Records a broken connection to a back end that was running a request. Checks in the background
 /// whether the back end has exited, i.e. whether its port refuses connections.
 pub fn record_broken_connection(state: &Arc<RouterState>, life: BackEndLife, content: ContentKey) {
-    if lock(&state.observed_failures).record_broken_connection(&life.name, content, Instant::now()) {
+    if lock(&state.observed_failures).record_broken_connection(&life.name, content, Instant::now())
+    {
         let state = Arc::clone(state);
         tokio::spawn(async move { check_ended(&state, &life).await });
     }
