--- a/crates/control/src/serving/formation.rs
+++ b/crates/control/src/serving/formation.rs
@@ -9,55 +9,55 @@
 
 use railtack_consensus::{DiskId, ReplicaId};
 use railtack_rpc::{
-    FeatureLevel, call_deadline,
+    FeatureLevel, call_context,
     serving::{JoinReply, JoinRequest},
 };
 use tokio::time::{Instant, sleep};
 
-use crate::serving::leader::LeaderLink;
+use crate::serving::leader::LeaderClient;
 
 /// Time between two looks at whether this replica is a member.
-const LOOK_INTERVAL: Duration = Duration::from_millis(400);
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// Time without a leader after which a member asks to be taken in again: it may have been
 /// replaced while it was away.
-const LEADERLESS_LIMIT: Duration = Duration::from_secs(2);
+const MAX_LEADERLESS_TIME: Duration = Duration::from_secs(2);
 /// Time for one request to join.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Whether this replica makes the group: the first start, and the lowest of the seeds.
-pub fn makes_group(bootstrap: bool, own: SocketAddr, seeds: &[SocketAddr]) -> bool {
-    bootstrap && seeds.iter().min() == Some(&own)
+pub fn should_bootstrap(bootstrap: bool, local: SocketAddr, seeds: &[SocketAddr]) -> bool {
+    bootstrap && seeds.iter().min() == Some(&local)
 }
 
 /// Asks to be taken in for as long as this replica is outside.
-pub async fn keep_joined(
-    link: Arc<LeaderLink>,
+pub async fn run_join_loop(
+    link: Arc<LeaderClient>,
     replica: ReplicaId,
     disk: DiskId,
     seeds: Vec<SocketAddr>,
 ) {
-    let mut led_at = Instant::now();
+    let mut leader_seen_at = Instant::now();
     loop {
-        sleep(LOOK_INTERVAL).await;
+        sleep(CHECK_INTERVAL).await;
         let view = link.view();
         if view.leader.is_some() {
-            led_at = Instant::now();
+            leader_seen_at = Instant::now();
         }
-        let inside = view.is_member && led_at.elapsed() < LEADERLESS_LIMIT;
-        if !inside {
+        let is_joined = view.is_member && leader_seen_at.elapsed() < MAX_LEADERLESS_TIME;
+        if !is_joined {
             let request = JoinRequest {
                 replica,
                 disk,
-                address: link.own_address().to_owned(),
-                level: FeatureLevel::OF_THIS_BUILD,
+                address: link.local_address().to_owned(),
+                level: FeatureLevel::SUPPORTED,
             };
-            ask_all(&link, &request, &view.voters, &seeds).await;
+            send_join_requests(&link, &request, &view.voters, &seeds).await;
         }
     }
 }
 
-async fn ask_all(
-    link: &LeaderLink,
+async fn send_join_requests(
+    link: &LeaderClient,
     request: &JoinRequest,
     voters: &[String],
     seeds: &[SocketAddr],
@@ -66,12 +66,12 @@
     targets.extend(voters.iter().cloned());
     targets.sort();
     targets.dedup();
-    targets.retain(|target| target != link.own_address());
+    targets.retain(|target| target != link.local_address());
     let mut position = 0;
     // Each target may name the leader, which is then asked too.
     while let Some(target) = targets.get(position).cloned() {
         position += 1;
-        match ask(link, request, &target).await {
+        match send_join_request(link, request, &target).await {
             Some(JoinReply::Accepted) => return,
             Some(JoinReply::NotLeader {
                 leader: Some(leader),
@@ -81,11 +81,15 @@
     }
 }
 
-async fn ask(link: &LeaderLink, request: &JoinRequest, target: &str) -> Option<JoinReply> {
+async fn send_join_request(
+    link: &LeaderClient,
+    request: &JoinRequest,
+    target: &str,
+) -> Option<JoinReply> {
     let connection = link.connection(target)?;
     let request = request.clone();
     connection
-        .call(|client| async move { client.join(call_deadline(JOIN_TIMEOUT), request).await })
+        .call(|client| async move { client.join(call_context(JOIN_TIMEOUT), request).await })
         .await
         .ok()
 }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, body::Incoming, http::response};
 use railtack_http::{ReceiveError, read_body};
 use railtack_serving::{
-    BackEndNotice, ContentKey, News, ReplicaKey, ReplicaRecord, RequestLimit, StatedLimit,
+    BackEndSignals, ContentKey, LimitHeader, ReplicaKey, ReplicaRecord, RequestLimit, SignalChanges,
 };
 use tokio::time::{Instant, timeout_at};
 
@@ -72,7 +72,7 @@
     /// Status of the response, if one was received.
     pub status: Option<u16>,
     /// Signals of the replica in the response head.
-    pub notice: BackEndNotice,
+    pub notice: BackEndSignals,
 }
 
 impl FailedExchange {
@@ -82,7 +82,7 @@
             proof: ExchangeProof::NotRun,
             cause,
             status: None,
-            notice: BackEndNotice::default(),
+            notice: BackEndSignals::default(),
         }
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Adds the response that caused the failure.
-    fn with_response(self, status: u16, notice: BackEndNotice) -> Self {
+    fn with_response(self, status: u16, notice: BackEndSignals) -> Self {
         Self {
             status: Some(status),
             notice,
@@ -118,7 +118,7 @@
             proof: ExchangeProof::MayHaveRun,
             cause,
             status: None,
-            notice: BackEndNotice::default(),
+            notice: BackEndSignals::default(),
         }
     }
 }
@@ -201,7 +201,7 @@
     let replicas = lock(&state.replicas);
     replicas
         .availability
-        .takes(&target.record.id, state.uptime())
+        .accepts_requests(&target.record.id, state.uptime())
 }
 
 async fn connect(target: &Target, non_retryable: bool) -> Result<Connection, FailedExchange> {
@@ -241,7 +241,7 @@
     let is_from_target = matches!(classified, ResponseClass::Response | ResponseClass::NotRun);
     if !is_from_target {
         // The limit of another incarnation, or an outdated one.
-        notice.limit = StatedLimit::NotNamed;
+        notice.limit = LimitHeader::Absent;
     }
     let news = apply_notice(state, target, notice);
     if is_from_target {
@@ -271,14 +271,14 @@
 }
 
 /// Applies the signals of a response head. Most have none and skip the lock on all replicas.
-fn apply_notice(state: &ProxyState, target: &Target, notice: BackEndNotice) -> News {
-    if notice == BackEndNotice::default() {
-        return News::default();
+fn apply_notice(state: &ProxyState, target: &Target, notice: BackEndSignals) -> SignalChanges {
+    if notice == BackEndSignals::default() {
+        return SignalChanges::default();
     }
     let replica = &target.record.id;
     let news = lock(&state.replicas)
         .availability
-        .note(replica, notice, state.uptime());
+        .record(replica, notice, state.uptime());
     if let Some(back_off) = notice.back_off {
         state.metrics.back_offs.inc();
         spdlog::info!("replica requested back-off", kv: {
@@ -286,7 +286,7 @@
             back_off_ms = back_off.as_millis() as u64,
         });
     }
-    if news.leaves {
+    if news.is_leaving {
         spdlog::info!("replica announced its shutdown", kv: { replica = replica.clone() });
     }
     record_limit(state, replica, notice.limit, news.limit);
@@ -297,15 +297,15 @@
 fn record_limit(
     state: &ProxyState,
     replica: &str,
-    advertised: StatedLimit,
+    advertised: LimitHeader,
     news: Option<RequestLimit>,
 ) {
     match advertised {
-        StatedLimit::NotNamed => {}
-        StatedLimit::Named(_) => {
+        LimitHeader::Absent => {}
+        LimitHeader::Present(_) => {
             state.metrics.limits_named.inc();
         }
-        StatedLimit::Unreadable(error) => {
+        LimitHeader::Invalid(error) => {
             state.metrics.limits_unread.inc();
             spdlog::info!("invalid rate limit", kv: {
                 replica = replica.to_owned(),
@@ -331,7 +331,7 @@
         let time = deadline.saturating_duration_since(Instant::now());
         let read = read_body(self.body, MAX_RESPONSE_BYTES, time).await;
         let content = read.map_err(|error| match error {
-            ReceiveError::Broken => FailedExchange::broken_connection("answer broke off"),
+            ReceiveError::ConnectionLost => FailedExchange::broken_connection("answer broke off"),
             _ => FailedExchange::may_have_run("answer not read"),
         })?;
         if self.reusable {
--- a/crates/proxy/src/backend.rs
+++ b/crates/proxy/src/backend.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, http::response};
-use railtack_serving::{BackEndNotice, LimitError, ReplicaRecord, RequestLimit, StatedLimit};
+use railtack_serving::{BackEndSignals, LimitError, LimitHeader, ReplicaRecord, RequestLimit};
 
 use crate::request::ProxiedRequest;
 
@@ -49,17 +49,17 @@
 }
 
 /// Parses the rate limit advertised by the header `name`. Repeated headers are invalid.
-pub fn parse_limit_header(headers: &HeaderMap, name: &str) -> StatedLimit {
+pub fn parse_limit_header(headers: &HeaderMap, name: &str) -> LimitHeader {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
-        return StatedLimit::NotNamed;
+        return LimitHeader::Absent;
     };
     if values.next().is_some() {
-        return StatedLimit::Unreadable(LimitError::Repeated);
+        return LimitHeader::Invalid(LimitError::Repeated);
     }
     match RequestLimit::parse(value.as_bytes()) {
-        Ok(limit) => StatedLimit::Named(limit),
-        Err(error) => StatedLimit::Unreadable(error),
+        Ok(limit) => LimitHeader::Present(limit),
+        Err(error) => LimitHeader::Invalid(error),
     }
 }
 
@@ -70,7 +70,7 @@
     /// Classifies a response by its head.
     fn classify(&self, request: &ProxiedRequest, head: &response::Parts) -> ResponseClass;
     /// Returns the replica's signals in the head of a response.
-    fn signals(&self, head: &response::Parts) -> BackEndNotice;
+    fn signals(&self, head: &response::Parts) -> BackEndSignals;
     /// Whether a response header is hop-by-hop and not forwarded.
     fn is_hop_by_hop(&self, name: &str) -> bool;
 }
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use railtack_serving::retries::OWN_SLACK;
+use railtack_serving::retries::LOCAL_SLACK_SHARE;
 use tokio::time::Instant;
 
 /// Part of the ratio that is spent; the rest covers requests counted by other routers.
@@ -98,7 +98,7 @@
             .unwrap_or(ASSUMED_ROUTERS);
         let age = now.saturating_duration_since(self.started_at);
         let ramp = age.as_secs_f64() / self.window_s();
-        self.rule.slack * OWN_SLACK / f64::from(routers) * ramp.min(1.0)
+        self.rule.slack * LOCAL_SLACK_SHARE / f64::from(routers) * ramp.min(1.0)
     }
 
     fn retries(&self) -> u32 {
--- a/crates/proxy/src/control_peers.rs
+++ b/crates/proxy/src/control_peers.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use railtack_rpc::{ControlClient, ControlConnection, FeatureLevel, KnownLevel, RpcError};
+use railtack_rpc::{ControlClient, ControlConnection, FeatureLevel, GroupLevel, RpcError};
 
 use crate::state::lock;
 
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub struct ControlPeers {
     peers: Mutex<PeerState>,
-    level: KnownLevel,
+    level: GroupLevel,
 }
 
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
 impl ControlPeers {
     /// Updates the feature level of the group.
     pub fn update_level(&self, level: FeatureLevel) {
-        self.level.learn(level);
+        self.level.raise(level);
     }
 
     /// Whether the group supports grants and crash reports. A member of a previous build would
--- a/crates/proxy/src/control_watch.rs
+++ b/crates/proxy/src/control_watch.rs
@@ -13,7 +13,7 @@
 
 use railtack_clock::BootInstant;
 use railtack_rpc::{
-    ControlConnection, call_deadline,
+    ControlConnection, call_context,
     serving::{CONFIRMATION_LIMIT_MS, ServingUpdate, WatchReply, WatchRequest},
 };
 use tokio::time::{Instant, sleep};
@@ -55,8 +55,8 @@
             continue;
         };
         let requested_at = BootInstant::now();
-        let takes_records = targets.is_settled(&state.options.zone, address);
-        let reply = watch(&state, targets.connection(address), takes_records).await;
+        let wants_records = targets.is_settled(&state.options.zone, address);
+        let reply = watch(&state, targets.connection(address), wants_records).await;
         let Some(reply) = reply else {
             if failures_in_a_row == 0 {
                 spdlog::warn!("control lost", kv: { address = address.to_string() });
@@ -112,7 +112,7 @@
         state.metrics.lease_age_ms.set(age.as_millis() as u64);
         let is_confirmed = state.is_confirmed();
         if was_confirmed && !is_confirmed {
-            let known = state.view.load().known.through;
+            let known = state.view.load().known.state;
             spdlog::warn!("lease lost", kv: { known, age_ms = age.as_millis() as u64 });
         }
         was_confirmed = is_confirmed;
@@ -139,7 +139,7 @@
 async fn watch(
     state: &ProxyState,
     connection: Arc<ControlConnection>,
-    takes_records: bool,
+    wants_records: bool,
 ) -> Option<WatchReply> {
     let known = state.view.load().known;
     // Replies are only held if there is nothing to send; missing records arrive immediately.
@@ -148,15 +148,15 @@
         router: state.options.node.clone(),
         known,
         wait_ms: hold_time.as_millis() as u64,
-        takes_records,
-        takes_parts: true,
+        wants_records,
+        accepts_partial: true,
         has_lease: lock(&state.lease).is_valid(BootInstant::now()),
-        sightings: lock(&state.replicas).observations(Instant::now()),
+        observations: lock(&state.replicas).observations(Instant::now()),
     };
     connection
         .call(|client| async move {
             client
-                .watch(call_deadline(hold_time + REPLY_MARGIN), request)
+                .watch(call_context(hold_time + REPLY_MARGIN), request)
                 .await
         })
         .await
@@ -177,12 +177,12 @@
     }
     // The lease covers what the router knows, so all updates are applied before the confirmation.
     // Not all replicas have to be known: in a large fleet their records take seconds to arrive.
-    if state.view.load().known.may_be_served_from() {
+    if state.view.load().known.can_serve() {
         state.apply_confirmation(&reply, requested_at);
     }
     if !was_confirmed && state.is_confirmed() {
         let known = state.view.load().known;
-        spdlog::info!("lease gained", kv: { known = known.through, is_whole = known.is_whole() });
+        spdlog::info!("lease gained", kv: { known = known.state, is_whole = known.is_complete() });
     }
 }
 
@@ -196,9 +196,9 @@
     let table = next.table.as_ref();
     let revision = table.map_or(0, |table| table.configuration().revision);
     spdlog::info!("view updated", kv: {
-        known = next.known.through,
-        changes_known = next.known.changes_through,
-        records_known = next.known.records_through,
+        known = next.known.state,
+        changes_known = next.known.changes,
+        records_known = next.known.records,
         revision,
         replicas = next.replicas.size(),
     });
--- a/crates/proxy/src/fleet_view.rs
+++ b/crates/proxy/src/fleet_view.rs
@@ -59,7 +59,7 @@
             .collect();
         let digest_at = self.digest_at.unwrap_or(now);
         let limited = digest.limited.into_iter().map(|entry| {
-            let age = Duration::from_millis(u64::from(entry.named_ms));
+            let age = Duration::from_millis(u64::from(entry.advertised_age_ms));
             let advertised_at = digest_at.checked_sub(age).unwrap_or(digest_at);
             let limit = entry.limit;
             (
@@ -82,7 +82,10 @@
             .map(|entry| u64::from(entry.open_requests));
         let open = open.sum::<u64>() as f64;
         self.peak = Some((open.max(self.decayed_peak(now)), now));
-        let unresponsive = self.conditions.values().filter(|entry| entry.is_dark);
+        let unresponsive = self
+            .conditions
+            .values()
+            .filter(|entry| entry.is_unresponsive);
         self.unresponsive = unresponsive.count();
         (self.unresponsive != before).then_some(self.unresponsive)
     }
@@ -125,7 +128,7 @@
     /// Whether any router received data from the replica after `since`, according to the digest.
     pub fn responded_since(&self, replica: ReplicaKey, since: Instant) -> bool {
         let last_response_at = self.digest_at.and_then(|digest_at| {
-            let heard_ms = self.condition(replica)?.heard_ms;
+            let heard_ms = self.condition(replica)?.silent_ms;
             digest_at.checked_sub(Duration::from_millis(u64::from(heard_ms)))
         });
         last_response_at.is_some_and(|last_response_at| last_response_at > since)
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -3,10 +3,10 @@
 use std::{sync::Arc, time::Duration};
 
 use railtack_rpc::{
-    call_deadline,
+    call_context,
     permits::{PermitReply, PermitRequest},
 };
-use railtack_serving::{Moment, NamedLimit, ReplicaKey, RequestLimit};
+use railtack_serving::{AdvertisedLimit, MonotonicTime, ReplicaKey, RequestLimit};
 use tokio::time::Instant;
 
 use crate::{
@@ -18,7 +18,7 @@
 const DIGEST_LAG: Duration = Duration::from_secs(1);
 
 impl PermitClient for ProxyState {
-    fn uptime(&self) -> Moment {
+    fn uptime(&self) -> MonotonicTime {
         ProxyState::uptime(self)
     }
 
@@ -26,7 +26,7 @@
         let local = lock(&self.replicas).availability.limit(life);
         let local = local.map(|named| KnownLimit {
             limit: named.limit,
-            age: self.uptime().saturating_sub(named.named_at),
+            age: self.uptime().saturating_sub(named.advertised_at),
             advertised_here: Some(named),
         });
         let now = Instant::now();
@@ -42,30 +42,32 @@
             .min_by_key(|known| known.age)
     }
 
-    fn permit_requests_suspended_until(&self) -> Moment {
+    fn permit_requests_suspended_until(&self) -> MonotonicTime {
         *lock(&self.permit_requests_suspended_until)
     }
 
-    fn suspend_permit_requests(&self, until: Moment) {
+    fn suspend_permit_requests(&self, until: MonotonicTime) {
         *lock(&self.permit_requests_suspended_until) = until;
     }
 
-    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: Moment) {
+    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
         self.metrics.permits_withheld.inc();
         let mut replicas = lock(&self.replicas);
-        replicas.availability.has_room_at(life, limit, room_at);
+        replicas
+            .availability
+            .set_limited_until(life, limit, room_at);
     }
 
-    fn clear_limit(&self, life: &str, named_at: Moment) {
+    fn clear_limit(&self, life: &str, named_at: MonotonicTime) {
         let mut replicas = lock(&self.replicas);
-        replicas.availability.limit_is_over(life, named_at);
+        replicas.availability.clear_limit(life, named_at);
     }
 
     async fn ask_leader(&self, question: PermitRequest, limit: Duration) -> Option<PermitReply> {
         let asked = self
             .control_peers
             .call("permit", |client| async move {
-                client.take_permit(call_deadline(limit), question).await
+                client.take_permit(call_context(limit), question).await
             })
             .await;
         let (reply, address) = asked?;
@@ -84,13 +86,13 @@
 pub fn resend_unknown_limits(state: &Arc<ProxyState>) {
     let uptime = state.uptime();
     let now = Instant::now();
-    let unreported: Vec<(String, NamedLimit)> = {
+    let unreported: Vec<(String, AdvertisedLimit)> = {
         let replicas = lock(&state.replicas);
         let fleet = lock(&state.fleet);
         let named = replicas.availability.limits();
         named
             .filter(|(life, limit)| {
-                limit.named_at + DIGEST_LAG < uptime
+                limit.advertised_at + DIGEST_LAG < uptime
                     && fleet.limit(ReplicaKey::of(life), now).is_none()
             })
             .map(|(life, limit)| (life.to_owned(), limit))
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -10,10 +10,10 @@
 
 use railtack_clock::BootInstant;
 use railtack_rpc::{
-    permits::{LimitStatement, PermitReply, PermitRequest, PermitStamp},
-    serving::GRANT_LIFE,
+    permits::{LimitReport, PermitReply, PermitRequest, PermitStamp},
+    serving::GRANT_TTL,
 };
-use railtack_serving::{Moment, NamedLimit, RequestLimit, StatedLimit};
+use railtack_serving::{AdvertisedLimit, LimitHeader, MonotonicTime, RequestLimit};
 use tokio::time::sleep;
 
 /// Maximum timeout of one permit request.
@@ -40,7 +40,7 @@
 
 impl Permit {
     fn is_fresh(&self) -> bool {
-        self.requested_at.elapsed() <= GRANT_LIFE
+        self.requested_at.elapsed() <= GRANT_TTL
     }
 
     fn limit(&self) -> Option<RequestLimit> {
@@ -69,23 +69,23 @@
     /// Time since it was advertised.
     pub age: Duration,
     /// The limit that the back end advertised to this router.
-    pub advertised_here: Option<NamedLimit>,
+    pub advertised_here: Option<AdvertisedLimit>,
 }
 
 /// Access to a router's limits and to the leader, as needed for permits.
 pub trait PermitClient: Send + Sync + 'static {
     /// Returns the time since the router started.
-    fn uptime(&self) -> Moment;
+    fn uptime(&self) -> MonotonicTime;
     /// Returns the known limit of a back end; `None` if it has none.
     fn known_limit(&self, life: &str) -> Option<KnownLimit>;
     /// Returns the end of the pause in permit requests after a call without a reply.
-    fn permit_requests_suspended_until(&self) -> Moment;
+    fn permit_requests_suspended_until(&self) -> MonotonicTime;
     /// Pauses permit requests because no leader replied.
-    fn suspend_permit_requests(&self, until: Moment);
+    fn suspend_permit_requests(&self, until: MonotonicTime);
     /// Records that a limit has no room before `room_at`.
-    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: Moment);
+    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime);
     /// Removes a limit that was last advertised to this router at `named_at` or earlier.
-    fn clear_limit(&self, life: &str, named_at: Moment);
+    fn clear_limit(&self, life: &str, named_at: MonotonicTime);
     /// Calls the presumed leader; returns `None` without a reply.
     fn ask_leader(
         &self,
@@ -125,8 +125,8 @@
     }
     let requested_at = BootInstant::now();
     let request = PermitRequest {
-        life: life.to_owned(),
-        statement: LimitStatement {
+        incarnation_id: life.to_owned(),
+        report: LimitReport {
             limit: Some(known.limit),
             age_ms: milliseconds(known.age),
             permit: None,
@@ -135,13 +135,14 @@
     };
     let limit = MAX_PERMIT_REQUEST_TIME.min(objective / PERMIT_REQUEST_DIVISOR);
     match router.ask_leader(request, limit).await {
-        Some(PermitReply::Given { limit, stamp }) => PermitDecision::Granted(Some(Permit {
+        Some(PermitReply::Granted { limit, stamp }) => PermitDecision::Granted(Some(Permit {
             requested_at,
             grant: Some((limit, stamp)),
         })),
-        Some(PermitReply::Withheld { limit, room_in_ms }) => {
-            deny(limit, Duration::from_millis(u64::from(room_in_ms)))
-        }
+        Some(PermitReply::Denied {
+            limit,
+            retry_after_ms,
+        }) => deny(limit, Duration::from_millis(u64::from(retry_after_ms))),
         Some(PermitReply::Unlimited) => {
             clear_limit(router, life, known.advertised_here);
             let grant = None;
@@ -163,19 +164,19 @@
     router: &Arc<R>,
     life: &str,
     permit: Option<Permit>,
-    advertised: StatedLimit,
+    advertised: LimitHeader,
     is_new: bool,
 ) {
     let limit = match advertised {
-        StatedLimit::Named(limit) => Some(limit),
-        StatedLimit::NotNamed => None,
-        StatedLimit::Unreadable(_) => return,
+        LimitHeader::Present(limit) => Some(limit),
+        LimitHeader::Absent => None,
+        LimitHeader::Invalid(_) => return,
     };
     let differs = permit.is_some_and(|permit| permit.limit() != limit);
     if !differs && !is_new {
         return;
     }
-    let statement = LimitStatement {
+    let statement = LimitReport {
         limit,
         age_ms: 0,
         permit: permit.and_then(|permit| permit.stamp()),
@@ -185,22 +186,22 @@
 
 /// Reports a limit again that was advertised to this router. The leader may not know it, or may
 /// reply that it no longer exists.
-pub fn resend_limit<R: PermitClient>(router: &Arc<R>, life: String, named: NamedLimit) {
-    let statement = LimitStatement {
+pub fn resend_limit<R: PermitClient>(router: &Arc<R>, life: String, named: AdvertisedLimit) {
+    let statement = LimitReport {
         limit: Some(named.limit),
-        age_ms: milliseconds(router.uptime().saturating_sub(named.named_at)),
+        age_ms: milliseconds(router.uptime().saturating_sub(named.advertised_at)),
         permit: None,
     };
     tokio::spawn(report_limit(Arc::clone(router), life, statement));
 }
 
-async fn report_limit<R: PermitClient>(router: Arc<R>, life: String, report: LimitStatement) {
+async fn report_limit<R: PermitClient>(router: Arc<R>, life: String, report: LimitReport) {
     let started_at = router.uptime();
     let received_at = started_at.saturating_sub(Duration::from_millis(u64::from(report.age_ms)));
     for _ in 0..REPORT_ATTEMPTS {
         let request = PermitRequest {
-            life: life.clone(),
-            statement: LimitStatement {
+            incarnation_id: life.clone(),
+            report: LimitReport {
                 age_ms: milliseconds(router.uptime().saturating_sub(received_at)),
                 ..report
             },
@@ -215,7 +216,7 @@
                 clear_limit(
                     &*router,
                     &life,
-                    named.filter(|named| named.named_at <= started_at),
+                    named.filter(|named| named.advertised_at <= started_at),
                 );
                 return;
             }
@@ -230,7 +231,7 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn clear_limit(router: &impl PermitClient, life: &str, named: Option<NamedLimit>) {
+fn clear_limit(router: &impl PermitClient, life: &str, named: Option<AdvertisedLimit>) {
     let Some(named) = named else {
         return;
     };
@@ -238,5 +239,5 @@
         replica = life.to_owned(),
         per_s = named.limit.requests_per_s(),
     });
-    router.clear_limit(life, named.named_at);
+    router.clear_limit(life, named.advertised_at);
 }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -4,7 +4,7 @@
 
 use hyper::Response;
 use railtack_http::Body;
-use railtack_rpc::serving::ENDS_TO_QUARANTINE;
+use railtack_rpc::serving::CRASHES_TO_QUARANTINE;
 use railtack_serving::{ContentKey, RequestContent};
 use tokio::time::Instant;
 
@@ -366,7 +366,7 @@
     /// Whether the request must not be sent to another replica, because it is quarantined or its
     /// connections broke so often that it would be if those replicas crashed.
     fn may_crash_another(&self) -> bool {
-        let reached_crash_limit = self.broken_connections >= ENDS_TO_QUARANTINE;
+        let reached_crash_limit = self.broken_connections >= CRASHES_TO_QUARANTINE;
         reached_crash_limit || self.state.quarantine_retry_after(self.content).is_some()
     }
 
@@ -396,7 +396,7 @@
             proof = format!("{:?}", failed.proof),
             status = failed.status.unwrap_or_default(),
             back_off_ms = failed.notice.back_off.map_or(0, |time| time.as_millis() as u64),
-            known = self.state.view.load().known.through,
+            known = self.state.view.load().known.state,
         });
         self.state.metrics.record_exchange_end(failed.cause);
         failed
--- a/crates/proxy/src/quarantine.rs
+++ b/crates/proxy/src/quarantine.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use railtack_rpc::serving::{QUARANTINE_TIME, QuarantineUpdate};
+use railtack_rpc::serving::{QUARANTINE_DURATION, QuarantineUpdate};
 use railtack_serving::ContentKey;
 use tokio::time::Instant;
 
@@ -78,7 +78,7 @@
             .into_keys()
             .filter(|content| !self.quarantined.contains_key(content));
         changes.extend(released.map(QuarantineChange::Released));
-        self.watched = update.watched.iter().copied().collect();
+        self.watched = update.suspected.iter().copied().collect();
         self.suspected.clone_from(&self.watched);
         self.reports_complete_at = Some(now + REPORT_SETTLE_TIME);
         changes
@@ -88,7 +88,11 @@
     pub fn retry_after(&self, content: ContentKey, now: Instant) -> Option<Duration> {
         let since = self.quarantined.get(&content)?;
         let passed = now.saturating_duration_since(*since);
-        Some(QUARANTINE_TIME.saturating_sub(passed).max(MIN_RETRY_AFTER))
+        Some(
+            QUARANTINE_DURATION
+                .saturating_sub(passed)
+                .max(MIN_RETRY_AFTER),
+        )
     }
 
     /// Whether the request is suspected but not quarantined.
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -8,8 +8,8 @@
 
 use railtack_clock::BootInstant;
 use railtack_rpc::{
-    call_deadline,
-    serving::{GRANT_LIFE, QuotaReply, QuotaRequest, QuotaSubject},
+    call_context,
+    serving::{GRANT_TTL, QuotaReply, QuotaRequest, QuotaSubject},
 };
 use tokio::time::{Instant, sleep};
 
@@ -59,7 +59,7 @@
         subject: QuotaSubject::Tenant {
             name: tenant.clone(),
         },
-        stated_tokens: request.stated_tokens,
+        declared_tokens: request.stated_tokens,
         longest_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
     };
     loop {
@@ -97,7 +97,7 @@
         subject: QuotaSubject::Retries {
             service: service.to_owned(),
         },
-        stated_tokens: None,
+        declared_tokens: None,
         longest_wait_ms: 0,
     };
     loop {
@@ -140,7 +140,7 @@
     let response = state
         .control_peers
         .call("quota", |client| async move {
-            client.take_quota(call_deadline(limit), sent).await
+            client.take_quota(call_context(limit), sent).await
         })
         .await;
     let Some((reply, address)) = response else {
@@ -159,7 +159,7 @@
         } => {
             spdlog::info!("quota exhausted", kv: {
                 subject = format!("{:?}", grant_request.subject),
-                stated_tokens = grant_request.stated_tokens.unwrap_or_default(),
+                stated_tokens = grant_request.declared_tokens.unwrap_or_default(),
                 rate_per_s,
                 level,
                 // The leader that refused, and the age of its reply.
@@ -182,7 +182,7 @@
 async fn wait_for_grant(requested_at: BootInstant, wait_ms: u32) -> GrantOutcome {
     let wait = Duration::from_millis(u64::from(wait_ms));
     sleep(wait).await;
-    if requested_at.elapsed() <= wait + GRANT_LIFE {
+    if requested_at.elapsed() <= wait + GRANT_TTL {
         GrantOutcome::Granted
     } else {
         GrantOutcome::Unanswered
--- a/crates/proxy/src/replicas.rs
+++ b/crates/proxy/src/replicas.rs
@@ -6,8 +6,8 @@
     time::Duration,
 };
 
-use railtack_rpc::serving::ReplicaSighting;
-use railtack_serving::{Availability, Moment, Policy, ReplicaKey};
+use railtack_rpc::serving::ReplicaObservation;
+use railtack_serving::{Availability, MonotonicTime, Policy, ReplicaKey};
 use tokio::time::Instant;
 
 use crate::{
@@ -73,7 +73,7 @@
     }
 
     /// Returns the recent observations of the replica; `None` if it is not in use.
-    fn observation(&self, replica: &str, now: Instant) -> Option<ReplicaSighting> {
+    fn observation(&self, replica: &str, now: Instant) -> Option<ReplicaObservation> {
         let last_response_at = *lock(&self.last_response_at);
         let load = *self.load();
         let silence = now.saturating_duration_since(last_response_at);
@@ -85,12 +85,12 @@
         let last_activity = last_response_at.max(load.busy_since);
         let is_unanswered =
             is_waiting && now.saturating_duration_since(last_activity) > UNRESPONSIVE_AFTER;
-        Some(ReplicaSighting {
+        Some(ReplicaObservation {
             replica: ReplicaKey::of(replica),
             open_requests: u16::try_from(load.open_requests).unwrap_or(u16::MAX),
-            unread_tokens: u32::try_from(load.pending_prefill_tokens).unwrap_or(u32::MAX),
-            heard_ms: u16::try_from(silence.as_millis()).unwrap_or(u16::MAX),
-            waiting_in_vain: u16::from(is_unanswered || unreachable),
+            pending_prefill_tokens: u32::try_from(load.pending_prefill_tokens).unwrap_or(u32::MAX),
+            silent_ms: u16::try_from(silence.as_millis()).unwrap_or(u16::MAX),
+            stalled_routers: u16::from(is_unanswered || unreachable),
         })
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// Returns the recent observations of all replicas in use.
-    pub fn observations(&self, now: Instant) -> Vec<ReplicaSighting> {
+    pub fn observations(&self, now: Instant) -> Vec<ReplicaObservation> {
         let handles = self.handles.iter();
         handles
             .filter_map(|(replica, handle)| handle.observation(replica, now))
@@ -259,8 +259,8 @@
     }
 
     /// Closes expired connections and removes expired signals.
-    pub fn remove_expired(&mut self, now: Moment) {
-        self.availability.forget_past(now);
+    pub fn remove_expired(&mut self, now: MonotonicTime) {
+        self.availability.remove_expired(now);
         for replica in self.handles.values() {
             replica.pool.close_expired();
         }
--- a/crates/proxy/src/retry_pacing.rs
+++ b/crates/proxy/src/retry_pacing.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use railtack_serving::Moment;
+use railtack_serving::MonotonicTime;
 
 /// Longest retry delay; limits change within seconds.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetryPacer {
     /// Earliest retry time of the next caller.
-    next: Moment,
+    next: MonotonicTime,
 }
 
 impl RetryPacer {
@@ -25,7 +25,7 @@
     /// together the replicas allow `per_s` requests per second to `routers` routers.
     pub fn next_retry_after(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         available_in: Duration,
         per_s: f64,
         routers: u32,
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -9,7 +9,8 @@
 };
 
 use railtack_serving::{
-    Availability, Moment, ReplicaKey, ReplicaRecord, RequestLimit, ServingConfiguration, StoreShape,
+    Availability, MonotonicTime, ReplicaKey, ReplicaRecord, RequestLimit, ServingConfiguration,
+    StoreConfig,
 };
 use tokio::time::{Instant, sleep, timeout_at};
 
@@ -145,7 +146,7 @@
         target.backlog = self.prefill_backlog(&candidate, &target, ranked);
         if let Some(retry_after) = self.overload_retry_after(target.backlog) {
             self.log
-                .record_candidate(&target, &candidate, cost, view.known.through);
+                .record_candidate(&target, &candidate, cost, view.known.state);
             return Err(NoTarget::TooLate { retry_after });
         }
         let store = self.store(configuration);
@@ -158,7 +159,7 @@
             .filter(|_| self.should_save(target.cached_tokens, configuration))
             .map(|store| store.address.clone());
         self.log
-            .record_selection(&target, &candidate, cost, view.known.through);
+            .record_selection(&target, &candidate, cost, view.known.state);
         self.log.prefix = self.path.key().unwrap_or_default();
         self.log.shared_tokens = self.path.shared_tokens();
         self.log.weights = self.expected_weights(&target.record).unwrap_or_default();
@@ -226,7 +227,7 @@
         let fleet = fleet.as_deref();
         let is_usable = |record: &ReplicaRecord| {
             let is_unresponsive = fleet.is_some_and(|fleet| is_unresponsive(fleet, record));
-            !is_unresponsive && availability.takes(&record.id, uptime)
+            !is_unresponsive && availability.accepts_requests(&record.id, uptime)
         };
         let policy = self.state.options.policy;
         let home = self.path.key().filter(|_| policy.homes);
@@ -282,7 +283,7 @@
         for (rank, record) in ranked.iter().copied().enumerate() {
             let handle = table.handle(&record.id, now);
             let shared = fleet.as_ref().map(|fleet| shared_load(fleet, record));
-            let accepts = table.availability.takes(&record.id, uptime);
+            let accepts = table.availability.accepts_requests(&record.id, uptime);
             let is_paused = policy.pauses && !handle.is_available(now);
             if !accepts || is_paused || !handle.pool.has_capacity(connection_limit) {
                 continue;
@@ -384,7 +385,7 @@
     }
 
     /// Returns the store for this prompt's prefix; every router picks the same one.
-    fn store<'a>(&self, configuration: &'a ServingConfiguration) -> Option<&'a StoreShape> {
+    fn store<'a>(&self, configuration: &'a ServingConfiguration) -> Option<&'a StoreConfig> {
         let key = self.path.key()?;
         stores(configuration).max_by_key(|store| rendezvous(key, &store.address))
     }
@@ -426,7 +427,7 @@
     }
 }
 
-fn stores(configuration: &ServingConfiguration) -> impl Iterator<Item = &StoreShape> {
+fn stores(configuration: &ServingConfiguration) -> impl Iterator<Item = &StoreConfig> {
     let services = configuration.services.iter();
     services.filter_map(|service| service.store.as_ref())
 }
@@ -435,18 +436,18 @@
 fn no_eligible_cause(
     ranked: &[&Arc<ReplicaRecord>],
     availability: &Availability,
-    now: Moment,
+    now: MonotonicTime,
 ) -> NoTarget {
     let delays = ranked
         .iter()
-        .filter_map(|record| availability.opens_in(&record.id, now));
+        .filter_map(|record| availability.available_in(&record.id, now));
     let available_in = delays.min().unwrap_or_default();
     if available_in.is_zero() {
         return NoTarget::NoneAvailable;
     }
     let exhausted = ranked
         .iter()
-        .filter_map(|record| availability.full_limit(&record.id, now));
+        .filter_map(|record| availability.exhausted_limit(&record.id, now));
     let per_s: f64 = exhausted.clone().map(RequestLimit::requests_per_s).sum();
     if exhausted.count() == 0 {
         return NoTarget::BackingOff { available_in };
@@ -463,7 +464,7 @@
         return false;
     }
     let condition = fleet.condition(ReplicaKey::of(&record.id));
-    condition.is_some_and(|condition| condition.is_dark)
+    condition.is_some_and(|condition| condition.is_unresponsive)
 }
 
 /// Returns the load of all routers at a replica; a replica missing from the digest is idle.
@@ -471,6 +472,6 @@
     let condition = fleet.condition(ReplicaKey::of(&record.id));
     condition.map_or_else(SharedLoad::default, |condition| SharedLoad {
         open_requests: u32::from(condition.open_requests),
-        pending_prefill_tokens: u64::from(condition.unread_tokens),
+        pending_prefill_tokens: u64::from(condition.pending_prefill_tokens),
     })
 }
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -13,7 +13,7 @@
 use arc_swap::ArcSwap;
 use railtack_clock::BootInstant;
 use railtack_rpc::serving::{QuarantineUpdate, WatchReply};
-use railtack_serving::{Bounds, CallerLimits, ContentKey, Moment, Policy};
+use railtack_serving::{Bounds, CallerLimits, ContentKey, MonotonicTime, Policy};
 use tokio::{
     sync::{Notify, Semaphore, watch},
     time::Instant,
@@ -86,7 +86,7 @@
     pub routers: AtomicU32,
     budgets: Mutex<HashMap<String, RetryBudget>>,
     /// Time until which no permits are requested, because a call got no reply.
-    pub permit_requests_suspended_until: Mutex<Moment>,
+    pub permit_requests_suspended_until: Mutex<MonotonicTime>,
     retry_pacers: Mutex<HashMap<String, RetryPacer>>,
     save_budget: Mutex<SaveBudget>,
     weight_versions: Mutex<WeightVersions>,
@@ -169,7 +169,7 @@
     }
 
     /// Returns the time since the router started.
-    pub fn uptime(&self) -> Moment {
+    pub fn uptime(&self) -> MonotonicTime {
         self.started.elapsed()
     }
 
@@ -178,7 +178,7 @@
         let before = self.view.load_full();
         lock(&self.replicas).apply_view(&before, &next);
         lock(&self.weight_versions).update(&next.weights, Instant::now());
-        let known = next.known.through;
+        let known = next.known.state;
         self.metrics
             .set_replicas(next.replicas.values().map(|record| &**record));
         if let Some(table) = &next.table {
@@ -237,7 +237,7 @@
         if gained {
             // Requests that wait for the first lease are woken like those that wait for a view.
             self.view_changed
-                .send_replace(self.view.load().known.through);
+                .send_replace(self.view.load().known.state);
         }
         gained
     }
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -5,8 +5,8 @@
     sync::{Arc, OnceLock},
 };
 
-use railtack_rpc::serving::{Known, ServingUpdate};
-use railtack_serving::{Life, ReplicaRecord, ReplicaState, RouteTable};
+use railtack_rpc::serving::{ServingUpdate, WatchPosition};
+use railtack_serving::{Incarnation, ReplicaRecord, ReplicaState, RouteTable};
 use rpds::RedBlackTreeMapSync;
 
 use crate::homes::Ring;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ServingView {
     /// Positions in the control group's log up to which the view is complete.
-    pub known: Known,
+    pub known: WatchPosition,
     /// Routes, services and tenants; `None` until the first configuration is received.
     pub table: Option<Arc<RouteTable>>,
     /// Replicas by incarnation id. A persistent map: views share unchanged records.
@@ -30,7 +30,7 @@
     /// Returns the view after an update; `None` if the update is not newer.
     pub fn updated(&self, update: ServingUpdate) -> Option<Self> {
         let received = update.known;
-        let is_older = received.through < self.known.through;
+        let is_older = received.state < self.known.state;
         if is_older || received == self.known {
             return None;
         }
@@ -59,12 +59,12 @@
 
     /// Removes an incarnation of a replica and all older ones.
     fn remove_incarnations_up_to(&mut self, name: &str) {
-        let last = Life::named(name);
-        let lives = Life::names_of(last.replica);
+        let last = Incarnation::parse(name);
+        let lives = Incarnation::id_range(last.replica);
         let known = self.replicas.range(lives).map(|(name, _)| name);
         let ended = known.filter(|known| {
-            let life = Life::named(known);
-            life.replica == last.replica && life.born_ms <= last.born_ms
+            let life = Incarnation::parse(known);
+            life.replica == last.replica && life.started_ms <= last.started_ms
         });
         let ended: Vec<String> = ended.cloned().collect();
         for life in ended {
--- a/crates/proxy/tests/control_watch.rs
+++ b/crates/proxy/tests/control_watch.rs
@@ -15,7 +15,7 @@
 use railtack_consensus::{Message, ReplicaId};
 use railtack_proxy::control_watch::run_watch;
 use railtack_rpc::{
-    Control, FeatureLevel, Sender,
+    Control, FeatureLevel, PeerInfo,
     codec::ServerCodec,
     permits::{PermitReply, PermitRequest},
     protocol::{
@@ -24,8 +24,8 @@
     },
     service::{ControlRequest, ControlResponse},
     serving::{
-        AliveNotice, AliveReply, JoinReply, JoinRequest, Known, QuotaReply, QuotaRequest,
-        ReadIndexReply, ServingUpdate, SuspectStatus, WatchReply, WatchRequest,
+        JoinReply, JoinRequest, LivenessReply, LivenessReport, QuotaReply, QuotaRequest,
+        ReadIndexReply, ServingUpdate, SuspectStatus, WatchPosition, WatchReply, WatchRequest,
     },
 };
 use railtack_serving::ServingConfiguration;
@@ -68,7 +68,7 @@
 impl Control for ControlStub {
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
         self.counts.total.fetch_add(1, Ordering::Relaxed);
-        if request.takes_records {
+        if request.wants_records {
             self.counts.for_records.fetch_add(1, Ordering::Relaxed);
         }
         WatchReply {
@@ -79,11 +79,11 @@
             routers: 1_000,
             update: self.update,
             fleet: None,
-            group_level: FeatureLevel::OF_THIS_BUILD,
+            group_level: FeatureLevel::SUPPORTED,
         }
     }
 
-    async fn deliver(self, _: Context, _: Message, _: Sender) {
+    async fn deliver(self, _: Context, _: Message, _: PeerInfo) {
         pending().await
     }
 
@@ -119,7 +119,7 @@
         pending().await
     }
 
-    async fn alive(self, _: Context, _: AliveNotice) -> AliveReply {
+    async fn alive(self, _: Context, _: LivenessReport) -> LivenessReply {
         pending().await
     }
 
@@ -176,7 +176,7 @@
 }
 
 /// Whether a router that receives `known` gains a lease within 500 ms.
-async fn gains_lease(known: Known) -> bool {
+async fn gains_lease(known: WatchPosition) -> bool {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let update = ServingUpdate {
@@ -200,10 +200,10 @@
 /// In a large fleet, the last records arrive seconds after the first ones.
 #[tokio::test]
 async fn a_router_serves_before_it_knows_all_replicas() {
-    let first_of_many = Known {
-        through: 980,
-        changes_through: 980,
-        records_through: 109,
+    let first_of_many = WatchPosition {
+        state: 980,
+        changes: 980,
+        records: 109,
     };
     assert!(gains_lease(first_of_many).await);
 }
@@ -211,10 +211,10 @@
 /// A known replica may have announced its shutdown since.
 #[tokio::test]
 async fn a_router_does_not_serve_from_outdated_records() {
-    let lagging = Known {
-        through: 980,
-        changes_through: 975,
-        records_through: 109,
+    let lagging = WatchPosition {
+        state: 980,
+        changes: 975,
+        records: 109,
     };
     assert!(!gains_lease(lagging).await);
 }
@@ -222,10 +222,10 @@
 /// A control replica in another zone sends the configuration without replica records.
 #[tokio::test]
 async fn a_router_does_not_serve_before_it_knows_any_replica() {
-    let without_records = Known {
-        through: 980,
-        changes_through: 980,
-        records_through: 0,
+    let without_records = WatchPosition {
+        state: 980,
+        changes: 980,
+        records: 0,
     };
     assert!(!gains_lease(without_records).await);
 }
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -36,7 +36,7 @@
         routers: 1,
         update: None,
         fleet: None,
-        group_level: FeatureLevel::OF_THIS_BUILD,
+        group_level: FeatureLevel::SUPPORTED,
     }
 }
 
@@ -361,7 +361,7 @@
         limited: vec![LimitedReplica {
             replica,
             limit,
-            named_ms: 40,
+            advertised_age_ms: 40,
         }],
         ..FleetDigest::default()
     };
@@ -506,12 +506,12 @@
 #[test]
 fn an_old_digest_is_not_used() {
     let start = Instant::now() + milliseconds(10_000);
-    let condition = |replica: &str, is_dark| ReplicaCondition {
+    let condition = |replica: &str, is_unresponsive| ReplicaCondition {
         replica: ReplicaKey::of(replica),
         open_requests: 3,
-        unread_tokens: 500,
-        heard_ms: 200,
-        is_dark,
+        pending_prefill_tokens: 500,
+        silent_ms: 200,
+        is_unresponsive,
     };
     let digest = FleetDigest {
         limited: Vec::new(),
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -10,9 +10,9 @@
 };
 use railtack_rpc::{
     permits::{PermitReply, PermitRequest, PermitStamp},
-    serving::GRANT_LIFE,
+    serving::GRANT_TTL,
 };
-use railtack_serving::{Moment, NamedLimit, RequestLimit, StatedLimit};
+use railtack_serving::{AdvertisedLimit, LimitHeader, MonotonicTime, RequestLimit};
 use tokio::time::{Instant, advance};
 
 const INCARNATION: &str = "i-1";
@@ -35,8 +35,8 @@
     /// Reply of the leader; `None` if it is unavailable.
     reply: Option<PermitReply>,
     requests: Vec<PermitRequest>,
-    permit_requests_suspended_until: Moment,
-    room_at: Option<Moment>,
+    permit_requests_suspended_until: MonotonicTime,
+    room_at: Option<MonotonicTime>,
 }
 
 impl Router {
@@ -57,7 +57,7 @@
 }
 
 impl PermitClient for Router {
-    fn uptime(&self) -> Moment {
+    fn uptime(&self) -> MonotonicTime {
         self.started.elapsed()
     }
 
@@ -66,26 +66,26 @@
         Some(KnownLimit {
             limit,
             age: Duration::from_millis(40),
-            advertised_here: Some(NamedLimit {
+            advertised_here: Some(AdvertisedLimit {
                 limit,
-                named_at: self.uptime(),
+                advertised_at: self.uptime(),
             }),
         })
     }
 
-    fn permit_requests_suspended_until(&self) -> Moment {
+    fn permit_requests_suspended_until(&self) -> MonotonicTime {
         self.state().permit_requests_suspended_until
     }
 
-    fn suspend_permit_requests(&self, until: Moment) {
+    fn suspend_permit_requests(&self, until: MonotonicTime) {
         self.state().permit_requests_suspended_until = until;
     }
 
-    fn record_denied(&self, _: &str, _: RequestLimit, room_at: Moment) {
+    fn record_denied(&self, _: &str, _: RequestLimit, room_at: MonotonicTime) {
         self.state().room_at = Some(room_at);
     }
 
-    fn clear_limit(&self, _: &str, _: Moment) {
+    fn clear_limit(&self, _: &str, _: MonotonicTime) {
         // Digests still contain the limit for a while.
     }
 
@@ -97,7 +97,7 @@
 }
 
 fn granted() -> Option<PermitReply> {
-    Some(PermitReply::Given {
+    Some(PermitReply::Granted {
         limit: limit(2.0),
         stamp: STAMP,
     })
@@ -124,12 +124,12 @@
     let permit = acquired(&router).await;
     assert!(lacks_valid_permit(&*router, INCARNATION, None));
     assert!(!lacks_valid_permit(&*router, INCARNATION, permit));
-    advance(GRANT_LIFE + Duration::from_millis(1)).await;
+    advance(GRANT_TTL + Duration::from_millis(1)).await;
     assert!(lacks_valid_permit(&*router, INCARNATION, permit));
     let request = router.state().requests[0].clone();
     assert!(request.wants_permit);
-    assert_eq!(request.statement.limit, Some(limit(2.0)));
-    assert_eq!(request.statement.age_ms, 40);
+    assert_eq!(request.report.limit, Some(limit(2.0)));
+    assert_eq!(request.report.age_ms, 40);
 }
 
 /// Guards against a loop of selections and denied permits between the removal of a limit at the
@@ -139,7 +139,7 @@
     let router = Router::new(Some(limit(2.0)), Some(PermitReply::Unlimited));
     let permit = acquired(&router).await;
     assert!(!lacks_valid_permit(&*router, INCARNATION, permit));
-    advance(GRANT_LIFE + Duration::from_millis(1)).await;
+    advance(GRANT_TTL + Duration::from_millis(1)).await;
     assert!(
         lacks_valid_permit(&*router, INCARNATION, permit),
         "a limit may exist again"
@@ -172,17 +172,17 @@
         router.state().requests.get(before).cloned()
     };
     assert_eq!(
-        report_for(StatedLimit::Named(limit(2.0)), false).await,
+        report_for(LimitHeader::Present(limit(2.0)), false).await,
         None
     );
-    let lowered = report_for(StatedLimit::Named(limit(1.0)), true).await;
-    let statement = lowered.expect("a report").statement;
+    let lowered = report_for(LimitHeader::Present(limit(1.0)), true).await;
+    let statement = lowered.expect("a report").report;
     assert_eq!(statement.limit, Some(limit(1.0)));
     assert_eq!(statement.permit, Some(STAMP));
-    let none = report_for(StatedLimit::NotNamed, false)
+    let none = report_for(LimitHeader::Absent, false)
         .await
         .expect("a report");
-    assert_eq!(none.statement.limit, None);
-    assert_eq!(none.statement.permit, Some(STAMP));
+    assert_eq!(none.report.limit, None);
+    assert_eq!(none.report.permit, Some(STAMP));
     assert!(!none.wants_permit);
 }
--- a/crates/proxy/tests/quarantine.rs
+++ b/crates/proxy/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use railtack_proxy::quarantine::{
     CrashTracker, QuarantineChange, QuarantineState, REPORT_SETTLE_TIME,
 };
-use railtack_rpc::serving::{QUARANTINE_TIME, QuarantineUpdate};
+use railtack_rpc::serving::{QUARANTINE_DURATION, QuarantineUpdate};
 use railtack_serving::ContentKey;
 use tokio::time::Instant;
 
@@ -16,7 +16,7 @@
     QuarantineUpdate {
         changed_at,
         quarantined: quarantined.to_vec(),
-        watched: vec![OTHER],
+        suspected: vec![OTHER],
     }
 }
 
@@ -29,16 +29,16 @@
     assert_eq!(changes, [QuarantineChange::Quarantined(FATAL)]);
     assert!(state.should_report_success(FATAL) && state.should_report_success(OTHER));
     assert!(!state.should_report_success(OTHER), "reported once");
-    assert_eq!(state.retry_after(FATAL, start), Some(QUARANTINE_TIME));
+    assert_eq!(state.retry_after(FATAL, start), Some(QUARANTINE_DURATION));
     assert_eq!(state.retry_after(OTHER, start), None);
     // Repeating a quarantine does not restart its time.
     let later = start + Duration::from_secs(100);
     assert_eq!(state.apply(&update(6, &[FATAL]), later), []);
-    let left = QUARANTINE_TIME - Duration::from_secs(100);
+    let left = QUARANTINE_DURATION - Duration::from_secs(100);
     assert_eq!(state.retry_after(FATAL, later), Some(left));
     assert!(
         state
-            .retry_after(FATAL, start + QUARANTINE_TIME * 2)
+            .retry_after(FATAL, start + QUARANTINE_DURATION * 2)
             .is_some()
     );
 }
--- a/crates/proxy/tests/retry_pacing.rs
+++ b/crates/proxy/tests/retry_pacing.rs
@@ -4,9 +4,9 @@
 
 use quickcheck::quickcheck;
 use railtack_proxy::retry_pacing::RetryPacer;
-use railtack_serving::Moment;
+use railtack_serving::MonotonicTime;
 
-const NOW: Moment = Moment::from_secs(100);
+const NOW: MonotonicTime = MonotonicTime::from_secs(100);
 const AVAILABLE_IN: Duration = Duration::from_millis(200);
 
 #[test]
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,14 +1,14 @@
-//! What the data plane serves from, independent of how operators wrote it down.
+//! Resolved data-plane state, independent of the format in which operators write the configuration.
 //!
-//! Whole documents and templates both come to a [`ServingConfiguration`]. The replicated state of
-//! the control group keeps it beside the [`ReplicaRecord`]s of back ends and the weights that
-//! operators named; routers hold copies. There is no I/O and no clock in this crate.
+//! Configuration documents and templates are both resolved to a [`ServingConfiguration`]. The
+//! control group replicates it together with the [`ReplicaRecord`]s of back ends and the target
+//! weights set by operators; routers hold copies. This crate performs no I/O and reads no clock.
 
 pub mod availability;
 pub mod configuration;
 pub mod content;
 pub mod errors;
-pub mod life;
+pub mod incarnation;
 pub mod limit;
 pub mod lookup;
 pub mod policy;
@@ -17,17 +17,19 @@
 pub mod retries;
 pub mod settings;
 
-pub use availability::{Announced, Availability, BackEndNotice, Moment, NamedLimit, News};
+pub use availability::{
+    AdvertisedLimit, AdvertisedState, Availability, BackEndSignals, MonotonicTime, SignalChanges,
+};
 pub use configuration::{
-    CallerLimits, EngineShape, RequestKind, Route, ServiceShape, ServingConfiguration, StoreShape,
-    TenantShape, WeightedService,
+    CallerLimits, EngineConfig, RequestKind, Route, ServiceConfig, ServingConfiguration,
+    StoreConfig, TenantConfig, WeightedService,
 };
 pub use content::{ContentKey, RequestContent};
 pub use errors::ConfigurationError;
-pub use life::Life;
-pub use limit::{LimitError, RequestLimit, StatedLimit};
+pub use incarnation::Incarnation;
+pub use limit::{LimitError, LimitHeader, RequestLimit};
 pub use lookup::{KeyOwner, RouteTable};
 pub use policy::Policy;
 pub use quota::{Bucket, GrantTimes, QuotaBounds, QuotaUnit, TenantQuota};
-pub use registry::{HeldWeights, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState};
+pub use registry::{ModelWeights, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState};
 pub use settings::{Bounds, FaultTolerance};
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of the log at every truncation point, after torn writes and after damage.
+//! Recovery of the log after truncation, torn writes and corruption.
 
 use quickcheck::{TestResult, quickcheck};
 use railtack_storage::{
@@ -52,43 +52,46 @@
         true
     }
 
-    fn a_restart_after_compaction_holds_only_the_new_records(
+    fn a_rewritten_log_holds_only_the_new_records(
         old: Vec<Vec<u8>>,
         new: Vec<Vec<u8>>
     ) -> TestResult {
         let media = MemoryMedia::default();
         write_all(&media, &old);
         let (mut log, _) = open(&media);
-        log.restart_with(&new).expect("compaction");
+        log.rewrite(&new).expect("compaction");
         drop(log);
         media.crash(0);
         TestResult::from_bool(open(&media).1 == new)
     }
 }
 
-/// Cuts the only segment at every byte: what is left is always a prefix of the records.
+/// Truncates the segment at every byte; recovery must return a prefix of the records.
 #[test]
 fn every_truncation_point_leaves_a_prefix() {
     let records: Vec<Vec<u8>> = (0..6_u8)
         .map(|size| vec![size; usize::from(size) * 3])
         .collect();
-    let full_length = {
+    let segment_length = {
         let media = MemoryMedia::default();
         write_all(&media, &records);
         media.read("wal-0000000000000001").expect("segment").len()
     };
-    for length in 0..=full_length {
+    for length in 0..=segment_length {
         let media = MemoryMedia::default();
         write_all(&media, &records);
-        media.cut("wal-0000000000000001", length);
+        media.truncate_file("wal-0000000000000001", length);
         let recovered = open(&media).1;
-        assert!(records.starts_with(&recovered), "cut at byte {length}");
+        assert!(
+            records.starts_with(&recovered),
+            "truncated at byte {length}"
+        );
     }
 }
 
-/// Flips every byte of an acknowledged segment that a later one follows: opening refuses.
+/// Inverts each byte of a segment that another one follows; opening the log must fail.
 #[test]
-fn damage_before_later_records_is_refused() {
+fn corruption_before_later_records_is_rejected() {
     let records: Vec<Vec<u8>> = (0..12_u8).map(|fill| vec![fill; 40]).collect();
     let length = {
         let media = MemoryMedia::default();
@@ -98,12 +101,12 @@
     for offset in 0..length {
         let media = MemoryMedia::default();
         write_all(&media, &records);
-        media.damage("wal-0000000000000001", offset);
+        media.corrupt_byte("wal-0000000000000001", offset);
         let error = WriteAheadLog::open(Box::new(media), SMALL_SEGMENTS)
             .err()
-            .unwrap_or_else(|| panic!("damage at byte {offset} was accepted"));
-        let refused = matches!(error.current_context(), StorageError::DamagedMiddle { .. });
-        assert!(refused, "damage at byte {offset}: {error:?}");
+            .unwrap_or_else(|| panic!("corruption at byte {offset} was accepted"));
+        let rejected = matches!(error.current_context(), StorageError::CorruptRecord { .. });
+        assert!(rejected, "corruption at byte {offset}: {error:?}");
     }
 }
 
@@ -117,12 +120,12 @@
     media.fail_syncs(false);
     let error = log
         .append(b"next")
-        .expect_err("a poisoned log refuses work");
+        .expect_err("a poisoned log rejects appends");
     assert_eq!(error.current_context(), &StorageError::Poisoned);
 }
 
 #[test]
-fn a_crash_while_saving_a_snapshot_leaves_a_whole_one() {
+fn a_crash_while_saving_a_snapshot_keeps_the_previous_one() {
     let media = MemoryMedia::default();
     let store = SnapshotStore::new(Box::new(media.clone()));
     store.save(b"first").expect("save");
@@ -132,10 +135,10 @@
     assert_eq!(store.load().expect("load"), Some(b"first".to_vec()));
 }
 
-/// A process is killed between a write and its sync; the next one reads the record and goes on
-/// from it. A loss of power after that must not take the record back.
+/// A process is killed between a write and its sync, and the next process recovers the record.
+/// Guards against losing the record in a later power failure.
 #[test]
-fn what_was_read_at_open_survives_a_loss_of_power() {
+fn records_read_at_open_survive_a_power_loss() {
     let media = MemoryMedia::default();
     let (mut log, _) = open(&media);
     log.append(b"first").expect("append");
@@ -149,10 +152,11 @@
     assert_eq!(open(&media).1, read);
 }
 
-/// Records of one sync are one write, of which a loss of power may spoil any part.
+/// A power failure may corrupt any part of an unsynced write. Guards against treating it as
+/// corruption of acknowledged records.
 #[test]
-fn a_spoilt_unsynced_batch_is_a_torn_tail() {
-    let batch = || {
+fn a_corrupt_unsynced_batch_is_a_torn_tail() {
+    let unsynced_batch = || {
         let media = MemoryMedia::default();
         write_all(&media, &[b"synced".to_vec()]);
         let (mut log, _) = open(&media);
@@ -165,25 +169,28 @@
         media
     };
     let name = "wal-0000000000000002";
-    let length = batch().read(name).expect("segment").len();
+    let length = unsynced_batch().read(name).expect("segment").len();
     for offset in 0..length {
-        let media = batch();
-        media.damage(name, offset);
+        let media = unsynced_batch();
+        media.corrupt_byte(name, offset);
         let (_, read) = open(&media);
         assert_eq!(read, vec![b"synced".to_vec()], "byte {offset}");
     }
 }
 
-/// A folder of an earlier build is refused, not taken for an empty one.
+/// Guards against treating a folder of an unsupported format as empty.
 #[test]
-fn records_of_the_former_format_are_refused() {
+fn records_of_an_unsupported_format_are_rejected() {
     let media = MemoryMedia::default();
     let mut file = media.create("wal-0000000000000001").expect("create");
     file.append(b"RTW1, and what an earlier build wrote")
         .expect("append");
     let error = WriteAheadLog::open(Box::new(media), SMALL_SEGMENTS)
         .err()
-        .expect("the folder is refused");
-    let refused = matches!(error.current_context(), StorageError::FormerFormat { .. });
-    assert!(refused, "{error:?}");
+        .expect("the folder is rejected");
+    let rejected = matches!(
+        error.current_context(),
+        StorageError::UnsupportedFormat { .. }
+    );
+    assert!(rejected, "{error:?}");
 }
