--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -72,7 +72,7 @@
     /// Status of the response, if one was received.
     pub status: Option<u16>,
     /// Signals of the replica in the response head.
-    pub notice: BackEndSignals,
+    pub signals: BackEndSignals,
 }
 
 impl FailedExchange {
@@ -82,7 +82,7 @@
             proof: ExchangeProof::NotRun,
             cause,
             status: None,
-            notice: BackEndSignals::default(),
+            signals: BackEndSignals::default(),
         }
     }
 
@@ -95,10 +95,10 @@
     }
 
     /// Adds the response that caused the failure.
-    fn with_response(self, status: u16, notice: BackEndSignals) -> Self {
+    fn with_response(self, status: u16, signals: BackEndSignals) -> Self {
         Self {
             status: Some(status),
-            notice,
+            signals,
             ..self
         }
     }
@@ -118,7 +118,7 @@
             proof: ExchangeProof::MayHaveRun,
             cause,
             status: None,
-            notice: BackEndSignals::default(),
+            signals: BackEndSignals::default(),
         }
     }
 }
@@ -237,21 +237,21 @@
     let classified = state
         .backend
         .classify(dispatch.request, &open_response.head);
-    let mut notice = state.backend.signals(&open_response.head);
+    let mut signals = state.backend.signals(&open_response.head);
     let is_from_target = matches!(classified, ResponseClass::Response | ResponseClass::NotRun);
     if !is_from_target {
         // The limit of another incarnation, or an outdated one.
-        notice.limit = LimitHeader::Absent;
+        signals.limit = LimitHeader::Absent;
     }
-    let news = apply_notice(state, target, notice);
+    let changes = apply_signals(state, target, signals);
     if is_from_target {
-        let life = &target.record.id;
+        let incarnation_id = &target.record.id;
         permits::handle_response(
             state,
-            life,
+            incarnation_id,
             target.permit,
-            notice.limit,
-            news.limit.is_some(),
+            signals.limit,
+            changes.limit.is_some(),
         );
     }
     // A new incarnation may respond at the address before it is registered. Counting that as a
@@ -267,30 +267,30 @@
             FailedExchange::not_run(Some(ExchangeEnd::Declined), "wrong replica or weights")
         }
     };
-    Err(failed.with_response(open_response.head.status.as_u16(), notice))
+    Err(failed.with_response(open_response.head.status.as_u16(), signals))
 }
 
 /// Applies the signals of a response head. Most have none and skip the lock on all replicas.
-fn apply_notice(state: &ProxyState, target: &Target, notice: BackEndSignals) -> SignalChanges {
-    if notice == BackEndSignals::default() {
+fn apply_signals(state: &ProxyState, target: &Target, signals: BackEndSignals) -> SignalChanges {
+    if signals == BackEndSignals::default() {
         return SignalChanges::default();
     }
     let replica = &target.record.id;
-    let news = lock(&state.replicas)
+    let changes = lock(&state.replicas)
         .availability
-        .record(replica, notice, state.uptime());
-    if let Some(back_off) = notice.back_off {
+        .record(replica, signals, state.uptime());
+    if let Some(back_off) = signals.back_off {
         state.metrics.back_offs.inc();
         spdlog::info!("replica requested back-off", kv: {
             replica = replica.clone(),
             back_off_ms = back_off.as_millis() as u64,
         });
     }
-    if news.is_leaving {
+    if changes.is_leaving {
         spdlog::info!("replica announced its shutdown", kv: { replica = replica.clone() });
     }
-    record_limit(state, replica, notice.limit, news.limit);
-    news
+    record_limit(state, replica, signals.limit, changes.limit);
+    changes
 }
 
 /// Counts an advertised limit and logs a new one.
@@ -298,7 +298,7 @@
     state: &ProxyState,
     replica: &str,
     advertised: LimitHeader,
-    news: Option<RequestLimit>,
+    new_limit: Option<RequestLimit>,
 ) {
     match advertised {
         LimitHeader::Absent => {}
@@ -313,7 +313,7 @@
             });
         }
     }
-    if let Some(limit) = news {
+    if let Some(limit) = new_limit {
         spdlog::info!("replica advertised a rate limit", kv: {
             replica = replica.to_owned(),
             per_s = limit.requests_per_s(),
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -120,7 +120,7 @@
     // Without responses from other replicas, this router's own network may have failed.
     let hears_others =
         lock(&state.replicas).any_other_responded(replica, RECENT_RESPONSE_WINDOW, Instant::now());
-    let witness = hears_others.then(|| state.options.node.clone());
+    let reporter = hears_others.then(|| state.options.node.clone());
     let mut requests = 0;
     let mut has_reported = false;
     loop {
@@ -133,7 +133,7 @@
         let command = ServingCommand::RecordCrash {
             replica: ReplicaKey::of(replica),
             contents,
-            reporter: witness.clone(),
+            reporter: reporter.clone(),
         };
         propose_until_recorded(state, command).await;
     }
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -22,15 +22,15 @@
         ProxyState::uptime(self)
     }
 
-    fn known_limit(&self, life: &str) -> Option<KnownLimit> {
-        let local = lock(&self.replicas).availability.limit(life);
-        let local = local.map(|named| KnownLimit {
-            limit: named.limit,
-            age: self.uptime().saturating_sub(named.advertised_at),
-            advertised_here: Some(named),
+    fn known_limit(&self, incarnation_id: &str) -> Option<KnownLimit> {
+        let local = lock(&self.replicas).availability.limit(incarnation_id);
+        let local = local.map(|advertised| KnownLimit {
+            limit: advertised.limit,
+            age: self.uptime().saturating_sub(advertised.advertised_at),
+            advertised_here: Some(advertised),
         });
         let now = Instant::now();
-        let digest = lock(&self.fleet).limit(ReplicaKey::of(life), now);
+        let digest = lock(&self.fleet).limit(ReplicaKey::of(incarnation_id), now);
         let digest = digest.map(|digest| KnownLimit {
             limit: digest.limit,
             age: now.saturating_duration_since(digest.advertised_at),
@@ -50,24 +50,26 @@
         *lock(&self.permit_requests_suspended_until) = until;
     }
 
-    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
+    fn record_denied(&self, incarnation_id: &str, limit: RequestLimit, room_at: MonotonicTime) {
         self.metrics.permits_withheld.inc();
         let mut replicas = lock(&self.replicas);
         replicas
             .availability
-            .set_limited_until(life, limit, room_at);
+            .set_limited_until(incarnation_id, limit, room_at);
     }
 
-    fn clear_limit(&self, life: &str, named_at: MonotonicTime) {
+    fn clear_limit(&self, incarnation_id: &str, advertised_at: MonotonicTime) {
         let mut replicas = lock(&self.replicas);
-        replicas.availability.clear_limit(life, named_at);
+        replicas
+            .availability
+            .clear_limit(incarnation_id, advertised_at);
     }
 
-    async fn ask_leader(&self, question: PermitRequest, limit: Duration) -> Option<PermitReply> {
+    async fn ask_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
         let asked = self
             .control_peers
             .call("permit", |client| async move {
-                client.take_permit(call_context(limit), question).await
+                client.take_permit(call_context(timeout), request).await
             })
             .await;
         let (reply, address) = asked?;
@@ -89,16 +91,16 @@
     let unreported: Vec<(String, AdvertisedLimit)> = {
         let replicas = lock(&state.replicas);
         let fleet = lock(&state.fleet);
-        let named = replicas.availability.limits();
-        named
-            .filter(|(life, limit)| {
+        let advertised = replicas.availability.limits();
+        advertised
+            .filter(|(incarnation_id, limit)| {
                 limit.advertised_at + DIGEST_LAG < uptime
-                    && fleet.limit(ReplicaKey::of(life), now).is_none()
+                    && fleet.limit(ReplicaKey::of(incarnation_id), now).is_none()
             })
-            .map(|(life, limit)| (life.to_owned(), limit))
+            .map(|(incarnation_id, limit)| (incarnation_id.to_owned(), limit))
             .collect()
     };
-    for (life, limit) in unreported {
-        permits::resend_limit(state, life, limit);
+    for (incarnation_id, limit) in unreported {
+        permits::resend_limit(state, incarnation_id, limit);
     }
 }
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -77,47 +77,51 @@
     /// Returns the time since the router started.
     fn uptime(&self) -> MonotonicTime;
     /// Returns the known limit of a back end; `None` if it has none.
-    fn known_limit(&self, life: &str) -> Option<KnownLimit>;
+    fn known_limit(&self, incarnation_id: &str) -> Option<KnownLimit>;
     /// Returns the end of the pause in permit requests after a call without a reply.
     fn permit_requests_suspended_until(&self) -> MonotonicTime;
     /// Pauses permit requests because no leader replied.
     fn suspend_permit_requests(&self, until: MonotonicTime);
     /// Records that a limit has no room before `room_at`.
-    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime);
-    /// Removes a limit that was last advertised to this router at `named_at` or earlier.
-    fn clear_limit(&self, life: &str, named_at: MonotonicTime);
+    fn record_denied(&self, incarnation_id: &str, limit: RequestLimit, room_at: MonotonicTime);
+    /// Removes a limit that was last advertised to this router at `advertised_at` or earlier.
+    fn clear_limit(&self, incarnation_id: &str, advertised_at: MonotonicTime);
     /// Calls the presumed leader; returns `None` without a reply.
     fn ask_leader(
         &self,
         request: PermitRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Option<PermitReply>> + Send;
 }
 
 /// Whether the request needs a permit for this back end and has no valid one.
-pub fn lacks_valid_permit(router: &impl PermitClient, life: &str, permit: Option<Permit>) -> bool {
+pub fn lacks_valid_permit(
+    router: &impl PermitClient,
+    incarnation_id: &str,
+    permit: Option<Permit>,
+) -> bool {
     match permit {
         Some(permit) => !permit.is_fresh(),
-        None => router.known_limit(life).is_some(),
+        None => router.known_limit(incarnation_id).is_some(),
     }
 }
 
 /// Requests a permit if the back end has a limit.
 pub async fn acquire(
     router: &impl PermitClient,
-    life: &str,
+    incarnation_id: &str,
     objective: Duration,
 ) -> PermitDecision {
-    let Some(known) = router.known_limit(life) else {
+    let Some(known) = router.known_limit(incarnation_id) else {
         return PermitDecision::Granted(None);
     };
     let deny = |limit: RequestLimit, room_in: Duration| {
         spdlog::info!("permit denied", kv: {
-            replica = life.to_owned(),
+            replica = incarnation_id.to_owned(),
             per_s = limit.requests_per_s(),
             room_in_ms = room_in.as_millis() as u64,
         });
-        router.record_denied(life, limit, router.uptime() + room_in);
+        router.record_denied(incarnation_id, limit, router.uptime() + room_in);
         PermitDecision::Denied
     };
     if router.uptime() < router.permit_requests_suspended_until() {
@@ -125,7 +129,7 @@
     }
     let requested_at = BootInstant::now();
     let request = PermitRequest {
-        incarnation_id: life.to_owned(),
+        incarnation_id: incarnation_id.to_owned(),
         report: LimitReport {
             limit: Some(known.limit),
             age_ms: milliseconds(known.age),
@@ -133,8 +137,8 @@
         },
         wants_permit: true,
     };
-    let limit = MAX_PERMIT_REQUEST_TIME.min(objective / PERMIT_REQUEST_DIVISOR);
-    match router.ask_leader(request, limit).await {
+    let timeout = MAX_PERMIT_REQUEST_TIME.min(objective / PERMIT_REQUEST_DIVISOR);
+    match router.ask_leader(request, timeout).await {
         Some(PermitReply::Granted { limit, stamp }) => PermitDecision::Granted(Some(Permit {
             requested_at,
             grant: Some((limit, stamp)),
@@ -144,7 +148,7 @@
             retry_after_ms,
         }) => deny(limit, Duration::from_millis(u64::from(retry_after_ms))),
         Some(PermitReply::Unlimited) => {
-            clear_limit(router, life, known.advertised_here);
+            clear_limit(router, incarnation_id, known.advertised_here);
             let grant = None;
             PermitDecision::Granted(Some(Permit {
                 requested_at,
@@ -162,7 +166,7 @@
 /// know it yet. `is_new` is true if the limit is new to this router.
 pub fn handle_response<R: PermitClient>(
     router: &Arc<R>,
-    life: &str,
+    incarnation_id: &str,
     permit: Option<Permit>,
     advertised: LimitHeader,
     is_new: bool,
@@ -176,31 +180,43 @@
     if !differs && !is_new {
         return;
     }
-    let statement = LimitReport {
+    let report = LimitReport {
         limit,
         age_ms: 0,
         permit: permit.and_then(|permit| permit.stamp()),
     };
-    tokio::spawn(report_limit(Arc::clone(router), life.to_owned(), statement));
+    tokio::spawn(report_limit(
+        Arc::clone(router),
+        incarnation_id.to_owned(),
+        report,
+    ));
 }
 
 /// Reports a limit again that was advertised to this router. The leader may not know it, or may
 /// reply that it no longer exists.
-pub fn resend_limit<R: PermitClient>(router: &Arc<R>, life: String, named: AdvertisedLimit) {
-    let statement = LimitReport {
-        limit: Some(named.limit),
-        age_ms: milliseconds(router.uptime().saturating_sub(named.advertised_at)),
+pub fn resend_limit<R: PermitClient>(
+    router: &Arc<R>,
+    incarnation_id: String,
+    advertised: AdvertisedLimit,
+) {
+    let report = LimitReport {
+        limit: Some(advertised.limit),
+        age_ms: milliseconds(router.uptime().saturating_sub(advertised.advertised_at)),
         permit: None,
     };
-    tokio::spawn(report_limit(Arc::clone(router), life, statement));
+    tokio::spawn(report_limit(Arc::clone(router), incarnation_id, report));
 }
 
-async fn report_limit<R: PermitClient>(router: Arc<R>, life: String, report: LimitReport) {
+async fn report_limit<R: PermitClient>(
+    router: Arc<R>,
+    incarnation_id: String,
+    report: LimitReport,
+) {
     let started_at = router.uptime();
     let received_at = started_at.saturating_sub(Duration::from_millis(u64::from(report.age_ms)));
     for _ in 0..REPORT_ATTEMPTS {
         let request = PermitRequest {
-            incarnation_id: life.clone(),
+            incarnation_id: incarnation_id.clone(),
             report: LimitReport {
                 age_ms: milliseconds(router.uptime().saturating_sub(received_at)),
                 ..report
@@ -210,13 +226,13 @@
         match router.ask_leader(request, REPORT_TIMEOUT).await {
             Some(PermitReply::NotLeader { .. }) | None => sleep(LEADER_RETRY_PAUSE).await,
             Some(PermitReply::Unlimited) => {
-                let named = router
-                    .known_limit(&life)
+                let advertised = router
+                    .known_limit(&incarnation_id)
                     .and_then(|known| known.advertised_here);
                 clear_limit(
                     &*router,
-                    &life,
-                    named.filter(|named| named.advertised_at <= started_at),
+                    &incarnation_id,
+                    advertised.filter(|advertised| advertised.advertised_at <= started_at),
                 );
                 return;
             }
@@ -231,13 +247,17 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn clear_limit(router: &impl PermitClient, life: &str, named: Option<AdvertisedLimit>) {
-    let Some(named) = named else {
+fn clear_limit(
+    router: &impl PermitClient,
+    incarnation_id: &str,
+    advertised: Option<AdvertisedLimit>,
+) {
+    let Some(advertised) = advertised else {
         return;
     };
     spdlog::info!("rate limit removed", kv: {
-        replica = life.to_owned(),
-        per_s = named.limit.requests_per_s(),
+        replica = incarnation_id.to_owned(),
+        per_s = advertised.limit.requests_per_s(),
     });
-    router.clear_limit(life, named.advertised_at);
+    router.clear_limit(incarnation_id, advertised.advertised_at);
 }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -329,7 +329,7 @@
             return step;
         }
         let is_local = self.state.try_withdraw_retry(&self.service);
-        let in_budget = is_local || self.borrow_retry().await;
+        let in_budget = is_local || self.acquire_shared_retry().await;
         spdlog::info!("retry", kv: {
             request = self.request.id.clone(),
             in_budget,
@@ -350,7 +350,7 @@
 
     /// Borrows a retry from the leader. After a broken connection, first waits for the crash check:
     /// shared retries must not let one request crash many replicas.
-    async fn borrow_retry(&self) -> bool {
+    async fn acquire_shared_retry(&self) -> bool {
         let policy = self.state.options.policy;
         if !policy.retry || !policy.lent_retries {
             return false;
@@ -360,7 +360,7 @@
             crash_detection::wait_for_crash_checks(&self.state, self.content, objective).await;
         }
         !self.may_crash_another()
-            && quota::borrow_retry(&self.state, &self.service, objective).await
+            && quota::acquire_shared_retry(&self.state, &self.service, objective).await
     }
 
     /// Whether the request must not be sent to another replica, because it is quarantined or its
@@ -395,7 +395,7 @@
             cause = failed.cause,
             proof = format!("{:?}", failed.proof),
             status = failed.status.unwrap_or_default(),
-            back_off_ms = failed.notice.back_off.map_or(0, |time| time.as_millis() as u64),
+            back_off_ms = failed.signals.back_off.map_or(0, |time| time.as_millis() as u64),
             known = self.state.view.load().known.state,
         });
         self.state.metrics.record_exchange_end(failed.cause);
--- a/crates/proxy/src/quarantine.rs
+++ b/crates/proxy/src/quarantine.rs
@@ -39,7 +39,7 @@
     /// Quarantined requests, with the time at which this router learned of each.
     quarantined: HashMap<ContentKey, Instant>,
     /// Suspected requests whose next success has to be reported.
-    watched: HashSet<ContentKey>,
+    awaiting_success: HashSet<ContentKey>,
     /// All suspected requests.
     suspected: HashSet<ContentKey>,
     /// Time by which all reports of the latest crash have arrived.
@@ -78,8 +78,8 @@
             .into_keys()
             .filter(|content| !self.quarantined.contains_key(content));
         changes.extend(released.map(QuarantineChange::Released));
-        self.watched = update.suspected.iter().copied().collect();
-        self.suspected.clone_from(&self.watched);
+        self.awaiting_success = update.suspected.iter().copied().collect();
+        self.suspected.clone_from(&self.awaiting_success);
         self.reports_complete_at = Some(now + REPORT_SETTLE_TIME);
         changes
     }
@@ -110,7 +110,7 @@
     /// Whether a success of the request has to be reported: once for a watched request, always for
     /// a quarantined one.
     pub fn should_report_success(&mut self, content: ContentKey) -> bool {
-        self.watched.remove(&content) || self.quarantined.contains_key(&content)
+        self.awaiting_success.remove(&content) || self.quarantined.contains_key(&content)
     }
 
     /// Returns the log position of the latest update.
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -87,7 +87,7 @@
 
 /// Borrows a retry for `service` from the leader; returns false if it is denied or no leader
 /// replies in time. In a large fleet a router earns less than one local retry per window.
-pub async fn borrow_retry(state: &ProxyState, service: &str, objective: Duration) -> bool {
+pub async fn acquire_shared_retry(state: &ProxyState, service: &str, objective: Duration) -> bool {
     // The group does not support grants, so a call could only delay the request.
     if !state.control_peers.supports_grants() {
         return false;
@@ -135,12 +135,12 @@
     until: Instant,
 ) -> GrantOutcome {
     let requested_at = BootInstant::now();
-    let limit = GRANT_TIMEOUT.min(until.saturating_duration_since(Instant::now()));
+    let timeout = GRANT_TIMEOUT.min(until.saturating_duration_since(Instant::now()));
     let sent = grant_request.clone();
     let response = state
         .control_peers
         .call("quota", |client| async move {
-            client.take_quota(call_context(limit), sent).await
+            client.take_quota(call_context(timeout), sent).await
         })
         .await;
     let Some((reply, address)) = response else {
--- a/crates/proxy/src/replicas.rs
+++ b/crates/proxy/src/replicas.rs
@@ -242,8 +242,8 @@
     }
 
     /// Whether data was received from any other replica within `limit` before `now`.
-    pub fn any_other_responded(&self, replica: &str, limit: Duration, now: Instant) -> bool {
-        let Some(since) = now.checked_sub(limit) else {
+    pub fn any_other_responded(&self, replica: &str, window: Duration, now: Instant) -> bool {
+        let Some(since) = now.checked_sub(window) else {
             return false;
         };
         let mut others = self.handles.iter().filter(|(other, _)| *other != replica);
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -398,11 +398,11 @@
 
     fn connection_limit(&self, configuration: &ServingConfiguration) -> u32 {
         let service = configuration.service(&self.service);
-        let stated = service.map_or(0, |service| service.max_connections);
-        if stated == 0 {
+        let configured = service.map_or(0, |service| service.max_connections);
+        if configured == 0 {
             return DEFAULT_CONNECTIONS;
         }
-        (stated / self.routers().max(1)).max(1)
+        (configured / self.routers().max(1)).max(1)
     }
 
     fn routers(&self) -> u32 {
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -92,7 +92,7 @@
     weight_versions: Mutex<WeightVersions>,
     prefill_latencies: Mutex<HashMap<String, PrefillLatency>>,
     view_changed: watch::Sender<u64>,
-    stop: Mutex<Option<ShutdownPlan>>,
+    shutdown: Mutex<Option<ShutdownPlan>>,
     started: BootInstant,
 }
 
@@ -163,7 +163,7 @@
             weight_versions: Mutex::default(),
             prefill_latencies: Mutex::default(),
             view_changed,
-            stop: Mutex::default(),
+            shutdown: Mutex::default(),
             started: BootInstant::now(),
         })
     }
@@ -220,8 +220,8 @@
 
     /// Whether the configuration may be served from.
     pub fn is_confirmed(&self) -> bool {
-        let held = self.view.load().table.is_some();
-        held && lock(&self.lease).is_valid(BootInstant::now())
+        let has_configuration = self.view.load().table.is_some();
+        has_configuration && lock(&self.lease).is_valid(BootInstant::now())
     }
 
     /// Whether the configuration was confirmed since the process started.
@@ -236,8 +236,7 @@
         let gained = !was_confirmed && self.is_confirmed();
         if gained {
             // Requests that wait for the first lease are woken like those that wait for a view.
-            self.view_changed
-                .send_replace(self.view.load().known.state);
+            self.view_changed.send_replace(self.view.load().known.state);
         }
         gained
     }
@@ -255,12 +254,12 @@
 
     /// Starts a graceful shutdown.
     pub fn begin_shutdown(&self, plan: ShutdownPlan) {
-        *lock(&self.stop) = Some(plan);
+        *lock(&self.shutdown) = Some(plan);
     }
 
     /// Returns the shutdown plan, if a shutdown has started.
     pub fn shutdown_plan(&self) -> Option<ShutdownPlan> {
-        *lock(&self.stop)
+        *lock(&self.shutdown)
     }
 
     /// Returns the oldest version of a model's weights on which a request may start.
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -51,24 +51,24 @@
             next.replicas
                 .insert_mut(record.id.clone(), Arc::new(record));
         }
-        for named in update.weights {
-            next.weights.insert(named.model, named.version);
+        for target in update.weights {
+            next.weights.insert(target.model, target.version);
         }
         Some(next)
     }
 
     /// Removes an incarnation of a replica and all older ones.
-    fn remove_incarnations_up_to(&mut self, name: &str) {
-        let last = Incarnation::parse(name);
-        let lives = Incarnation::id_range(last.replica);
-        let known = self.replicas.range(lives).map(|(name, _)| name);
+    fn remove_incarnations_up_to(&mut self, id: &str) {
+        let last = Incarnation::parse(id);
+        let id_range = Incarnation::id_range(last.replica);
+        let known = self.replicas.range(id_range).map(|(id, _)| id);
         let ended = known.filter(|known| {
-            let life = Incarnation::parse(known);
-            life.replica == last.replica && life.started_ms <= last.started_ms
+            let incarnation = Incarnation::parse(known);
+            incarnation.replica == last.replica && incarnation.started_ms <= last.started_ms
         });
         let ended: Vec<String> = ended.cloned().collect();
-        for life in ended {
-            self.replicas.remove_mut(&life);
+        for id in ended {
+            self.replicas.remove_mut(&id);
         }
         // An id without a start time is older than any id with one.
         self.replicas.remove_mut(last.replica);
--- a/crates/proxy/src/weight_versions.rs
+++ b/crates/proxy/src/weight_versions.rs
@@ -20,8 +20,8 @@
 
 impl WeightVersions {
     /// Adds new target versions.
-    pub fn update(&mut self, named: &BTreeMap<String, u64>, now: Instant) {
-        for (model, version) in named {
+    pub fn update(&mut self, targets: &BTreeMap<String, u64>, now: Instant) {
+        for (model, version) in targets {
             let versions = self.versions_by_model.entry(model.clone()).or_default();
             if versions.last().is_none_or(|(last, _)| last < version) {
                 versions.push((*version, now));
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -252,18 +252,19 @@
 fn older_weights_are_not_used_near_the_bound() {
     let start = Instant::now();
     let bound = milliseconds(8_000);
-    let mut named = WeightVersions::default();
-    let update = |named: &mut WeightVersions, version, at| {
-        named.update(&BTreeMap::from([("m".to_owned(), version)]), at);
+    let mut versions = WeightVersions::default();
+    let update = |versions: &mut WeightVersions, version, at| {
+        versions.update(&BTreeMap::from([("m".to_owned(), version)]), at);
     };
-    update(&mut named, 2, start);
-    update(&mut named, 3, start + milliseconds(3_000));
-    let oldest =
-        |named: &mut WeightVersions, at| named.oldest_usable("m", bound, start + milliseconds(at));
-    assert_eq!(oldest(&mut named, 5_000), 0);
-    assert_eq!(oldest(&mut named, 7_000), 2);
-    assert_eq!(oldest(&mut named, 9_500), 3);
-    assert_eq!(named.oldest_usable("other", bound, start), 0);
+    update(&mut versions, 2, start);
+    update(&mut versions, 3, start + milliseconds(3_000));
+    let oldest = |versions: &mut WeightVersions, at| {
+        versions.oldest_usable("m", bound, start + milliseconds(at))
+    };
+    assert_eq!(oldest(&mut versions, 5_000), 0);
+    assert_eq!(oldest(&mut versions, 7_000), 2);
+    assert_eq!(oldest(&mut versions, 9_500), 3);
+    assert_eq!(versions.oldest_usable("other", bound, start), 0);
 }
 
 fn prompt(ids: &[u64]) -> PromptInfo {
--- a/crates/proxy/tests/feature_level.rs
+++ b/crates/proxy/tests/feature_level.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use railtack_proxy::quota::borrow_retry;
+use railtack_proxy::quota::acquire_shared_retry;
 use railtack_rpc::FeatureLevel;
 use support::router;
 use tokio::time::Instant;
@@ -12,10 +12,10 @@
 const OBJECTIVE: Duration = Duration::from_millis(800);
 
 #[tokio::test(start_paused = true)]
-async fn borrowing_a_retry_fails_immediately_without_support() {
+async fn acquiring_a_shared_retry_fails_immediately_without_support() {
     let state = router(Vec::new());
     let started_at = Instant::now();
-    assert!(!borrow_retry(&state, "pool", OBJECTIVE).await);
+    assert!(!acquire_shared_retry(&state, "pool", OBJECTIVE).await);
     assert_eq!(started_at.elapsed(), Duration::ZERO);
 }
 
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -165,9 +165,9 @@
 async fn only_changed_limits_are_reported_to_the_leader() {
     let router = Router::new(Some(limit(2.0)), granted());
     let permit = acquired(&router).await;
-    let report_for = async |stated, is_new| {
+    let report_for = async |header, is_new| {
         let before = router.state().requests.len();
-        handle_response(&router, INCARNATION, permit, stated, is_new);
+        handle_response(&router, INCARNATION, permit, header, is_new);
         tokio::task::yield_now().await;
         router.state().requests.get(before).cloned()
     };
@@ -176,9 +176,9 @@
         None
     );
     let lowered = report_for(LimitHeader::Present(limit(1.0)), true).await;
-    let statement = lowered.expect("a report").report;
-    assert_eq!(statement.limit, Some(limit(1.0)));
-    assert_eq!(statement.permit, Some(STAMP));
+    let report = lowered.expect("a report").report;
+    assert_eq!(report.limit, Some(limit(1.0)));
+    assert_eq!(report.permit, Some(STAMP));
     let none = report_for(LimitHeader::Absent, false)
         .await
         .expect("a report");
