--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     backend::{Dispatch, ResponseClass},
-    health::ExchangeEnd,
+    health::ExchangeOutcome,
     permits::{self, Permit},
     pool::{ConnectError, Connection},
     prefill_latency::PrefillBacklog,
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedExchange {
     /// Outcome that counts for the replica's health; `None` if none does.
-    pub end: Option<ExchangeEnd>,
+    pub outcome: Option<ExchangeOutcome>,
     /// Whether the replica may have run the request.
     pub proof: ExchangeProof,
     /// Cause, for logs and metrics.
@@ -76,9 +76,9 @@
 }
 
 impl FailedExchange {
-    fn not_run(end: Option<ExchangeEnd>, cause: &'static str) -> Self {
+    fn not_run(outcome: Option<ExchangeOutcome>, cause: &'static str) -> Self {
         Self {
-            end,
+            outcome,
             proof: ExchangeProof::NotRun,
             cause,
             status: None,
@@ -106,7 +106,7 @@
     /// The connection broke after the request may have been received.
     pub fn broken_connection(cause: &'static str) -> Self {
         Self {
-            end: Some(ExchangeEnd::ConnectionBroke),
+            outcome: Some(ExchangeOutcome::ConnectionBroke),
             ..Self::may_have_run(cause)
         }
     }
@@ -114,7 +114,7 @@
     /// The exchange failed after the request may have been received.
     pub fn may_have_run(cause: &'static str) -> Self {
         Self {
-            end: Some(ExchangeEnd::Broken),
+            outcome: Some(ExchangeOutcome::Broken),
             proof: ExchangeProof::MayHaveRun,
             cause,
             status: None,
@@ -183,7 +183,7 @@
         }
     }
     Err(FailedExchange::not_run(
-        Some(ExchangeEnd::Unreachable),
+        Some(ExchangeOutcome::Unreachable),
         "connections closed",
     ))
 }
@@ -205,7 +205,7 @@
 }
 
 async fn connect(target: &Target, non_retryable: bool) -> Result<Connection, FailedExchange> {
-    let unreachable = || FailedExchange::not_run(Some(ExchangeEnd::Unreachable), "unreachable");
+    let unreachable = || FailedExchange::not_run(Some(ExchangeOutcome::Unreachable), "unreachable");
     let address = target.record.address.parse().map_err(|_| unreachable())?;
     let pool = &target.handle.pool;
     let taken = pool
@@ -214,7 +214,7 @@
     taken.map_err(|failure| match failure {
         ConnectError::Refused | ConnectError::Unreachable => unreachable(),
         ConnectError::Limit => {
-            FailedExchange::not_run(Some(ExchangeEnd::Declined), "connection limit")
+            FailedExchange::not_run(Some(ExchangeOutcome::Declined), "connection limit")
         }
     })
 }
@@ -262,9 +262,11 @@
     let failed = match classified {
         ResponseClass::Response => return Ok(open_response),
         ResponseClass::OtherRequest => FailedExchange::may_have_run("foreign answer"),
-        ResponseClass::NotRun => FailedExchange::not_run(Some(ExchangeEnd::Declined), "declined"),
+        ResponseClass::NotRun => {
+            FailedExchange::not_run(Some(ExchangeOutcome::Declined), "declined")
+        }
         ResponseClass::WrongReplica => {
-            FailedExchange::not_run(Some(ExchangeEnd::Declined), "wrong replica or weights")
+            FailedExchange::not_run(Some(ExchangeOutcome::Declined), "wrong replica or weights")
         }
     };
     Err(failed.with_response(open_response.head.status.as_u16(), signals))
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -7,7 +7,7 @@
 //!
 //! Invariant: retries in any window stay below the bound, including those sent by routers before a
 //! restart. A restarted router does not know what it spent before, so it starts without slack and
-//! gains it over one window. The remaining slack is lent by the leader.
+//! gains it over one window. The leader shares out the remaining slack.
 
 use std::time::Duration;
 
@@ -91,7 +91,7 @@
 
     /// Returns this router's part of the slack.
     fn slack(&self, now: Instant) -> f64 {
-        // A new leader has not heard from all routers yet, so the largest recent number counts.
+        // A new leader does not know all routers yet, so the largest recent number counts.
         let max_routers = self.buckets.iter().map(|bucket| bucket.routers).max();
         let routers = max_routers
             .filter(|max_routers| *max_routers > 0)
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     attempt::Target,
-    health::ExchangeEnd,
+    health::ExchangeOutcome,
     pool::{PortState, ProbeConnection},
     quarantine::{REPORT_BATCH_DELAY, REPORT_TIMEOUT},
     state::{ProxyState, lock},
@@ -105,7 +105,7 @@
         // Stops sending to the replica until its next incarnation registers.
         target
             .handle
-            .record_outcome(ExchangeEnd::Unreachable, Instant::now());
+            .record_outcome(ExchangeOutcome::Unreachable, Instant::now());
         sleep(REPORT_BATCH_DELAY).await;
         report_crash(&state, &target.record.id, &format!("{proof:?}")).await;
     } else {
--- a/crates/proxy/src/health.rs
+++ b/crates/proxy/src/health.rs
@@ -17,7 +17,7 @@
 
 /// Outcome of an exchange with a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ExchangeEnd {
+pub enum ExchangeOutcome {
     /// Complete response.
     Good,
     /// Response with a server error.
@@ -69,24 +69,24 @@
     }
 
     /// Records the outcome of an exchange.
-    pub fn record(&mut self, end: ExchangeEnd, now: Instant) {
-        let failed = match end {
-            ExchangeEnd::Good => {
+    pub fn record(&mut self, outcome: ExchangeOutcome, now: Instant) {
+        let failed = match outcome {
+            ExchangeOutcome::Good => {
                 self.unreachable_in_a_row = 0;
                 self.paused_until = None;
                 0.0
             }
-            ExchangeEnd::Declined => {
+            ExchangeOutcome::Declined => {
                 self.unreachable_in_a_row = 0;
                 self.pause(DECLINED_PAUSE, now);
                 return;
             }
-            ExchangeEnd::Failed => {
+            ExchangeOutcome::Failed => {
                 self.unreachable_in_a_row = 0;
                 1.0
             }
-            ExchangeEnd::Broken | ExchangeEnd::ConnectionBroke => 1.0,
-            ExchangeEnd::Unreachable => {
+            ExchangeOutcome::Broken | ExchangeOutcome::ConnectionBroke => 1.0,
+            ExchangeOutcome::Unreachable => {
                 let pause = FIRST_PAUSE * 2_u32.pow(self.unreachable_in_a_row.min(5));
                 self.unreachable_in_a_row += 1;
                 self.pause(pause.min(MAX_PAUSE), now);
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -50,12 +50,17 @@
         *lock(&self.permit_requests_suspended_until) = until;
     }
 
-    fn record_denied(&self, incarnation_id: &str, limit: RequestLimit, room_at: MonotonicTime) {
+    fn record_denied(
+        &self,
+        incarnation_id: &str,
+        limit: RequestLimit,
+        available_at: MonotonicTime,
+    ) {
         self.metrics.permits_withheld.inc();
         let mut replicas = lock(&self.replicas);
         replicas
             .availability
-            .set_limited_until(incarnation_id, limit, room_at);
+            .set_limited_until(incarnation_id, limit, available_at);
     }
 
     fn clear_limit(&self, incarnation_id: &str, advertised_at: MonotonicTime) {
@@ -66,13 +71,13 @@
     }
 
     async fn ask_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
-        let asked = self
+        let response = self
             .control_peers
             .call("permit", |client| async move {
                 client.take_permit(call_context(timeout), request).await
             })
             .await;
-        let (reply, address) = asked?;
+        let (reply, address) = response?;
         match &reply {
             PermitReply::NotLeader { leader } => {
                 self.control_peers.follow_redirect(address, leader.clone())
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -57,7 +57,7 @@
 pub enum PermitDecision {
     /// The request may be sent. Holds a permit if the back end has, or recently had, a limit.
     Granted(Option<Permit>),
-    /// The limit has no room yet; the time at which it does was recorded.
+    /// The limit allows no request yet; the time at which it does was recorded.
     Denied,
 }
 
@@ -82,8 +82,8 @@
     fn permit_requests_suspended_until(&self) -> MonotonicTime;
     /// Pauses permit requests because no leader replied.
     fn suspend_permit_requests(&self, until: MonotonicTime);
-    /// Records that a limit has no room before `room_at`.
-    fn record_denied(&self, incarnation_id: &str, limit: RequestLimit, room_at: MonotonicTime);
+    /// Records that a limit allows no request before `available_at`.
+    fn record_denied(&self, incarnation_id: &str, limit: RequestLimit, available_at: MonotonicTime);
     /// Removes a limit that was last advertised to this router at `advertised_at` or earlier.
     fn clear_limit(&self, incarnation_id: &str, advertised_at: MonotonicTime);
     /// Calls the presumed leader; returns `None` without a reply.
@@ -115,13 +115,13 @@
     let Some(known) = router.known_limit(incarnation_id) else {
         return PermitDecision::Granted(None);
     };
-    let deny = |limit: RequestLimit, room_in: Duration| {
+    let deny = |limit: RequestLimit, retry_after: Duration| {
         spdlog::info!("permit denied", kv: {
             replica = incarnation_id.to_owned(),
             per_s = limit.requests_per_s(),
-            room_in_ms = room_in.as_millis() as u64,
+            room_in_ms = retry_after.as_millis() as u64,
         });
-        router.record_denied(incarnation_id, limit, router.uptime() + room_in);
+        router.record_denied(incarnation_id, limit, router.uptime() + retry_after);
         PermitDecision::Denied
     };
     if router.uptime() < router.permit_requests_suspended_until() {
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -14,7 +14,7 @@
     attempt::{self, FailedExchange, HeadDeadline, OpenResponse, Target},
     backend::Dispatch,
     crash_detection, entry,
-    health::ExchangeEnd,
+    health::ExchangeOutcome,
     quota,
     refusal::RefusalReason,
     replicas::{OpenRequest, Suspicion},
@@ -147,8 +147,8 @@
             };
             let failed = match self.try_target(target).await {
                 Ok(ExchangeStep::Done(response)) => return response,
-                Ok(ExchangeStep::Stream(begun)) => {
-                    let (active, first) = *begun;
+                Ok(ExchangeStep::Stream(started)) => {
+                    let (active, first) = *started;
                     return stream::respond(self, active, first);
                 }
                 Ok(ExchangeStep::Failure(response)) => {
@@ -187,12 +187,12 @@
         drop(open);
         let (head, content) = read.map_err(|failed| self.record_failure(&target, failed))?;
         let failed = head.status.is_server_error();
-        let end = if failed {
-            ExchangeEnd::Failed
+        let outcome = if failed {
+            ExchangeOutcome::Failed
         } else {
-            ExchangeEnd::Good
+            ExchangeOutcome::Good
         };
-        self.record_outcome(&target, end);
+        self.record_outcome(&target, outcome);
         crash_detection::request_succeeded(&self.state, self.content);
         let response = self.build_response(head, railtack_http::full(content));
         if failed && self.admitted.route.kind.may_repeat() {
@@ -209,13 +209,16 @@
         target: Target,
         last_event: Option<u64>,
     ) -> Result<ActiveExchange, FailedExchange> {
-        let kept = target.cached_tokens;
+        let cached_tokens = target.cached_tokens;
         let open = OpenRequest::begin(Arc::clone(&target.handle), target.backlog.uncached_tokens);
         self.state
             .metrics
             .prompt_tokens
             .inc_by(self.path.prompt_tokens);
-        self.state.metrics.presumed_cached_tokens.inc_by(kept);
+        self.state
+            .metrics
+            .presumed_cached_tokens
+            .inc_by(cached_tokens);
         self.tried.push(target.record.id.clone());
         let namespace = self.cache_namespace(&target.record);
         let dispatch = Dispatch {
@@ -348,8 +351,8 @@
         retry_decision::without_retry(facts)
     }
 
-    /// Borrows a retry from the leader. After a broken connection, first waits for the crash check:
-    /// shared retries must not let one request crash many replicas.
+    /// Acquires a shared retry from the leader. After a broken connection, first waits for the crash
+    /// check: shared retries must not let one request crash many replicas.
     async fn acquire_shared_retry(&self) -> bool {
         let policy = self.state.options.policy;
         if !policy.retry || !policy.lent_retries {
@@ -381,10 +384,10 @@
 
     /// Records and logs the failure of an exchange.
     pub fn record_failure(&mut self, target: &Target, failed: FailedExchange) -> FailedExchange {
-        if let Some(end) = failed.end {
-            self.record_outcome(target, end);
+        if let Some(outcome) = failed.outcome {
+            self.record_outcome(target, outcome);
         }
-        if failed.end == Some(ExchangeEnd::ConnectionBroke) {
+        if failed.outcome == Some(ExchangeOutcome::ConnectionBroke) {
             self.broken_connections += 1;
             crash_detection::connection_broken(&self.state, target, self.content);
         }
@@ -403,8 +406,8 @@
     }
 
     /// Records the outcome of an exchange in the replica's health.
-    pub fn record_outcome(&self, target: &Target, end: ExchangeEnd) {
-        let Some(suspicion) = target.handle.record_outcome(end, Instant::now()) else {
+    pub fn record_outcome(&self, target: &Target, outcome: ExchangeOutcome) {
+        let Some(suspicion) = target.handle.record_outcome(outcome, Instant::now()) else {
             return;
         };
         let event = match suspicion {
@@ -414,7 +417,7 @@
         spdlog::info!("{event}", kv: {
             replica = target.record.id.clone(),
             address = target.record.address.clone(),
-            end = format!("{end:?}"),
+            end = format!("{outcome:?}"),
         });
     }
 
--- a/crates/proxy/src/pipeline/final_response.rs
+++ b/crates/proxy/src/pipeline/final_response.rs
@@ -30,8 +30,8 @@
             NoTarget::BackingOff { available_in } => {
                 Some((RefusalReason::BackingOff, available_in))
             }
-            NoTarget::AtLimit(full) => {
-                let pause = self.state.limit_retry_after(&self.service, full);
+            NoTarget::AtLimit(exhausted) => {
+                let pause = self.state.limit_retry_after(&self.service, exhausted);
                 Some((RefusalReason::AtLimit, pause))
             }
             NoTarget::NoneAvailable => None,
--- a/crates/proxy/src/quarantine.rs
+++ b/crates/proxy/src/quarantine.rs
@@ -33,10 +33,10 @@
 /// Maximum number of requests remembered per crashed replica; more than are open at one.
 const MAX_UNREPORTED: usize = 256;
 
-/// Requests that the control group has quarantined or watches.
+/// Requests that the control group has quarantined, and those it suspects.
 #[derive(Debug, Default)]
 pub struct QuarantineState {
-    /// Quarantined requests, with the time at which this router learned of each.
+    /// Quarantined requests, with the time at which this router received each.
     quarantined: HashMap<ContentKey, Instant>,
     /// Suspected requests whose next success has to be reported.
     awaiting_success: HashSet<ContentKey>,
@@ -107,7 +107,7 @@
             .filter(|at| self.is_suspected(content) && now < *at)
     }
 
-    /// Whether a success of the request has to be reported: once for a watched request, always for
+    /// Whether a success of the request has to be reported: once for a suspected request, always for
     /// a quarantined one.
     pub fn should_report_success(&mut self, content: ContentKey) -> bool {
         self.awaiting_success.remove(&content) || self.quarantined.contains_key(&content)
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -85,8 +85,8 @@
     }
 }
 
-/// Borrows a retry for `service` from the leader; returns false if it is denied or no leader
-/// replies in time. In a large fleet a router earns less than one local retry per window.
+/// Acquires a shared retry for `service` from the leader; returns false if it is denied or no leader
+/// replies in time. In a large fleet a router has less than one local retry per window.
 pub async fn acquire_shared_retry(state: &ProxyState, service: &str, objective: Duration) -> bool {
     // The group does not support grants, so a call could only delay the request.
     if !state.control_peers.supports_grants() {
--- a/crates/proxy/src/replicas.rs
+++ b/crates/proxy/src/replicas.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     affinity::{PrefixPath, SentPrefixes},
-    health::{ExchangeEnd, Health},
+    health::{ExchangeOutcome, Health},
     pool::Pool,
     scoring::{Candidate, SharedLoad},
     state::lock,
@@ -116,10 +116,10 @@
     }
 
     /// Records the outcome of an exchange; returns a change of suspicion.
-    pub fn record_outcome(&self, end: ExchangeEnd, now: Instant) -> Option<Suspicion> {
+    pub fn record_outcome(&self, outcome: ExchangeOutcome, now: Instant) -> Option<Suspicion> {
         let health = &mut self.load().health;
         let before = health.is_suspected();
-        health.record(end, now);
+        health.record(outcome, now);
         match (before, health.is_suspected()) {
             (false, true) => Some(Suspicion::Raised),
             (true, false) => Some(Suspicion::Cleared),
@@ -146,17 +146,17 @@
 pub struct OpenRequest {
     replica: Arc<ReplicaHandle>,
     pending_prefill_tokens: u64,
-    began_at: Instant,
+    started_at: Instant,
 }
 
 impl OpenRequest {
     /// Starts accounting for a request of which `pending_prefill_tokens` must be prefilled.
     pub fn begin(replica: Arc<ReplicaHandle>, pending_prefill_tokens: u64) -> Self {
-        let began_at = Instant::now();
+        let started_at = Instant::now();
         {
             let mut load = replica.load();
             if load.open_requests == 0 {
-                load.busy_since = began_at;
+                load.busy_since = started_at;
             }
             load.open_requests += 1;
             load.pending_prefill_tokens += pending_prefill_tokens;
@@ -164,13 +164,13 @@
         Self {
             replica,
             pending_prefill_tokens,
-            began_at,
+            started_at,
         }
     }
 
     /// Returns the time since the request was sent.
     pub fn elapsed(&self) -> Duration {
-        self.began_at.elapsed()
+        self.started_at.elapsed()
     }
 
     /// Removes the prompt from the pending prefill tokens.
@@ -233,15 +233,15 @@
         for (replica, record) in &before.replicas {
             while present.next_if(|(known, _)| *known < replica).is_some() {}
             let now = present.next_if(|(known, _)| *known == replica);
-            let kept = now
+            let is_unchanged = now
                 .is_some_and(|(_, now)| Arc::ptr_eq(now, record) || now.weights == record.weights);
-            if !kept {
+            if !is_unchanged {
                 self.sent.remove_replica(replica);
             }
         }
     }
 
-    /// Whether data was received from any other replica within `limit` before `now`.
+    /// Whether data was received from any other replica within `window` before `now`.
     pub fn any_other_responded(&self, replica: &str, window: Duration, now: Instant) -> bool {
         let Some(since) = now.checked_sub(window) else {
             return false;
--- a/crates/proxy/src/retry_pacing.rs
+++ b/crates/proxy/src/retry_pacing.rs
@@ -1,6 +1,6 @@
 //! Retry delays of callers refused because all replicas reached their rate limits. Pure.
 //!
-//! If all were told the same delay, they would compete for the same permit and most would be
+//! If all received the same delay, they would compete for the same permit and most would be
 //! refused again. Each caller therefore gets a later time than the one before, spaced by this
 //! router's part of the combined limits.
 
--- a/crates/proxy/src/scoring.rs
+++ b/crates/proxy/src/scoring.rs
@@ -100,9 +100,11 @@
         }
     });
     let cheapest = scored.min_by(|left, right| {
-        let considered = right.is_eligible.cmp(&left.is_eligible);
+        let eligibility = right.is_eligible.cmp(&left.is_eligible);
         let cost = left.cost.total_cmp(&right.cost);
-        considered.then(cost).then(left.rotated.cmp(&right.rotated))
+        eligibility
+            .then(cost)
+            .then(left.rotated.cmp(&right.rotated))
     })?;
     Some((cheapest.position, cheapest.cost))
 }
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -77,7 +77,7 @@
         let until = (self.request.received + wait).min(self.admitted.deadline);
         let mut changes = self.state.view_changes();
         loop {
-            let chosen = match self.select() {
+            let cause = match self.select() {
                 Ok(target) => match self.acquire_permit(target).await {
                     Some(target) => return Ok(target),
                     // The limit is now recorded as exhausted, so the next selection skips this
@@ -88,7 +88,7 @@
             };
             let now = Instant::now();
             let timed_out = now >= until || !self.state.is_confirmed();
-            let may_change = match chosen {
+            let may_change = match cause {
                 NoTarget::NoneAvailable => true,
                 NoTarget::BackingOff { available_in } => {
                     available_in <= until.saturating_duration_since(now)
@@ -97,7 +97,7 @@
                 NoTarget::AtLimit(_) | NoTarget::TooLate { .. } => false,
             };
             if timed_out || !may_change {
-                return Err(chosen);
+                return Err(cause);
             }
             let change = async {
                 tokio::select! {
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -16,7 +16,7 @@
     attempt::FailedExchange,
     crash_detection,
     events::EventBuffer,
-    health::ExchangeEnd,
+    health::ExchangeOutcome,
     pipeline::{ActiveExchange, ExchangeStep, RequestRun},
     retry_decision::ExchangeProof,
 };
@@ -212,7 +212,8 @@
     /// Ends the response normally.
     fn finish(&mut self) -> Option<Result<Bytes, io::Error>> {
         if let Some(active) = self.active.take() {
-            self.run.record_outcome(&active.target, ExchangeEnd::Good);
+            self.run
+                .record_outcome(&active.target, ExchangeOutcome::Good);
             crash_detection::request_succeeded(&self.run.state, self.run.content);
             if active.response.reusable {
                 let handle = &active.target.handle;
--- a/crates/proxy/src/weight_versions.rs
+++ b/crates/proxy/src/weight_versions.rs
@@ -12,7 +12,7 @@
 /// covers the time that requests are queued at the replica.
 const MAX_AGE_SHARE: f64 = 0.8;
 
-/// Target versions of each model, with the time at which this router learned of each.
+/// Target versions of each model, with the time at which this router received each.
 #[derive(Clone, Debug, Default)]
 pub struct WeightVersions {
     versions_by_model: BTreeMap<String, Vec<(u64, Instant)>>,
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -8,7 +8,7 @@
     affinity::{PrefixPath, SentPrefixes, rendezvous},
     events::EventBuffer,
     fleet_view::FleetView,
-    health::{ExchangeEnd, Health},
+    health::{ExchangeOutcome, Health},
     lease::Lease,
     retry_decision::{ExchangeFacts, ExchangeProof, NextStep, next_step, without_retry},
     scoring::{Candidate, RequestSize, SharedLoad, choose},
@@ -237,13 +237,13 @@
     let mut health = Health::new(start);
     assert!(health.is_available(start));
     assert!(!health.is_suspected());
-    health.record(ExchangeEnd::Unreachable, start);
+    health.record(ExchangeOutcome::Unreachable, start);
     assert!(health.is_suspected());
     assert!(!health.is_available(start + milliseconds(300)));
     assert!(health.is_available(start + milliseconds(500)));
-    health.record(ExchangeEnd::Unreachable, start + milliseconds(500));
+    health.record(ExchangeOutcome::Unreachable, start + milliseconds(500));
     assert!(!health.is_available(start + milliseconds(1_200)));
-    health.record(ExchangeEnd::Good, start + milliseconds(1_500));
+    health.record(ExchangeOutcome::Good, start + milliseconds(1_500));
     assert!(health.is_available(start + milliseconds(1_500)));
     assert!(!health.is_suspected());
 }
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -36,7 +36,7 @@
     reply: Option<PermitReply>,
     requests: Vec<PermitRequest>,
     permit_requests_suspended_until: MonotonicTime,
-    room_at: Option<MonotonicTime>,
+    available_at: Option<MonotonicTime>,
 }
 
 impl Router {
@@ -81,8 +81,8 @@
         self.state().permit_requests_suspended_until = until;
     }
 
-    fn record_denied(&self, _: &str, _: RequestLimit, room_at: MonotonicTime) {
-        self.state().room_at = Some(room_at);
+    fn record_denied(&self, _: &str, _: RequestLimit, available_at: MonotonicTime) {
+        self.state().available_at = Some(available_at);
     }
 
     fn clear_limit(&self, _: &str, _: MonotonicTime) {
@@ -154,9 +154,9 @@
         assert!(matches!(permission, PermitDecision::Denied));
     }
     assert_eq!(router.state().requests.len(), 1);
-    let room_at = router.state().room_at.expect("a time");
-    assert!(room_at > router.uptime());
-    advance(room_at).await;
+    let available_at = router.state().available_at.expect("a time");
+    assert!(available_at > router.uptime());
+    advance(available_at).await;
     router.state().reply = granted();
     assert!(acquired(&router).await.is_some());
 }
