--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -87,7 +87,7 @@
     }
 
     /// The request was not sent, for a reason that is recorded in the state by now.
-    fn withheld(cause: &'static str) -> Self {
+    fn not_sent(cause: &'static str) -> Self {
         Self {
             proof: ExchangeProof::Withheld,
             ..Self::not_run(None, cause)
@@ -147,20 +147,20 @@
         let mut connection = connect(target, non_retryable).await?;
         // The process may have been suspended since selection, so the lease is checked here.
         if !state.is_confirmed() {
-            return Err(FailedExchange::withheld("lease lost"));
+            return Err(FailedExchange::not_sent("lease lost"));
         }
         // Other copies may have crashed replicas while this one waited for a connection.
         if state.quarantine_retry_after(content).is_some() {
-            return Err(FailedExchange::withheld("quarantined"));
+            return Err(FailedExchange::not_sent("quarantined"));
         }
         let sent_at = Instant::now();
         // The replica may have asked for back-off or announced its shutdown meanwhile.
         if !accepts_requests(state, target) {
-            return Err(FailedExchange::withheld("takes no requests"));
+            return Err(FailedExchange::not_sent("takes no requests"));
         }
         // A limit may have been advertised meanwhile, and a permit may have expired.
         if permits::lacks_valid_permit(&**state, &target.record.id, target.permit) {
-            return Err(FailedExchange::withheld("no permit"));
+            return Err(FailedExchange::not_sent("no permit"));
         }
         let sent = connection
             .sender
@@ -208,10 +208,10 @@
     let unreachable = || FailedExchange::not_run(Some(ExchangeOutcome::Unreachable), "unreachable");
     let address = target.record.address.parse().map_err(|_| unreachable())?;
     let pool = &target.handle.pool;
-    let taken = pool
+    let acquired = pool
         .acquire(address, target.connection_limit, non_retryable)
         .await;
-    taken.map_err(|failure| match failure {
+    acquired.map_err(|failure| match failure {
         ConnectError::Refused | ConnectError::Unreachable => unreachable(),
         ConnectError::Limit => {
             FailedExchange::not_run(Some(ExchangeOutcome::Declined), "connection limit")
--- a/crates/proxy/src/prefill_latency.rs
+++ b/crates/proxy/src/prefill_latency.rs
@@ -51,9 +51,10 @@
         let age = self
             .updated_at
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let kept = 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE_S);
-        self.wait_s = self.wait_s * kept + waited.as_secs_f64();
-        self.tokens = self.tokens * kept + (backlog.uncached_tokens + backlog.queued_tokens) as f64;
+        let decay = 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE_S);
+        self.wait_s = self.wait_s * decay + waited.as_secs_f64();
+        self.tokens =
+            self.tokens * decay + (backlog.uncached_tokens + backlog.queued_tokens) as f64;
         self.updated_at = Some(now);
     }
 
--- a/crates/proxy/src/store_budget.rs
+++ b/crates/proxy/src/store_budget.rs
@@ -53,11 +53,11 @@
         }
         self.accrue(capacity, now);
         let unshared = path.prompt_tokens.saturating_sub(path.shared_tokens()) as f64;
-        let taken = unshared <= self.available_tokens;
-        if taken {
+        let is_allowed = unshared <= self.available_tokens;
+        if is_allowed {
             self.available_tokens -= unshared;
         }
-        taken
+        is_allowed
     }
 
     fn accrue(&mut self, capacity: StoreCapacity, now: Instant) {
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -62,12 +62,12 @@
         let last = Incarnation::parse(id);
         let id_range = Incarnation::id_range(last.replica);
         let known = self.replicas.range(id_range).map(|(id, _)| id);
-        let ended = known.filter(|known| {
+        let obsolete = known.filter(|known| {
             let incarnation = Incarnation::parse(known);
             incarnation.replica == last.replica && incarnation.started_ms <= last.started_ms
         });
-        let ended: Vec<String> = ended.cloned().collect();
-        for id in ended {
+        let obsolete: Vec<String> = obsolete.cloned().collect();
+        for id in obsolete {
             self.replicas.remove_mut(&id);
         }
         // An id without a start time is older than any id with one.
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -222,11 +222,11 @@
     let text = b"note: 2\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
     for size in 1..text.len() {
         let mut buffer = EventBuffer::after(None);
-        let mut whole = Vec::new();
-        for piece in text.chunks(size) {
-            whole.extend_from_slice(&buffer.push(piece));
+        let mut events = Vec::new();
+        for chunk in text.chunks(size) {
+            events.extend_from_slice(&buffer.push(chunk));
         }
-        assert_eq!(whole, text, "chunks of {size}");
+        assert_eq!(events, text, "chunks of {size}");
         assert_eq!(buffer.last_event(), Some(3));
     }
 }
--- a/crates/proxy/tests/homes.rs
+++ b/crates/proxy/tests/homes.rs
@@ -202,10 +202,10 @@
     let records = fleet();
     let all = ring(&records);
     let removed_every = 20;
-    let kept = records.iter().enumerate();
-    let kept = kept.filter(|(number, _)| number % removed_every != 0);
-    let kept = Ring::new(kept.map(|(_, record)| Arc::clone(record)));
-    let share = moved(&all, &kept, (MIN_GROUP_SIZE, MIN_GROUP_SIZE));
+    let remaining = records.iter().enumerate();
+    let remaining = remaining.filter(|(number, _)| number % removed_every != 0);
+    let remaining = Ring::new(remaining.map(|(_, record)| Arc::clone(record)));
+    let share = moved(&all, &remaining, (MIN_GROUP_SIZE, MIN_GROUP_SIZE));
     // Homes on removed replicas, and those displaced by the new members of the group.
     assert!(share < 3.0 / removed_every as f64, "{share}");
     // Doubling the group would keep half of the homes; growing by the actual factor keeps a
@@ -243,11 +243,11 @@
     let others = group(&|record| record.id != unusable);
     assert!(others.ranked.iter().all(|record| record.id != unusable));
     assert_eq!(others.ranked.len(), MIN_GROUP_SIZE);
-    let kept = others
+    let unchanged = others
         .ranked
         .iter()
         .filter(|record| usual.ranked.contains(record));
-    assert_eq!(kept.count(), MIN_GROUP_SIZE - 1);
+    assert_eq!(unchanged.count(), MIN_GROUP_SIZE - 1);
     let none = group(&|_| false);
     assert_eq!(none.ranked, usual.ranked);
 }
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/pool.rs
@@ -21,12 +21,12 @@
         panic!("the port is closed");
     };
     assert!(pool.has_capacity(1), "the probe is not counted");
-    let taken = pool.acquire(address, 1, true).await.expect("a connection");
+    let acquired = pool.acquire(address, 1, true).await.expect("a connection");
     assert_eq!(pool.open_connections(), 1);
     // The limit was reached in the meantime, so the probe connection is closed.
     pool.adopt(probe, 1);
     assert_eq!(pool.open_connections(), 1);
-    drop(taken);
+    drop(acquired);
     assert_eq!(pool.open_connections(), 0);
     let PortState::Open(probe) = pool.probe_port(address).await else {
         panic!("the port is closed");
@@ -40,6 +40,6 @@
 async fn a_probe_of_a_closed_port_is_refused() {
     let (listener, address) = listener().await;
     drop(listener);
-    let look = Pool::default().probe_port(address).await;
-    assert!(matches!(look, PortState::Refused), "{look:?}");
+    let state = Pool::default().probe_port(address).await;
+    assert!(matches!(state, PortState::Refused), "{state:?}");
 }
