--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -88,21 +88,21 @@
 
 #[test]
 fn a_non_retryable_request_is_retried_only_if_proven_not_run() {
-    let unrepeatable = |proof, replicas_used| ExchangeFacts {
+    let non_retryable = |proof, replicas_used| ExchangeFacts {
         may_repeat: false,
         replicas_used,
         ..facts(proof)
     };
     assert_eq!(
-        next_step(unrepeatable(ExchangeProof::MayHaveRun, 1)),
+        next_step(non_retryable(ExchangeProof::MayHaveRun, 1)),
         NextStep::FailUnknown
     );
     assert_eq!(
-        next_step(unrepeatable(ExchangeProof::RanAndFailed, 1)),
+        next_step(non_retryable(ExchangeProof::RanAndFailed, 1)),
         NextStep::ForwardFailure
     );
     assert_eq!(
-        next_step(unrepeatable(ExchangeProof::NotRun, 0)),
+        next_step(non_retryable(ExchangeProof::NotRun, 0)),
         NextStep::Retry
     );
 }
@@ -124,16 +124,16 @@
 
 #[test]
 fn a_request_that_was_not_sent_is_retried_until_the_deadline() {
-    let withheld = ExchangeFacts {
+    let not_sent = ExchangeFacts {
         may_repeat: false,
         declined: 3,
         replicas_used: 0,
         ..facts(ExchangeProof::Withheld)
     };
-    assert_eq!(next_step(withheld), NextStep::Retry);
+    assert_eq!(next_step(not_sent), NextStep::Retry);
     let late = ExchangeFacts {
         in_time: false,
-        ..withheld
+        ..not_sent
     };
     assert_eq!(next_step(late), NextStep::RefuseNotRun);
 }
--- a/crates/proxy/tests/homes.rs
+++ b/crates/proxy/tests/homes.rs
@@ -49,7 +49,7 @@
 /// The prompt with a given second segment; each second segment belongs to one first segment.
 fn prompt(second: u64) -> PrefixPath {
     let segment = |id, tokens| PromptSegment { id, tokens };
-    let shape = PromptInfo {
+    let info = PromptInfo {
         model: "m".to_owned(),
         prompt_tokens: 9_190,
         segments: vec![
@@ -59,7 +59,7 @@
         ],
         ..PromptInfo::default()
     };
-    PrefixPath::new(&shape, "")
+    PrefixPath::new(&info, "")
 }
 
 fn ring(records: &[Arc<ReplicaRecord>]) -> Ring {
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -150,8 +150,8 @@
 async fn without_a_leader_permits_are_denied_and_permit_requests_paused() {
     let router = Router::new(Some(limit(2.0)), None);
     for _ in 0..5 {
-        let permission = acquire(&*router, INCARNATION, OBJECTIVE).await;
-        assert!(matches!(permission, PermitDecision::Denied));
+        let decision = acquire(&*router, INCARNATION, OBJECTIVE).await;
+        assert!(matches!(decision, PermitDecision::Denied));
     }
     assert_eq!(router.state().requests.len(), 1);
     let available_at = router.state().available_at.expect("a time");
@@ -179,10 +179,10 @@
     let report = lowered.expect("a report").report;
     assert_eq!(report.limit, Some(limit(1.0)));
     assert_eq!(report.permit, Some(STAMP));
-    let none = report_for(LimitHeader::Absent, false)
+    let removed = report_for(LimitHeader::Absent, false)
         .await
         .expect("a report");
-    assert_eq!(none.report.limit, None);
-    assert_eq!(none.report.permit, Some(STAMP));
-    assert!(!none.wants_permit);
+    assert_eq!(removed.report.limit, None);
+    assert_eq!(removed.report.permit, Some(STAMP));
+    assert!(!removed.wants_permit);
 }
--- a/crates/proxy/tests/quarantine.rs
+++ b/crates/proxy/tests/quarantine.rs
@@ -63,20 +63,20 @@
     let soon = start + REPORT_SETTLE_TIME / 4;
     let changes = state.apply(&update(8, &[]), soon);
     assert_eq!(changes, [QuarantineChange::Released(OTHER)]);
-    let settled = soon + REPORT_SETTLE_TIME;
-    assert_eq!(state.reports_complete_at(OTHER, soon), Some(settled));
-    assert_eq!(state.reports_complete_at(OTHER, settled), None);
+    let complete_at = soon + REPORT_SETTLE_TIME;
+    assert_eq!(state.reports_complete_at(OTHER, soon), Some(complete_at));
+    assert_eq!(state.reports_complete_at(OTHER, complete_at), None);
     assert_eq!(
         state.reports_complete_at(FATAL, soon),
         None,
         "not suspected"
     );
     // The next crash restarts the time, although the lists are the same.
-    assert_eq!(state.apply(&update(9, &[]), settled), []);
-    let settled_anew = settled + REPORT_SETTLE_TIME;
+    assert_eq!(state.apply(&update(9, &[]), complete_at), []);
+    let extended = complete_at + REPORT_SETTLE_TIME;
     assert_eq!(
-        state.reports_complete_at(OTHER, settled),
-        Some(settled_anew)
+        state.reports_complete_at(OTHER, complete_at),
+        Some(extended)
     );
 }
 
--- a/crates/proxy/tests/store_budget.rs
+++ b/crates/proxy/tests/store_budget.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 fn prompt(shared: u64, own: u64) -> PrefixPath {
-    let shape = PromptInfo {
+    let info = PromptInfo {
         model: "m".to_owned(),
         prompt_tokens: shared + own,
         answer_tokens: 10,
@@ -23,7 +23,7 @@
             PromptSegment { id: 2, tokens: own },
         ],
     };
-    PrefixPath::new(&shape, "")
+    PrefixPath::new(&info, "")
 }
 
 fn store(capacity_tokens: u64, routers: u32) -> StoreCapacity {
