--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -109,7 +109,7 @@
         sleep(REPORT_BATCH_DELAY).await;
         report_crash(&state, &target.record.id, &format!("{proof:?}")).await;
     } else {
-        lock(&state.crash_tracker).forget(&target.record.id);
+        lock(&state.crash_tracker).remove(&target.record.id);
         state.crash_checks_done.notify_waiters();
     }
 }
@@ -143,7 +143,7 @@
         requests,
         hears_others,
     });
-    lock(&state.crash_tracker).forget(replica);
+    lock(&state.crash_tracker).remove(replica);
     state.crash_checks_done.notify_waiters();
 }
 
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -70,7 +70,7 @@
             .clear_limit(incarnation_id, advertised_at);
     }
 
-    async fn ask_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
+    async fn call_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
         let response = self
             .control_peers
             .call("permit", |client| async move {
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -87,7 +87,7 @@
     /// Removes a limit that was last advertised to this router at `advertised_at` or earlier.
     fn clear_limit(&self, incarnation_id: &str, advertised_at: MonotonicTime);
     /// Calls the presumed leader; returns `None` without a reply.
-    fn ask_leader(
+    fn call_leader(
         &self,
         request: PermitRequest,
         timeout: Duration,
@@ -138,7 +138,7 @@
         wants_permit: true,
     };
     let timeout = MAX_PERMIT_REQUEST_TIME.min(objective / PERMIT_REQUEST_DIVISOR);
-    match router.ask_leader(request, timeout).await {
+    match router.call_leader(request, timeout).await {
         Some(PermitReply::Granted { limit, stamp }) => PermitDecision::Granted(Some(Permit {
             requested_at,
             grant: Some((limit, stamp)),
@@ -223,7 +223,7 @@
             },
             wants_permit: false,
         };
-        match router.ask_leader(request, REPORT_TIMEOUT).await {
+        match router.call_leader(request, REPORT_TIMEOUT).await {
             Some(PermitReply::NotLeader { .. }) | None => sleep(LEADER_RETRY_PAUSE).await,
             Some(PermitReply::Unlimited) => {
                 let advertised = router
--- a/crates/proxy/src/quarantine.rs
+++ b/crates/proxy/src/quarantine.rs
@@ -211,7 +211,7 @@
     }
 
     /// Removes all records of a replica.
-    pub fn forget(&mut self, replica: &str) {
+    pub fn remove(&mut self, replica: &str) {
         self.broken_connections.remove(replica);
     }
 }
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -59,7 +59,7 @@
         subject: QuotaSubject::Tenant {
             name: tenant.clone(),
         },
-        declared_tokens: request.stated_tokens,
+        declared_tokens: request.declared_tokens,
         longest_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
     };
     loop {
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -23,7 +23,7 @@
     /// Length of the prompt, tokens.
     pub prompt_tokens: u64,
     /// Maximum length of the answer, tokens.
-    pub answer_tokens: u64,
+    pub max_output_tokens: u64,
     /// Segments in order; the last one is unique to the request or its session.
     pub segments: Vec<PromptSegment>,
 }
@@ -52,7 +52,7 @@
     /// Properties of the prompt, if the request has one.
     pub prompt: Option<PromptInfo>,
     /// Declared tokens of the prompt and the longest answer.
-    pub stated_tokens: Option<u64>,
+    pub declared_tokens: Option<u64>,
     /// Last stream event received by the caller.
     pub last_event: Option<u64>,
 }
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -271,7 +271,7 @@
     PromptInfo {
         model: "m".to_owned(),
         prompt_tokens: 1_000 * ids.len() as u64,
-        answer_tokens: 10,
+        max_output_tokens: 10,
         segments: ids
             .iter()
             .map(|id| PromptSegment {
--- a/crates/proxy/tests/entry.rs
+++ b/crates/proxy/tests/entry.rs
@@ -61,7 +61,7 @@
         received: Instant::now(),
         client_timeout: Some(Duration::from_millis(3_000)),
         prompt: None,
-        stated_tokens: None,
+        declared_tokens: None,
         last_event: None,
     }
 }
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -89,7 +89,7 @@
         // Digests still contain the limit for a while.
     }
 
-    async fn ask_leader(&self, request: PermitRequest, _: Duration) -> Option<PermitReply> {
+    async fn call_leader(&self, request: PermitRequest, _: Duration) -> Option<PermitReply> {
         let mut state = self.state();
         state.requests.push(request);
         state.reply.clone()
--- a/crates/proxy/tests/quarantine.rs
+++ b/crates/proxy/tests/quarantine.rs
@@ -100,7 +100,7 @@
     tracker.record_broken_connection("r", ContentKey(3), now);
     assert_eq!(tracker.take_unreported("r"), [ContentKey(3)]);
     assert_eq!(tracker.take_unreported("r"), []);
-    tracker.forget("r");
+    tracker.remove("r");
     assert!(!tracker.is_crash_check_pending(FATAL));
     assert!(tracker.record_broken_connection("r", FATAL, now));
 }
--- a/crates/proxy/tests/store_budget.rs
+++ b/crates/proxy/tests/store_budget.rs
@@ -14,7 +14,7 @@
     let info = PromptInfo {
         model: "m".to_owned(),
         prompt_tokens: shared + own,
-        answer_tokens: 10,
+        max_output_tokens: 10,
         segments: vec![
             PromptSegment {
                 id: 1,
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -81,7 +81,7 @@
         self.with_announced(life, |announced| announced.clear_limit(named_at));
     }
 
-    async fn ask_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
+    async fn call_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
         self.control.request_permit(request, timeout).await
     }
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -94,7 +94,7 @@
         sleep(REPORT_BATCH_DELAY).await;
         report_failure(state, life).await;
     }
-    lock(&state.observed_failures).forget(&life.name);
+    lock(&state.observed_failures).remove(&life.name);
 }
 
 async fn report_failure(state: &RouterState, life: &BackEndLife) {
