--- a/crates/proxy/src/refusal.rs
+++ b/crates/proxy/src/refusal.rs
@@ -9,7 +9,7 @@
 use railtack_http::Body;
 use thiserror::Error;
 
-/// Reason why a request was not answered by a replica.
+/// Reason why a request got no response of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum RefusalReason {
     /// The request is malformed.
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -22,7 +22,7 @@
     pub model: String,
     /// Length of the prompt, tokens.
     pub prompt_tokens: u64,
-    /// Maximum length of the answer, tokens.
+    /// Maximum length of the output, tokens.
     pub max_output_tokens: u64,
     /// Segments in order; the last one is unique to the request or its session.
     pub segments: Vec<PromptSegment>,
@@ -51,7 +51,7 @@
     pub client_timeout: Option<Duration>,
     /// Properties of the prompt, if the request has one.
     pub prompt: Option<PromptInfo>,
-    /// Declared tokens of the prompt and the longest answer.
+    /// Declared tokens of the prompt and the maximum output.
     pub declared_tokens: Option<u64>,
     /// Last stream event received by the caller.
     pub last_event: Option<u64>,
