--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -83,7 +83,7 @@
                 record.outcome = Some(outcome);
                 Outcome::Settled
             }
-            Some(known) if *known == outcome => Outcome::Settled,
+            Some(settled) if *settled == outcome => Outcome::Settled,
             Some(_) => Outcome::NotHolder,
         }
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -430,8 +430,8 @@
 
     fn update_metrics(&mut self) {
         let raft = self.replica.raft();
-        let leads = raft.role() == Role::Leader;
-        self.metrics.is_leader.set(i64::from(leads));
+        let is_leader = raft.role() == Role::Leader;
+        self.metrics.is_leader.set(i64::from(is_leader));
         self.metrics.term.set(raft.term());
         self.metrics.commit.set(raft.commit_index());
         let voters = raft.membership().voters().count();
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -33,11 +33,11 @@
         if self.pending_reads.is_empty() {
             return;
         }
-        let leads = self.replica.is_ready_leader();
+        let is_leader = self.replica.is_ready_leader();
         let confirmed_at = self.replica.raft().leadership_confirmed_at();
         let leader = self.leader_address();
         for read in std::mem::take(&mut self.pending_reads) {
-            let outcome = if !leads {
+            let outcome = if !is_leader {
                 ReadIndexReply::NotLeader {
                     leader: leader.clone(),
                 }
@@ -118,18 +118,18 @@
     pub(super) fn publish_view(&self) {
         let raft = self.replica.raft();
         let serving = self.replica.state().serving();
-        let own_member = raft.membership().member(raft.replica());
+        let local_member = raft.membership().member(raft.replica());
         let is_member =
-            own_member.is_some_and(|member| member.disk == self.replica.identity().disk);
+            local_member.is_some_and(|member| member.disk == self.replica.identity().disk);
         let leader = self.leader_address();
-        let leads = self.replica.is_ready_leader();
+        let is_leader = self.replica.is_ready_leader();
         let confirmed_at = raft.leadership_confirmed_at();
         self.view.send_if_modified(|view| {
             let same_state = view.serving.changed_at() == serving.changed_at()
                 && view.applied == raft.applied_index()
                 && view.term == raft.term();
             let same_role = view.leader == leader
-                && view.is_leader == leads
+                && view.is_leader == is_leader
                 && view.is_member == is_member
                 && view.leadership_confirmed_at == confirmed_at;
             if same_state && same_role {
@@ -141,7 +141,7 @@
             view.applied = raft.applied_index();
             view.term = raft.term();
             view.leader = leader;
-            view.is_leader = leads;
+            view.is_leader = is_leader;
             view.leadership_confirmed_at = confirmed_at;
             view.is_member = is_member;
             view.voters = raft
--- a/crates/control/src/node/level.rs
+++ b/crates/control/src/node/level.rs
@@ -45,12 +45,12 @@
 
     /// While leading: what all members can do. One that has not been heard since the lead began may have been
     /// replaced by another build.
-    pub fn common_level(&self, own: ReplicaId, membership: &Membership) -> FeatureLevel {
+    pub fn common_level(&self, local: ReplicaId, membership: &Membership) -> FeatureLevel {
         let Some(leading_since) = self.leading_since else {
             return FeatureLevel::FIRST;
         };
         let others = membership.members.iter();
-        let others = others.filter(|member| member.replica != own);
+        let others = others.filter(|member| member.replica != local);
         let levels = others.map(|member| match self.reported.get(&member.replica) {
             Some((level, at)) if *at >= leading_since => *level,
             _ => FeatureLevel::FIRST,
@@ -105,8 +105,8 @@
 
     /// While leading, raises the level once all members can do more.
     pub(super) fn raise_level(&mut self, now: Millis) {
-        let leads = self.replica.is_ready_leader();
-        self.levels.set_leading(leads, now);
+        let is_leader = self.replica.is_ready_leader();
+        self.levels.set_leading(is_leader, now);
         let group_level = self.group_level();
         self.metrics.group_level.set(i64::from(group_level.0));
         let raft = self.replica.raft();
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -28,7 +28,7 @@
 pub struct Peers {
     runtime: Handle,
     metrics: ControlMetrics,
-    own_address: String,
+    local_address: String,
     peers: BTreeMap<ReplicaId, Peer>,
     /// Where each replica was last heard from. A replica that is not a member yet knows no
     /// membership, and answers the leader there.
@@ -37,11 +37,11 @@
 
 impl Peers {
     /// Queues that are drained by tasks on `runtime`.
-    pub fn new(runtime: Handle, metrics: ControlMetrics, own_address: SocketAddr) -> Self {
+    pub fn new(runtime: Handle, metrics: ControlMetrics, local_address: SocketAddr) -> Self {
         Self {
             runtime,
             metrics,
-            own_address: own_address.to_string(),
+            local_address: local_address.to_string(),
             peers: BTreeMap::new(),
             observed_addresses: BTreeMap::new(),
         }
@@ -74,7 +74,7 @@
             return;
         };
         let new_peer = |address: String| {
-            let queue = spawn_delivery(&self.runtime, socket, self.own_address.clone());
+            let queue = spawn_delivery(&self.runtime, socket, self.local_address.clone());
             Peer { address, queue }
         };
         let peer = match self.peers.entry(message.to) {
@@ -94,13 +94,13 @@
 fn spawn_delivery(
     runtime: &Handle,
     address: SocketAddr,
-    own_address: String,
+    local_address: String,
 ) -> mpsc::Sender<Message> {
     let (sender, mut receiver) = mpsc::channel::<Message>(PEER_QUEUE_CAPACITY);
     runtime.spawn(async move {
         let connection = ControlConnection::new(address, CONNECT_TIMEOUT);
         while let Some(message) = receiver.recv().await {
-            let sender = Sender::of_this_build(own_address.clone());
+            let sender = Sender::of_this_build(local_address.clone());
             // A lost message is sent again by the log's own timers.
             let delivered = connection
                 .call(|client| async move {
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -41,11 +41,15 @@
 pub fn next_step(
     configuration: &Configuration,
     orders: &BTreeMap<EngineId, IssuedOrder>,
-    seen: ObservedEngines<'_>,
+    observed: ObservedEngines<'_>,
 ) -> RolloutStep {
     let mut step = RolloutStep::default();
-    for target in configuration.models.values().map(|known| &known.document) {
-        plan_model(target, orders, seen, &mut step);
+    for target in configuration
+        .models
+        .values()
+        .map(|versioned| &versioned.document)
+    {
+        plan_model(target, orders, observed, &mut step);
     }
     step
 }
@@ -53,16 +57,16 @@
 fn plan_model(
     target: &ModelTarget,
     orders: &BTreeMap<EngineId, IssuedOrder>,
-    seen: ObservedEngines<'_>,
+    observed: ObservedEngines<'_>,
     step: &mut RolloutStep,
 ) {
-    let replicas: Vec<&EngineStatus> = seen
+    let replicas: Vec<&EngineStatus> = observed
         .statuses
         .iter()
         .filter(|engine| engine.model == target.name && !engine.draining)
         .collect();
     let wanted = EngineOrder::Load(target.clone());
-    let mut in_progress = unresponsive_with_order(target, orders, seen);
+    let mut in_progress = unresponsive_with_order(target, orders, observed);
     let mut pending = Vec::new();
     for engine in &replicas {
         let is_current = engine.weights_version == target.weights_version && !engine.loading;
@@ -86,7 +90,7 @@
         }
     }
     let serving = replicas.iter().filter(|engine| !engine.loading).count();
-    let listed = seen
+    let listed = observed
         .listed
         .iter()
         .filter(|(_, model)| *model == target.name);
@@ -105,10 +109,16 @@
 fn unresponsive_with_order(
     target: &ModelTarget,
     orders: &BTreeMap<EngineId, IssuedOrder>,
-    seen: ObservedEngines<'_>,
+    observed: ObservedEngines<'_>,
 ) -> usize {
-    let answered = |engine: &EngineId| seen.statuses.iter().any(|known| known.engine == *engine);
-    seen.listed
+    let answered = |engine: &EngineId| {
+        observed
+            .statuses
+            .iter()
+            .any(|status| status.engine == *engine)
+    };
+    observed
+        .listed
         .iter()
         .filter(|(engine, model)| *model == target.name && !answered(engine))
         .filter(|(engine, _)| orders.contains_key(engine))
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -413,13 +413,14 @@
     platform: SocketAddr,
     view: &LeaderView,
 ) {
-    let (listed, engines) = fetch_engines(client, platform).await;
+    let (listed, engines) = fetch_engine_statuses(client, platform).await;
     let statuses: Vec<EngineStatus> = engines.iter().map(|(_, status)| status.clone()).collect();
-    let seen = ObservedEngines {
+    let observed = ObservedEngines {
         statuses: &statuses,
         listed: &listed,
     };
-    let RolloutStep { record, send } = rollout::next_step(&view.configuration, &view.orders, seen);
+    let RolloutStep { record, send } =
+        rollout::next_step(&view.configuration, &view.orders, observed);
     for (engine, order) in record {
         let command = Command::Order { engine, order };
         let proposal = Proposal {
@@ -443,7 +444,7 @@
 }
 
 /// The engines that the platform lists, and the state of those that answer.
-async fn fetch_engines(
+async fn fetch_engine_statuses(
     client: &HttpClient,
     platform: SocketAddr,
 ) -> (Vec<(EngineId, ModelName)>, Vec<(SocketAddr, EngineStatus)>) {
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -204,9 +204,9 @@
         change: ConfigurationChange,
         check: RevisionCheck,
     ) -> Outcome {
-        if let Some(known) = self.operations.get(&operation) {
-            if known.change == change {
-                return known.outcome.clone();
+        if let Some(recorded) = self.operations.get(&operation) {
+            if recorded.change == change {
+                return recorded.outcome.clone();
             }
             return Outcome::OperationReused;
         }
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -175,7 +175,7 @@
             Record::HardState(hard_state) => self.hard_state = hard_state,
             Record::TruncateFrom(index) => self.entries.retain(|entry| entry.index < index),
             Record::Entry(entry) => {
-                self.entries.retain(|known| known.index < entry.index);
+                self.entries.retain(|stored| stored.index < entry.index);
                 self.entries.push(entry);
             }
         }
