--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -1,8 +1,8 @@
-//! Claims: the record that lets a request that may not be repeated run at most once.
+//! Claims on idempotency keys, which let a non-idempotent request run at most once.
 //!
-//! A claim is granted to one attempt. It ends as completed, not run, or unknown, and never runs
-//! again under its key until the key expires. "Not run" closes the key too: otherwise a second
-//! arrival could run it after the first caller was told that it did not.
+//! A claim is granted to one attempt, which settles it as completed, not run, or unknown. The request
+//! does not run again under the same key until the claim expires. This includes "not run": otherwise
+//! a retry could run the request after the first caller received an error that says it did not run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,27 +10,27 @@
 use railtack_rpc::protocol::{ClaimAnswer, ClaimOutcome, ClaimRequest, Outcome, UnixMillis};
 use speedy::{Readable, Writable};
 
-/// Age from which a claim that was never settled counts as ended without a known outcome. No
-/// router holds a request that may not be repeated for longer, so its holder is gone.
+/// Age from which an unsettled claim has an unknown outcome, milliseconds. Exceeds the time for which
+/// a router processes a request with a key, so the holder of the claim is gone.
 pub const CLAIM_TIMEOUT_MS: UnixMillis = 600_000;
 
-/// A tenant's key.
+/// An idempotency key of a tenant.
 pub type ClaimKey = (TenantName, IdempotencyKey);
 
-/// What is known of one key.
+/// The claim on a key.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ClaimRecord {
-    /// Hash of the request.
+    /// Hash of the request; detects reuse of the key for another request.
     pub fingerprint: u128,
     /// The attempt that holds the claim.
     pub attempt: AttemptId,
-    /// When the claim was made, on the state's clock.
+    /// Time at which the claim was granted, on the state's clock.
     pub claimed_at: UnixMillis,
-    /// How it ended; `None` while it is held.
+    /// Outcome of the request; `None` while the claim is unsettled.
     pub outcome: Option<ClaimOutcome>,
 }
 
-/// All claims younger than the retention.
+/// All claims within the retention time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ClaimTable {
     records: BTreeMap<ClaimKey, ClaimRecord>,
@@ -38,22 +38,23 @@
 }
 
 impl ClaimTable {
-    /// Claims kept.
+    /// Number of claims.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no claim is kept.
+    /// Whether there are no claims.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The record of a key.
+    /// Returns the claim on a key.
     pub fn get(&self, key: &ClaimKey) -> Option<&ClaimRecord> {
         self.records.get(key)
     }
 
-    /// Grants the claim to the first attempt that asks; a resend by that attempt is granted again.
+    /// Grants the claim to the first attempt that requests it. A repeated request by the same attempt is
+    /// granted again until the claim is settled.
     pub fn claim(&mut self, request: ClaimRequest, now: UnixMillis) -> ClaimAnswer {
         let key = (request.tenant.clone(), request.key.clone());
         if let Some(record) = self.records.get(&key) {
@@ -70,7 +71,7 @@
         ClaimAnswer::Granted
     }
 
-    /// Records how a claim ended. Only its holder may, and only once.
+    /// Records the outcome of a claim. Succeeds only for the holder; the outcome cannot change later.
     pub fn settle(&mut self, key: &ClaimKey, attempt: AttemptId, outcome: ClaimOutcome) -> Outcome {
         let Some(record) = self.records.get_mut(key) else {
             return Outcome::NotHolder;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Forgets claims made before `cutoff`.
+    /// Removes claims that were granted before `cutoff`.
     pub fn expire(&mut self, cutoff: UnixMillis) {
         while let Some((claimed_at, key)) = self.by_age.first().cloned() {
             if claimed_at >= cutoff {
--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -21,7 +21,7 @@
     )
 }
 
-/// Runs the program with the given arguments, the first of which is its name.
+/// Runs the program. The first argument is the program name.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     railtack_telemetry::initialize();
     let outcome = start(arguments);
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -1,32 +1,32 @@
-//! Applying an operator's change to the configuration: compare-and-set, all or nothing.
+//! Changes of the configuration by operators, applied atomically with compare-and-set on revisions.
 
 use railtack_core::{Revision, TenantName};
 use railtack_rpc::protocol::{Configuration, ConfigurationChange, Versioned};
 use railtack_settings::documents::{Document, DocumentError, Template, Tenant};
 
-/// Why a change was not applied; the configuration is as before.
+/// Reason for which a change was rejected. The configuration is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeError {
-    /// The document has another revision than the operator saw.
+    /// The stored document has another revision than expected.
     Conflict {
-        /// The present revision; 0 if there is no such document.
+        /// Stored revision; 0 if the document does not exist.
         current: Revision,
     },
-    /// The document is not valid here.
+    /// The document is invalid, by itself or with the rest of the configuration.
     Invalid(DocumentError),
 }
 
-/// Whether the expected revision is compared with the present one. Only the simulator's
-/// deliberately broken build turns the check off.
+/// Whether expected revisions are enforced. Disabled only in simulations that check that the fault is
+/// found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RevisionCheck {
-    /// Refuse a change made on an older revision.
+    /// Rejects changes whose expected revision differs from the stored one.
     Enforced,
-    /// Take every change.
+    /// Accepts changes with any expected revision.
     Skipped,
 }
 
-/// Checks a change against the whole configuration and applies it.
+/// Validates a change against the configuration and applies it. Returns the new revision.
 pub fn apply_change(
     configuration: &mut Configuration,
     change: &ConfigurationChange,
@@ -60,7 +60,7 @@
     Ok(next)
 }
 
-/// Applies a change that the control state has accepted, as routers do.
+/// Applies a change that the control state has accepted, without validation. Used by routers.
 pub fn apply_accepted(
     configuration: &mut Configuration,
     change: ConfigurationChange,
@@ -132,7 +132,7 @@
     }
 }
 
-/// A revised template must still fit every tenant that uses it.
+/// Checks that the new template is valid for every tenant that uses it.
 fn validate_dependent_tenants(
     configuration: &Configuration,
     template: &Template,
--- a/crates/control/src/errors.rs
+++ b/crates/control/src/errors.rs
@@ -1,37 +1,37 @@
-//! Why a control replica cannot start or go on.
+//! Errors of a control replica.
 
 use thiserror::Error;
 
-/// A failure that stops a control replica.
+/// An error that keeps a control replica from starting or running.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ControlError {
     /// The data folder cannot be read or written.
     #[error("the data folder cannot be used")]
     Storage,
-    /// A record in the data folder is whole but not of this format.
+    /// A record in the data folder is intact but cannot be decoded.
     #[error("the data folder holds a record of another format")]
     InvalidRecord,
     /// The data folder belongs to another cluster or replica.
     #[error("the data folder belongs to replica {replica} of cluster {cluster:?}")]
     DataFolderMismatch {
-        /// Replica that the folder names.
+        /// Replica that owns the folder.
         replica: u32,
-        /// Cluster that the folder names.
+        /// Cluster of that replica.
         cluster: String,
     },
-    /// `initialize` was asked for a folder that is in use.
+    /// `initialize` was called for a data folder that is in use.
     #[error("the data folder is already initialized")]
     AlreadyInitialized,
-    /// A listener cannot be opened.
+    /// The listening socket cannot be opened.
     #[error("cannot listen on {address}")]
     Listen {
-        /// The address.
+        /// Address of the socket.
         address: std::net::SocketAddr,
     },
-    /// The settings were refused.
+    /// The settings are invalid.
     #[error("the settings were refused")]
     Settings,
-    /// The replica's thread ended.
+    /// The replica's thread has stopped or rejected a request.
     #[error("the replica has stopped")]
     Stopped,
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
 //! Replicated control state and the daemon that serves it.
 //!
-//! [`replica::Replica`] joins the pure log, the pure state and the durable store. The daemon drives
-//! it with real time, sockets and files; the simulator drives the same code with virtual ones.
+//! [`replica::Replica`] combines the replicated log, the state machine and the durable store. The
+//! daemon runs it with system clock, sockets and files, the simulator with virtual ones.
 
 pub mod claims;
 pub mod cli;
--- a/crates/control/src/members.rs
+++ b/crates/control/src/members.rs
@@ -1,11 +1,14 @@
-//! Which change of the group's members a leader makes next.
+//! Selection of the next membership change by the leader. Free of I/O.
 //!
-//! Pure. One voter changes at a time, as the replicated log demands. A replica that asks to join
-//! from the address of a member with another data folder proves that the member's folder is gone,
-//! so the member goes first. A voter that is silent for long, or that says it is leaving, goes when
-//! a newcomer is ready to take its place, or when the group bears the losses that it must bear only
-//! without it. What is left always has a live majority, and a majority outnumbers the disks that
-//! may be lost at once.
+//! At most one voter changes at a time, as the replicated log requires:
+//!
+//! - A member is removed if a replica with another data folder requests to join from its address,
+//!   since the member's data folder must be lost.
+//! - A voter that is silent or leaving is removed if a learner can replace it, or if the group
+//!   tolerates the required failures only without it.
+//!
+//! The remaining voters always include a live majority, and a majority always exceeds the number of
+//! disks that may be lost at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,26 +16,26 @@
 use railtack_rpc::serving::JoinRequest;
 use railtack_serving::FaultTolerance;
 
-/// What a leader knows besides the membership itself.
+/// Input of [`next_membership`] besides the current membership.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipContext<'a> {
     /// The leader.
     pub leader: ReplicaId,
-    /// Replicas that asked to join lately.
+    /// Valid join requests, by replica.
     pub join_requests: &'a BTreeMap<ReplicaId, JoinRequest>,
-    /// Time since each other member last answered, milliseconds.
+    /// Time since the last reply of each other member, milliseconds.
     pub silence: &'a BTreeMap<ReplicaId, Millis>,
-    /// Silence after which a voter may be replaced, milliseconds.
+    /// Time without a reply after which a voter may be removed, milliseconds.
     pub silence_limit: Millis,
-    /// Silence up to which a learner counts as there, milliseconds.
+    /// Time since the last reply up to which a member counts as responsive, milliseconds.
     pub recent_contact_limit: Millis,
-    /// Members whose processes are being stopped.
+    /// Members that are shutting down.
     pub leaving: &'a BTreeSet<ReplicaId>,
-    /// Losses that the group must bear.
+    /// Failures that the group must tolerate.
     pub tolerance: FaultTolerance,
 }
 
-/// The membership to propose next; `None` if nothing is to change.
+/// Returns the membership to propose next; `None` if no change is needed.
 pub fn next_membership(current: &Membership, context: MembershipContext<'_>) -> Option<Membership> {
     without_replaced_member(current, context)
         .or_else(|| with_joining_learner(current, context))
@@ -40,7 +43,7 @@
         .or_else(|| with_promotion(current, context))
 }
 
-/// Removes a member whose address is now that of another data folder.
+/// Removes a member whose address now belongs to a replica with another id or data folder.
 fn without_replaced_member(
     current: &Membership,
     context: MembershipContext<'_>,
@@ -73,8 +76,8 @@
     Some(next)
 }
 
-/// Removes a voter that is silent for long, if a learner waits for its place or if the group is
-/// better off without it.
+/// Removes the voter that has been silent longest, if a learner can replace it or if it is surplus,
+/// provided that the remaining voters have a live majority.
 fn without_silent_voter(
     current: &Membership,
     context: MembershipContext<'_>,
@@ -93,8 +96,9 @@
     (live >= next.quorum() && majority_survives).then_some(next)
 }
 
-/// Whether a silent voter only makes majorities harder to reach: of an even number one adds
-/// nothing, and of more voters than the tolerance asks for the silent ones must not use it up.
+/// Whether the group is better off without a silent voter. With an even number of voters, one of
+/// them adds no tolerance. With more voters than the tolerance requires, silent ones must not use
+/// up the tolerance.
 fn has_surplus_voter(current: &Membership, context: MembershipContext<'_>) -> bool {
     let voters = current.voters().count();
     if voters.is_multiple_of(2) {
@@ -105,7 +109,7 @@
     voters > context.tolerance.voters_needed() && live < current.quorum() + tolerated_losses
 }
 
-/// Voters that were heard from within `limit`.
+/// Number of voters that replied within `limit`, milliseconds.
 fn live_voters(membership: &Membership, context: MembershipContext<'_>, limit: Millis) -> usize {
     membership
         .voters()
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of a control replica.
+//! Metrics of a control replica.
 
 use std::sync::atomic::AtomicU64;
 
@@ -11,52 +11,53 @@
     registry::Registry,
 };
 
-/// Counters and gauges, shared by the replica's thread and its services.
+/// Metrics shared by the replica's thread and its services.
 #[derive(Clone, Debug)]
 pub struct ControlMetrics {
     /// Commands committed and applied.
     pub applied: Counter,
-    /// Rounds of work, each with at most one sync of the log.
+    /// Rounds of the replica's thread.
     pub rounds: Counter,
-    /// Polls by routers.
+    /// Polls received from routers.
     pub polls: Counter,
-    /// Parts of tenants' quotas that routers asked for.
+    /// Quota requests received from routers.
     pub quota_asked: Counter,
-    /// Those that were refused.
+    /// Quota requests that were rejected.
     pub quota_refused: Counter,
-    /// Permits for back ends with a limit that routers asked for.
+    /// Permit requests for back ends with a limit.
     pub permits_asked: Counter,
-    /// Those that were withheld.
+    /// Permit requests that were denied.
     pub permits_withheld: Counter,
-    /// Requests that are sent to no replica because replicas ended under them.
+    /// Quarantined requests, which are sent to no replica because replicas crashed under them.
     pub quarantined: Gauge,
-    /// Requests under which replicas have ended lately.
+    /// Suspect requests, under which replicas crashed recently.
     pub suspects: Gauge,
-    /// Records of back-end replicas that the group has taken from here.
+    /// Registrations of back-end replicas that this replica proposed and the group applied.
     pub registrations: Counter,
-    /// Heartbeats that were refused because too many replicas waited to be recorded.
+    /// Heartbeats rejected because too many registrations were pending.
     pub registrations_refused: Counter,
     /// Heartbeats for a service that the configuration does not name.
     pub registrations_unnamed: Counter,
-    /// Messages to other replicas that were dropped because the peer was slow or away.
+    /// Messages to other replicas dropped because the peer was slow, unreachable or unknown.
     pub dropped_messages: Counter,
-    /// Messages and requests to join of replicas whose build cannot do what the group does.
+    /// Messages and join requests rejected because the sender's build does not support the group's feature
+    /// level.
     pub refused_below_level: Counter,
-    /// What the members of the group do together.
+    /// Feature level of the group.
     pub group_level: Gauge,
-    /// 1 while this replica leads.
+    /// 1 while this replica is the leader, otherwise 0.
     pub is_leader: Gauge,
     /// Current term.
     pub term: Gauge<u64, AtomicU64>,
-    /// Commit position.
+    /// Commit index.
     pub commit: Gauge<u64, AtomicU64>,
     /// Revision of the configuration.
     pub revision: Gauge<u64, AtomicU64>,
-    /// Claims kept.
+    /// Number of claims.
     pub claims: Gauge<u64, AtomicU64>,
-    /// Voters of the group, as this replica knows them.
+    /// Number of voters in this replica's latest membership.
     pub voters: Gauge<u64, AtomicU64>,
-    /// Seconds for writing and syncing the log.
+    /// Time for writing and syncing the log, seconds.
     pub sync_seconds: Histogram,
 }
 
@@ -90,7 +91,7 @@
 }
 
 impl ControlMetrics {
-    /// Makes the counters visible.
+    /// Registers the metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("control_applied", "Commands applied", self.applied.clone());
         registry.register("control_rounds", "Rounds of work", self.rounds.clone());
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,7 +1,7 @@
-//! The thread that owns a replica.
+//! The thread that runs a replica.
 //!
-//! Syncing a file blocks, so the replica runs on a thread of its own. It takes all inputs that are
-//! waiting, then does one round of work: that is how many proposals share one sync.
+//! File syncs block, so the replica runs on a dedicated thread. Each round handles all queued
+//! inputs before it syncs, so that many proposals share one sync.
 
 mod group;
 pub mod level;
@@ -37,53 +37,53 @@
     view::NodeView,
 };
 
-/// Pause before a replica that lost its storage is opened again.
+/// Delay before a replica is reopened after a storage failure.
 const REOPEN_DELAY: Duration = Duration::from_millis(300);
-/// Inputs taken into one round.
+/// Maximum number of inputs handled in one round.
 const MAX_INPUTS_PER_ROUND: usize = 1_024;
-/// Inputs that may wait; more are refused.
+/// Capacity of the input queue; further inputs are rejected.
 const INPUT_QUEUE_CAPACITY: usize = 4_096;
 
-/// What the replica's thread is asked to do.
+/// Input of the replica's thread. Requests carry the channel for their reply.
 pub enum Input {
-    /// A message from another replica, and the address of its sender.
+    /// A message from another replica, and information on its sender.
     Deliver(Message, Sender),
-    /// Commit a change.
+    /// Proposes a command and replies once it is applied or fails.
     Propose(Proposal, oneshot::Sender<ProposeReply>),
-    /// Answer a router.
+    /// A poll by a router.
     Poll(PollRequest, oneshot::Sender<PollReply>),
-    /// Tell the applied configuration.
+    /// Requests the applied configuration.
     Configuration(oneshot::Sender<Configuration>),
-    /// Tell who this replica is.
+    /// Requests the identity of this replica.
     Identify(oneshot::Sender<ReplicaIdentity>),
-    /// Tell the replica's state.
+    /// Requests the status of this replica.
     Status(oneshot::Sender<StatusReply>),
-    /// Change the control replicas.
+    /// Changes the membership of the control replicas.
     ChangeMembership(MembershipChange, oneshot::Sender<MembershipReply>),
-    /// Write a snapshot.
+    /// Writes a snapshot and replies with its last index.
     Snapshot(oneshot::Sender<u64>),
-    /// Tell orders and configuration if this replica leads; `None` otherwise.
+    /// Requests configuration and orders; the reply is `None` unless this replica is a ready leader.
     LeaderView(oneshot::Sender<Option<LeaderView>>),
-    /// Tell how far a reader must have applied the log.
+    /// Requests the index that a linearizable read must have applied.
     ReadIndex(oneshot::Sender<ReadIndexReply>),
-    /// Make a replica a member.
+    /// Requests that a replica is added as a member.
     Join(JoinRequest, oneshot::Sender<JoinReply>),
-    /// A member's process is being stopped.
+    /// Notice that a member's process is shutting down.
     Leave(ReplicaId, oneshot::Sender<JoinReply>),
-    /// End the thread.
+    /// Stops the thread.
     Stop,
 }
 
-/// What a leader needs for bringing engines to the wanted state.
+/// State that the leader needs to roll out weights to engines.
 #[derive(Clone, Debug)]
 pub struct LeaderView {
-    /// Configuration as applied.
+    /// Applied configuration.
     pub configuration: Configuration,
-    /// The order last recorded for each engine.
+    /// The order that was last recorded for each engine.
     pub orders: BTreeMap<railtack_core::EngineId, IssuedOrder>,
 }
 
-/// A handle on the replica's thread.
+/// Handle to the replica's thread.
 #[derive(Clone)]
 pub struct NodeHandle {
     inputs: SyncSender<Input>,
@@ -91,12 +91,12 @@
 }
 
 impl NodeHandle {
-    /// Hands a message over; it is dropped if the thread is far behind, as a network may do.
+    /// Queues a message; drops it if the queue is full, as a network may.
     pub fn deliver(&self, message: Message, sender: Sender) {
         let _ = self.inputs.try_send(Input::Deliver(message, sender));
     }
 
-    /// Asks a question and waits for the answer.
+    /// Queues a request and waits for its reply. Fails if the queue is full or the thread has stopped.
     pub async fn request<T>(
         &self,
         make_input: impl FnOnce(oneshot::Sender<T>) -> Input,
@@ -110,35 +110,35 @@
             .map_err(|_| Report::new(ControlError::Stopped))
     }
 
-    /// The replica's belief after each round.
+    /// Receiver of the view that the thread publishes after each round.
     pub fn view(&self) -> watch::Receiver<NodeView> {
         self.view.clone()
     }
 
-    /// Ends the thread after its current round.
+    /// Stops the thread after its current round.
     pub fn stop(&self) {
         let _ = self.inputs.try_send(Input::Stop);
     }
 }
 
-/// Opens the replica from its folder; the time is that of the replica's clock.
+/// Opens the replica from its data folder, at the given time of the replica's clock.
 pub type OpenReplica = Box<dyn Fn(Millis) -> Result<Replica, Report<ControlError>> + Send>;
 
-/// Tells what a document's bytes mean; `None` if they cannot be read.
+/// Parses a configuration document; `None` if it is invalid.
 pub type DocumentParser = fn(&[u8]) -> Option<ServingConfiguration>;
 
-/// How a replica's thread behaves.
+/// Options of the replica's thread.
 pub struct NodeOptions {
-    /// Longest time between two rounds.
+    /// Longest time between two rounds. Default: 10 ms.
     pub tick: Duration,
-    /// Whether the leader adds, replaces and removes members by itself; silence after which a
-    /// voter may be replaced, milliseconds.
+    /// Time without contact after which the leader may replace a voter, milliseconds. `None` disables
+    /// automatic membership changes.
     pub voter_replacement_timeout: Option<Millis>,
-    /// Losses that the group must bear.
+    /// Failures that the group must tolerate.
     pub tolerance: FaultTolerance,
-    /// Opens the replica anew after its storage failed; without it the thread ends.
+    /// Reopens the replica after a storage failure; if `None`, the thread stops with the error.
     pub reopen: Option<OpenReplica>,
-    /// Reads the document held, for what former builds did not take from it.
+    /// Parses the stored document, for fields that previous builds did not extract.
     pub parse_document: DocumentParser,
 }
 
@@ -154,7 +154,7 @@
     }
 }
 
-/// Starts the thread. The receiver is told how it ended.
+/// Starts the thread. The receiver yields the thread's result when it stops.
 pub fn start(
     replica: Replica,
     peers: Peers,
@@ -202,12 +202,12 @@
     view: watch::Sender<NodeView>,
     pending_reads: Vec<PendingRead>,
     join_requests: BTreeMap<ReplicaId, (JoinRequest, Millis)>,
-    /// Members that are being stopped, and when they said so.
+    /// Members that are shutting down, and the times of their notices.
     leaving: BTreeMap<ReplicaId, Millis>,
     levels: MemberLevels,
 }
 
-/// A reader that waits until this replica is known to have led after it asked.
+/// A read index request that waits for a majority to confirm that this replica is still the leader.
 struct PendingRead {
     requested_at: Millis,
     index: LogIndex,
@@ -215,9 +215,9 @@
 }
 
 impl Node {
-    /// Runs the replica; after its storage failed, opens it again from what is durable.
+    /// Runs the replica; reopens it from durable state after a storage failure.
     ///
-    /// What the failed replica held in memory may not be durable, so nothing of it is kept.
+    /// The in-memory state of the failed replica may not be durable, so it is discarded.
     fn run_with_reopen(&mut self, inputs: &Receiver<Input>) -> Result<(), Report<ControlError>> {
         loop {
             let Err(mut report) = self.run(inputs) else {
@@ -231,7 +231,7 @@
                     return Err(report);
                 };
                 thread::sleep(REOPEN_DELAY);
-                // Askers are told at once that nothing was done.
+                // Dropping the queued requests closes their reply channels, so that callers fail fast.
                 while inputs.try_recv().is_ok() {}
                 match reopen(self.now()) {
                     Ok(replica) => {
@@ -267,7 +267,7 @@
         self.replica.tick(now);
         let mut advance = self.advance()?;
         if !advance.applied.is_empty() {
-            // What was just committed is told to the others in the same round.
+            // Sends the new commit index to the other members in the same round.
             self.replica.tick(now);
             let follow_up = self.advance()?;
             advance.messages.extend(follow_up.messages);
@@ -291,7 +291,7 @@
         Ok(())
     }
 
-    /// One step of the replica; its time counts as that of the disk if it synced.
+    /// Advances the replica; records the duration as that of a sync if it synced.
     fn advance(&mut self) -> Result<Advance, Report<ControlError>> {
         let start = Instant::now();
         let advance = self.replica.advance()?;
@@ -453,7 +453,7 @@
 
 fn send_replies(replies: Vec<(oneshot::Sender<ProposeReply>, ProposeReply)>) {
     for (proposer, reply) in replies {
-        // A proposer that is gone needs no answer.
+        // The caller may have stopped waiting.
         let _ = proposer.send(reply);
     }
 }
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -1,4 +1,4 @@
-//! What the thread does for a group that serves routers: confirmed reads, members, its view.
+//! Linearizable reads, membership reconciliation and the published view.
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
 use super::{Node, PendingRead};
 use crate::members::{MembershipContext, next_membership};
 
-/// Time for which a request to join counts, milliseconds.
+/// Time for which a join request is valid, milliseconds; replicas repeat it.
 const JOIN_REQUEST_TTL_MS: Millis = 3_000;
-/// Time for which a notice to leave counts, milliseconds; after that, silence tells.
+/// Time for which a leave notice is valid, milliseconds; afterwards the silence limit applies.
 const LEAVE_NOTICE_TTL_MS: Millis = 3_000;
 
 impl Node {
@@ -76,7 +76,7 @@
         JoinReply::Accepted
     }
 
-    /// While leading, brings the members closer to the replicas that are there.
+    /// As leader, proposes the next membership change, if one is needed.
     pub(super) fn reconcile_members(&mut self, now: Millis) {
         let Some(silence_limit) = self.options.voter_replacement_timeout else {
             return;
@@ -108,8 +108,8 @@
             return;
         };
         let description = describe(&next);
-        // A refusal means that an earlier change or a learner is not far enough; the next round
-        // looks again.
+        // Rejected while an earlier change is uncommitted or a learner has not caught up; retried in
+        // the next round.
         if self.replica.propose_membership(next).is_ok() {
             spdlog::info!("membership proposed", kv: { members = description });
         }
--- a/crates/control/src/node/level.rs
+++ b/crates/control/src/node/level.rs
@@ -1,9 +1,9 @@
-//! Keeping the group to what all its members can do.
+//! Negotiation of the group's feature level.
 //!
-//! A member says with each message what its build can do; one that says nothing is of a build that can do the
-//! first level only, and cannot be asked. The level of the group is replicated state. The leader has it raised
-//! once all members, learners among them, have said that they can do more, and it never falls. Whoever cannot do
-//! it has to stay outside: it could not apply what stands in the log.
+//! Members report the highest feature level that their build supports with each message; a build that
+//! reports none supports the first level only. The group's level is replicated state. The leader raises it
+//! once all members, including learners, support a higher one, and it is never lowered. Replicas that do
+//! not support the group's level are excluded, because they could not apply entries of the log.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,10 +16,10 @@
 
 use super::Node;
 
-/// Time after which a raise is proposed again that was not applied, milliseconds.
+/// Time after which an unapplied raise of the level is proposed again, milliseconds.
 const RAISE_RETRY_MS: Millis = 1_000;
 
-/// What the builds of the members can do, as far as they said so.
+/// Feature levels that the members have reported.
 #[derive(Debug, Default)]
 pub struct MemberLevels {
     reported: BTreeMap<ReplicaId, (FeatureLevel, Millis)>,
@@ -29,12 +29,12 @@
 }
 
 impl MemberLevels {
-    /// Takes in what a message says of its sender's build.
+    /// Records the level that a member reported with a message.
     pub fn record(&mut self, member: ReplicaId, level: FeatureLevel, now: Millis) {
         self.reported.insert(member, (level, now));
     }
 
-    /// Notes whether this replica leads.
+    /// Records whether this replica is the leader.
     pub fn set_leading(&mut self, leading: bool, now: Millis) {
         if leading {
             self.leading_since.get_or_insert(now);
@@ -43,8 +43,9 @@
         }
     }
 
-    /// While leading: what all members can do. One that has not been heard since the lead began may have been
-    /// replaced by another build.
+    /// The level that all members support, if this replica is the leader; otherwise the first level. A member
+    /// that has not sent a message since this replica became leader counts with the first level, because its
+    /// build may have been replaced.
     pub fn common_level(&self, local: ReplicaId, membership: &Membership) -> FeatureLevel {
         let Some(leading_since) = self.leading_since else {
             return FeatureLevel::FIRST;
@@ -61,7 +62,7 @@
             .min(FeatureLevel::OF_THIS_BUILD)
     }
 
-    /// What each other member said last; those that were not heard yet are left out.
+    /// The level that each member last reported; omits members that have not reported one.
     pub fn reported(&self, membership: &Membership) -> Vec<(ReplicaId, FeatureLevel)> {
         let members = membership.members.iter();
         let reported = members.filter_map(|member| {
@@ -81,7 +82,7 @@
 }
 
 impl Node {
-    /// Whether a replica can do what the group does. One that cannot is told nothing and is not listened to.
+    /// Whether a replica supports the group's level. The messages and join requests of others are ignored.
     pub(super) fn check_level(&mut self, replica: ReplicaId, level: FeatureLevel) -> bool {
         let group_level = self.group_level();
         if level >= group_level {
@@ -103,7 +104,7 @@
         self.replica.state().serving().level()
     }
 
-    /// While leading, raises the level once all members can do more.
+    /// As leader, raises the group's level once all members support a higher one.
     pub(super) fn raise_level(&mut self, now: Millis) {
         let is_leader = self.replica.is_ready_leader();
         self.levels.set_leading(is_leader, now);
@@ -118,7 +119,7 @@
             at: 0,
             command: Command::Serving(self.raise_command(level)),
         };
-        // A refusal means that the lead is over; the next leader looks again.
+        // Rejected if this replica is no longer the leader; the next leader retries.
         if self.replica.propose(&proposal).is_ok() {
             spdlog::info!("level of the group raised", kv: {
                 from = group_level.0,
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! Sending messages of the replicated log to the other replicas.
+//! Transport of messages of the replicated log to other replicas.
 
 use std::{
     collections::{BTreeMap, btree_map::Entry},
@@ -12,11 +12,11 @@
 
 use crate::metrics::ControlMetrics;
 
-/// Messages that may wait for one peer; more are dropped, which the log tolerates.
+/// Capacity of a peer's queue. Further messages are dropped, which the log tolerates.
 const PEER_QUEUE_CAPACITY: usize = 64;
-/// Time for connecting to a peer.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for delivering one message; a snapshot is the largest.
+/// Timeout for delivering a message, including a snapshot.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 struct Peer {
@@ -24,19 +24,19 @@
     queue: mpsc::Sender<Message>,
 }
 
-/// One queue and one connection for each other replica.
+/// Connections to the other replicas, each with a queue.
 pub struct Peers {
     runtime: Handle,
     metrics: ControlMetrics,
     local_address: String,
     peers: BTreeMap<ReplicaId, Peer>,
-    /// Where each replica was last heard from. A replica that is not a member yet knows no
-    /// membership, and answers the leader there.
+    /// Address from which each replica last sent a message. Lets a replica that has no membership yet
+    /// reply to the leader.
     observed_addresses: BTreeMap<ReplicaId, String>,
 }
 
 impl Peers {
-    /// Queues that are drained by tasks on `runtime`.
+    /// Creates peers whose messages are delivered by tasks on `runtime`.
     pub fn new(runtime: Handle, metrics: ControlMetrics, local_address: SocketAddr) -> Self {
         Self {
             runtime,
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Notes where a replica can be answered.
+    /// Records the address from which a replica sent a message.
     pub fn record_address(&mut self, replica: ReplicaId, address: String) {
         self.observed_addresses.insert(replica, address);
     }
 
-    /// Queues messages in order; those for replicas without a known address are dropped.
+    /// Queues messages in order. Drops those for replicas without a known address.
     pub fn send(&mut self, messages: Vec<Message>, membership: &Membership) {
         for message in messages {
             let address = membership
@@ -101,7 +101,7 @@
         let connection = ControlConnection::new(address, CONNECT_TIMEOUT);
         while let Some(message) = receiver.recv().await {
             let sender = Sender::of_this_build(local_address.clone());
-            // A lost message is sent again by the log's own timers.
+            // The log's timers resend lost messages.
             let delivered = connection
                 .call(|client| async move {
                     client
@@ -110,7 +110,7 @@
                 })
                 .await;
             if delivered.is_err() {
-                // What waited for a peer that is away is out of date once it is back.
+                // Messages queued for an unreachable peer would be out of date on reconnect.
                 while receiver.try_recv().is_ok() {}
             }
         }
--- a/crates/control/src/pending.rs
+++ b/crates/control/src/pending.rs
@@ -1,6 +1,6 @@
-//! Proposals whose outcome somebody waits for.
+//! Proposals that callers wait for.
 //!
-//! Pure: the daemon and the simulator use it between a replica and its callers.
+//! Free of I/O: used by both the daemon and the simulator.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use crate::replica::{Applied, LogPosition};
 
-/// Waiting proposers by the place of their proposal in the log.
+/// Callers that wait for their proposals, by position in the log.
 #[derive(Debug)]
 pub struct PendingProposals<T> {
     pending: BTreeMap<LogPosition, T>,
@@ -23,15 +23,15 @@
 }
 
 impl<T> PendingProposals<T> {
-    /// Notes who waits for a proposal.
+    /// Registers the caller of a proposal.
     pub fn insert(&mut self, position: LogPosition, proposer: T) {
         self.pending.insert(position, proposer);
     }
 
-    /// Answers the proposers that an applied command concerns.
+    /// Returns the replies that result from an applied command.
     ///
-    /// A proposal whose place was taken by another leader's entry did not commit there, but a
-    /// resend may still find it done by an earlier send; so its proposer is told "unknown".
+    /// A proposal that was overwritten by an entry of another leader gets [`ProposeReply::Unknown`]: it
+    /// did not commit at this position, but an earlier attempt with the same operation may have.
     pub fn applied(&mut self, applied: Applied) -> Vec<(T, ProposeReply)> {
         let later = self.pending.split_off(&applied.position);
         let superseded = std::mem::replace(&mut self.pending, later);
@@ -45,7 +45,8 @@
         replies
     }
 
-    /// Tells everyone "unknown", because this replica does not lead any more.
+    /// Returns [`ProposeReply::Unknown`] for all pending proposals, for use when this replica is no
+    /// longer the leader.
     pub fn fail_all(&mut self) -> Vec<(T, ProposeReply)> {
         std::mem::take(&mut self.pending)
             .into_values()
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,4 +1,4 @@
-//! One control replica: the log, the state and the durable store in the right order.
+//! A control replica: combines the replicated log, the state and the durable store.
 
 use error_stack::{Report, ResultExt};
 use railtack_consensus::{
@@ -19,73 +19,77 @@
     store::{Folder, Identity, ReplicaStore},
 };
 
-/// Entries in one append message.
+/// Maximum number of entries in one append message.
 const APPEND_LIMIT: usize = 512;
-/// Bytes of commands in one append message: some six batches of registrations of 40 kB. Without it a member
-/// that lags could be sent 512 of them, 20 MB, at once. What it buys was not measured by itself.
+/// Maximum size of the commands in one append message, bytes. Keeps a lagging member from being sent
+/// hundreds of registration batches of 40 kB at once.
 const APPEND_BYTES: usize = 256 * 1024;
 
 /// Identity, timing and limits of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaOptions {
-    /// Cluster.
+    /// Name of the cluster.
     pub cluster: String,
-    /// This replica; a folder that is in use keeps its own number if `accept_stored_id` is set.
+    /// Id of this replica; the id stored in the data folder replaces it if `accept_stored_id` is set.
     pub replica: ReplicaId,
-    /// Whether the number in the folder prevails over `replica`.
+    /// Whether an id stored in the data folder takes precedence over `replica`. Otherwise a different
+    /// stored id is an error.
     pub accept_stored_id: bool,
-    /// Identity given to the data folder if it is new.
+    /// Id assigned to the data folder if it is new.
     pub new_disk: DiskId,
-    /// Shortest election timeout, milliseconds.
+    /// Shortest election timeout, milliseconds; the longest is twice that.
     pub election_timeout: Millis,
     /// Time between heartbeats, milliseconds.
     pub heartbeat_interval: Millis,
-    /// Entries after which a snapshot replaces the log.
+    /// Number of log entries after which a snapshot is written.
     pub snapshot_entries: u64,
-    /// Bytes of log entries after which a snapshot replaces the log.
+    /// Size of the log after which a snapshot is written, bytes. The size of the last snapshot applies
+    /// if it is larger.
     pub snapshot_bytes: usize,
-    /// How long claims are kept, milliseconds.
+    /// Time for which claims are kept, milliseconds.
     pub claim_retention_ms: u64,
-    /// Seed of the election timeouts.
+    /// Seed of the random election timeouts.
     pub seed: u64,
-    /// Whether data folders are told apart. False only in a deliberately broken build.
+    /// Whether messages from or to another data folder are dropped. Set to false only in simulations
+    /// that check that the fault is found.
     pub check_disk_identity: bool,
-    /// Whether revisions are compared. Skipped only in a deliberately broken build.
+    /// Whether expected revisions are enforced. Skipped only in simulations that check that the fault is
+    /// found.
     pub revision_check: RevisionCheck,
 }
 
-/// Where a proposal stands in the log.
+/// Position of a proposal in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPosition {
-    /// Position.
+    /// Index in the log.
     pub index: LogIndex,
-    /// Term in which it was appended.
+    /// Term in which the proposal was appended.
     pub term: Term,
 }
 
-/// A command that was committed and applied.
+/// A command that is committed and applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// Where it stands.
+    /// Position of the command.
     pub position: LogPosition,
-    /// The proposal as it stands in the log.
+    /// The encoded proposal, as stored in the log.
     pub encoded: Vec<u8>,
-    /// What it did.
+    /// Outcome of the command.
     pub outcome: Outcome,
 }
 
-/// What one round of work brought.
+/// Output of [`Replica::advance`].
 #[derive(Debug, Default)]
 pub struct Advance {
-    /// Messages to send; everything they rely on is synced.
+    /// Messages to send; everything that they depend on is synced.
     pub messages: Vec<Message>,
-    /// Commands applied in this round, in order.
+    /// Commands that were applied, in order.
     pub applied: Vec<Applied>,
-    /// Whether something was synced to the disk.
+    /// Whether the store was synced.
     pub synced: bool,
 }
 
-/// A control replica.
+/// A replica of the control state.
 pub struct Replica {
     options: ReplicaOptions,
     identity: Identity,
@@ -95,8 +99,8 @@
 }
 
 impl Replica {
-    /// Starts a replica from its folder. A new folder makes a replica without members, which
-    /// waits until a leader adds it.
+    /// Opens a replica from its data folder. With a new folder the replica has no members and waits
+    /// until a leader adds it.
     pub fn open(
         folder: &dyn Folder,
         options: ReplicaOptions,
@@ -115,7 +119,7 @@
         Self::start(options, identity, store, opened.recovered, now)
     }
 
-    /// Makes an empty folder the first and only voter of a new cluster.
+    /// Initializes an empty data folder as the only voter of a new cluster.
     pub fn initialize(
         folder: &dyn Folder,
         options: &ReplicaOptions,
@@ -130,8 +134,8 @@
         Self::initialize_with_members(folder, options, vec![member])
     }
 
-    /// Makes an empty folder one of the first members of a new cluster. All of them must be
-    /// initialized with the same members.
+    /// Initializes an empty data folder as one of the initial members of a new cluster. All of them
+    /// must be initialized with the same members.
     pub fn initialize_with_members(
         folder: &dyn Folder,
         options: &ReplicaOptions,
@@ -185,36 +189,36 @@
         &self.raft
     }
 
-    /// The replicated state, as far as it is applied here.
+    /// The replicated state, as applied by this replica.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// Whether this replica leads and has applied everything that earlier leaders may have
-    /// committed. Decisions that count on the state wait for this.
+    /// Whether this replica is the leader and has applied an entry of its own term, and with it
+    /// everything that earlier leaders committed. Decisions based on the state require this.
     pub fn is_ready_leader(&self) -> bool {
         let applied_term = self.raft.log().term_at(self.applied_index());
         self.raft.role() == Role::Leader && applied_term == Some(self.raft.term())
     }
 
-    /// Who this replica is.
+    /// Identity of this replica.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Lets timers fire.
+    /// Advances the clock to `now` and fires the timers that are due.
     pub fn tick(&mut self, now: Millis) {
         self.raft.tick(now);
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica.
     pub fn receive(&mut self, message: Message, now: Millis) {
         self.raft.receive(message, now);
     }
 
-    /// Appends a command if this replica leads.
+    /// Appends a command if this replica is the leader.
     pub fn propose(&mut self, proposal: &Proposal) -> Result<LogPosition, ProposeError> {
-        // Encoding into memory cannot fail: speedy writes to a growing buffer.
+        // Encoding into a growing buffer cannot fail.
         let bytes = proposal.write_to_vec().unwrap_or_default();
         let index = self.raft.propose(bytes)?;
         Ok(LogPosition {
@@ -223,7 +227,7 @@
         })
     }
 
-    /// Appends a change of the members if this replica leads.
+    /// Appends a membership change if this replica is the leader.
     pub fn change_membership(
         &mut self,
         change: &MembershipChange,
@@ -235,19 +239,19 @@
             .map_err(MembershipError::Rejected)
     }
 
-    /// Appends a membership if this replica leads and the log takes it now.
+    /// Appends a membership if this replica is the leader and no other change is uncommitted.
     pub fn propose_membership(&mut self, next: Membership) -> Result<LogIndex, ProposeError> {
         self.raft.propose_membership(next)
     }
 
-    /// Sends a heartbeat at the next tick.
+    /// Schedules a heartbeat ahead of the interval. See [`Raft::request_heartbeat`].
     pub fn request_heartbeat(&mut self, now: Millis) {
         self.raft.request_heartbeat(now);
     }
 
-    /// Persists, applies and compacts what the inputs since the last round brought.
+    /// Persists the output of the log, applies committed entries, and compacts the log if it is long.
     ///
-    /// An error means that durable state may be lost; the replica must not go on.
+    /// After an error durable state may be lost, and the replica must be discarded.
     pub fn advance(&mut self) -> Result<Advance, Report<ControlError>> {
         let mut advance = Advance::default();
         loop {
@@ -271,7 +275,7 @@
         }
         let log = self.raft.log();
         let exceeds_entries = log.len() as u64 >= self.options.snapshot_entries;
-        // A snapshot is written for at least as many bytes of log as it has itself.
+        // Bounds write amplification: the log must be at least as large as the last snapshot.
         let byte_limit = self.options.snapshot_bytes.max(log.snapshot().state.len());
         if exceeds_entries || log.payload_bytes() >= byte_limit {
             self.compact()?;
@@ -279,11 +283,11 @@
         Ok(advance)
     }
 
-    /// Replaces the applied part of the log by a snapshot.
+    /// Replaces the applied entries of the log by a snapshot.
     pub fn compact(&mut self) -> Result<(), Report<ControlError>> {
         let index = self.applied_index();
-        // While nothing commits the log stays long, and the state that is told there already is not
-        // encoded again in each round.
+        // While nothing commits, the log stays long. Skips encoding a state that the last snapshot
+        // contains already.
         if index <= self.raft.log().snapshot().last_index {
             return Ok(());
         }
@@ -295,7 +299,7 @@
         self.store.compact(&snapshot, &tail)
     }
 
-    /// Answers a router's poll from what this replica has in its log and its state.
+    /// Replies to a router's poll from the log and the state of this replica.
     pub fn poll(&self, request: &PollRequest) -> PollReply {
         let membership = self.raft.membership();
         PollReply {
@@ -330,7 +334,8 @@
         member.is_some_and(|member| member.voter && member.disk == self.identity.disk)
     }
 
-    /// Every entry after the applied ones may commit, so a configuration entry among them counts.
+    /// Index of the last configuration entry in the log. Includes unapplied entries, since any of them
+    /// may commit.
     fn last_configuration_index(&self) -> LogIndex {
         let unapplied = self
             .raft
@@ -367,12 +372,12 @@
     }
 }
 
-/// Why a change of the members was not appended.
+/// Reason for which a membership change was not appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipError {
-    /// No such member, or one that is there already.
+    /// The change names an unknown member, adds an existing one, or leaves no voter.
     InvalidChange,
-    /// The log refused it.
+    /// The log rejected the change.
     Rejected(ProposeError),
 }
 
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,7 +1,7 @@
-//! Bringing every engine to the weights that the configuration wants.
+//! Rollout of the configured weights to the engines. Free of I/O.
 //!
-//! The decision is pure. An order is first recorded in the replicated state, which gives its
-//! fencing token; only then is it sent, so that an old leader's order carries an older token.
+//! An order is recorded in the replicated state, which assigns its fencing token, before it is sent to
+//! the engine. Orders of a previous leader therefore carry lower tokens.
 
 use std::collections::BTreeMap;
 
@@ -12,32 +12,32 @@
 
 use crate::state::IssuedOrder;
 
-/// Of every model's replicas, at most one in this many loads weights at a time.
+/// At most one in this many replicas of a model loads weights at a time.
 const REPLICAS_PER_LOAD: usize = 4;
 
-/// What to do next for the engines.
+/// Next actions of a rollout.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RolloutStep {
-    /// Orders to record.
+    /// Orders to record in the replicated state.
     pub record: Vec<(EngineId, EngineOrder)>,
-    /// Orders that are recorded and that the engine has not taken yet.
+    /// Recorded orders to send, which the engines have not accepted yet.
     pub send: Vec<(EngineId, IssuedOrder)>,
 }
 
-/// What is known of the engines when a step is planned.
+/// State of the engines, as observed by the leader.
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedEngines<'a> {
-    /// State of each engine that answered.
+    /// Status of each engine that responded.
     pub statuses: &'a [EngineStatus],
-    /// Every engine that the platform lists, with the model it was started with.
+    /// All engines that the platform lists, with the models that they were started with.
     pub listed: &'a [(EngineId, ModelName)],
 }
 
-/// Compares wanted and reported weights.
+/// Returns the next actions, from the target and the reported weights.
 ///
-/// With two or more replicas of a model at least one that answers keeps serving: engines that
-/// load, engines with an order under way, and engines that may have one but do not answer all
-/// count against a limit below the number of replicas.
+/// With two or more replicas of a model, at least one that responds keeps serving. Engines that
+/// load, engines with an outstanding order, and unresponsive engines with a recorded order count
+/// towards the limit on concurrent loads.
 pub fn next_step(
     configuration: &Configuration,
     orders: &BTreeMap<EngineId, IssuedOrder>,
@@ -70,7 +70,7 @@
     let mut pending = Vec::new();
     for engine in &replicas {
         let is_current = engine.weights_version == target.weights_version && !engine.loading;
-        // An order that the engine has not taken may still be on its way to it.
+        // An order that the engine has not accepted may still be in flight.
         let outstanding = orders
             .get(&engine.engine)
             .filter(|issued| issued.token > engine.last_order_token);
@@ -80,7 +80,7 @@
                 in_progress += usize::from(!is_current);
             }
             Some(_) => {
-                // A newer order to the same engine voids the one on its way.
+                // The newer order replaces the outstanding one, which has a lower token.
                 step.record.push((engine.engine, wanted.clone()));
                 in_progress += 1;
             }
@@ -105,7 +105,7 @@
         .extend(selected.map(|engine| (engine, wanted.clone())));
 }
 
-/// Listed engines that do not answer and may be loading by an order recorded before.
+/// Number of listed engines that do not respond and may be executing a recorded order.
 fn unresponsive_with_order(
     target: &ModelTarget,
     orders: &BTreeMap<EngineId, IssuedOrder>,
--- a/crates/control/src/routers.rs
+++ b/crates/control/src/routers.rs
@@ -1,4 +1,4 @@
-//! Which routers are alive, from their polls. Not replicated: each replica hears every router.
+//! Liveness of routers, tracked by their polls. Not replicated, since every router polls each replica.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use railtack_core::RouterId;
 use railtack_rpc::protocol::{PollRequest, RouterStatus};
 
-/// Silence after which a router counts as gone, milliseconds.
+/// Time without a poll after which a router counts as gone, milliseconds.
 const ROUTER_TIMEOUT_MS: Millis = 5_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -15,14 +15,14 @@
     applied: LogIndex,
 }
 
-/// Routers heard from lately.
+/// Last poll of each live router.
 #[derive(Clone, Debug, Default)]
 pub struct RouterTracker {
     routers: BTreeMap<RouterId, LastPoll>,
 }
 
 impl RouterTracker {
-    /// Notes a poll.
+    /// Records a poll and drops routers that timed out.
     pub fn record_poll(&mut self, request: &PollRequest, now: Millis) {
         let last_poll = LastPoll {
             at: now,
@@ -33,7 +33,7 @@
             .retain(|_, last_poll| now < last_poll.at + ROUTER_TIMEOUT_MS);
     }
 
-    /// Number of routers heard from lately.
+    /// Number of routers that have polled within the timeout.
     pub fn live_count(&self, now: Millis) -> u32 {
         let live = self
             .routers
@@ -42,7 +42,7 @@
         live.count() as u32
     }
 
-    /// State of each.
+    /// Status of each tracked router.
     pub fn statuses(&self, now: Millis) -> Vec<RouterStatus> {
         self.routers
             .iter()
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,4 +1,4 @@
-//! The daemon: the replica's thread, its services, and the rollout loop.
+//! The daemon: runs the replica's thread, the RPC and metrics servers, and the rollout loop.
 
 use std::{
     net::SocketAddr,
@@ -53,14 +53,14 @@
     state::IssuedOrder,
 };
 
-/// Bytes of log entries after which a snapshot replaces the log.
+/// Size of the log after which a snapshot is written, bytes.
 const SNAPSHOT_BYTES: usize = 16 * 1024 * 1024;
-/// Time between two looks at the engines.
+/// Interval of the rollout loop.
 const ROLLOUT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for one call to an engine or the platform.
+/// Timeout of a request to an engine or the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Options of the replica that the settings describe.
+/// Returns the replica options for the given settings.
 pub fn replica_options(settings: &ControlSettings, new_disk: DiskId) -> ReplicaOptions {
     let consensus = &settings.consensus;
     ReplicaOptions {
@@ -79,14 +79,14 @@
     }
 }
 
-/// Makes the data folder the first replica of a new cluster.
+/// Initializes the data folder as the first replica of a new cluster.
 pub fn initialize(settings: &ControlSettings) -> Result<(), Report<ControlError>> {
     let folder = FileMedia::open(&settings.data).change_context(ControlError::Storage)?;
     let options = replica_options(settings, DiskId(rand::random()));
     Replica::initialize(&folder, &options, &settings.listen.to_string())
 }
 
-/// Runs a replica until `shutdown`, or until it cannot go on.
+/// Runs a replica until `shutdown` is cancelled or the replica fails.
 pub async fn run(
     settings: ControlSettings,
     shutdown: CancellationToken,
@@ -142,14 +142,14 @@
     }
 }
 
-/// Opens a listener.
+/// Binds a TCP listener.
 pub(crate) async fn listen(address: SocketAddr) -> Result<TcpListener, Report<ControlError>> {
     TcpListener::bind(address)
         .await
         .change_context(ControlError::Listen { address })
 }
 
-/// Serves the internal interface for as long as the process runs.
+/// Accepts connections to the internal interface; never returns.
 pub(crate) async fn accept(listener: TcpListener, service: ControlService) {
     loop {
         match listener.accept().await {
@@ -160,7 +160,7 @@
 }
 
 fn serve_connection(stream: TcpStream, service: ControlService) {
-    // A failure here only costs latency.
+    // Without TCP_NODELAY only latency suffers.
     let _ = stream.set_nodelay(true);
     let codec = ServerCodec::<ControlRequest, ControlResponse>::default();
     let channel = BaseChannel::with_defaults(Framed::new(stream, codec));
@@ -198,7 +198,7 @@
     group: Option<GroupServices>,
 }
 
-/// What a replica of a group that serves routers by watches has besides.
+/// Additional services of a replica that serves routers by watches.
 #[derive(Clone)]
 pub(crate) struct GroupServices {
     pub(crate) link: Arc<LeaderLink>,
@@ -208,7 +208,7 @@
 }
 
 impl ControlService {
-    /// The interface of the replica behind `handle`.
+    /// Creates the interface of the replica behind `handle`.
     pub(crate) fn new(handle: NodeHandle, permits: Arc<PermitServer>) -> Self {
         Self {
             handle,
@@ -217,7 +217,7 @@
         }
     }
 
-    /// The same, answering watches, taking signs of life and granting quotas.
+    /// Adds watches, liveness and quotas.
     pub(crate) fn with_group(self, group: GroupServices) -> Self {
         Self {
             group: Some(group),
@@ -349,7 +349,7 @@
     }
 }
 
-/// A replica that answers no watches confirms nothing.
+/// Reply of a replica without watches: unconfirmed and empty.
 fn unconfirmed_watch_reply() -> WatchReply {
     WatchReply {
         confirmed_age_ms: None,
@@ -363,7 +363,7 @@
     }
 }
 
-/// A stopping replica vouches for nothing.
+/// Reply of a stopped replica, which does not count towards a router's quorum.
 fn stopped_poll_reply() -> PollReply {
     PollReply {
         replica: ReplicaId(0),
@@ -391,7 +391,7 @@
     since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// While this replica leads, brings engines to the wanted weights.
+/// Rolls out the configured weights to the engines while this replica is the leader.
 async fn run_rollout(handle: NodeHandle, platform: SocketAddr) {
     let client = HttpClient::new(PLATFORM_TIMEOUT);
     let mut interval = tokio::time::interval(ROLLOUT_INTERVAL);
@@ -427,7 +427,7 @@
             at: unix_millis(),
             command,
         };
-        // The next look finds the order recorded, or records it again.
+        // If recording fails, the next iteration retries.
         let _ = handle
             .request(|sender| Input::Propose(proposal, sender))
             .await;
@@ -443,7 +443,7 @@
     }
 }
 
-/// The engines that the platform lists, and the state of those that answer.
+/// Returns the engines that the platform lists, and the status of those that respond.
 async fn fetch_engine_statuses(
     client: &HttpClient,
     platform: SocketAddr,
@@ -475,7 +475,7 @@
         weights_version: target.weights_version,
     };
     let content = serde_json::to_vec(&request).unwrap_or_default();
-    // An engine that did not take the order is sent it again at the next look.
+    // If the engine does not accept the order, the next iteration resends it.
     let _ = client
         .post_json::<OrderReply>(address, "/orders", content, PLATFORM_TIMEOUT)
         .await;
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,7 +1,7 @@
-//! The replicated state: configuration, outcomes of operations, claims and orders.
+//! The replicated state machine: configuration, outcomes of operations, claims and orders.
 //!
-//! Applying the same commands in the same order gives the same state and the same outcomes on
-//! every replica: there is no clock, randomness or I/O in it.
+//! Deterministic: applying the same commands in the same order yields the same state and outcomes on
+//! every replica. Uses no clock, randomness or I/O.
 
 use std::collections::BTreeMap;
 
@@ -23,18 +23,18 @@
     serving_state::{ServingState, StoredWithInlineQuotas},
 };
 
-/// Outcomes of operations that are kept for resends.
+/// Maximum number of operations whose outcomes are kept for retries.
 const MAX_OPERATIONS: usize = 10_000;
-/// Accepted changes kept for sending deltas; a router further behind gets a snapshot.
+/// Maximum number of accepted changes that are kept. Routers that lag further behind get a snapshot.
 const MAX_RECENT_CHANGES: usize = 256;
-/// Largest step of the state's clock in one command, so that one proposer's wrong clock cannot
-/// expire claims early.
+/// Largest step of the state's clock in one command, milliseconds. Keeps a proposer with a wrong
+/// clock from expiring claims early.
 const MAX_CLOCK_STEP_MS: u64 = 60_000;
 
-/// An order that was last given to an engine.
+/// The last order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct IssuedOrder {
-    /// Fencing token.
+    /// Fencing token: log index of the command that recorded the order.
     pub token: u64,
     /// The order.
     pub order: EngineOrder,
@@ -46,7 +46,7 @@
     outcome: Outcome,
 }
 
-/// The state in a layout in which the quotas of tenants stand within the configuration that routers serve from.
+/// Stored layout of previous builds, in which tenant quotas are part of the serving configuration.
 #[derive(Readable)]
 struct StateWithInlineQuotas {
     configuration: Configuration,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Everything that the control replicas agree on.
+/// The state that all control replicas agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ControlState {
     configuration: Configuration,
@@ -97,7 +97,7 @@
 }
 
 impl ControlState {
-    /// An empty state.
+    /// Creates the initial state of a new group.
     pub fn new(claim_retention_ms: u64) -> Self {
         Self {
             claim_retention_ms,
@@ -105,7 +105,8 @@
         }
     }
 
-    /// The state of a member that has not been sent any yet, so that it knows nothing of its group.
+    /// Creates the state of a replica that has not received any entry or snapshot yet, at the first
+    /// feature level.
     pub fn uninitialized(claim_retention_ms: u64) -> Self {
         Self {
             serving: ServingState::at(FeatureLevel::FIRST),
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Reads a state as a snapshot holds it, in any layout that a build has written.
+    /// Decodes the state of a snapshot, in the current layout or that of a previous build.
     pub fn read_stored(bytes: &[u8]) -> Result<Self, LayoutError> {
         read_exactly::<Self>(bytes).or_else(|error| {
             read_exactly::<StateWithInlineQuotas>(bytes)
@@ -122,32 +123,32 @@
         })
     }
 
-    /// All configuration.
+    /// The applied configuration.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Position of the last configuration command applied, accepted or not.
+    /// Log index of the last applied configuration command, whether accepted or rejected.
     pub fn configuration_index(&self) -> LogIndex {
         self.configuration_index
     }
 
-    /// Claims.
+    /// The claims within the retention time.
     pub fn claims(&self) -> &ClaimTable {
         &self.claims
     }
 
-    /// The order last given to each engine.
+    /// The last order to each engine.
     pub fn orders(&self) -> &BTreeMap<EngineId, IssuedOrder> {
         &self.orders
     }
 
-    /// What routers serve from.
+    /// The serving state: configuration and replicas that routers use.
     pub fn serving(&self) -> &ServingState {
         &self.serving
     }
 
-    /// Applies one committed command.
+    /// Applies the committed command at `index` and returns its outcome.
     pub fn apply(&mut self, index: LogIndex, proposal: Proposal, check: RevisionCheck) -> Outcome {
         self.advance_clock(proposal.at);
         match proposal.command {
@@ -177,7 +178,8 @@
         }
     }
 
-    /// What a router that has applied configuration up to `applied` is missing.
+    /// Returns the update for a router that has applied configuration up to `applied`; `None` if the
+    /// router is up to date.
     pub fn update_after(&self, applied: LogIndex) -> Option<ConfigurationUpdate> {
         let through = self.configuration_index;
         if applied >= through {
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -1,4 +1,4 @@
-//! The durable side of a replica: identity, term and vote, entries and snapshot.
+//! Durable storage of a replica: identity, term and vote, entries and snapshot.
 
 use error_stack::{Report, ResultExt};
 use railtack_consensus::{
@@ -9,9 +9,9 @@
 
 use crate::errors::ControlError;
 
-/// Where a replica keeps its files; each part opens its own handle on the folder.
+/// A data folder. The log and the snapshot store each open a separate handle.
 pub trait Folder {
-    /// Opens a handle.
+    /// Opens a handle to the folder.
     fn open(&self) -> Box<dyn Media>;
 }
 
@@ -27,14 +27,14 @@
     }
 }
 
-/// Who the folder belongs to.
+/// Owner of a data folder.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Identity {
-    /// Cluster.
+    /// Name of the cluster.
     pub cluster: String,
-    /// Replica.
+    /// Id of the replica.
     pub replica: ReplicaId,
-    /// This folder.
+    /// Id of the data folder.
     pub disk: DiskId,
 }
 
@@ -46,17 +46,17 @@
     Entry(Entry),
 }
 
-/// What a data folder holds at start.
+/// Content of a data folder at start.
 pub struct OpenedStore {
-    /// The store, ready for appending.
+    /// The opened store.
     pub store: ReplicaStore,
-    /// Owner of the folder; `None` if it is new.
+    /// Owner of the folder; `None` if the folder is new.
     pub identity: Option<Identity>,
-    /// The replica's state.
+    /// Recovered state of the replicated log.
     pub recovered: Recovered,
 }
 
-/// A replica's durable state.
+/// Durable storage of a replica.
 pub struct ReplicaStore {
     log: WriteAheadLog,
     snapshots: SnapshotStore,
@@ -65,7 +65,7 @@
 }
 
 impl ReplicaStore {
-    /// Opens a folder and replays what it holds.
+    /// Opens a data folder and recovers its content.
     pub fn open(folder: &dyn Folder) -> Result<OpenedStore, Report<ControlError>> {
         let snapshots = SnapshotStore::new(folder.open());
         let snapshot = match snapshots.load().change_context(ControlError::Storage)? {
@@ -96,21 +96,21 @@
         })
     }
 
-    /// Records who owns the folder.
+    /// Persists the owner of the folder.
     pub fn save_identity(&mut self, identity: Identity) -> Result<(), Report<ControlError>> {
         self.append(&Record::Identity(identity.clone()))?;
         self.identity = Some(identity);
         self.sync()
     }
 
-    /// Persists and syncs everything in `ready` that must be durable before its messages go out.
+    /// Persists and syncs everything in `ready` that must be durable before its messages are sent.
     pub fn persist(&mut self, ready: &Ready) -> Result<(), Report<ControlError>> {
         if let Some(hard_state) = ready.hard_state {
             self.hard_state = hard_state;
             self.append(&Record::HardState(hard_state))?;
         }
         if let Some(snapshot) = &ready.snapshot {
-            // Entries that conflict with the snapshot must not come back after a restart.
+            // Keeps entries that conflict with the snapshot from being recovered after a restart.
             self.append(&Record::TruncateFrom(snapshot.last_index + 1))?;
             self.save_snapshot(snapshot)?;
         }
@@ -123,13 +123,13 @@
         self.sync()
     }
 
-    /// Replaces the log up to the snapshot by it; `tail` holds the entries that follow.
+    /// Replaces the log by the snapshot and `tail`, the entries that follow it.
     pub fn compact(
         &mut self,
         snapshot: &Snapshot,
         tail: &[Entry],
     ) -> Result<(), Report<ControlError>> {
-        // The snapshot is durable before the log that it replaces is deleted.
+        // The snapshot must be durable before the log that it replaces is deleted.
         self.save_snapshot(snapshot)?;
         let mut records = Vec::with_capacity(tail.len() + 2);
         if let Some(identity) = &self.identity {
@@ -182,7 +182,7 @@
     }
 }
 
-/// Drops entries that the snapshot covers, and any that do not follow on from it.
+/// Returns the contiguous entries that directly follow the snapshot.
 fn contiguous_after(snapshot_index: LogIndex, entries: Vec<Entry>) -> Vec<Entry> {
     let mut next = snapshot_index + 1;
     let mut kept = Vec::new();
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,4 +1,4 @@
-//! What a replica's thread tells the tasks around it, without being asked.
+//! View of a replica that its thread publishes to other tasks.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,30 +7,31 @@
 
 use crate::serving_state::ServingState;
 
-/// A replica's belief after a round of work.
+/// State of a replica after a round of its thread.
 #[derive(Clone, Debug, Default)]
 pub struct NodeView {
-    /// What routers serve from, as applied here.
+    /// The serving state, as applied by this replica.
     pub serving: Arc<ServingState>,
-    /// Position up to which the log is applied here.
+    /// Index of the last entry that this replica has applied.
     pub applied: LogIndex,
-    /// Term of the log.
+    /// Current term.
     pub term: u64,
-    /// Internal address of the leader, if known.
+    /// Internal address of the leader; `None` if unknown.
     pub leader: Option<String>,
-    /// Whether this replica leads and has applied everything before its term.
+    /// Whether this replica is the leader and has applied all entries of earlier terms.
     pub is_leader: bool,
-    /// While leading: latest moment at which it is known to have led, on the replica's clock.
+    /// Latest time at which a majority confirmed this replica as leader, on the replica's clock; `None`
+    /// if it is not the leader or not confirmed yet.
     pub leadership_confirmed_at: Option<Millis>,
-    /// Whether this replica's folder is that of a member.
+    /// Whether this replica is a member with its present data folder.
     pub is_member: bool,
     /// Internal addresses of the voters.
     pub voters: Vec<String>,
 }
 
 impl NodeView {
-    /// While leading: time since it was last known to have led. `started` is the zero of the replica's
-    /// clock.
+    /// Time since a majority last confirmed this replica as leader; `None` if it is not the leader or not
+    /// confirmed yet. `started` is the origin of the replica's clock.
     pub fn leadership_confirmation_age(&self, started: BootInstant) -> Option<Duration> {
         let confirmed_at = self.leadership_confirmed_at.filter(|_| self.is_leader)?;
         Some((started + Duration::from_millis(confirmed_at)).elapsed())
--- a/crates/control/tests/members.rs
+++ b/crates/control/tests/members.rs
@@ -1,4 +1,4 @@
-//! Which membership a leader proposes next.
+//! Selection of the next membership change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// The next membership as numbers, learners negative; replica 1 leads.
+/// The next membership as replica numbers, negative for learners. Replica 1 is the leader.
 fn next(
     current: &Membership,
     joins: &[(ReplicaId, JoinRequest)],
@@ -43,7 +43,7 @@
     next_with_tolerance(0, current, joins, silent, &[])
 }
 
-/// The same for a group that must bear the loss of `machines` members.
+/// Like [`next`], for a group that must tolerate the loss of `machines` members.
 fn next_with_tolerance(
     machines: u32,
     current: &Membership,
@@ -108,7 +108,7 @@
     members.members.push(member(6, false));
     assert_eq!(next(&members, &[], &[5]), Some(vec![1, 2, 3, 4, -6]));
     assert_eq!(next(&members, &[], &[]), Some(vec![1, 2, 3, 4, 5, 6]));
-    // Six voters, one of them gone: it adds nothing.
+    // The sixth voter adds no tolerance.
     let six = voters(&[1, 2, 3, 4, 5, 6]);
     assert_eq!(next(&six, &[], &[5]), Some(vec![1, 2, 3, 4, 6]));
     assert_eq!(next(&six, &[], &[]), None);
@@ -118,7 +118,7 @@
 fn no_voter_is_removed_if_the_rest_has_no_live_majority() {
     let mut members = voters(&[1, 2, 3]);
     members.members.push(member(4, false));
-    // One live voter of the two that would be left is no majority.
+    // Removing a voter would leave one live voter of two, which is no majority.
     assert_eq!(next(&members, &[], &[2, 3]), Some(vec![1, 2, 3, 4]));
     let four = voters(&[1, 2, 3, 4]);
     assert_eq!(next(&four, &[], &[2, 3, 4]), None);
@@ -130,8 +130,8 @@
     assert_eq!(next(&five, &[], &[4, 5]), None);
 }
 
-/// Found on a random day: two of seven voters, each replaced by a newcomer, stayed for good, so that
-/// the group did not come back after the two losses that it was to bear.
+/// Guards against keeping replaced voters: with two silent voters out of seven, the group would not
+/// survive the two failures that it must tolerate.
 #[test]
 fn surplus_silent_voters_are_removed() {
     let seven = voters(&[1, 2, 3, 4, 5, 6, 7]);
@@ -140,13 +140,14 @@
     let six = voters(&[1, 2, 3, 4, 5, 6]);
     let after = next_with_tolerance(2, &six, &[], &[6], &[]);
     assert_eq!(after, Some(vec![1, 2, 3, 4, 5]));
-    // One silent of seven leaves room for two more.
+    // With one silent voter out of seven the group still tolerates two failures.
     assert_eq!(next_with_tolerance(2, &seven, &[], &[7], &[]), None);
     let five = voters(&[1, 2, 3, 4, 5]);
     assert_eq!(next_with_tolerance(2, &five, &[], &[4, 5], &[]), None);
 }
 
-/// An entry is acknowledged by a majority; it must outlive the loss of as many disks as may be lost.
+/// Guards against losing entries: an entry acknowledged by a majority must survive the tolerated
+/// number of disk losses.
 #[test]
 fn a_majority_always_exceeds_the_tolerated_losses() {
     let four = voters(&[1, 2, 3, 4]);
@@ -162,10 +163,10 @@
     let six = voters(&[1, 2, 3, 4, 5, 6]);
     let after = next_with_tolerance(2, &six, &[], &[], &[3]);
     assert_eq!(after, Some(vec![1, 2, 4, 5, 6]));
-    // One that is only restarted stays.
+    // A voter that the tolerance requires is kept: it may only be restarting.
     let five = voters(&[1, 2, 3, 4, 5]);
     assert_eq!(next_with_tolerance(2, &five, &[], &[], &[3]), None);
-    // It is not taken in again by a request that it sent before.
+    // A join request that it sent earlier does not add it again.
     let joins = [join(3, 3)];
     let without = voters(&[1, 2, 4, 5, 6]);
     assert_eq!(next_with_tolerance(2, &without, &joins, &[], &[3]), None);
