--- a/crates/control/src/errors.rs
+++ b/crates/control/src/errors.rs
@@ -6,10 +6,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ControlError {
     /// The data folder cannot be read or written.
-    #[error("the data folder cannot be used")]
+    #[error("cannot read or write the data folder")]
     Storage,
     /// A record in the data folder is intact but cannot be decoded.
-    #[error("the data folder holds a record of another format")]
+    #[error("the data folder contains a record that cannot be decoded")]
     InvalidRecord,
     /// The data folder belongs to another cluster or replica.
     #[error("the data folder belongs to replica {replica} of cluster {cluster:?}")]
@@ -29,7 +29,7 @@
         address: std::net::SocketAddr,
     },
     /// The settings are invalid.
-    #[error("the settings were refused")]
+    #[error("the settings are invalid")]
     Settings,
     /// The replica's thread has stopped or rejected a request.
     #[error("the replica has stopped")]
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -224,7 +224,7 @@
                 return Ok(());
             };
             loop {
-                spdlog::warn!("storage lost", kv: { cause = format!("{report}") });
+                spdlog::warn!("storage failed", kv: { cause = format!("{report}") });
                 send_replies(self.pending.fail_all());
                 self.pending_reads.clear();
                 let Some(reopen) = &self.options.reopen else {
@@ -236,7 +236,7 @@
                 match reopen(self.now()) {
                     Ok(replica) => {
                         self.replica = replica;
-                        spdlog::info!("storage regained");
+                        spdlog::info!("replica reopened after a storage failure");
                         break;
                     }
                     Err(error) => report = error,
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -111,7 +111,7 @@
         // Rejected while an earlier change is uncommitted or a learner has not caught up; retried in
         // the next round.
         if self.replica.propose_membership(next).is_ok() {
-            spdlog::info!("membership proposed", kv: { members = description });
+            spdlog::info!("membership change proposed", kv: { members = description });
         }
     }
 
--- a/crates/control/src/node/level.rs
+++ b/crates/control/src/node/level.rs
@@ -91,7 +91,7 @@
         }
         self.metrics.refused_below_level.inc();
         if self.levels.rejected.insert(replica) {
-            spdlog::warn!("replica refused: its build is below the group's level", kv: {
+            spdlog::warn!("replica rejected: its feature level is below the group's", kv: {
                 replica = replica.0,
                 level = level.0,
                 group_level = group_level.0,
@@ -121,7 +121,7 @@
         };
         // Rejected if this replica is no longer the leader; the next leader retries.
         if self.replica.propose(&proposal).is_ok() {
-            spdlog::info!("level of the group raised", kv: {
+            spdlog::info!("raise of the group's feature level proposed", kv: {
                 from = group_level.0,
                 to = level.0,
                 members = self.replica.raft().membership().members.len(),
@@ -134,7 +134,7 @@
         let parsed = serving.content().and_then(|content| {
             let configuration = (self.options.parse_document)(content);
             if configuration.is_none() {
-                spdlog::warn!("document held cannot be read: its quotas come with the next one");
+                spdlog::warn!("stored document cannot be parsed; its quotas take effect with the next document");
             }
             configuration
         });
