--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use railtack_core::{AttemptId, IdempotencyKey, TenantName};
-use railtack_rpc::protocol::{ClaimAnswer, ClaimOutcome, ClaimRequest, Outcome, UnixMillis};
+use railtack_rpc::protocol::{ClaimOutcome, ClaimReply, ClaimRequest, Outcome, UnixMillis};
 use speedy::{Readable, Writable};
 
 /// Age from which an unsettled claim has an unknown outcome, milliseconds. Exceeds the time for which
@@ -55,7 +55,7 @@
 
     /// Grants the claim to the first attempt that requests it. A repeated request by the same attempt is
     /// granted again until the claim is settled.
-    pub fn claim(&mut self, request: ClaimRequest, now: UnixMillis) -> ClaimAnswer {
+    pub fn claim(&mut self, request: ClaimRequest, now: UnixMillis) -> ClaimReply {
         let key = (request.tenant.clone(), request.key.clone());
         if let Some(record) = self.records.get(&key) {
             return answer_existing(record, &request, now);
@@ -68,7 +68,7 @@
             outcome: None,
         };
         self.records.insert(key, record);
-        ClaimAnswer::Granted
+        ClaimReply::Granted
     }
 
     /// Records the outcome of a claim. Succeeds only for the holder; the outcome cannot change later.
@@ -101,16 +101,16 @@
     }
 }
 
-fn answer_existing(record: &ClaimRecord, request: &ClaimRequest, now: UnixMillis) -> ClaimAnswer {
+fn answer_existing(record: &ClaimRecord, request: &ClaimRequest, now: UnixMillis) -> ClaimReply {
     if record.fingerprint != request.fingerprint {
-        return ClaimAnswer::KeyReused;
+        return ClaimReply::KeyReused;
     }
     match &record.outcome {
-        Some(outcome) => ClaimAnswer::Ended(outcome.clone()),
-        None if record.attempt == request.attempt => ClaimAnswer::Granted,
+        Some(outcome) => ClaimReply::Ended(outcome.clone()),
+        None if record.attempt == request.attempt => ClaimReply::Granted,
         None if now > record.claimed_at + CLAIM_TIMEOUT_MS => {
-            ClaimAnswer::Ended(ClaimOutcome::Unknown)
+            ClaimReply::Ended(ClaimOutcome::Unknown)
         }
-        None => ClaimAnswer::InProgress,
+        None => ClaimReply::InProgress,
     }
 }
--- a/crates/control/src/node/level.rs
+++ b/crates/control/src/node/level.rs
@@ -58,8 +58,8 @@
         });
         levels
             .min()
-            .unwrap_or(FeatureLevel::OF_THIS_BUILD)
-            .min(FeatureLevel::OF_THIS_BUILD)
+            .unwrap_or(FeatureLevel::SUPPORTED)
+            .min(FeatureLevel::SUPPORTED)
     }
 
     /// The level that each member last reported; omits members that have not reported one.
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -7,7 +7,7 @@
 };
 
 use railtack_consensus::{Membership, Message, ReplicaId};
-use railtack_rpc::{ControlConnection, Sender, call_deadline};
+use railtack_rpc::{ControlConnection, PeerInfo, call_context};
 use tokio::{runtime::Handle, sync::mpsc};
 
 use crate::metrics::ControlMetrics;
@@ -100,12 +100,12 @@
     runtime.spawn(async move {
         let connection = ControlConnection::new(address, CONNECT_TIMEOUT);
         while let Some(message) = receiver.recv().await {
-            let sender = Sender::of_this_build(local_address.clone());
+            let sender = PeerInfo::local(local_address.clone());
             // The log's timers resend lost messages.
             let delivered = connection
                 .call(|client| async move {
                     client
-                        .deliver(call_deadline(DELIVERY_TIMEOUT), message, sender)
+                        .deliver(call_context(DELIVERY_TIMEOUT), message, sender)
                         .await
                 })
                 .await;
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -316,7 +316,7 @@
     }
 
     fn quarantine_update(&self, known: LogIndex) -> Option<QuarantineUpdate> {
-        let update = self.state.serving().quarantine().told();
+        let update = self.state.serving().quarantine().update();
         Some(update)
             .filter(|update| update.changed_at > known)
             .cloned()
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -16,7 +16,7 @@
 use railtack_core::{EngineId, ModelName};
 use railtack_http::{HttpClient, ServeOptions, body, observability};
 use railtack_rpc::{
-    Control, FeatureLevel, Sender,
+    Control, FeatureLevel, PeerInfo,
     codec::ServerCodec,
     permits::{PermitReply, PermitRequest},
     protocol::{
@@ -25,8 +25,8 @@
     },
     service::{ControlRequest, ControlResponse},
     serving::{
-        AliveNotice, AliveReply, JoinReply, JoinRequest, QuotaReply, QuotaRequest, ReadIndexReply,
-        SuspectStatus, WatchReply, WatchRequest,
+        JoinReply, JoinRequest, LivenessReply, LivenessReport, QuotaReply, QuotaRequest,
+        ReadIndexReply, SuspectStatus, WatchReply, WatchRequest,
     },
 };
 use railtack_settings::ControlSettings;
@@ -47,7 +47,7 @@
     replica::{Replica, ReplicaOptions},
     rollout::{self, ObservedEngines, RolloutStep},
     serving::{
-        leader::LeaderLink, liveness::Liveness, permits::PermitServer, quarantine,
+        leader::LeaderClient, liveness::Liveness, permits::PermitServer, quarantine,
         quota::QuotaServer, watch::WatchServer,
     },
     state::IssuedOrder,
@@ -131,8 +131,8 @@
         shutdown.clone(),
     ));
     tokio::spawn(run_rollout(handle.clone(), settings.platform));
-    let link = LeaderLink::new(handle.clone(), settings.listen.to_string());
-    tokio::spawn(quarantine::keep_released(Arc::new(link), metrics));
+    let link = LeaderClient::new(handle.clone(), settings.listen.to_string());
+    tokio::spawn(quarantine::run_release_timers(Arc::new(link), metrics));
     tokio::select! {
         outcome = exit => outcome.map_err(|_| Report::new(ControlError::Stopped))?,
         () = shutdown.cancelled() => {
@@ -183,8 +183,8 @@
         async move {
             let status = handle.request(Input::Status).await;
             let ready = status.is_ok_and(|status| status.leader.is_some());
-            observability::answer(request.uri().path(), &registry, ready)
-                .unwrap_or_else(|| body::with_type(404, "text/plain", body::empty()))
+            observability::respond(request.uri().path(), &registry, ready)
+                .unwrap_or_else(|| body::with_content_type(404, "text/plain", body::empty()))
         }
     };
     railtack_http::serve(listener, ServeOptions::default(), shutdown, handler).await;
@@ -201,7 +201,7 @@
 /// Additional services of a replica that serves routers by watches.
 #[derive(Clone)]
 pub(crate) struct GroupServices {
-    pub(crate) link: Arc<LeaderLink>,
+    pub(crate) link: Arc<LeaderClient>,
     pub(crate) watch: Arc<WatchServer>,
     pub(crate) liveness: Arc<Liveness>,
     pub(crate) quotas: Arc<QuotaServer>,
@@ -227,7 +227,7 @@
 }
 
 impl Control for ControlService {
-    async fn deliver(self, _: Context, message: Message, sender: Sender) {
+    async fn deliver(self, _: Context, message: Message, sender: PeerInfo) {
         self.handle.deliver(message, sender);
     }
 
@@ -285,7 +285,7 @@
 
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
         match &self.group {
-            Some(group) => group.watch.answer(request).await,
+            Some(group) => group.watch.handle(request).await,
             None => unconfirmed_watch_reply(),
         }
     }
@@ -311,10 +311,10 @@
         reply.unwrap_or(ReadIndexReply::NotLeader { leader: None })
     }
 
-    async fn alive(self, _: Context, notice: AliveNotice) -> AliveReply {
+    async fn alive(self, _: Context, notice: LivenessReport) -> LivenessReply {
         let group = self.group.as_ref();
-        group.map_or_else(AliveReply::default, |group| {
-            group.liveness.take_notice(notice)
+        group.map_or_else(LivenessReply::default, |group| {
+            group.liveness.merge_report(notice)
         })
     }
 
@@ -335,12 +335,12 @@
     async fn take_quota(self, _: Context, request: QuotaRequest) -> QuotaReply {
         let group = self.group.as_ref();
         group.map_or(QuotaReply::NotLeader { leader: None }, |group| {
-            group.quotas.take(&request)
+            group.quotas.handle(&request)
         })
     }
 
     async fn take_permit(self, _: Context, request: PermitRequest) -> PermitReply {
-        self.permits.take(&request)
+        self.permits.handle(&request)
     }
 
     async fn snapshot(self, _: Context) -> u64 {
--- a/crates/control/tests/first_level.rs
+++ b/crates/control/tests/first_level.rs
@@ -2,7 +2,7 @@
 
 mod production_state;
 
-use production_state::ServingState as FormerState;
+use production_state::ServingState as FirstBuildState;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use railtack_consensus::{DiskId, Member, Membership, ReplicaId};
 use railtack_control::{node::level::MemberLevels, serving_state::ServingState};
@@ -11,8 +11,8 @@
     serving::{ConfigurationDocument, ServingCommand, ServingOutcome},
 };
 use railtack_serving::{
-    HeldWeights, PendingOrder, QuotaUnit, ReplicaRecord, ReplicaState, ServingConfiguration,
-    TenantQuota, TenantShape,
+    ModelWeights, PendingOrder, QuotaUnit, ReplicaRecord, ReplicaState, ServingConfiguration,
+    TenantConfig, TenantQuota,
 };
 use speedy::{Readable, Writable};
 
@@ -20,7 +20,7 @@
     unit: QuotaUnit::Requests,
     rate_per_s: 5,
     burst: 10,
-    unstated_tokens: 0,
+    default_tokens: 0,
 };
 
 fn document(revision: u64) -> ConfigurationDocument {
@@ -29,7 +29,7 @@
         content: revision.to_le_bytes().to_vec(),
         configuration: ServingConfiguration {
             revision,
-            tenants: vec![TenantShape {
+            tenants: vec![TenantConfig {
                 name: "registry".to_owned(),
                 api_keys: vec!["key".to_owned()],
                 priority: None,
@@ -63,7 +63,7 @@
             } else {
                 ReplicaState::Ready
             },
-            weights: vec![HeldWeights {
+            weights: vec![ModelWeights {
                 model: model.clone(),
                 version,
             }],
@@ -80,8 +80,8 @@
                 replica,
                 order: PendingOrder { model, version },
             },
-            _ if leaves => ServingCommand::AcquireOrders { holder: replica },
-            _ => ServingCommand::NameWeights(HeldWeights { model, version }),
+            _ if leaves => ServingCommand::AcquireOrderLock { holder: replica },
+            _ => ServingCommand::SetTargetWeights(ModelWeights { model, version }),
         })
     }
 }
@@ -94,59 +94,62 @@
 
 quickcheck! {
     /// Members of both builds hold the same state after each command, down to the bytes of their snapshots.
-    fn members_of_both_builds_hold_one_state(commands: Vec<AnyCommand>) -> bool {
-        let mut former = FormerState::default();
-        let mut present = ServingState::at(FeatureLevel::FIRST);
+    fn both_builds_hold_the_same_state_after_each_command(commands: Vec<AnyCommand>) -> bool {
+        let mut first_build = FirstBuildState::default();
+        let mut current = ServingState::at(FeatureLevel::FIRST);
         commands.iter().enumerate().all(|(position, AnyCommand(command))| {
             let index = position as u64 + 1;
-            let is_same_outcome =
-                former.apply(index, from_log(command)) == present.apply(index, from_log(command));
-            let same_bytes = former.write_to_vec().expect("encoded")
-                == present.write_to_vec().expect("encoded");
+            let has_same_outcome =
+                first_build.apply(index, from_log(command)) == current.apply(index, from_log(command));
+            let has_same_bytes = first_build.write_to_vec().expect("encoded")
+                == current.write_to_vec().expect("encoded");
             // One that is replaced, and back to the former build, goes on from the same state.
-            let bytes = former.write_to_vec().expect("encoded");
-            present = ServingState::read_from_buffer(&bytes).expect("decoded");
-            is_same_outcome && same_bytes
+            let bytes = first_build.write_to_vec().expect("encoded");
+            current = ServingState::read_from_buffer(&bytes).expect("decoded");
+            has_same_outcome && has_same_bytes
         })
     }
 }
 
-fn raise(revision: u64) -> ServingCommand {
+fn raise_level(revision: u64) -> ServingCommand {
     ServingCommand::RaiseLevel {
-        level: FeatureLevel::OF_THIS_BUILD,
+        level: FeatureLevel::SUPPORTED,
         revision,
         quotas: document(revision).configuration.quotas(),
     }
 }
 
 #[test]
-fn quotas_come_into_force_with_the_level() {
+fn quotas_apply_once_the_level_is_raised() {
     let mut state = ServingState::at(FeatureLevel::FIRST);
-    let put = ServingCommand::put(document(3), state.level());
-    assert!(put.fits(FeatureLevel::FIRST));
+    let put = ServingCommand::put_document(document(3), state.level());
+    assert!(put.is_supported_at(FeatureLevel::FIRST));
     state.apply(1, from_log(&put));
     assert_eq!(state.configuration().tenants[0].quota, None);
     // What was read of a document that is held no more raises nothing.
-    assert_eq!(state.apply(2, raise(2)), ServingOutcome::Superseded);
+    assert_eq!(state.apply(2, raise_level(2)), ServingOutcome::Superseded);
     assert_eq!(state.level(), FeatureLevel::FIRST);
-    assert_eq!(state.apply(3, from_log(&raise(3))), ServingOutcome::Done);
-    assert_eq!(state.level(), FeatureLevel::OF_THIS_BUILD);
+    assert_eq!(
+        state.apply(3, from_log(&raise_level(3))),
+        ServingOutcome::Done
+    );
+    assert_eq!(state.level(), FeatureLevel::SUPPORTED);
     assert_eq!(state.configuration().tenants[0].quota, Some(QUOTA));
-    assert_eq!(state.apply(4, raise(3)), ServingOutcome::Superseded);
+    assert_eq!(state.apply(4, raise_level(3)), ServingOutcome::Superseded);
     let bytes = state.write_to_vec().expect("encoded");
     assert_eq!(
         ServingState::read_from_buffer(&bytes).expect("decoded"),
         state
     );
     // A document that was made before would take them back.
-    assert!(!put.fits(state.level()));
-    let put = ServingCommand::put(document(4), state.level());
+    assert!(!put.is_supported_at(state.level()));
+    let put = ServingCommand::put_document(document(4), state.level());
     state.apply(5, from_log(&put));
     assert_eq!(state.configuration().tenants[0].quota, Some(QUOTA));
 }
 
 #[test]
-fn a_former_log_with_commands_above_the_first_level_is_applied_by_them() {
+fn a_command_above_the_first_level_raises_the_level() {
     let mut state = ServingState::at(FeatureLevel::FIRST);
     state.apply(1, ServingCommand::RegisterAll(Vec::new()));
     assert_eq!(state.level(), FeatureLevel::SHARED_GRANTS);
@@ -165,31 +168,31 @@
 }
 
 #[test]
-fn the_level_is_raised_only_once_all_members_have_said_that_they_can() {
-    let own = ReplicaId(1);
-    let high = FeatureLevel::OF_THIS_BUILD;
+fn the_level_is_raised_only_once_all_members_support_it() {
+    let leader = ReplicaId(1);
+    let highest = FeatureLevel::SUPPORTED;
     let group = membership(3, 1);
     let mut levels = MemberLevels::default();
     for member in 2..=4 {
-        levels.record(ReplicaId(member), high, 10);
+        levels.record(ReplicaId(member), highest, 10);
     }
     // What was said before the lead began may be out of date.
-    assert_eq!(levels.common_level(own, &group), FeatureLevel::FIRST);
+    assert_eq!(levels.common_level(leader, &group), FeatureLevel::FIRST);
     levels.set_leading(true, 20);
-    assert_eq!(levels.common_level(own, &group), FeatureLevel::FIRST);
-    levels.record(ReplicaId(2), high, 30);
-    levels.record(ReplicaId(3), high, 30);
+    assert_eq!(levels.common_level(leader, &group), FeatureLevel::FIRST);
+    levels.record(ReplicaId(2), highest, 30);
+    levels.record(ReplicaId(3), highest, 30);
     // The learner has said nothing.
-    assert_eq!(levels.common_level(own, &group), FeatureLevel::FIRST);
-    levels.record(ReplicaId(4), high, 31);
-    assert_eq!(levels.common_level(own, &group), high);
+    assert_eq!(levels.common_level(leader, &group), FeatureLevel::FIRST);
+    levels.record(ReplicaId(4), highest, 31);
+    assert_eq!(levels.common_level(leader, &group), highest);
     // One is replaced by the former build again.
     levels.record(ReplicaId(3), FeatureLevel::FIRST, 40);
-    assert_eq!(levels.common_level(own, &group), FeatureLevel::FIRST);
-    levels.record(ReplicaId(3), FeatureLevel(high.0 + 1), 50);
-    assert_eq!(levels.common_level(own, &group), high);
+    assert_eq!(levels.common_level(leader, &group), FeatureLevel::FIRST);
+    levels.record(ReplicaId(3), FeatureLevel(highest.0 + 1), 50);
+    assert_eq!(levels.common_level(leader, &group), highest);
     levels.set_leading(false, 60);
-    assert_eq!(levels.common_level(own, &group), FeatureLevel::FIRST);
+    assert_eq!(levels.common_level(leader, &group), FeatureLevel::FIRST);
     levels.set_leading(true, 70);
-    assert_eq!(levels.common_level(own, &membership(1, 0)), high);
+    assert_eq!(levels.common_level(leader, &membership(1, 0)), highest);
 }
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -3,72 +3,79 @@
 use std::{sync::Arc, time::Duration};
 
 use railtack_rpc::{
-    call_deadline,
+    call_context,
     permits::{PermitReply, PermitRequest},
 };
-use railtack_serving::{Moment, NamedLimit, ReplicaKey, RequestLimit};
+use railtack_serving::{AdvertisedLimit, MonotonicTime, ReplicaKey, RequestLimit};
 use tokio::time::Instant;
 
 use crate::{
-    permits::{self, KnownLimit, LimitedRouter},
+    permits::{self, KnownLimit, PermitClient},
     state::{ProxyState, lock},
 };
 
 /// Time after a limit was heard in which the digest may not name it yet.
 const DIGEST_LAG: Duration = Duration::from_secs(1);
 
-impl LimitedRouter for ProxyState {
-    fn uptime(&self) -> Moment {
+impl PermitClient for ProxyState {
+    fn uptime(&self) -> MonotonicTime {
         ProxyState::uptime(self)
     }
 
     fn known_limit(&self, life: &str) -> Option<KnownLimit> {
-        let own = lock(&self.replicas).availability.limit(life);
-        let own = own.map(|own| KnownLimit {
-            limit: own.limit,
-            age: self.uptime().saturating_sub(own.named_at),
-            own: Some(own),
+        let local = lock(&self.replicas).availability.limit(life);
+        let local = local.map(|named| KnownLimit {
+            limit: named.limit,
+            age: self.uptime().saturating_sub(named.advertised_at),
+            advertised_here: Some(named),
         });
         let now = Instant::now();
-        let told = lock(&self.fleet).limit(ReplicaKey::of(life), now);
-        let told = told.map(|told| KnownLimit {
-            limit: told.limit,
-            age: now.saturating_duration_since(told.named_at),
-            own: own.and_then(|own| own.own),
+        let digest = lock(&self.fleet).limit(ReplicaKey::of(life), now);
+        let digest = digest.map(|digest| KnownLimit {
+            limit: digest.limit,
+            age: now.saturating_duration_since(digest.advertised_at),
+            advertised_here: local.and_then(|local| local.advertised_here),
         });
-        own.into_iter().chain(told).min_by_key(|known| known.age)
+        local
+            .into_iter()
+            .chain(digest)
+            .min_by_key(|known| known.age)
     }
 
-    fn unanswered_until(&self) -> Moment {
-        *lock(&self.permits_unanswered_until)
+    fn permit_requests_suspended_until(&self) -> MonotonicTime {
+        *lock(&self.permit_requests_suspended_until)
     }
 
-    fn note_unanswered(&self, until: Moment) {
-        *lock(&self.permits_unanswered_until) = until;
+    fn suspend_permit_requests(&self, until: MonotonicTime) {
+        *lock(&self.permit_requests_suspended_until) = until;
     }
 
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment) {
+    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
         self.metrics.permits_withheld.inc();
         let mut replicas = lock(&self.replicas);
-        replicas.availability.has_room_at(life, limit, room_at);
+        replicas
+            .availability
+            .set_limited_until(life, limit, room_at);
     }
 
-    fn note_over(&self, life: &str, named_at: Moment) {
+    fn clear_limit(&self, life: &str, named_at: MonotonicTime) {
         let mut replicas = lock(&self.replicas);
-        replicas.availability.limit_is_over(life, named_at);
+        replicas.availability.clear_limit(life, named_at);
     }
 
     async fn ask_leader(&self, question: PermitRequest, limit: Duration) -> Option<PermitReply> {
         let asked = self
             .control_peers
-            .ask("permit", |client| async move {
-                client.take_permit(call_deadline(limit), question).await
+            .call("permit", |client| async move {
+                client.take_permit(call_context(limit), question).await
             })
             .await;
         let (reply, address) = asked?;
         match &reply {
-            PermitReply::NotLeader { leader } => self.control_peers.follow(address, leader.clone()),
-            _ => self.control_peers.leads(address),
+            PermitReply::NotLeader { leader } => {
+                self.control_peers.follow_redirect(address, leader.clone())
+            }
+            _ => self.control_peers.set_leader(address),
         }
         Some(reply)
     }
@@ -76,20 +83,22 @@
 
 /// Tells the leader of limits that were named to this router and that the digest does not name: it may not have
 /// heard of them, or know that they are over.
-pub fn tell_unknown(state: &Arc<ProxyState>) {
+pub fn resend_unknown_limits(state: &Arc<ProxyState>) {
     let uptime = state.uptime();
     let now = Instant::now();
-    let untold: Vec<(String, NamedLimit)> = {
+    let unreported: Vec<(String, AdvertisedLimit)> = {
         let replicas = lock(&state.replicas);
         let fleet = lock(&state.fleet);
-        let own = replicas.availability.limits();
-        own.filter(|(life, own)| {
-            own.named_at + DIGEST_LAG < uptime && fleet.limit(ReplicaKey::of(life), now).is_none()
-        })
-        .map(|(life, own)| (life.to_owned(), own))
-        .collect()
+        let named = replicas.availability.limits();
+        named
+            .filter(|(life, limit)| {
+                limit.advertised_at + DIGEST_LAG < uptime
+                    && fleet.limit(ReplicaKey::of(life), now).is_none()
+            })
+            .map(|(life, limit)| (life.to_owned(), limit))
+            .collect()
     };
-    for (life, own) in untold {
-        permits::tell_again(state, life, own);
+    for (life, limit) in unreported {
+        permits::resend_limit(state, life, limit);
     }
 }
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -5,8 +5,8 @@
     sync::{Arc, OnceLock},
 };
 
-use railtack_rpc::serving::{Known, ServingUpdate};
-use railtack_serving::{Life, ReplicaRecord, ReplicaState, RouteTable};
+use railtack_rpc::serving::{ServingUpdate, WatchPosition};
+use railtack_serving::{Incarnation, ReplicaRecord, ReplicaState, RouteTable};
 use rpds::RedBlackTreeMapSync;
 
 use crate::homes::Ring;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ServingView {
     /// Positions in the control group's log up to which it is known what is served from.
-    pub known: Known,
+    pub known: WatchPosition,
     /// Routes, services and tenants; `None` before the first configuration.
     pub table: Option<Arc<RouteTable>>,
     /// Replicas by identity. Views share what did not change: a copy for each news would take a time
@@ -30,14 +30,14 @@
 impl ServingView {
     /// The state after an update; `None` if the update brings nothing new.
     pub fn updated(&self, update: ServingUpdate) -> Option<Self> {
-        let brings = update.known;
-        let is_older = brings.through < self.known.through;
-        if is_older || brings == self.known {
+        let received = update.known;
+        let is_older = received.state < self.known.state;
+        if is_older || received == self.known {
             return None;
         }
         let mut next = self.clone();
         next.ready = OnceLock::new();
-        next.known = brings;
+        next.known = received;
         if let Some(configuration) = update.configuration {
             next.table = Some(Arc::new(RouteTable::new(configuration)));
         }
@@ -45,10 +45,10 @@
             next.replicas = RedBlackTreeMapSync::default();
         }
         for replica in &update.removed {
-            next.end_lives_up_to(replica);
+            next.remove_incarnations_up_to(replica);
         }
         for record in update.replicas {
-            next.end_lives_up_to(&record.id);
+            next.remove_incarnations_up_to(&record.id);
             next.replicas
                 .insert_mut(record.id.clone(), Arc::new(record));
         }
@@ -59,16 +59,16 @@
     }
 
     /// Forgets a life of a replica and those before it, which are over with it: nothing else is told of them.
-    fn end_lives_up_to(&mut self, name: &str) {
-        let last = Life::named(name);
-        let lives = Life::names_of(last.replica);
+    fn remove_incarnations_up_to(&mut self, name: &str) {
+        let last = Incarnation::parse(name);
+        let lives = Incarnation::id_range(last.replica);
         let known = self.replicas.range(lives).map(|(name, _)| name);
-        let over = known.filter(|known| {
-            let life = Life::named(known);
-            life.replica == last.replica && life.born_ms <= last.born_ms
+        let ended = known.filter(|known| {
+            let life = Incarnation::parse(known);
+            life.replica == last.replica && life.started_ms <= last.started_ms
         });
-        let over: Vec<String> = over.cloned().collect();
-        for life in over {
+        let ended: Vec<String> = ended.cloned().collect();
+        for life in ended {
             self.replicas.remove_mut(&life);
         }
         // One that does not say when it began is older than any that does.
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -16,11 +16,11 @@
     request: &Request<Incoming>,
 ) -> Response<Body> {
     let path = request.uri().path();
-    if let Some(response) = observability::answer(path, registry, is_ready(state)) {
+    if let Some(response) = observability::respond(path, registry, is_ready(state)) {
         return response;
     }
     if let Some(id) = path.strip_prefix("/explain/") {
-        let records = lock(&state.decisions).about(id);
+        let records = lock(&state.decisions).for_request(id);
         let status = if records.is_empty() { 404 } else { 200 };
         return body::json(status, &records);
     }
@@ -38,5 +38,5 @@
 }
 
 fn is_ready(state: &RouterState) -> bool {
-    state.require_serving().is_ok() && state.knows_back_ends()
+    state.require_serving().is_ok() && state.back_ends_known()
 }
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -1,98 +1,116 @@
-//! Whether a model request is tried again, and what its caller is told if not.
+//! Retry policy of model requests: whether to retry after an attempt, and the error if not.
 //!
-//! Pure: the daemon and the simulator feed it how each attempt ended.
+//! Performs no I/O. The daemon and the simulator report the outcome of each attempt.
 
 use railtack_backend_api::StreamEnd;
 use railtack_core::{Execution, RefusalCode};
-use railtack_rpc::serving::ENDS_TO_QUARANTINE;
+use railtack_rpc::serving::CRASHES_TO_QUARANTINE;
 
 use crate::refusal::Refusal;
 
-/// Attempts of one request.
+/// Maximum attempts of one request.
 pub const ATTEMPT_LIMIT: u32 = 4;
-/// Pause told to the caller of a request that failed, milliseconds.
-const FAILURE_PAUSE_MS: u64 = 1_000;
+/// Retry delay returned to the caller of a failed request, milliseconds.
+const FAILURE_RETRY_MS: u64 = 1_000;
 
-/// How one attempt ended.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
-    /// The answer is whole.
-    Whole(StreamEnd),
-    /// The engine refused; nothing ran there.
+pub enum AttemptOutcome {
+    /// The response is complete.
+    Completed(StreamEnd),
+    /// The engine refused the request and did not run it.
     Refused,
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
-    /// The engine was lost while it may have been running.
+    /// The connection to the engine was lost; the request may have run.
     Lost,
-    /// The caller is gone.
-    CallerGone,
+    /// The caller disconnected.
+    ClientDisconnected,
     /// The deadline passed.
-    TooLate,
+    DeadlineExceeded,
+}
+
+impl AttemptOutcome {
+    /// Stable name for logs.
+    pub fn label(self) -> &'static str {
+        match self {
+            Self::Completed(_) => "Whole",
+            Self::Refused => "Refused",
+            Self::NotSent => "NotSent",
+            Self::Lost => "Lost",
+            Self::ClientDisconnected => "CallerGone",
+            Self::DeadlineExceeded => "TooLate",
+        }
+    }
 }
 
-/// What follows an attempt.
+/// Next step after an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AfterAttempt {
-    /// Choose another engine.
-    Again,
-    /// The answer is whole.
-    Whole(StreamEnd),
-    /// Tell the caller why there will be no more.
+pub enum NextStep {
+    /// Retry on another engine.
+    Retry,
+    /// The response is complete.
+    Completed(StreamEnd),
+    /// Return an error to the caller.
     Fail(Refusal),
-    /// Nobody waits for the answer.
+    /// Stop: the caller disconnected.
     Abandon,
 }
 
-/// The attempts of one request.
+/// Attempts of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Attempts {
-    made: u32,
+    count: u32,
     lost: u32,
     may_have_run: bool,
 }
 
 impl Attempts {
-    /// Attempts made so far.
-    pub fn made(&self) -> u32 {
-        self.made
+    /// Number of attempts so far.
+    pub fn count(&self) -> u32 {
+        self.count
     }
 
-    /// Takes in how an attempt ended. `spend_retry` is asked only for a repeat that may cost an
-    /// engine work a second time.
-    pub fn ended(&mut self, end: AttemptEnd, spend_retry: impl FnOnce() -> bool) -> AfterAttempt {
-        self.made += 1;
-        let may_repeat = match end {
-            AttemptEnd::Whole(end) => return AfterAttempt::Whole(end),
-            AttemptEnd::CallerGone => return AfterAttempt::Abandon,
-            AttemptEnd::TooLate => {
+    /// Records the outcome of an attempt. `spend_retry` takes a retry from the tenant's budget; it is
+    /// called only if the request may already have run on an engine.
+    pub fn record(
+        &mut self,
+        outcome: AttemptOutcome,
+        spend_retry: impl FnOnce() -> bool,
+    ) -> NextStep {
+        self.count += 1;
+        let may_repeat = match outcome {
+            AttemptOutcome::Completed(end) => return NextStep::Completed(end),
+            AttemptOutcome::ClientDisconnected => return NextStep::Abandon,
+            AttemptOutcome::DeadlineExceeded => {
                 self.may_have_run = true;
                 return self.fail(RefusalCode::DeadlineExceeded, "the deadline passed");
             }
-            AttemptEnd::Refused | AttemptEnd::NotSent => true,
-            AttemptEnd::Lost => {
+            AttemptOutcome::Refused | AttemptOutcome::NotSent => true,
+            AttemptOutcome::Lost => {
                 self.may_have_run = true;
                 self.lost += 1;
-                // As many ends show that the request is to blame for them.
-                self.lost < ENDS_TO_QUARANTINE && spend_retry()
+                // After this many failures, the request itself is the likely cause.
+                self.lost < CRASHES_TO_QUARANTINE && spend_retry()
             }
         };
-        if may_repeat && self.made < ATTEMPT_LIMIT {
-            return AfterAttempt::Again;
+        if may_repeat && self.count < ATTEMPT_LIMIT {
+            return NextStep::Retry;
         }
-        self.no_engine()
+        self.fail_without_engine()
     }
 
-    /// What the caller is told when no engine may be tried.
-    pub fn no_engine(&self) -> AfterAttempt {
+    /// Fails the request because no further engine may be tried.
+    pub fn fail_without_engine(&self) -> NextStep {
         self.fail(
             RefusalCode::BackendFailed,
             "no engine could serve the request",
         )
     }
 
-    /// What the caller is told when the request is refused before another attempt.
-    pub fn refused(&self, refusal: Refusal) -> AfterAttempt {
-        AfterAttempt::Fail(Refusal {
+    /// Fails the request with `refusal`, adjusted for the attempts made so far.
+    pub fn refused(&self, refusal: Refusal) -> NextStep {
+        NextStep::Fail(Refusal {
             execution: self.execution(),
             ..refusal
         })
@@ -106,11 +124,11 @@
         }
     }
 
-    fn fail(&self, code: RefusalCode, detail: &str) -> AfterAttempt {
+    fn fail(&self, code: RefusalCode, detail: &str) -> NextStep {
         let refusal = Refusal {
             execution: self.execution(),
             ..Refusal::not_run(code, detail)
         };
-        AfterAttempt::Fail(refusal.retry_after_ms(FAILURE_PAUSE_MS))
+        NextStep::Fail(refusal.retry_after_ms(FAILURE_RETRY_MS))
     }
 }
