--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -147,8 +147,8 @@
         self.votes.len() >= self.membership.quorum()
     }
 
-    /// Whether this replica leads or heard from the leader within the election timeout. Votes are
-    /// refused meanwhile, so that a member that is cut off from the leader cannot depose it.
+    /// Whether this replica is the leader or had contact with it within the election timeout. Votes are
+    /// denied meanwhile, so that a member that is cut off from the leader cannot depose it.
     fn has_live_leader(&self, now: Millis) -> bool {
         let contacted_recently = self
             .last_leader_contact
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -28,7 +28,7 @@
     pub replica: ReplicaId,
     /// Id of this replica's data folder.
     pub disk: DiskId,
-    /// Shortest election timeout, milliseconds; the actual timeout is drawn from one to two times this.
+    /// Shortest election timeout, milliseconds. The actual timeout is random, up to twice as long.
     pub election_timeout: Millis,
     /// Time between heartbeats, milliseconds; must be well below `election_timeout`.
     pub heartbeat_interval: Millis,
--- a/crates/consensus/tests/raft.rs
+++ b/crates/consensus/tests/raft.rs
@@ -126,8 +126,8 @@
     cluster.run(2_000);
     let leader = cluster.leaders()[0];
     let term = cluster.leader().term();
-    let outsider = (1..=3).map(ReplicaId).find(|replica| *replica != leader);
-    cluster.isolated = outsider.into_iter().collect();
+    let follower = (1..=3).map(ReplicaId).find(|replica| *replica != leader);
+    cluster.isolated = follower.into_iter().collect();
     cluster.run(5_000);
     cluster.isolated.clear();
     cluster.run(1_000);
@@ -171,8 +171,8 @@
         .propose_membership(with_learner)
         .expect("adding a learner is allowed");
     cluster.run(500);
-    let refused = cluster.leader().propose_membership(membership(4));
-    assert!(matches!(refused, Err(ProposeError::LearnerBehind { .. })));
+    let rejected = cluster.leader().propose_membership(membership(4));
+    assert!(matches!(rejected, Err(ProposeError::LearnerBehind { .. })));
     cluster.isolated.clear();
     cluster.run(500);
     cluster
@@ -180,16 +180,16 @@
         .propose_membership(membership(4))
         .expect("the learner has caught up");
     cluster.run(500);
-    let known = cluster.replicas[&ReplicaId(4)].membership();
-    assert_eq!(known.voters().count(), 4);
+    let promoted = cluster.replicas[&ReplicaId(4)].membership();
+    assert_eq!(promoted.voters().count(), 4);
 }
 
 #[test]
 fn voters_change_one_at_a_time() {
     let mut cluster = Cluster::new(3, 0);
     cluster.run(2_000);
-    let refused = cluster.leader().propose_membership(membership(1));
-    assert_eq!(refused, Err(ProposeError::TooManyChanges));
+    let rejected = cluster.leader().propose_membership(membership(1));
+    assert_eq!(rejected, Err(ProposeError::TooManyChanges));
 }
 
 #[test]
--- a/crates/control/src/claims.rs
+++ b/crates/control/src/claims.rs
@@ -58,7 +58,7 @@
     pub fn claim(&mut self, request: ClaimRequest, now: UnixMillis) -> ClaimReply {
         let key = (request.tenant.clone(), request.key.clone());
         if let Some(record) = self.records.get(&key) {
-            return answer_existing(record, &request, now);
+            return reply_for_existing(record, &request, now);
         }
         self.by_age.insert((now, key.clone()));
         let record = ClaimRecord {
@@ -101,7 +101,7 @@
     }
 }
 
-fn answer_existing(record: &ClaimRecord, request: &ClaimRequest, now: UnixMillis) -> ClaimReply {
+fn reply_for_existing(record: &ClaimRecord, request: &ClaimRequest, now: UnixMillis) -> ClaimReply {
     if record.fingerprint != request.fingerprint {
         return ClaimReply::KeyReused;
     }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -42,7 +42,7 @@
     pub dropped_messages: Counter,
     /// Messages and join requests rejected because the sender's build does not support the group's feature
     /// level.
-    pub refused_below_level: Counter,
+    pub rejected_below_level: Counter,
     /// Feature level of the group.
     pub group_level: Gauge,
     /// 1 while this replica is the leader, otherwise 0.
@@ -77,7 +77,7 @@
             registrations_refused: Counter::default(),
             registrations_unnamed: Counter::default(),
             dropped_messages: Counter::default(),
-            refused_below_level: Counter::default(),
+            rejected_below_level: Counter::default(),
             group_level: Gauge::default(),
             is_leader: Gauge::default(),
             term: Gauge::default(),
@@ -149,7 +149,7 @@
         registry.register(
             "control_refused_below_level",
             "Messages of replicas whose build cannot do what the group does",
-            self.refused_below_level.clone(),
+            self.rejected_below_level.clone(),
         );
         registry.register(
             "control_group_level",
--- a/crates/control/src/node/level.rs
+++ b/crates/control/src/node/level.rs
@@ -89,7 +89,7 @@
             self.levels.rejected.remove(&replica);
             return true;
         }
-        self.metrics.refused_below_level.inc();
+        self.metrics.rejected_below_level.inc();
         if self.levels.rejected.insert(replica) {
             spdlog::warn!("replica rejected: its feature level is below the group's", kv: {
                 replica = replica.0,
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -78,7 +78,7 @@
             Peer { address, queue }
         };
         let peer = match self.peers.entry(message.to) {
-            Entry::Occupied(known) if known.get().address == address => known.into_mut(),
+            Entry::Occupied(current) if current.get().address == address => current.into_mut(),
             Entry::Occupied(mut moved) => {
                 moved.insert(new_peer(address));
                 moved.into_mut()
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -315,10 +315,10 @@
         }
     }
 
-    fn quarantine_update(&self, known: LogIndex) -> Option<QuarantineUpdate> {
+    fn quarantine_update(&self, known_index: LogIndex) -> Option<QuarantineUpdate> {
         let update = self.state.serving().quarantine().update();
         Some(update)
-            .filter(|update| update.changed_at > known)
+            .filter(|update| update.changed_at > known_index)
             .cloned()
     }
 
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -111,7 +111,7 @@
     orders: &BTreeMap<EngineId, IssuedOrder>,
     observed: ObservedEngines<'_>,
 ) -> usize {
-    let answered = |engine: &EngineId| {
+    let has_responded = |engine: &EngineId| {
         observed
             .statuses
             .iter()
@@ -120,7 +120,7 @@
     observed
         .listed
         .iter()
-        .filter(|(engine, model)| *model == target.name && !answered(engine))
+        .filter(|(engine, model)| *model == target.name && !has_responded(engine))
         .filter(|(engine, _)| orders.contains_key(engine))
         .count()
 }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -131,8 +131,11 @@
         shutdown.clone(),
     ));
     tokio::spawn(run_rollout(handle.clone(), settings.platform));
-    let link = LeaderClient::new(handle.clone(), settings.listen.to_string());
-    tokio::spawn(quarantine::run_release_timers(Arc::new(link), metrics));
+    let leader_client = LeaderClient::new(handle.clone(), settings.listen.to_string());
+    tokio::spawn(quarantine::run_release_timers(
+        Arc::new(leader_client),
+        metrics,
+    ));
     tokio::select! {
         outcome = exit => outcome.map_err(|_| Report::new(ControlError::Stopped))?,
         () = shutdown.cancelled() => {
@@ -311,10 +314,10 @@
         reply.unwrap_or(ReadIndexReply::NotLeader { leader: None })
     }
 
-    async fn alive(self, _: Context, notice: LivenessReport) -> LivenessReply {
+    async fn alive(self, _: Context, report: LivenessReport) -> LivenessReply {
         let group = self.group.as_ref();
         group.map_or_else(LivenessReply::default, |group| {
-            group.liveness.merge_report(notice)
+            group.liveness.merge_report(report)
         })
     }
 
