--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -300,16 +300,16 @@
 
     /// Removes a replica that leaves.
     fn deregister(&mut self, index: LogIndex, replica: &str) -> ServingOutcome {
-        let leaving = self.resolve_incarnation_id(replica).to_owned();
-        if self.has_departed(&leaving) {
+        let incarnation_id = self.resolve_incarnation_id(replica).to_owned();
+        if self.has_departed(&incarnation_id) {
             return ServingOutcome::Done;
         }
         // It may never have been recorded; the life before it is over all the same.
-        if let Some(previous) = self.previous_incarnation_id(&leaving) {
+        if let Some(previous) = self.previous_incarnation_id(&incarnation_id) {
             self.replicas.remove(&previous);
         }
-        self.tombstones.mark_ended(&leaving);
-        self.remove(index, &leaving);
+        self.tombstones.mark_ended(&incarnation_id);
+        self.remove(index, &incarnation_id);
         ServingOutcome::Done
     }
 
@@ -350,7 +350,7 @@
         let replica = ReplicaKey::of(id);
         if self.crash_reports.has_removed(replica) {
             Arc::make_mut(&mut self.crash_reports).mark_recovered(replica);
-            self.update_quarantine(|quarantine| quarantine.retract_end(index, replica));
+            self.update_quarantine(|quarantine| quarantine.retract_crash(index, replica));
         }
     }
 
--- a/crates/control/src/serving_state/quarantine.rs
+++ b/crates/control/src/serving_state/quarantine.rs
@@ -116,7 +116,7 @@
     }
 
     /// Takes back the end of a replica that was not gone.
-    pub fn retract_end(&mut self, index: LogIndex, replica: ReplicaKey) {
+    pub fn retract_crash(&mut self, index: LogIndex, replica: ReplicaKey) {
         for suspect in self.suspects.values_mut() {
             suspect.crashes.retain(|crash| *crash != replica);
         }
--- a/crates/control/src/serving_state/tombstones.rs
+++ b/crates/control/src/serving_state/tombstones.rs
@@ -20,8 +20,8 @@
 }
 
 impl RemovedIncarnation {
-    fn of(index: LogIndex, name: &str) -> Self {
-        let life = Life::named(name);
+    fn of(index: LogIndex, incarnation_id: &str) -> Self {
+        let life = Life::named(incarnation_id);
         Self {
             replica: life.replica.to_owned(),
             born_ms: life.born_ms,
@@ -55,11 +55,11 @@
             evicted_through,
             ..Self::default()
         };
-        for (index, life) in removals {
+        for (index, incarnation_id) in removals {
             tombstones
                 .by_incarnation
-                .insert_mut(RemovedIncarnation::of(index, &life));
-            tombstones.removals.insert_mut((index, life));
+                .insert_mut(RemovedIncarnation::of(index, &incarnation_id));
+            tombstones.removals.insert_mut((index, incarnation_id));
         }
         tombstones
     }
@@ -80,32 +80,34 @@
     }
 
     /// Whether a life ended for good, or a newer one of its replica is gone.
-    pub fn has_ended(&self, name: &str) -> bool {
-        self.ended.contains(name) || self.has_newer_removal(name)
+    pub fn has_ended(&self, incarnation_id: &str) -> bool {
+        self.ended.contains(incarnation_id) || self.has_newer_removal(incarnation_id)
     }
 
-    fn has_newer_removal(&self, name: &str) -> bool {
-        let start = RemovedIncarnation::of(LogIndex::MAX, name);
+    fn has_newer_removal(&self, incarnation_id: &str) -> bool {
+        let start = RemovedIncarnation::of(LogIndex::MAX, incarnation_id);
         let newer = self.by_incarnation.range(start..).next();
-        newer.is_some_and(|removal| removal.replica == Life::named(name).replica)
+        newer.is_some_and(|removal| removal.replica == Life::named(incarnation_id).replica)
     }
 
     /// Lives that were removed after a position.
     pub fn removed_after(&self, index: LogIndex) -> impl Iterator<Item = &String> {
         let first = (index.saturating_add(1), String::new());
-        self.removals.range(first..).map(|(_, life)| life)
+        self.removals
+            .range(first..)
+            .map(|(_, incarnation_id)| incarnation_id)
     }
 
     /// Notes that a life ended for good.
-    pub fn mark_ended(&mut self, life: &str) {
-        self.ended.insert_mut(life.to_owned());
+    pub fn mark_ended(&mut self, incarnation_id: &str) {
+        self.ended.insert_mut(incarnation_id.to_owned());
     }
 
     /// Notes that a life was removed.
-    pub fn record_removal(&mut self, index: LogIndex, life: &str) {
+    pub fn record_removal(&mut self, index: LogIndex, incarnation_id: &str) {
         self.by_incarnation
-            .insert_mut(RemovedIncarnation::of(index, life));
-        self.removals.insert_mut((index, life.to_owned()));
+            .insert_mut(RemovedIncarnation::of(index, incarnation_id));
+        self.removals.insert_mut((index, incarnation_id.to_owned()));
         if self.removals.size() > MAX_TOMBSTONES {
             self.evict_oldest();
         }
@@ -116,10 +118,10 @@
             return;
         };
         self.removals.remove_mut(&oldest);
-        let (index, name) = oldest;
+        let (index, incarnation_id) = oldest;
         self.by_incarnation
-            .remove_mut(&RemovedIncarnation::of(index, &name));
-        self.ended.remove_mut(&name);
+            .remove_mut(&RemovedIncarnation::of(index, &incarnation_id));
+        self.ended.remove_mut(&incarnation_id);
         self.evicted_through = index;
     }
 }
