--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -1,12 +1,14 @@
-//! The replicated state that routers serve from: the document held, back-end replicas, weights.
+//! Replicated state that routers serve from: configuration document, back-end replicas and target
+//! weights.
 //!
-//! Invariants: the version of the document only rises; a replica that is leaving never becomes
-//! ready again in the same life; the versions of weights that a replica holds and the versions
-//! that operators named only rise; a token for orders is above every token before it.
+//! Invariants:
+//! - The revision of the document only rises.
+//! - A replica that is leaving never becomes ready again within one incarnation.
+//! - The weight versions that a replica holds and the target versions only rise.
+//! - Each fencing token of the order lock is greater than all tokens before it.
 //!
-//! After each round of changes the tasks of a control replica get a copy. With thousands of
-//! replicas that start together a deep copy each time would take the processor and the memory, so
-//! everything large is shared between copies.
+//! The tasks of a control replica get a clone after each round of changes. Large parts are shared
+//! between clones, since deep copies are too expensive while thousands of replicas register.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -38,14 +40,14 @@
 
 pub(crate) use stored::StoredWithInlineQuotas;
 
-/// The right to give orders to back ends.
+/// Holder of the lock that permits sending orders to back ends.
 #[derive(Clone, Debug, PartialEq, Eq, speedy::Readable, speedy::Writable)]
 struct OrderLock {
     holder: String,
     token: u64,
 }
 
-/// What routers serve from, and who may give orders. A copy shares what it can.
+/// State that routers serve from, and the holder of the order lock. Clones share the large parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServingState {
     level: FeatureLevel,
@@ -62,14 +64,14 @@
 }
 
 impl Default for ServingState {
-    /// The state of a new group, of which all members have this build.
+    /// The state of a new group in which all members run this build.
     fn default() -> Self {
         Self::at(FeatureLevel::OF_THIS_BUILD)
     }
 }
 
 impl ServingState {
-    /// An empty state of a group at a level.
+    /// Creates an empty state of a group at the given feature level.
     pub fn at(level: FeatureLevel) -> Self {
         Self {
             level,
@@ -86,32 +88,33 @@
         }
     }
 
-    /// What the members of the group do together.
+    /// Feature level of the group.
     pub fn level(&self) -> FeatureLevel {
         self.level
     }
 
-    /// The bytes of the document held; `None` before the first.
+    /// Bytes of the current document; `None` before the first one.
     pub fn content(&self) -> Option<&[u8]> {
         (self.configuration_at > 0).then_some(self.content.as_slice())
     }
 
-    /// What the document held means.
+    /// Parsed form of the current document.
     pub fn configuration(&self) -> &ServingConfiguration {
         &self.configuration
     }
 
-    /// Whether a document is held.
+    /// Whether the group has received a document.
     pub fn has_configuration(&self) -> bool {
         self.configuration_at > 0
     }
 
-    /// Back-end replicas by identity.
+    /// Records of the registered back-end replicas by incarnation id.
     pub fn replicas(&self) -> &ReplicaMap {
         self.replicas.records()
     }
 
-    /// Whether a life has ended, or a newer one of its replica is known: what comes of it is late.
+    /// Whether an incarnation has ended for good or was replaced by a newer one, so that its
+    /// messages are late.
     pub fn has_departed(&self, replica: &str) -> bool {
         let life = Life::named(replica);
         let current = self.replicas.current_incarnation_id(life.replica);
@@ -120,8 +123,8 @@
         is_superseded || self.tombstones.has_ended(replica)
     }
 
-    /// The life that a name means: of a replica that does not say in which of its lives it is, the one that
-    /// is known.
+    /// Returns the id of the known incarnation if `name` is a replica's name without a start time,
+    /// and `name` otherwise.
     pub fn resolve_incarnation_id<'a>(&'a self, name: &'a str) -> &'a str {
         if Life::named(name).born_ms.is_some() {
             return name;
@@ -131,24 +134,25 @@
             .map_or(name, String::as_str)
     }
 
-    /// The version of weights that operators named for each model.
+    /// Target version of the weights of each model.
     pub fn weights(&self) -> &BTreeMap<String, u64> {
         &self.weights
     }
 
-    /// Requests under which replicas have ended lately.
+    /// Requests under which replicas crashed recently.
     pub fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
 
-    /// Position of the last change.
+    /// Log position of the last change.
     pub fn changed_at(&self) -> LogIndex {
         self.changed_at
     }
 
     /// Applies one committed command.
     pub fn apply(&mut self, index: LogIndex, command: ServingCommand) -> ServingOutcome {
-        // Some builds proposed what needs a level without raising it first; their groups had no other members.
+        // Some previous builds proposed commands above the group's level in groups without other
+        // members.
         self.level = self.level.max(command.needs_level());
         match command {
             ServingCommand::PutDocument(document) => self.put_document(index, document),
@@ -223,7 +227,8 @@
         ServingOutcome::Done
     }
 
-    /// Quotas of the document held come with the level from which on the group holds them.
+    /// Raises the feature level and adds the quotas of the current document, which lower levels do
+    /// not store.
     fn raise_level(
         &mut self,
         index: LogIndex,
@@ -255,16 +260,18 @@
         if let Some(known) = self.replicas.get(&record.id) {
             record = merge_record(known, record);
         } else if let Some(holder) = holder.filter(|holder| Some(holder) != previous.as_ref()) {
-            // Which of two that claim one address is alive cannot be told here: the one that is silent
-            // has to be removed first. The former life of the one that claims it is over all the same.
+            // The state does not know which of the two replicas is alive: the other one has to be
+            // removed first, once it is silent. The previous incarnation of this replica has ended
+            // in any case.
             if let Some(previous) = previous {
                 self.remove(index, &previous);
             }
             return Registration::AddressHeld { holder };
         } else {
             if let Some(previous) = previous {
-                // Routers take its end from the record of the newer life: with a removal of its own for
-                // each, a storm of 3,000 lives that follow others had every router told the whole fleet anew.
+                // Routers infer this removal from the record of the newer incarnation. A tombstone
+                // for each would exceed the limit when thousands of replicas restart at once, and
+                // each router would need a full copy of the state.
                 self.replicas.remove(&previous);
             }
             self.retract_crash(index, &record.id);
@@ -277,8 +284,9 @@
             let held = record.version_of(&order.model);
             held.is_none_or(|held| held < order.version)
         });
-        // The same heartbeat may be recorded several times: it reaches several control replicas,
-        // and a proposal whose answer is late is made again. Only the first is told to routers.
+        // The same heartbeat may be recorded several times, since it may reach several control
+        // replicas and a proposal without a reply is repeated. Only the first one changes the
+        // position.
         if self.replicas.get(&record.id) == Some(&record) {
             return Registration::Recorded;
         }
@@ -288,9 +296,9 @@
         Registration::Recorded
     }
 
-    /// The life that a newer one follows: with it goes all that it said, held and was ordered. It need not be
-    /// silent first, as one of two at one address otherwise must; the replica itself says which of its lives
-    /// is the newer one.
+    /// Returns the id of the known incarnation that `name` replaces. The new incarnation inherits
+    /// no state from it, and the previous one need not be silent first, since the replica itself
+    /// reports which incarnation is newer.
     fn previous_incarnation_id(&self, name: &str) -> Option<String> {
         let life = Life::named(name);
         let current = self.replicas.current_incarnation_id(life.replica)?;
@@ -298,13 +306,12 @@
         is_superseded.then(|| current.clone())
     }
 
-    /// Removes a replica that leaves.
     fn deregister(&mut self, index: LogIndex, replica: &str) -> ServingOutcome {
         let incarnation_id = self.resolve_incarnation_id(replica).to_owned();
         if self.has_departed(&incarnation_id) {
             return ServingOutcome::Done;
         }
-        // It may never have been recorded; the life before it is over all the same.
+        // This incarnation may never have been recorded, but it still ends the previous one.
         if let Some(previous) = self.previous_incarnation_id(&incarnation_id) {
             self.replicas.remove(&previous);
         }
@@ -321,8 +328,8 @@
         ServingOutcome::Done
     }
 
-    /// Removes a replica of which two routers say that it has ended, so that no router tries it any
-    /// more: each would find that out by losing time of a request.
+    /// Records that a router lost its requests at a replica. Removes the replica once two routers
+    /// have reported it, so that other routers do not lose requests to it.
     fn report_crash(&mut self, index: LogIndex, replica: ReplicaKey, witness: String) {
         let mut known = self.replicas.records().keys();
         let Some(id) = known.find(|id| ReplicaKey::of(id) == replica).cloned() else {
@@ -333,9 +340,9 @@
         }
     }
 
-    /// Whether a replica's end was believed after the heartbeat that `record` comes from: a batch that is
-    /// recorded again, as its outcome was not known, says nothing new of it. Taken for a sign of life it
-    /// would bring the replica back, and take back what was found out about the request that ended it.
+    /// Whether `record` stems from a heartbeat that was received before the replica was removed as
+    /// crashed. A batch whose outcome was unknown is recorded again, and must not restore the
+    /// replica or retract the crash.
     fn is_stale_record(&self, record: &ReplicaRecord) -> bool {
         let received_at = record.changed_at;
         if received_at == 0 || !self.crash_reports.has_removed(ReplicaKey::of(&record.id)) {
@@ -345,7 +352,8 @@
         self.replicas.get(&record.id).is_none() && removed.any(|replica| *replica == record.id)
     }
 
-    /// Takes back what was recorded of the end of a replica that is there again in the same life.
+    /// Retracts the recorded crash of a replica that sends heartbeats again in the same
+    /// incarnation.
     fn retract_crash(&mut self, index: LogIndex, id: &str) {
         let replica = ReplicaKey::of(id);
         if self.crash_reports.has_removed(replica) {
@@ -354,7 +362,7 @@
         }
     }
 
-    /// Removes a replica and remembers that, for routers that know it.
+    /// Removes a replica and leaves a tombstone for routers that know it.
     fn remove(&mut self, index: LogIndex, replica: &str) {
         self.replicas.remove(replica);
         self.changed_at = index;
@@ -371,7 +379,8 @@
         ServingOutcome::Done
     }
 
-    /// Routers are woken only if what they are told changes.
+    /// Applies a change to the quarantine. The position advances only if the lists for routers
+    /// change.
     fn update_quarantine(&mut self, update: impl FnOnce(&mut Quarantine)) -> &QuarantineUpdate {
         update(Arc::make_mut(&mut self.quarantine));
         let told = self.quarantine.update();
@@ -420,7 +429,8 @@
     }
 }
 
-/// Takes in what a replica says now without going back on what it said before.
+/// Merges a reported record into the known one; leaving replicas stay leaving and weight versions
+/// never decrease.
 fn merge_record(known: &ReplicaRecord, mut reported: ReplicaRecord) -> ReplicaRecord {
     if known.state == ReplicaState::Leaving {
         reported.state = ReplicaState::Leaving;
--- a/crates/control/src/serving_state/crash_reports.rs
+++ b/crates/control/src/serving_state/crash_reports.rs
@@ -1,43 +1,39 @@
-//! Which replicas routers say to have ended, and which of them came back.
+//! Reports by routers that back-end replicas crashed.
 //!
-//! One router's path to a replica may break though the replica lives, so two must say so that lost
-//! requests there. Two paths may be broken as well: a replica that sends a heartbeat in the same life was
-//! not gone, and reports of its end are not believed again, so that it is kept from others once at most.
-//!
-//! Buys 0.03 of what callers are owed (four seeds of a day on which a quarter of the engines crashes every
-//! five seconds, seven routers). *Weighed:* reports of routers that merely could not connect; they cost
-//! 0.02 while 30% of the routers' paths are refused, and bought nothing more on that day.
+//! One router's path to a replica may fail although the replica is alive, so a replica is removed
+//! only after two routers have reported that they lost requests there. If it sends a heartbeat in
+//! the same incarnation afterwards, the reports were wrong, and further ones about it are ignored.
 
 use std::collections::BTreeMap;
 
 use railtack_serving::ReplicaKey;
 use speedy::{Readable, Writable};
 
-/// Replicas that are remembered; more than end within some heartbeats.
+/// Replicas for which reports are kept.
 const MAX_REPORTS: usize = 1_024;
 
-/// What is known of the end of a replica.
+/// What has been reported about one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 enum CrashReport {
-    /// One router says so.
+    /// One router reported the crash.
     Reported {
-        /// That router.
+        /// The router.
         reporter: String,
     },
-    /// Two routers say so; it was removed.
+    /// Two routers reported the crash, and the replica was removed.
     Removed,
-    /// It was removed and came back in the same life.
+    /// The replica was removed and returned in the same incarnation.
     Recovered,
 }
 
-/// Reports by replica.
+/// Crash reports by replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct CrashReports {
     reports: BTreeMap<ReplicaKey, CrashReport>,
 }
 
 impl CrashReports {
-    /// Takes in what a router says; true if the replica is to be removed now.
+    /// Records a report; returns true if the replica is to be removed now.
     pub fn record(&mut self, replica: ReplicaKey, reporter: String) -> bool {
         match self.reports.get(&replica) {
             None => {
@@ -56,12 +52,11 @@
         }
     }
 
-    /// Whether a replica was removed because its end was believed.
     pub fn has_removed(&self, replica: ReplicaKey) -> bool {
         self.reports.get(&replica) == Some(&CrashReport::Removed)
     }
 
-    /// Notes that a replica whose end was believed is there in the same life.
+    /// Records that a removed replica returned in the same incarnation.
     pub fn mark_recovered(&mut self, replica: ReplicaKey) {
         self.reports.insert(replica, CrashReport::Recovered);
     }
--- a/crates/control/src/serving_state/first_level.rs
+++ b/crates/control/src/serving_state/first_level.rs
@@ -1,6 +1,6 @@
-//! How a group at the first level records back-end replicas: another one at an address means that the former
-//! one there has ended, whether it is silent or not. All members apply a command alike, so one that could do better
-//! does this too for as long as the group has a member that cannot.
+//! Registration at the first feature level: a replica that registers at an address replaces the one
+//! recorded there, whether that one is silent or not. All members of a group have to apply commands
+//! alike, so newer builds do this as long as the group is at that level.
 
 use railtack_consensus::LogIndex;
 use railtack_rpc::serving::Registration;
--- a/crates/control/src/serving_state/quarantine.rs
+++ b/crates/control/src/serving_state/quarantine.rs
@@ -1,12 +1,12 @@
-//! Which requests end the replicas that run them.
+//! Finds requests that crash the replicas that run them.
 //!
-//! Routers tell under which requests a replica ended. Several requests run at a replica, and only one
-//! of them is to blame, so a request is quarantined only if it was there at several ends that no other
-//! quarantined request explains, and no other request was there at all the same ends.
+//! Routers report which requests were running when a replica crashed. Only one of them is at fault,
+//! so a request is quarantined only if it was present at several crashes that no other quarantined
+//! request explains, and no other request was present at all of the same crashes.
 //!
-//! Invariants: the state is bounded; every entry is removed some time after the last end under its
-//! request, by an order of the leader, which measures that time; the same commands in the same order
-//! give the same state. A request that has run to a good end since is not suspected.
+//! Invariants: the state is bounded and a function of the commands and their order. The leader
+//! measures the time since the last crash under each request and removes the entry by a command. A
+//! request that has completed since its last crash is not suspected.
 
 use std::{
     cmp::Reverse,
@@ -20,45 +20,45 @@
 
 /// [`ENDS_TO_QUARANTINE`] as a length.
 const CRASHES_FOR_BLAME: usize = ENDS_TO_QUARANTINE as usize;
-/// Ends at which a request is quarantined though another one was there each time: by then replicas
-/// matter more than a request that may be innocent and has found no replica that outlived it.
+/// Crashes after which a request is quarantined although another one was present each time: one of
+/// the two may be harmless, but further crashes cost more.
 pub const CRASHES_DESPITE_RIVAL: usize = 6;
-/// Ends after which routers tell when a request has run to a good end: fewer are common after any
-/// replica's end, and would be told to all routers for nothing.
+/// Crashes after which routers report that a request completed. One crash is common, and reports
+/// about all requests present at it would be too many.
 const CRASHES_TO_WATCH: usize = 2;
-/// Requests that are remembered. Those open at thirty replicas of 32 places that end at once fit.
+/// Suspects kept: enough for all requests of thirty replicas with 32 slots that crash together.
 const MAX_SUSPECTS: usize = 1_024;
-/// Ends that are remembered of one request.
+/// Crashes kept for one suspect.
 const MAX_CRASHES_PER_SUSPECT: usize = 16;
 
-/// A request that was running when replicas ended.
+/// A request that was running when replicas crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Suspect {
-    /// The replicas that ended, oldest first.
+    /// The crashed replicas, oldest first.
     crashes: Vec<ReplicaKey>,
-    /// Log position of the last end, or of a release on parole.
+    /// Log position of the last crash, or of a release on probation.
     changed_at: LogIndex,
     is_quarantined: bool,
 }
 
 impl Suspect {
-    /// Replicas that ended under it.
+    /// Number of replicas that crashed under the request.
     pub fn crashes(&self) -> usize {
         self.crashes.len()
     }
 
-    /// Log position of its last change.
+    /// Log position of the last change.
     pub fn changed_at(&self) -> LogIndex {
         self.changed_at
     }
 
-    /// Whether it is sent to no replica.
+    /// Whether routers must not send the request to any replica.
     pub fn is_quarantined(&self) -> bool {
         self.is_quarantined
     }
 }
 
-/// The requests under which replicas have ended lately.
+/// Requests under which replicas crashed recently.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Quarantine {
     suspects: BTreeMap<ContentKey, Suspect>,
@@ -66,12 +66,12 @@
 }
 
 impl Quarantine {
-    /// The requests, by their content.
+    /// The suspected requests by content key.
     pub fn suspects(&self) -> &BTreeMap<ContentKey, Suspect> {
         &self.suspects
     }
 
-    /// The requests, for operators.
+    /// Status of each suspect, for operators.
     pub fn statuses(&self) -> impl Iterator<Item = SuspectStatus> {
         self.suspects
             .iter()
@@ -83,15 +83,15 @@
             })
     }
 
-    /// What routers are told.
+    /// The lists that routers receive.
     pub fn update(&self) -> &QuarantineUpdate {
         &self.update
     }
 
-    /// Notes that a replica ended while these requests ran there. A report that comes twice, or in
-    /// parts from several routers, counts once. Each end under a request that is watched or quarantined is
-    /// news for routers, though their lists may not change: they send none of those that are suspected
-    /// until all reports of it are in.
+    /// Records that a replica crashed while running these requests. Repeated reports, and reports
+    /// about the same crash by several routers, count once. A crash under a watched or quarantined
+    /// request advances the position even if the lists stay the same: routers hold back suspects
+    /// until all reports of the crash are in.
     pub fn record_crash(&mut self, index: LogIndex, replica: ReplicaKey, contents: &[ContentKey]) {
         let mut is_visible_to_routers = false;
         for content in contents {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes back the end of a replica that was not gone.
+    /// Retracts the crash of a replica that turned out to be alive.
     pub fn retract_crash(&mut self, index: LogIndex, replica: ReplicaKey) {
         for suspect in self.suspects.values_mut() {
             suspect.crashes.retain(|crash| *crash != replica);
@@ -125,7 +125,7 @@
         self.recompute(index);
     }
 
-    /// Forgets requests that have run to a good end.
+    /// Removes requests that have completed.
     pub fn clear(&mut self, index: LogIndex, contents: &[ContentKey]) {
         for content in contents {
             self.suspects.remove(content);
@@ -133,9 +133,9 @@
         self.recompute(index);
     }
 
-    /// Forgets a request, unless it has changed since `changed_at`. One that was quarantined is
-    /// released on parole: the next end under it quarantines it again, so that a request that comes
-    /// for ever ends one replica in each period and not several.
+    /// Removes a request unless it has changed since `changed_at`. A quarantined request is
+    /// released on probation: the next crash under it quarantines it again, so that a fatal request
+    /// that keeps coming crashes one replica per period instead of several.
     pub fn release(&mut self, index: LogIndex, content: ContentKey, changed_at: LogIndex) {
         let Some(suspect) = self.suspects.get_mut(&content) else {
             return;
@@ -153,8 +153,8 @@
         self.recompute(index);
     }
 
-    /// Decides anew who is to blame: those with the most ends first, since each of them explains the
-    /// ends under it for all others.
+    /// Recomputes which requests are at fault, starting with those that have the most crashes,
+    /// since each of them explains its crashes for all others.
     fn recompute(&mut self, index: LogIndex) {
         let mut blamed: BTreeSet<ContentKey> = BTreeSet::new();
         let mut explained: BTreeSet<ReplicaKey> = BTreeSet::new();
@@ -174,7 +174,7 @@
         self.refresh_update(index);
     }
 
-    /// Notes what routers are told now, if it has changed.
+    /// Rebuilds the lists for routers and advances their position if they changed.
     fn refresh_update(&mut self, index: LogIndex) {
         let mut told = QuarantineUpdate {
             changed_at: self.update.changed_at,
@@ -193,8 +193,9 @@
         }
     }
 
-    /// The request with the most ends beyond those that are explained, if they show that it is to
-    /// blame; together with its rivals, if it has some and the ends are too many to wait longer.
+    /// Returns the request with the most unexplained crashes if they suffice to quarantine it. Its
+    /// rivals are returned with it once it has [`CRASHES_DESPITE_RIVAL`] crashes; until then rivals
+    /// exclude each other.
     fn next_to_blame(&self, explained: &BTreeSet<ReplicaKey>) -> Vec<ContentKey> {
         let unexplained = |suspect: &Suspect| -> BTreeSet<ReplicaKey> {
             let crashes = suspect.crashes.iter().copied();
@@ -226,7 +227,8 @@
         Vec::new()
     }
 
-    /// Drops the least suspected request, the longest unchanged first, if one more would be too many.
+    /// Evicts the suspect with the fewest crashes, and of these the one unchanged for longest, if
+    /// the table is full.
     fn evict_if_full(&mut self, content: &ContentKey) {
         if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(content) {
             return;
@@ -244,8 +246,8 @@
     }
 }
 
-/// Whether a request that was at `theirs` may be to blame for `ends` as well as the one that was there:
-/// it was at as many, and without those at which both were too few are left to show anything.
+/// Whether another request explains `crashes` as well as the request under test: it was present at
+/// as many crashes, and too few remain at which it was absent.
 fn is_rival(crashes: &BTreeSet<ReplicaKey>, other_crashes: &BTreeSet<ReplicaKey>) -> bool {
     let alone = crashes.difference(other_crashes).count();
     other_crashes.len() >= crashes.len() && alone < CRASHES_FOR_BLAME
--- a/crates/control/src/serving_state/registry.rs
+++ b/crates/control/src/serving_state/registry.rs
@@ -1,57 +1,56 @@
-//! The records of back-end replicas, found by identity, by address and in the order of their changes.
+//! Records of back-end replicas, indexed by incarnation id, address and log position.
 //!
-//! With thousands of replicas a look at all of them for each registration takes a time that grows with
-//! the square of their number, and one for each answer to a router a time that grows with the number
-//! of both. So each question has an index; copies share all of them.
+//! Registrations and updates of routers are lookups in these indexes, not scans, since a scan of
+//! thousands of replicas for each of them is too slow. Clones share all indexes.
 
 use railtack_consensus::LogIndex;
 use railtack_serving::ReplicaRecord;
 use rpds::{RedBlackTreeMapSync, RedBlackTreeSetSync};
 
-/// Back-end replicas by identity.
+/// Records of back-end replicas by incarnation id.
 pub type ReplicaMap = RedBlackTreeMapSync<String, ReplicaRecord>;
 
-/// The records of all replicas.
+/// Records of all back-end replicas with their indexes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaRegistry {
     records: ReplicaMap,
-    /// The life in which each replica is.
+    /// Incarnation id by replica name.
     current_incarnation_ids: RedBlackTreeMapSync<String, String>,
-    /// Which replica has each address.
+    /// Incarnation id by address.
     ids_by_address: RedBlackTreeMapSync<String, String>,
-    /// Replicas by the position of the last change of their records.
+    /// Incarnation ids by the log position of their last change.
     by_change: RedBlackTreeSetSync<(LogIndex, String)>,
 }
 
 impl ReplicaRegistry {
-    /// The records by identity.
+    /// The records by incarnation id.
     pub fn records(&self) -> &ReplicaMap {
         &self.records
     }
 
-    /// The record of a replica.
+    /// The record of an incarnation.
     pub fn get(&self, replica: &str) -> Option<&ReplicaRecord> {
         self.records.get(replica)
     }
 
-    /// The life in which a replica is.
+    /// The known incarnation of a replica.
     pub fn current_incarnation_id(&self, replica: &str) -> Option<&String> {
         self.current_incarnation_ids.get(replica)
     }
 
-    /// The replica at an address.
+    /// The incarnation registered at an address.
     pub fn id_at_address(&self, address: &str) -> Option<&String> {
         self.ids_by_address.get(address)
     }
 
-    /// Records that changed after a position, in the order of their changes.
+    /// Records that changed after a log position, in the order of their changes.
     pub fn changed_after(&self, index: LogIndex) -> impl Iterator<Item = &ReplicaRecord> {
         let first = (index.saturating_add(1), String::new());
         let changed = self.by_change.range(first..);
         changed.filter_map(|(_, replica)| self.records.get(replica))
     }
 
-    /// Keeps a record in place of the former one of the same replica.
+    /// Inserts a record, replacing the one of the same incarnation.
     pub fn insert(&mut self, record: ReplicaRecord) {
         self.remove(&record.id);
         let id = record.id.clone();
@@ -63,7 +62,7 @@
         self.records.insert_mut(id, record);
     }
 
-    /// Forgets a replica.
+    /// Removes the record of an incarnation.
     pub fn remove(&mut self, replica: &str) {
         let Some(record) = self.records.get(replica).cloned() else {
             return;
--- a/crates/control/src/serving_state/stored.rs
+++ b/crates/control/src/serving_state/stored.rs
@@ -1,6 +1,6 @@
-//! The serving state as snapshots hold it: plain collections, in the layout of the first build, with
-//! what was added later at the end. A snapshot of a group at the first level ends before it, whichever build
-//! writes it.
+//! Snapshot layout of the serving state: plain collections in the layout of the first build,
+//! followed by later additions. Snapshots of a group at the first feature level end before these
+//! additions, whichever build writes them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -33,7 +33,7 @@
     extension: Extension,
 }
 
-/// What the first level does not have.
+/// Additions that snapshots of groups at the first feature level lack.
 #[derive(Default)]
 struct Extension(Option<ExtensionFields>);
 
@@ -48,7 +48,8 @@
     quotas: Vec<(String, TenantQuota)>,
 }
 
-/// The group's level. Builds that wrote these parts without one did all of that level.
+/// Feature level of the group. Builds that wrote the additions without a level supported all of
+/// [`FeatureLevel::SHARED_GRANTS`].
 #[derive(Readable, Writable)]
 struct StoredLevel(FeatureLevel);
 
@@ -105,7 +106,7 @@
     }
 }
 
-/// The layout in which the quotas of tenants stand within the configuration.
+/// Layout in which the quotas of tenants are stored within the configuration.
 #[derive(Readable)]
 pub(crate) struct StoredWithInlineQuotas(StoredState<InlineConfiguration>);
 
--- a/crates/control/src/serving_state/tombstones.rs
+++ b/crates/control/src/serving_state/tombstones.rs
@@ -1,5 +1,5 @@
-//! Lives of replicas that are gone, as long as they are remembered: their late messages do not revive them,
-//! and routers can be told only what changed. Copies share everything.
+//! Tombstones of removed replicas. They reject late messages of removed incarnations and let
+//! routers receive removals as changes. Clones share everything.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +7,10 @@
 use railtack_serving::Life;
 use rpds::RedBlackTreeSetSync;
 
-/// Lives that are remembered.
 const MAX_TOMBSTONES: usize = 1_024;
 
-/// A removal, found by replica and birth. Follows from the removals alone, so that a control replica that
-/// starts from a snapshot decides like the others.
+/// Key of a removal, ordered by replica and start time. It depends on the removals alone, so that a
+/// control replica restored from a snapshot decides like the others.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RemovedIncarnation {
     replica: String,
@@ -30,21 +29,19 @@
     }
 }
 
-/// Lives that are gone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tombstones {
-    /// Their names by the position of their removal, oldest first.
+    /// Removed incarnations by log position, oldest first.
     removals: RedBlackTreeSetSync<(LogIndex, String)>,
-    /// Those that ended for good; others were only silent and may be heard again.
+    /// Incarnations that ended for good. The others were silent and may return.
     ended: RedBlackTreeSetSync<String>,
-    /// The same removals by replica and by when the life began, the newest last.
+    /// The same removals by replica and start time, newest last.
     by_incarnation: RedBlackTreeSetSync<RemovedIncarnation>,
-    /// Removals up to here may be forgotten.
+    /// Log position of the newest evicted tombstone.
     evicted_through: LogIndex,
 }
 
 impl Tombstones {
-    /// What a snapshot holds.
     pub fn from_snapshot(
         removals: BTreeSet<(LogIndex, String)>,
         ended: BTreeSet<String>,
@@ -64,22 +61,21 @@
         tombstones
     }
 
-    /// Names of all lives by the position of their removal.
     pub fn removals(&self) -> impl Iterator<Item = &(LogIndex, String)> {
         self.removals.iter()
     }
 
-    /// Those that ended for good.
+    /// Incarnations that ended for good.
     pub fn ended(&self) -> impl Iterator<Item = &String> {
         self.ended.iter()
     }
 
-    /// Removals up to here may be forgotten.
+    /// Log position of the newest evicted tombstone; removals up to it may be missing.
     pub fn evicted_through(&self) -> LogIndex {
         self.evicted_through
     }
 
-    /// Whether a life ended for good, or a newer one of its replica is gone.
+    /// Whether an incarnation ended for good, or a newer one of the same replica was removed.
     pub fn has_ended(&self, incarnation_id: &str) -> bool {
         self.ended.contains(incarnation_id) || self.has_newer_removal(incarnation_id)
     }
@@ -90,7 +86,7 @@
         newer.is_some_and(|removal| removal.replica == Life::named(incarnation_id).replica)
     }
 
-    /// Lives that were removed after a position.
+    /// Incarnations removed after a log position.
     pub fn removed_after(&self, index: LogIndex) -> impl Iterator<Item = &String> {
         let first = (index.saturating_add(1), String::new());
         self.removals
@@ -98,12 +94,13 @@
             .map(|(_, incarnation_id)| incarnation_id)
     }
 
-    /// Notes that a life ended for good.
+    /// Records that an incarnation ended for good.
     pub fn mark_ended(&mut self, incarnation_id: &str) {
         self.ended.insert_mut(incarnation_id.to_owned());
     }
 
-    /// Notes that a life was removed.
+    /// Records that an incarnation was removed, and evicts the oldest tombstone if there are too
+    /// many.
     pub fn record_removal(&mut self, index: LogIndex, incarnation_id: &str) {
         self.by_incarnation
             .insert_mut(RemovedIncarnation::of(index, incarnation_id));
--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -1,4 +1,5 @@
-//! What a router is told: what changed after what it knows, in answers of a bounded size.
+//! Updates for routers: the changes after the position that a router has applied, in messages of
+//! bounded size.
 
 use railtack_consensus::LogIndex;
 use railtack_rpc::serving::{Known, ServingUpdate};
@@ -6,24 +7,23 @@
 
 use super::ServingState;
 
-/// Records of replicas after which an answer to a router ends, bytes of some 70 kB: a router's link of
-/// 10 Mbit/s carries them in 60 ms, and an answer that does not come within its time is lost as a whole.
-/// All records at once, of 140 bytes each, took longer than that from some 3,000 replicas on.
+/// Records in one update, about 70 kB. A router's link of 10 Mbit/s carries them in 60 ms; a larger
+/// message may miss its deadline and is then lost as a whole.
 const MAX_RECORDS_PER_UPDATE: usize = 512;
 
-/// What a router is told at most in one answer.
+/// Limits of one update.
 #[derive(Clone, Copy)]
 struct UpdateLimits {
-    /// Records of replicas.
+    /// Records in total.
     records: usize,
-    /// Records of replicas that the router was never told.
+    /// Records that the router has not received before.
     unknown_records: usize,
 }
 
 impl ServingState {
-    /// What a router lacks that knows so much; `None` if nothing, or if it knows more than is applied
-    /// here. Everything but the records of replicas is told at once, and of these as many as one answer may
-    /// hold.
+    /// Returns the changes after the position of a router; `None` if there are none, or if the
+    /// router is ahead of this replica. The update holds all other changes, and as many records as
+    /// fit.
     pub fn update_after(&self, known: Known) -> Option<ServingUpdate> {
         let limits = UpdateLimits {
             records: MAX_RECORDS_PER_UPDATE,
@@ -32,7 +32,7 @@
         self.build_update(known, limits)
     }
 
-    /// The same without records that the router was never told.
+    /// Like [`Self::update_after`], but without records that the router has not received before.
     pub fn known_changes_after(&self, known: Known) -> Option<ServingUpdate> {
         let limits = UpdateLimits {
             records: MAX_RECORDS_PER_UPDATE,
@@ -42,8 +42,8 @@
             .filter(|update| update.known != known)
     }
 
-    /// All that a router lacks, in one answer: for routers of a build that takes no parts, and that knows a
-    /// replica by its identity alone.
+    /// Returns all changes in one update, for routers of builds that do not accept partial updates
+    /// and identify replicas by name alone.
     pub fn full_update_after(&self, known: Known) -> Option<ServingUpdate> {
         let limits = UpdateLimits {
             records: usize::MAX,
@@ -87,7 +87,7 @@
         })
     }
 
-    /// The first records for a router that knows none: nothing that it knows can be outdated.
+    /// Records for a router that has none yet, so that none of its records can be stale.
     fn initial_records(&self, limits: UpdateLimits) -> (Vec<ReplicaRecord>, Known) {
         let (records, records_through) =
             self.records_between(0, self.changed_at, limits.unknown_records);
@@ -99,8 +99,8 @@
         (records, position)
     }
 
-    /// The records for one answer: first those that changed, and of those that the router was never told
-    /// as many as there is room for.
+    /// Records for one update: first the changes of records that the router has, then as many of
+    /// the others as fit.
     fn records_after(&self, known: Known, limits: UpdateLimits) -> (Vec<ReplicaRecord>, Known) {
         let (mut records, changes_through) =
             self.records_between(known.changes_through, self.changed_at, limits.records);
@@ -116,7 +116,7 @@
             let (new_records, sent_through) =
                 self.records_between(known.records_through, known.changes_through, room);
             records.extend(new_records);
-            // With the last of them, the router knows all.
+            // The router has all records now.
             records_through = if sent_through == known.changes_through {
                 changes_through
             } else {
@@ -131,8 +131,9 @@
         (records, position)
     }
 
-    /// Records that changed last after one position and up to another, in the order of their changes, and
-    /// the position up to which these are all; some more than `most`, as those of one position stay together.
+    /// Records whose last change lies between two positions, in the order of their changes, and the
+    /// position up to which they are complete. May exceed `limit`, since records of one position
+    /// stay together.
     fn records_between(
         &self,
         after: LogIndex,
