--- a/crates/control/src/serving/daemon.rs
+++ b/crates/control/src/serving/daemon.rs
@@ -100,10 +100,10 @@
         read_document: options.read_document,
     };
     let (node, _) = node::start(replica, peers, metrics.clone(), started, node_options);
-    let link = Arc::new(LeaderClient::new(node.clone(), options.listen.to_string()));
+    let leader_client = Arc::new(LeaderClient::new(node.clone(), options.listen.to_string()));
     let liveness = Arc::new(Liveness::new(options.replica_heartbeat));
     let watch = Arc::new(WatchServer::new(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         Arc::clone(&liveness),
         options.zone.clone(),
         started,
@@ -116,38 +116,38 @@
         metrics.clone(),
     ));
     let registrar = Arc::new(Registrar::new(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         Arc::clone(&liveness),
         metrics.clone(),
     ));
     let permits = Arc::new(PermitServer::new(node.clone(), started, metrics.clone()));
     let service = ControlService::new(node, Arc::clone(&permits)).with_group(GroupServices {
-        link: Arc::clone(&link),
+        link: Arc::clone(&leader_client),
         watch: Arc::clone(&watch),
         liveness: Arc::clone(&liveness),
         quotas: Arc::clone(&quotas),
     });
     tokio::spawn(quota::run_ledgers(quotas));
     tokio::spawn(quarantine::run_release_timers(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         metrics.clone(),
     ));
     tokio::spawn(server::accept(listener, service));
     tokio::spawn(watch::run_confirmations(Arc::clone(&watch)));
     tokio::spawn(formation::run_join_loop(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         identity.replica,
         identity.disk,
         options.seeds.clone(),
     ));
     tokio::spawn(liveness::run_reports(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         Arc::clone(&liveness),
         permits,
     ));
     tokio::spawn(registrar::run(Arc::clone(&registrar)));
     tokio::spawn(rollout_driver::run(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         watch,
         channel,
         options.node.clone(),
@@ -161,7 +161,7 @@
         bootstrap = options.bootstrap,
     });
     Ok(GroupHandle::new(
-        link,
+        leader_client,
         liveness,
         registrar,
         identity.replica,
--- a/crates/control/src/serving/formation.rs
+++ b/crates/control/src/serving/formation.rs
@@ -31,7 +31,7 @@
 
 /// Asks to be taken in for as long as this replica is outside.
 pub async fn run_join_loop(
-    link: Arc<LeaderClient>,
+    leader_client: Arc<LeaderClient>,
     replica: ReplicaId,
     disk: DiskId,
     seeds: Vec<SocketAddr>,
@@ -39,7 +39,7 @@
     let mut leader_seen_at = Instant::now();
     loop {
         sleep(CHECK_INTERVAL).await;
-        let view = link.view();
+        let view = leader_client.view();
         if view.leader.is_some() {
             leader_seen_at = Instant::now();
         }
@@ -48,16 +48,16 @@
             let request = JoinRequest {
                 replica,
                 disk,
-                address: link.local_address().to_owned(),
+                address: leader_client.local_address().to_owned(),
                 level: FeatureLevel::OF_THIS_BUILD,
             };
-            send_join_requests(&link, &request, &view.voters, &seeds).await;
+            send_join_requests(&leader_client, &request, &view.voters, &seeds).await;
         }
     }
 }
 
 async fn send_join_requests(
-    link: &LeaderClient,
+    leader_client: &LeaderClient,
     request: &JoinRequest,
     voters: &[String],
     seeds: &[SocketAddr],
@@ -66,12 +66,12 @@
     targets.extend(voters.iter().cloned());
     targets.sort();
     targets.dedup();
-    targets.retain(|target| target != link.local_address());
+    targets.retain(|target| target != leader_client.local_address());
     let mut position = 0;
     // Each target may name the leader, which is then asked too.
     while let Some(target) = targets.get(position).cloned() {
         position += 1;
-        match send_join_request(link, request, &target).await {
+        match send_join_request(leader_client, request, &target).await {
             Some(JoinReply::Accepted) => return,
             Some(JoinReply::NotLeader {
                 leader: Some(leader),
@@ -82,11 +82,11 @@
 }
 
 async fn send_join_request(
-    link: &LeaderClient,
+    leader_client: &LeaderClient,
     request: &JoinRequest,
     target: &str,
 ) -> Option<JoinReply> {
-    let connection = link.connection(target)?;
+    let connection = leader_client.connection(target)?;
     let request = request.clone();
     connection
         .call(|client| async move { client.join(call_deadline(JOIN_TIMEOUT), request).await })
--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -45,7 +45,7 @@
 /// A handle on this process's control replica.
 #[derive(Clone)]
 pub struct GroupHandle {
-    link: Arc<LeaderClient>,
+    leader_client: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
     registrar: Arc<Registrar>,
     replica: ReplicaId,
@@ -56,7 +56,7 @@
 impl GroupHandle {
     /// A handle over `replica`, the one behind `link`.
     pub fn new(
-        link: Arc<LeaderClient>,
+        leader_client: Arc<LeaderClient>,
         liveness: Arc<Liveness>,
         registrar: Arc<Registrar>,
         replica: ReplicaId,
@@ -64,7 +64,7 @@
         metrics: ControlMetrics,
     ) -> Self {
         Self {
-            link,
+            leader_client,
             liveness,
             registrar,
             replica,
@@ -75,7 +75,7 @@
 
     /// The replica's present belief.
     pub fn view(&self) -> NodeView {
-        self.link.view()
+        self.leader_client.view()
     }
 
     /// Takes a whole document. On success it, or one with a version at least as high, is held by
@@ -85,14 +85,14 @@
         document: ConfigurationDocument,
     ) -> Result<ServingOutcome, Unavailable> {
         self.require_formed()?;
-        let level = self.link.view().serving.level();
+        let level = self.leader_client.view().serving.level();
         self.propose(ServingCommand::put(document, level)).await
     }
 
     /// The newest document, as it was sent.
     pub async fn document(&self) -> Result<Vec<u8>, Unavailable> {
-        self.link.catch_up(REPLY_TIMEOUT).await?;
-        let view = self.link.view();
+        self.leader_client.catch_up(REPLY_TIMEOUT).await?;
+        let view = self.leader_client.view();
         let content = view.serving.content().ok_or(Unavailable::NoConfiguration)?;
         Ok(content.to_vec())
     }
@@ -116,7 +116,7 @@
         mut record: ReplicaRecord,
         sequence: u64,
     ) -> Result<HeartbeatTarget, Unavailable> {
-        let view = self.link.view();
+        let view = self.leader_client.view();
         if !is_service_configured(&view, &record) {
             self.metrics.registrations_unnamed.inc();
             spdlog::info!("heartbeat for no service", kv: {
@@ -150,7 +150,7 @@
         let key = ReplicaKey::of(replica).0 as usize;
         let voters = view.voters.iter();
         let others: Vec<&String> = voters
-            .filter(|other| *other != self.link.local_address())
+            .filter(|other| *other != self.leader_client.local_address())
             .collect();
         match others.get(key % others.len().max(1)) {
             Some(other) => HeartbeatTarget::Redirect((*other).clone()),
@@ -160,7 +160,7 @@
 
     /// Removes a replica that says that it leaves for good.
     pub async fn deregister(&self, replica: String) -> Result<(), Unavailable> {
-        let view = self.link.view();
+        let view = self.leader_client.view();
         let replica = id_at_level(&view, replica);
         if view
             .serving
@@ -180,9 +180,10 @@
     /// its silence if it is better off without it. A process that starts again is a member as
     /// before, or asks to be taken in.
     pub async fn leave(&self) {
-        let leader = self.link.view().leader;
-        let remote_leader = leader.filter(|leader| leader != self.link.local_address());
-        let Some(connection) = remote_leader.and_then(|leader| self.link.connection(&leader))
+        let leader = self.leader_client.view().leader;
+        let remote_leader = leader.filter(|leader| leader != self.leader_client.local_address());
+        let Some(connection) =
+            remote_leader.and_then(|leader| self.leader_client.connection(&leader))
         else {
             return;
         };
@@ -194,12 +195,12 @@
     }
 
     async fn propose(&self, command: ServingCommand) -> Result<ServingOutcome, Unavailable> {
-        self.link.propose(command, REPLY_TIMEOUT).await
+        self.leader_client.propose(command, REPLY_TIMEOUT).await
     }
 
     /// Nothing is acknowledged before the group has the members that its promises need.
     fn require_formed(&self) -> Result<(), Unavailable> {
-        let view = self.link.view();
+        let view = self.leader_client.view();
         let formed =
             view.serving.has_configuration() || view.voters.len() >= self.tolerance.voters_needed();
         if formed {
--- a/crates/control/src/serving/limits.rs
+++ b/crates/control/src/serving/limits.rs
@@ -104,32 +104,34 @@
 
 impl LimitLedger {
     /// Takes in what a router heard of a back end's limit.
-    pub fn record(&mut self, life: &str, observation: LimitObservation, now: Instant) {
-        if let Some(state) = self.limits.get_mut(life) {
+    pub fn record(&mut self, incarnation_id: &str, observation: LimitObservation, now: Instant) {
+        if let Some(state) = self.limits.get_mut(incarnation_id) {
             state.record(observation, now);
         } else if let Some(limit) = observation.limit {
             let state = LimitState::new(limit, observation.observed_at, now);
-            self.limits.insert(life.to_owned(), state);
+            self.limits.insert(incarnation_id.to_owned(), state);
         }
     }
 
     /// Gives a permit if there is room for one.
-    pub fn acquire(&mut self, life: &str, now: Instant) -> PermitDecision {
-        let state = self.limits.get_mut(life);
+    pub fn acquire(&mut self, incarnation_id: &str, now: Instant) -> PermitDecision {
+        let state = self.limits.get_mut(incarnation_id);
         state.map_or(PermitDecision::Unlimited, |state| state.acquire(now))
     }
 
     /// The limit of a back end.
-    pub fn limit(&self, life: &str) -> Option<RequestLimit> {
-        self.limits.get(life)?.limit
+    pub fn limit(&self, incarnation_id: &str) -> Option<RequestLimit> {
+        self.limits.get(incarnation_id)?.limit
     }
 
     /// Back ends that have a limit, with the time since it was heard last.
     pub fn limited(&self, now: Instant) -> impl Iterator<Item = (&str, RequestLimit, Duration)> {
-        self.limits.iter().filter_map(move |(life, state)| {
-            let age = now.saturating_duration_since(state.last_observed_at);
-            Some((life.as_str(), state.limit?, age))
-        })
+        self.limits
+            .iter()
+            .filter_map(move |(incarnation_id, state)| {
+                let age = now.saturating_duration_since(state.last_observed_at);
+                Some((incarnation_id.as_str(), state.limit?, age))
+            })
     }
 
     /// Forgets limits that nobody has spoken of for long.
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -289,9 +289,9 @@
     /// While leading: removes a replica at whose address another one wants to be taken in, if it has
     /// been silent for long enough. Two cannot listen at one address, and a heartbeat that was held back
     /// may come after its sender has crashed and another life has taken the address.
-    pub async fn remove_if_silent(&self, link: &LeaderClient, replica: &str) -> bool {
+    pub async fn remove_if_silent(&self, leader_client: &LeaderClient, replica: &str) -> bool {
         let takeover_delay = self.address_takeover_delay();
-        let is_free = link.view().leads && self.is_silent(replica, takeover_delay);
+        let is_free = leader_client.view().leads && self.is_silent(replica, takeover_delay);
         spdlog::info!("address is held", kv: { holder = replica.to_owned(), is_free });
         if !is_free {
             return false;
@@ -299,7 +299,10 @@
         let command = ServingCommand::Deregister {
             replica: replica.to_owned(),
         };
-        link.propose(command, REMOVAL_TIMEOUT).await.is_ok()
+        leader_client
+            .propose(command, REMOVAL_TIMEOUT)
+            .await
+            .is_ok()
     }
 
     /// Silence after which another replica may be taken in at the address of one.
@@ -380,23 +383,23 @@
 }
 
 /// Removes a replica that is silent.
-async fn expire(link: &LeaderClient, replica: String) {
+async fn expire(leader_client: &LeaderClient, replica: String) {
     spdlog::info!("replica silent", kv: { replica = replica.clone() });
     let command = ServingCommand::Expire { replica };
     // Looked at again after the next interval.
-    let _ = link.propose(command, REMOVAL_TIMEOUT).await;
+    let _ = leader_client.propose(command, REMOVAL_TIMEOUT).await;
 }
 
 /// Tells the leader who was heard from; as the leader, removes replicas that are silent.
 pub async fn run_reports(
-    link: Arc<LeaderClient>,
+    leader_client: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
     permits: Arc<PermitServer>,
 ) {
     let mut scanned_at = Instant::now();
     loop {
         sleep(REPORT_INTERVAL).await;
-        let view = link.view();
+        let view = leader_client.view();
         let scan_due = scanned_at.elapsed() >= SCAN_INTERVAL;
         if scan_due {
             scanned_at = Instant::now();
@@ -410,24 +413,30 @@
                 let silent = liveness
                     .silent_replicas(known, liveness.heartbeat * MISSED_HEARTBEATS_TO_EXPIRE);
                 // Together, so that they share a commit: many are silent at once or none.
-                join_all(silent.into_iter().map(|replica| expire(&link, replica))).await;
+                join_all(
+                    silent
+                        .into_iter()
+                        .map(|replica| expire(&leader_client, replica)),
+                )
+                .await;
             }
         } else if let Some(leader) = view.leader {
-            send_report(&link, &liveness, leader, view.serving.level()).await;
+            send_report(&leader_client, &liveness, leader, view.serving.level()).await;
         }
     }
 }
 
 async fn send_report(
-    link: &LeaderClient,
+    leader_client: &LeaderClient,
     liveness: &Liveness,
     leader: String,
     group_level: FeatureLevel,
 ) {
-    let Some(connection) = link.connection(&leader) else {
+    let Some(connection) = leader_client.connection(&leader) else {
         return;
     };
-    let (notice, through) = liveness.build_report(link.local_address(), &leader, group_level);
+    let (notice, through) =
+        liveness.build_report(leader_client.local_address(), &leader, group_level);
     let reply = connection
         .call(|client| async move { client.alive(call_deadline(REPORT_TIMEOUT), notice).await })
         .await;
--- a/crates/control/src/serving/order_dispatcher.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -60,7 +60,7 @@
 
 /// Gives orders. Each back end is dealt with by one task at a time.
 pub struct OrderDispatcher {
-    link: Arc<LeaderClient>,
+    leader_client: Arc<LeaderClient>,
     /// Tells routers of orders.
     watch: Arc<WatchServer>,
     channel: Arc<dyn OrderChannel>,
@@ -85,7 +85,7 @@
 impl OrderDispatcher {
     /// A giver for the control replica behind `link`, whose clock began at `started`.
     pub fn new(
-        link: Arc<LeaderClient>,
+        leader_client: Arc<LeaderClient>,
         watch: Arc<WatchServer>,
         channel: Arc<dyn OrderChannel>,
         node: String,
@@ -93,7 +93,7 @@
         started: BootInstant,
     ) -> Self {
         Self {
-            link,
+            leader_client,
             watch,
             channel,
             node,
@@ -167,7 +167,7 @@
             replica: record.id.clone(),
             order: order.clone(),
         };
-        let recorded = self.link.propose(command, RECORD_TIMEOUT).await;
+        let recorded = self.leader_client.propose(command, RECORD_TIMEOUT).await;
         if recorded == Ok(ServingOutcome::NotHolder) {
             self.record_refused_lock(order_lock);
         }
@@ -259,7 +259,7 @@
         };
         // The next look records it if this fails.
         let _ = self
-            .link
+            .leader_client
             .propose(ServingCommand::Register(updated), RECORD_TIMEOUT)
             .await;
     }
@@ -310,7 +310,7 @@
 
     /// Whether this replica still is the one that gives orders: known to lead a moment ago.
     fn may_send(&self, order_lock: &HeldOrderLock) -> bool {
-        let view = self.link.view();
+        let view = self.leader_client.view();
         let limit = Duration::from_millis(self.bounds.lease_ms / 3);
         let age = view.leadership_age(self.started);
         order_lock.is_held(view.term, self.refused_token()) && age.is_some_and(|age| age < limit)
--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -131,14 +131,17 @@
             return Vec::new();
         };
         term.ledger.remove_expired(now);
-        let limited = term.ledger.limited(now).map(|(life, limit, age)| {
-            let named_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-            LimitedReplica {
-                replica: ReplicaKey::of(life),
-                limit,
-                named_ms,
-            }
-        });
+        let limited = term
+            .ledger
+            .limited(now)
+            .map(|(incarnation_id, limit, age)| {
+                let named_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
+                LimitedReplica {
+                    replica: ReplicaKey::of(incarnation_id),
+                    limit,
+                    named_ms,
+                }
+            });
         limited.collect()
     }
 
--- a/crates/control/src/serving/quarantine.rs
+++ b/crates/control/src/serving/quarantine.rs
@@ -53,12 +53,12 @@
 }
 
 /// Keeps the timers, the counters and the log lines of the quarantine, for as long as the process runs.
-pub async fn run_release_timers(link: Arc<LeaderClient>, metrics: ControlMetrics) {
+pub async fn run_release_timers(leader_client: Arc<LeaderClient>, metrics: ControlMetrics) {
     let mut timers = ReleaseTimers::default();
     let mut quarantined = BTreeSet::new();
     loop {
         sleep(SCAN_INTERVAL).await;
-        let view = link.view();
+        let view = leader_client.view();
         let quarantine = view.serving.quarantine();
         log_changes(quarantine, &mut quarantined);
         metrics.quarantined.set(quarantined.len() as i64);
@@ -70,18 +70,18 @@
         let due = timers.due(quarantine, Instant::now());
         join_all(
             due.into_iter()
-                .map(|(content, changed_at)| release(&link, content, changed_at)),
+                .map(|(content, changed_at)| release(&leader_client, content, changed_at)),
         )
         .await;
     }
 }
 
-async fn release(link: &LeaderClient, content: ContentKey, changed_at: LogIndex) {
+async fn release(leader_client: &LeaderClient, content: ContentKey, changed_at: LogIndex) {
     let command = ServingCommand::ReleaseContent {
         content,
         changed_at,
     };
-    let outcome = link.propose(command, RELEASE_TIMEOUT).await;
+    let outcome = leader_client.propose(command, RELEASE_TIMEOUT).await;
     spdlog::info!("quarantine time over", kv: {
         content = content.to_string(),
         changed_at,
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -46,7 +46,7 @@
 
 /// Records replicas in batches, one at a time.
 pub struct Registrar {
-    link: Arc<LeaderClient>,
+    leader_client: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
     metrics: ControlMetrics,
     queue: Mutex<RegistrationQueue<ReplySender>>,
@@ -65,9 +65,13 @@
 
 impl Registrar {
     /// A registrar over the replica behind `link`.
-    pub fn new(link: Arc<LeaderClient>, liveness: Arc<Liveness>, metrics: ControlMetrics) -> Self {
+    pub fn new(
+        leader_client: Arc<LeaderClient>,
+        liveness: Arc<Liveness>,
+        metrics: ControlMetrics,
+    ) -> Self {
         Self {
-            link,
+            leader_client,
             liveness,
             metrics,
             queue: Mutex::default(),
@@ -107,7 +111,7 @@
     }
 
     async fn record_batch(&self) -> bool {
-        let view = self.link.view();
+        let view = self.leader_client.view();
         let (batch, already_recorded) = self
             .lock()
             .next_batch(|record| needs_recording(&view, record));
@@ -153,7 +157,7 @@
         }
         let command = ServingCommand::RegisterAll(batch);
         match self
-            .link
+            .leader_client
             .propose_without_resend(command, BATCH_TIMEOUT)
             .await?
         {
@@ -165,7 +169,7 @@
     async fn propose_one(&self, record: ReplicaRecord) -> Result<Registration, Unavailable> {
         let command = ServingCommand::Register(record);
         match self
-            .link
+            .leader_client
             .propose_without_resend(command, BATCH_TIMEOUT)
             .await?
         {
@@ -255,13 +259,16 @@
     /// Has the leader remove a replica that is silent, so that another is taken in at its address: only
     /// the leader hears of all heartbeats.
     async fn remove_if_silent(&self, holder: &str) -> bool {
-        let Some(leader) = self.link.view().leader else {
+        let Some(leader) = self.leader_client.view().leader else {
             return false;
         };
-        if leader == self.link.local_address() {
-            return self.liveness.remove_if_silent(&self.link, holder).await;
+        if leader == self.leader_client.local_address() {
+            return self
+                .liveness
+                .remove_if_silent(&self.leader_client, holder)
+                .await;
         }
-        let Some(connection) = self.link.connection(&leader) else {
+        let Some(connection) = self.leader_client.connection(&leader) else {
             return false;
         };
         let holder = holder.to_owned();
--- a/crates/control/src/serving/rollout_driver.rs
+++ b/crates/control/src/serving/rollout_driver.rs
@@ -39,7 +39,7 @@
 
 /// Rolls weights out for as long as the process runs.
 pub async fn run(
-    link: Arc<LeaderClient>,
+    leader_client: Arc<LeaderClient>,
     watch: Arc<WatchServer>,
     channel: Arc<dyn OrderChannel>,
     node: String,
@@ -47,7 +47,7 @@
     started: BootInstant,
 ) {
     let dispatcher = OrderDispatcher::new(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         watch,
         channel,
         node.clone(),
@@ -55,7 +55,7 @@
         started,
     );
     let mut rollout = Rollout {
-        link,
+        leader_client,
         node,
         bounds,
         dispatcher: Arc::new(dispatcher),
@@ -72,7 +72,7 @@
 }
 
 struct Rollout {
-    link: Arc<LeaderClient>,
+    leader_client: Arc<LeaderClient>,
     node: String,
     bounds: Bounds,
     dispatcher: Arc<OrderDispatcher>,
@@ -90,7 +90,7 @@
 impl Rollout {
     /// One look; true if a rollout is under way.
     async fn tick(&mut self) -> bool {
-        let view = self.link.view();
+        let view = self.leader_client.view();
         // Also while another replica leads: the next leader needs the ages.
         self.record_targets(&view);
         self.record_finished_loads(&view);
@@ -197,7 +197,7 @@
         let command = ServingCommand::AcquireOrders {
             holder: self.node.clone(),
         };
-        let outcome = self.link.propose_if_leader(command).await?;
+        let outcome = self.leader_client.propose_if_leader(command).await?;
         let ServingOutcome::OrdersAcquired { token, taken_over } = outcome else {
             return None;
         };
--- a/crates/control/src/serving/watch.rs
+++ b/crates/control/src/serving/watch.rs
@@ -34,7 +34,7 @@
 
 /// Answers routers from this replica's state.
 pub struct WatchServer {
-    link: Arc<LeaderClient>,
+    leader_client: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
     zone: String,
     /// Zero of the replica's clock.
@@ -55,14 +55,14 @@
     /// A server over the replica behind `link`, whose clock began at `started`, under the
     /// deployment's bounds.
     pub fn new(
-        link: Arc<LeaderClient>,
+        leader_client: Arc<LeaderClient>,
         liveness: Arc<Liveness>,
         zone: String,
         started: BootInstant,
         bounds: &Bounds,
     ) -> Self {
         Self {
-            link,
+            leader_client,
             liveness,
             zone,
             started,
@@ -82,7 +82,7 @@
             .record_observations(&request.router, sightings);
         self.update_times(|times| times.last_request_at = Some(received_at));
         let deadline = received_at + Duration::from_millis(request.wait_ms.min(MAX_WAIT_MS));
-        let mut receiver = self.link.node().view();
+        let mut receiver = self.leader_client.node().view();
         // One that knows more than is applied here waits until that is applied here too.
         let known = request.known;
         let known_through = if request.takes_records {
@@ -105,7 +105,7 @@
         let interval = self.update_interval();
         let delay = batching_delay(&request, received_at.elapsed(), interval);
         sleep(delay).await;
-        let view = self.link.view();
+        let view = self.leader_client.view();
         let update = if !request.takes_parts {
             view.serving.full_update_after(known)
         } else if request.takes_records {
@@ -133,7 +133,7 @@
     /// Waits until the state here is confirmed.
     async fn confirmation(&self) {
         loop {
-            let age = self.confirmed_age_ms(&self.link.view());
+            let age = self.confirmed_age_ms(&self.leader_client.view());
             if age.is_some_and(|age| age < CONFIRMATION_LIMIT_MS) {
                 return;
             }
@@ -201,11 +201,11 @@
 pub async fn run_confirmations(server: Arc<WatchServer>) {
     loop {
         sleep(CONFIRM_INTERVAL).await;
-        if !server.has_recent_requests() || server.link.view().leads {
+        if !server.has_recent_requests() || server.leader_client.view().leads {
             continue;
         }
         let received_at = BootInstant::now();
-        if server.link.catch_up(CONFIRM_TIMEOUT).await.is_ok() {
+        if server.leader_client.catch_up(CONFIRM_TIMEOUT).await.is_ok() {
             server.update_times(|times| times.confirmed_at = Some(received_at));
         }
     }
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -116,10 +116,10 @@
     /// Whether an incarnation has ended for good or was replaced by a newer one, so that its
     /// messages are late.
     pub fn has_departed(&self, replica: &str) -> bool {
-        let life = Life::named(replica);
-        let current = self.replicas.current_incarnation_id(life.replica);
+        let incarnation = Life::named(replica);
+        let current = self.replicas.current_incarnation_id(incarnation.replica);
         let is_superseded =
-            current.is_some_and(|current| Life::named(current).is_newer_than(&life));
+            current.is_some_and(|current| Life::named(current).is_newer_than(&incarnation));
         is_superseded || self.tombstones.has_ended(replica)
     }
 
@@ -300,9 +300,9 @@
     /// no state from it, and the previous one need not be silent first, since the replica itself
     /// reports which incarnation is newer.
     fn previous_incarnation_id(&self, name: &str) -> Option<String> {
-        let life = Life::named(name);
-        let current = self.replicas.current_incarnation_id(life.replica)?;
-        let is_superseded = life.is_newer_than(&Life::named(current));
+        let incarnation = Life::named(name);
+        let current = self.replicas.current_incarnation_id(incarnation.replica)?;
+        let is_superseded = incarnation.is_newer_than(&Life::named(current));
         is_superseded.then(|| current.clone())
     }
 
--- a/crates/control/src/serving_state/tombstones.rs
+++ b/crates/control/src/serving_state/tombstones.rs
@@ -20,10 +20,10 @@
 
 impl RemovedIncarnation {
     fn of(index: LogIndex, incarnation_id: &str) -> Self {
-        let life = Life::named(incarnation_id);
+        let incarnation = Life::named(incarnation_id);
         Self {
-            replica: life.replica.to_owned(),
-            born_ms: life.born_ms,
+            replica: incarnation.replica.to_owned(),
+            born_ms: incarnation.born_ms,
             removed_at: index,
         }
     }
