--- a/crates/control/src/serving/daemon.rs
+++ b/crates/control/src/serving/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a control replica that finds its group by itself.
+//! Starts a control replica that forms or joins its group by itself.
 
 use std::{net::SocketAddr, path::PathBuf, sync::Arc, time::Duration};
 
@@ -32,49 +32,49 @@
     },
 };
 
-/// Name of the cluster; a group that forms by itself is told apart by its folders, not by names.
+/// Name of the cluster. Groups that form themselves are distinguished by their data folders.
 const CLUSTER: &str = "railtack";
-/// Time between heartbeats of the replicated log, milliseconds.
+/// Interval of the heartbeats of the replicated log, milliseconds.
 const HEARTBEAT_MS: Millis = 100;
 /// Shortest election timeout, milliseconds.
 const ELECTION_TIMEOUT_MS: Millis = 400;
-/// Longest time between two rounds of the replica.
+/// Longest time between two rounds of the replica's thread.
 const TICK: Duration = Duration::from_millis(25);
-/// Entries after which a snapshot replaces the log.
+/// Log entries after which a snapshot replaces the log.
 const SNAPSHOT_ENTRIES: u64 = 1_000;
-/// Bytes of entries after which a snapshot replaces the log.
+/// Bytes of log entries after which a snapshot replaces the log.
 const SNAPSHOT_BYTES: usize = 1024 * 1024;
-/// How long the outcome of a request that may not be repeated is kept, milliseconds.
+/// Time for which the outcome of a request that must not be repeated is kept, milliseconds.
 const CLAIM_RETENTION_MS: u64 = 24 * 3_600_000;
-/// Pause before a folder that cannot be opened is tried again.
+/// Delay before a data folder that could not be opened is tried again.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Where a control replica runs and what it is told about its group.
+/// Options of a control replica and its group.
 #[derive(Clone, Debug)]
 pub struct GroupOptions {
     /// Name of the machine, for logs and orders.
     pub node: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Internal address; other replicas and routers reach this one here.
+    /// Internal address at which other replicas and routers reach this one.
     pub listen: SocketAddr,
-    /// The data folder.
+    /// Data folder.
     pub data: PathBuf,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole deployment starts for the first time.
     pub bootstrap: bool,
-    /// Internal addresses of some replicas.
+    /// Internal addresses of some control replicas.
     pub seeds: Vec<SocketAddr>,
-    /// Losses to be borne.
+    /// Failures that the group has to tolerate.
     pub tolerance: FaultTolerance,
     /// Bounds of the deployment.
     pub bounds: Bounds,
-    /// Time between heartbeats of back-end replicas.
+    /// Heartbeat interval of back-end replicas.
     pub replica_heartbeat: Duration,
-    /// Reads documents.
+    /// Parses configuration documents.
     pub read_document: ReadDocument,
 }
 
-/// Starts the replica and its tasks; they run for as long as the process.
+/// Starts the replica and its tasks, which run until the process exits.
 pub async fn start(
     options: GroupOptions,
     channel: Arc<dyn OrderChannel>,
@@ -170,7 +170,7 @@
     ))
 }
 
-/// Opens the folder, for as long as it takes: a full or broken disk may recover.
+/// Opens the data folder, and retries without end, since a full or broken disk may recover.
 async fn open_with_retries(options: &GroupOptions) -> Replica {
     loop {
         match open(options, 0) {
@@ -191,7 +191,7 @@
     if is_bootstrap_node {
         let address = options.listen.to_string();
         let initialized = Replica::initialize(&folder, &replica_options, &address);
-        // A folder that is in use was made before; it is opened as it is.
+        // A folder that is already in use is opened as it is.
         if let Err(report) = initialized
             && report.current_context() != &ControlError::AlreadyInitialized
         {
--- a/crates/control/src/serving/errors.rs
+++ b/crates/control/src/serving/errors.rs
@@ -1,23 +1,24 @@
-//! Why the group could not do what an adapter asked.
+//! Errors of requests to the group.
 
 use thiserror::Error;
 
-/// The group gave no clear answer. The same may be asked again, here or elsewhere.
+/// The group could not handle a request. The caller may retry it here or at another replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Unavailable {
-    /// No leader is known, or it did not answer in time; what was asked may still happen.
+    /// No leader is known, or it did not reply in time. The change may still be applied.
     #[error("no leader has answered")]
     NoLeader,
-    /// The group does not have the members yet that its promises need.
+    /// The group does not yet have the members that its guarantees require.
     #[error("the group is still forming")]
     Forming,
-    /// Another replica that is alive has the address, or only the leader can tell.
+    /// Another live replica is registered at the address, or only the leader knows whether it is
+    /// alive.
     #[error("another replica has this address")]
     AddressHeld,
-    /// More replicas wait to be recorded than there are places.
+    /// The queue of registrations is full.
     #[error("too many replicas register at once")]
     Busy,
-    /// No configuration was ever taken.
+    /// No configuration document has been stored yet.
     #[error("there is no configuration yet")]
     NoConfiguration,
 }
--- a/crates/control/src/serving/fleet.rs
+++ b/crates/control/src/serving/fleet.rs
@@ -1,12 +1,13 @@
-//! What all routers together meet at the back-end replicas. Pure: times are passed in.
+//! Aggregates the observations of all routers at the back-end replicas. Pure: times are passed in.
 //!
-//! One of hundreds of routers sees a small part of a replica's requests. It cannot tell a busy
-//! replica from an idle one, and it finds a dead one only by losing a request of its own. So each
-//! tells the control replica that it asks what it has open where, and from whom it has heard; the
-//! control replicas add that up and tell the leader, which makes a digest for all routers.
+//! A single router sees only a small part of a replica's requests. It cannot tell a busy replica
+//! from an idle one, and detects a crash only by losing a request. So each router reports its open
+//! requests and the time since it last received anything to a control replica; the control replicas
+//! forward the sums to the leader, which builds a digest for all routers.
 //!
-//! Invariants: a replica that any router has just heard from is not dark; of a service's replicas
-//! at most half are dark. A router or control replica that says nothing any more is forgotten.
+//! Invariants: a replica that any router has just received something from is not unresponsive; at
+//! most half of a service's replicas are unresponsive. Reports of a silent router or control
+//! replica expire.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,40 +19,41 @@
 use railtack_serving::ReplicaKey;
 use tokio::time::Instant;
 
-/// Age at which what a router or a control replica told counts no more. Both tell about twice a
-/// second.
+/// Age at which a report expires. Routers and control replicas report about twice a second.
 const REPORT_TTL: Duration = Duration::from_millis(2_000);
-/// Routers that wait in vain before a replica counts as dark: one may be cut off itself.
+/// Stalled routers needed to consider a replica unresponsive, since the path of a single router may
+/// have failed.
 const MIN_STALLED_ROUTERS: u16 = 2;
-/// Time for which nobody must have heard from a replica that is dark. A working replica sends
-/// events to somebody several times in a second.
+/// Time for which no router must have received anything from an unresponsive replica, milliseconds.
+/// A working replica sends several events per second.
 const UNRESPONSIVE_SILENCE_MS: u16 = 1_000;
-/// Heartbeats for which a dark replica is left alone, and longer if it sends none.
+/// Heartbeat intervals after which routers may try an unresponsive replica again, provided its
+/// heartbeats arrive.
 const RETRY_AFTER_HEARTBEATS: u32 = 3;
-/// Of a service's replicas, one in this many may be dark at most.
+/// At most one in this many replicas of a service may be unresponsive.
 const MIN_REPLICAS_PER_UNRESPONSIVE: usize = 2;
 
-/// What is known of a replica besides what routers met.
+/// What the control group knows about a replica, apart from the observations.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownReplica<'a> {
-    /// The replica.
+    /// Key of the replica.
     pub key: ReplicaKey,
-    /// Its service.
+    /// Service of the replica.
     pub service: &'a str,
-    /// Whether its heartbeats come.
+    /// Whether its heartbeats arrive.
     pub is_alive: bool,
 }
 
-/// Sightings by who told them.
+/// Latest observations by reporter, and the digest made from them.
 #[derive(Debug, Default)]
 pub struct FleetView {
     router_reports: HashMap<String, ObservationReport>,
     control_reports: HashMap<String, ObservationReport>,
-    /// Replicas that are dark, and since when.
+    /// Unresponsive replicas, and since when.
     unresponsive_since: BTreeMap<ReplicaKey, Instant>,
-    /// Replicas that name a limit on requests, for the next digest.
+    /// Replicas that advertise a limit, for the next digest.
     limited_replicas: Vec<LimitedReplica>,
-    /// The digest that was made or received last.
+    /// The digest that was last built or received, and when.
     digest: Option<(FleetDigest, Instant)>,
 }
 
@@ -61,19 +63,19 @@
     observations: Vec<ReplicaSighting>,
 }
 
-/// A change of belief about a replica.
+/// A replica that became unresponsive or responsive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponsivenessChange {
-    /// The replica.
+    /// Key of the replica.
     pub replica: ReplicaKey,
-    /// Whether it is dark now.
+    /// Whether it is unresponsive now.
     pub is_dark: bool,
-    /// What the routers had met.
+    /// Aggregated observation of the routers.
     pub sighting: ReplicaSighting,
 }
 
 impl FleetView {
-    /// Takes in what a router that asks this control replica has met.
+    /// Records the observations of a router that is connected to this control replica.
     pub fn record_router_report(
         &mut self,
         router: &str,
@@ -87,7 +89,7 @@
         self.router_reports.insert(router.to_owned(), report);
     }
 
-    /// Takes in what the routers that ask another control replica have met.
+    /// Records the aggregated observations of another control replica.
     pub fn record_control_report(
         &mut self,
         control: String,
@@ -101,7 +103,7 @@
         self.control_reports.insert(control, report);
     }
 
-    /// What the routers that ask here have met, added up by replica.
+    /// Returns the observations of the routers connected here, aggregated by replica.
     pub fn local_observations(&mut self, now: Instant) -> Vec<ReplicaSighting> {
         self.router_reports
             .retain(|_, report| is_fresh(report, now));
@@ -110,13 +112,13 @@
             .collect()
     }
 
-    /// While leading: takes in the replicas that name a limit on requests.
+    /// While leader: sets the replicas that advertise a limit.
     pub fn set_limited(&mut self, limited_replicas: Vec<LimitedReplica>) {
         self.limited_replicas = limited_replicas;
     }
 
-    /// While leading: makes the digest of what all routers have met at the replicas that are
-    /// `known`, whose heartbeats come every `heartbeat`. Tells what changed.
+    /// While leader: builds the digest of all observations at the `known` replicas, which send
+    /// heartbeats at the interval `heartbeat`. Returns the changes of responsiveness.
     pub fn build_digest(
         &mut self,
         known: &[KnownReplica<'_>],
@@ -153,12 +155,12 @@
         changes
     }
 
-    /// Takes in the leader's digest.
+    /// Stores the digest of the leader.
     pub fn set_digest(&mut self, digest: Option<FleetDigest>, now: Instant) {
         self.digest = digest.map(|digest| (digest, now));
     }
 
-    /// The digest with its present age; `None` if there is none, or it is too old to go by.
+    /// Returns the digest with its current age; `None` if there is none or it has expired.
     pub fn digest(&self, now: Instant) -> Option<FleetDigest> {
         let (digest, received_at) = self.digest.as_ref()?;
         let held = now.saturating_duration_since(*received_at).as_millis() as u32;
@@ -182,7 +184,7 @@
             *replicas.entry(replica.service).or_default() += 1;
         }
         let mut unresponsive_by_service: BTreeMap<&str, usize> = BTreeMap::new();
-        // Those that were dark before come first, so that the bounded share does not wander.
+        // Replicas that were unresponsive before come first, so that the bounded set stays stable.
         let mut ordered: Vec<&KnownReplica<'_>> = known.iter().collect();
         ordered.sort_by_key(|replica| !previous.contains_key(&replica.key));
         for replica in ordered {
@@ -206,7 +208,7 @@
             .collect()
     }
 
-    /// The change of belief about one replica since `before`, if there was one.
+    /// Returns the change of responsiveness of a replica since `previous`, if any.
     fn responsiveness_change(
         &self,
         previous: &BTreeMap<ReplicaKey, Instant>,
@@ -237,7 +239,7 @@
     }
 }
 
-/// Whether some router has just heard from the replica.
+/// Whether any router has recently received something from the replica.
 fn is_recently_heard(observation: Option<&ReplicaSighting>) -> bool {
     observation.is_some_and(|observed| observed.heard_ms < UNRESPONSIVE_SILENCE_MS)
 }
--- a/crates/control/src/serving/formation.rs
+++ b/crates/control/src/serving/formation.rs
@@ -1,9 +1,10 @@
-//! How the group comes to be and how a replica gets into it.
+//! Bootstraps the group and joins this replica to it.
 //!
-//! At the first start all replicas are told the same seeds. The one with the lowest address makes
-//! the group, alone; every other replica, and every one that later finds itself outside, asks the
-//! seeds and the members it knows to be taken in. Two groups cannot come to be, because only one
-//! replica ever makes one, and only on an empty folder at the first start.
+//! All replicas start with the same seeds. At the first start the seed with the lowest address
+//! bootstraps the group as its only member. Every other replica, and any replica that later finds
+//! itself outside the group, sends join requests to the seeds and the members it knows. A second
+//! group cannot form, because only one replica ever bootstraps, and only at the first start on an
+//! empty data folder.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,20 +17,21 @@
 
 use crate::serving::leader::LeaderClient;
 
-/// Time between two looks at whether this replica is a member.
+/// Interval of the membership check.
 const CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// Time without a leader after which a member asks to be taken in again: it may have been
+/// Time without a leader after which a member sends join requests again, since it may have been
 /// replaced while it was away.
 const MAX_LEADERLESS_TIME: Duration = Duration::from_secs(2);
-/// Time for one request to join.
+/// Timeout of one join request.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Whether this replica makes the group: the first start, and the lowest of the seeds.
+/// Whether this replica bootstraps the group: at the first start, and if it has the lowest address
+/// of the seeds.
 pub fn should_bootstrap(bootstrap: bool, local: SocketAddr, seeds: &[SocketAddr]) -> bool {
     bootstrap && seeds.iter().min() == Some(&local)
 }
 
-/// Asks to be taken in for as long as this replica is outside.
+/// Sends join requests while this replica is not a member.
 pub async fn run_join_loop(
     leader_client: Arc<LeaderClient>,
     replica: ReplicaId,
@@ -68,7 +70,7 @@
     targets.dedup();
     targets.retain(|target| target != leader_client.local_address());
     let mut position = 0;
-    // Each target may name the leader, which is then asked too.
+    // A reply may name the leader, which then gets a request too.
     while let Some(target) = targets.get(position).cloned() {
         position += 1;
         match send_join_request(leader_client, request, &target).await {
--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -1,4 +1,4 @@
-//! What an adapter may ask of the group.
+//! Interface of the group for adapters.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,27 +22,27 @@
     view::NodeView,
 };
 
-/// Time in which callers expect an answer; they ask elsewhere after a second.
+/// Timeout of a request. Callers retry elsewhere after one second.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time for telling the leader that this process is being stopped.
+/// Timeout of the request that reports the shutdown of this process to the leader.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Replicas whose heartbeats may come to one control replica, in tenths of an equal share: replicas choose
-/// at random, and none moves for a small gain.
+/// Replicas that may send heartbeats to one control replica, in tenths of an equal share. Replicas
+/// choose at random, and small imbalances are not worth a redirect.
 const MAX_SHARE_TENTHS: usize = 15;
-/// Replicas beyond that: with few of them shares are uneven, and none is a burden.
+/// Replicas allowed in addition: with few replicas shares are uneven, but the load is small.
 const SHARE_SLACK: usize = 64;
 
-/// Where the later heartbeats of a replica should go.
+/// Control replica to which a replica should send its next heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeartbeatTarget {
-    /// To this control replica.
+    /// This control replica.
     Keep,
-    /// To the control replica with this internal address.
+    /// The control replica with this internal address.
     Redirect(String),
 }
 
-/// A handle on this process's control replica.
+/// Handle of this process's control replica.
 #[derive(Clone)]
 pub struct GroupHandle {
     leader_client: Arc<LeaderClient>,
@@ -54,7 +54,7 @@
 }
 
 impl GroupHandle {
-    /// A handle over `replica`, the one behind `link`.
+    /// Creates a handle of `replica`, the one behind `leader_client`.
     pub fn new(
         leader_client: Arc<LeaderClient>,
         liveness: Arc<Liveness>,
@@ -73,13 +73,13 @@
         }
     }
 
-    /// The replica's present belief.
+    /// Current view of the replica.
     pub fn view(&self) -> NodeView {
         self.leader_client.view()
     }
 
-    /// Takes a whole document. On success it, or one with a version at least as high, is held by
-    /// as many disks as the deployment may lose, and one more.
+    /// Stores a complete document. On success, it or one with a higher revision is on one disk more
+    /// than the deployment may lose.
     pub async fn put_document(
         &self,
         document: ConfigurationDocument,
@@ -89,7 +89,7 @@
         self.propose(ServingCommand::put(document, level)).await
     }
 
-    /// The newest document, as it was sent.
+    /// The newest document, byte for byte.
     pub async fn document(&self) -> Result<Vec<u8>, Unavailable> {
         self.leader_client.catch_up(REPLY_TIMEOUT).await?;
         let view = self.leader_client.view();
@@ -97,7 +97,7 @@
         Ok(content.to_vec())
     }
 
-    /// Names the weights that a model's replicas are to hold.
+    /// Sets the weights that the replicas of a model should hold.
     pub async fn set_target_weights(
         &self,
         target: HeldWeights,
@@ -106,11 +106,11 @@
         self.propose(ServingCommand::NameWeights(target)).await
     }
 
-    /// Takes in a replica's heartbeat, and tells where later ones should go. That a replica is leaving is
-    /// recorded by the group before this returns: the answer binds all routers. Anything else promises
-    /// nothing and is recorded soon, so that the answer does not wait: a heartbeat without an answer in
-    /// time is sent to one control replica after the other, and then thousands of replicas that register
-    /// together are several times as many.
+    /// Accepts a heartbeat of a replica and returns where it should send the next ones. If the
+    /// replica is leaving, the group records this before the method returns, since the reply is
+    /// binding for all routers. Other changes are recorded asynchronously: a replica that gets no
+    /// reply in time repeats its heartbeat at other control replicas, which multiplies the load
+    /// when thousands of them register.
     pub async fn heartbeat(
         &self,
         mut record: ReplicaRecord,
@@ -139,8 +139,8 @@
         Ok(target)
     }
 
-    /// Where the heartbeats of a replica should go: here, where its connection is, unless more come here
-    /// than this control replica's share, as after others were away.
+    /// Returns this control replica, unless it receives more than its share of the heartbeats, as
+    /// after an outage of other control replicas.
     fn heartbeat_target(&self, view: &NodeView, replica: &str) -> HeartbeatTarget {
         let replica_count = view.serving.replicas().size();
         let share = replica_count / view.voters.len().max(1);
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Removes a replica that says that it leaves for good.
+    /// Removes a replica that leaves for good.
     pub async fn deregister(&self, replica: String) -> Result<(), Unavailable> {
         let view = self.leader_client.view();
         let replica = id_at_level(&view, replica);
@@ -176,9 +176,9 @@
         Ok(())
     }
 
-    /// Tells the leader that this process is being stopped, so that the group need not wait for
-    /// its silence if it is better off without it. A process that starts again is a member as
-    /// before, or asks to be taken in.
+    /// Reports the shutdown of this process to the leader, so that the group may replace it without
+    /// waiting for the silence timeout. After a restart the process is still a member or joins
+    /// again.
     pub async fn leave(&self) {
         let leader = self.leader_client.view().leader;
         let remote_leader = leader.filter(|leader| leader != self.leader_client.local_address());
@@ -188,7 +188,7 @@
             return;
         };
         let replica = self.replica;
-        // Without an answer the leader finds out by itself.
+        // Without the request, the leader detects the silence of this replica.
         let _ = connection
             .call(|client| async move { client.leave(call_deadline(LEAVE_TIMEOUT), replica).await })
             .await;
@@ -198,7 +198,7 @@
         self.leader_client.propose(command, REPLY_TIMEOUT).await
     }
 
-    /// Nothing is acknowledged before the group has the members that its promises need.
+    /// Fails while the group lacks the members that its guarantees require.
     fn require_formed(&self) -> Result<(), Unavailable> {
         let view = self.leader_client.view();
         let formed =
@@ -211,7 +211,8 @@
     }
 }
 
-/// The name by which a group at this level knows a replica: at the first one its identity, whatever its life.
+/// Returns the id under which a group at this level records a replica. At the first level it has no
+/// start time.
 fn id_at_level(view: &NodeView, name: String) -> String {
     if view.serving.level() >= FeatureLevel::SHARED_GRANTS {
         return name;
@@ -219,8 +220,8 @@
     Life::named(&name).replica.to_owned()
 }
 
-/// Whether a heartbeat comes from a replica of a service that is named, or that was when the replica was
-/// recorded. Before the first document none is named yet, and all are recorded.
+/// Whether the heartbeat's service is in the configuration, or the replica is already recorded.
+/// Before the first document every service is accepted.
 fn is_service_configured(view: &NodeView, record: &ReplicaRecord) -> bool {
     let serving = &view.serving;
     let service = serving.configuration().service(&record.service);
--- a/crates/control/src/serving/leader.rs
+++ b/crates/control/src/serving/leader.rs
@@ -1,4 +1,4 @@
-//! Reaching the leader: proposals and reads, from whichever replica was asked.
+//! Client of the leader: proposals and reads from any replica of the group.
 
 use std::{
     collections::HashMap,
@@ -21,14 +21,14 @@
     view::NodeView,
 };
 
-/// Time for connecting to another replica.
+/// Timeout for connecting to another replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause before the leader is looked for again.
+/// Delay before the leader is looked up again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(40);
-/// Longest time for one try at a leader that may be gone.
+/// Timeout of one attempt at a leader that may be gone.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The other replicas, and this one.
+/// Connections to the other replicas, and the handle of the local one.
 pub struct LeaderClient {
     node: NodeHandle,
     local_address: String,
@@ -36,7 +36,7 @@
 }
 
 impl LeaderClient {
-    /// A link for the replica at `own_address`.
+    /// Creates a client for the replica at `local_address`.
     pub fn new(node: NodeHandle, local_address: String) -> Self {
         Self {
             node,
@@ -45,22 +45,22 @@
         }
     }
 
-    /// The replica of this process.
+    /// Handle of the local replica.
     pub fn node(&self) -> &NodeHandle {
         &self.node
     }
 
-    /// Internal address of this replica.
+    /// Internal address of the local replica.
     pub fn local_address(&self) -> &str {
         &self.local_address
     }
 
-    /// The replica's present belief.
+    /// Current view of the local replica.
     pub fn view(&self) -> NodeView {
         self.node.view().borrow().clone()
     }
 
-    /// A connection to the replica at an address; `None` if the address cannot be read.
+    /// Returns the connection to the replica at an address; `None` if the address is invalid.
     pub fn connection(&self, address: &str) -> Option<Arc<ControlConnection>> {
         let socket = address.parse::<SocketAddr>().ok()?;
         let mut connections = self
@@ -73,8 +73,8 @@
         Some(Arc::clone(connection))
     }
 
-    /// Commits a change, asking leader after leader until `limit` has passed. Every serving
-    /// command is safe to repeat.
+    /// Commits a command, retrying with the current leader until `timeout_after` has passed. Every
+    /// serving command is safe to repeat.
     pub async fn propose(
         &self,
         command: ServingCommand,
@@ -84,8 +84,8 @@
             .await
     }
 
-    /// Like [`Self::propose`], without asking a leader again that has not answered yet: for large commands,
-    /// which a leader that is behind should not get several times.
+    /// Like [`Self::propose`], but does not repeat the command while a leader has not replied: a
+    /// slow leader should not receive large commands several times.
     pub async fn propose_without_resend(
         &self,
         command: ServingCommand,
@@ -113,8 +113,9 @@
         }
     }
 
-    /// Commits a change only if this replica leads: what it claims for itself must not reach a
-    /// later leader's log. `None` if it does not, or if the outcome is not known in time.
+    /// Commits a command only if this replica is the leader: a claim made for itself must not reach
+    /// the log of a later leader. Returns `None` if it is not, or if the outcome is not known in
+    /// time.
     pub async fn propose_if_leader(&self, command: ServingCommand) -> Option<ServingOutcome> {
         match self
             .propose_locally(&serving_proposal(command), ATTEMPT_TIMEOUT)
@@ -153,7 +154,7 @@
             .ok()
     }
 
-    /// Waits until this replica has applied everything that was committed when this was called.
+    /// Waits until this replica has applied everything that was committed at the time of the call.
     pub async fn catch_up(&self, timeout_after: Duration) -> Result<(), Unavailable> {
         let deadline = Instant::now() + timeout_after;
         let index = loop {
@@ -192,7 +193,7 @@
     }
 }
 
-/// A proposal of a serving command; none of them depends on the time of day.
+/// Wraps a serving command in a proposal. Serving commands do not use the time of day.
 fn serving_proposal(command: ServingCommand) -> Proposal {
     Proposal {
         at: 0,
--- a/crates/control/src/serving/ledger.rs
+++ b/crates/control/src/serving/ledger.rs
@@ -1,71 +1,73 @@
-//! What each tenant has used of its quota, or each service of its retries, at the leader. Pure: times are passed in.
+//! Ledger of the quotas of tenants, or of the shared retries of services, at the leader. Pure:
+//! times are passed in.
 //!
-//! The ledger of a term, but for a group's first, starts with empty buckets and knows nothing of former
-//! terms. It gives out what a bucket holds, or what it will hold shortly: then the request waits, and
-//! later ones queue up behind it, so that a large request is not passed for ever by small ones.
+//! Each term has a ledger of its own, which starts with empty buckets except in the first term of a
+//! group. A request may be granted capacity that the bucket refills shortly. It then waits, and
+//! later requests queue up behind it, so that small requests do not starve a large one.
 //!
-//! Invariant: what the ledgers of all terms grant for any window fits the buckets of
-//! [`QuotaBounds::bucket`]. A new term adds no burst to what the former one gave out.
+//! Invariant: what the ledgers of all terms grant within any window fits into
+//! [`QuotaBounds::bucket`]. A new term adds no burst.
 
 use std::{collections::HashMap, time::Duration};
 
 use railtack_serving::{Bucket, GrantTimes, QuotaBounds, TenantQuota};
 use tokio::time::Instant;
 
-/// One tenant's bucket.
+/// Token bucket of one account.
 #[derive(Clone, Copy, Debug)]
 struct BucketState {
     quota: TenantQuota,
-    /// What is there; negative while requests wait for what was promised to them.
+    /// Available capacity; negative while granted requests wait for it.
     level: f64,
-    /// Cost of refused requests that were told to come back and are not due yet.
+    /// Cost of refused requests that have not retried yet.
     pending_retry_cost: f64,
     updated_at: Instant,
 }
 
-/// The answer to one question for a part of a quota.
+/// Decision on one request for quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LedgerReply {
-    /// The request may be sent once `wait` has passed.
+    /// The request may be sent after `wait`.
     Granted {
-        /// Time until what was granted is there.
+        /// Time until the granted capacity is available.
         wait: Duration,
     },
-    /// The quota is used up.
+    /// The quota is exhausted.
     Refused {
-        /// When the caller should come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
-        /// What the bucket holds, in the quota's unit.
+        /// Level of the bucket, in the quota's unit.
         level: f64,
     },
 }
 
-/// What a request takes of a tenant's quota.
+/// A request for capacity of a quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Withdrawal<'a> {
-    /// The tenant, or the service whose retries are lent.
+    /// The tenant, or the service whose shared retries are used.
     pub account: &'a str,
-    /// Its quota as configured now.
+    /// Current quota of the account.
     pub quota: TenantQuota,
-    /// What the request costs, in the quota's unit.
+    /// Cost of the request, in the quota's unit.
     pub cost: u64,
     /// Longest time for which the request may wait.
     pub max_wait: Duration,
 }
 
-/// All tenants' buckets in one term of a leader.
+/// Buckets of all accounts in one term of the leader.
 #[derive(Clone, Debug)]
 pub struct QuotaLedger {
     bounds: QuotaBounds,
     times: GrantTimes,
     buckets: HashMap<String, BucketState>,
     started_at: Instant,
-    /// Whether no other ledger has granted anything before.
+    /// Whether buckets start full, as in the first term of a group, when nothing has been granted
+    /// before.
     starts_full: bool,
 }
 
 impl QuotaLedger {
-    /// The ledger of a term that begins.
+    /// Creates the ledger of a new term, with empty buckets.
     pub fn new(bounds: QuotaBounds, times: GrantTimes, now: Instant) -> Self {
         Self {
             bounds,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// The ledger of a group's first term: its buckets are full.
+    /// Creates the ledger of a group's first term, with full buckets.
     pub fn with_full_buckets(bounds: QuotaBounds, times: GrantTimes, now: Instant) -> Self {
         Self {
             starts_full: true,
@@ -84,14 +86,15 @@
         }
     }
 
-    /// Takes what a request needs, if it is there or will be within the time allowed.
+    /// Withdraws the cost of a request if the bucket holds it, or will hold it within the request's
+    /// wait.
     pub fn withdraw(&mut self, withdrawal: Withdrawal<'_>, now: Instant) -> LedgerReply {
         let bucket = self.bounds.bucket(&withdrawal.quota, self.times);
-        // What is in use now says little of what will be after a whole window.
+        // The current usage does not predict the usage beyond one window.
         let max_retry_after = Duration::from_millis(self.bounds.window_ms);
         let state = self.bucket_state(&withdrawal, bucket, now);
         let cost = withdrawal.cost as f64;
-        // One request that is larger than the bucket is let through when the bucket is full.
+        // A request larger than the bucket is granted when the bucket is full.
         let needed = cost.min(bucket.capacity);
         let shortfall = (needed - state.level).max(0.0);
         let wait = refill_time(shortfall, bucket);
@@ -129,7 +132,8 @@
             .entry(withdrawal.account.to_owned())
             .or_insert(new_state);
         if state.quota != withdrawal.quota {
-            // The time since the last request may lie on either side of the change.
+            // The quota changed at an unknown time since the last request, so the smaller bucket
+            // applies.
             let previous_bucket = self.bounds.bucket(&state.quota, self.times);
             state.refill(previous_bucket.smaller(bucket), now);
             state.quota = withdrawal.quota;
--- a/crates/control/src/serving/limits.rs
+++ b/crates/control/src/serving/limits.rs
@@ -1,92 +1,94 @@
-//! The limits that back ends name, and the permits that all routers together have for them, at the leader.
-//! Pure: times are passed in.
+//! Request limits that back ends advertise, and the permits for them, at the leader. Pure: times
+//! are passed in.
 //!
-//! A limit is a sum over routers, and one of hundreds sees no more than its own part. So each request to a back
-//! end that names a limit needs a permit of the leader, right before it is sent. *Weighed:* shares of a limit for
-//! each router: with a limit of 1.2 a second and 22 routers, one request in 18 s for each, whoever has work. Few
-//! routers at a time that may send, by lease: prompts whose home is there would take a second hop.
+//! A limit applies to the requests of all routers together. Each request to a back end with a limit
+//! therefore needs a permit of the leader, acquired right before the request is sent. Fixed shares
+//! per router would leave most of a low limit unused.
 //!
-//! Invariants, whichever routers know of a limit and whenever their questions arrive:
-//! - What is used of the permits of all terms in any window of [`WINDOW`] stays within
-//!   [`ALLOWED_SHARE`] of the limit and [`ALLOWED_REQUESTS`]; what that is spent on stands at `bucket`.
-//! - A limit is raised or lifted only by the answer to a request whose permit was given after everything lower
-//!   had been heard. That order is certain, however late messages are, since no clocks are compared.
-//! - A new term gives nothing before it has heard of a limit, and no burst then.
+//! Invariants, for any order of messages and whichever routers know a limit:
+//! - The permits of all terms used within a [`WINDOW`] stay within [`MAX_WINDOW_RATIO`] of the
+//!   limit plus [`WINDOW_SLACK_REQUESTS`].
+//! - A limit is raised or lifted only by the response to a request whose permit was granted after
+//!   all observations of a lower limit. This holds for late messages too, since no clocks are
+//!   compared.
+//! - A new term grants no permits before it has received a limit, and starts without a burst.
 
 use std::{collections::HashMap, time::Duration};
 
 use railtack_serving::{Bucket, RequestLimit};
 use tokio::time::Instant;
 
-/// Span in which what a back end gets is counted.
+/// Window in which requests to a back end are counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
-/// What a back end may get in a window, as a share of what its limit allows in it.
+/// Requests allowed within a window, as a multiple of the limit over the window.
 pub const MAX_WINDOW_RATIO: f64 = 1.5;
-/// Requests that it may get beyond that.
+/// Requests allowed within a window in addition.
 pub const WINDOW_SLACK_REQUESTS: f64 = 5.0;
-/// Requests a second that are sent to a back end whose limit is lower, 0 among them, so that it can be heard when
-/// that is over: one in a window.
+/// Requests per second to a back end with a lower limit or zero: one per window, to detect when the
+/// limit changes.
 const MIN_RATE_PER_S: f64 = 0.25;
-/// Time in which what a limit allows may be used at once: requests do not come at equal distances.
+/// Time's worth of permits that may be used at once, since requests are not evenly spaced.
 const BURST_TIME: Duration = Duration::from_millis(500);
-/// Longest time for which a router is told to ask no more, unless the next permit takes longer.
+/// Longest retry delay for a router, unless the next permit takes longer.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Time for which a limit is remembered that nobody has spoken of.
+/// Time after which a limit without observations is removed.
 const LIMIT_TTL: Duration = Duration::from_secs(300);
 
-/// What a router heard of a limit, on the ledger's clock.
+/// A limit received by a router, on the ledger's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitObservation {
-    /// The limit; `None` if an answer named none.
+    /// The limit; `None` if the response advertised none.
     pub limit: Option<RequestLimit>,
-    /// When the router heard it, or later, as its message took some time.
+    /// When the router received it. Too late by the delay of the router's message.
     pub observed_at: Instant,
-    /// When this term gave the permit of the request whose answer said it.
+    /// When this term granted the permit of the request whose response advertised it.
     pub permitted_at: Option<Instant>,
 }
 
-/// The answer to one question for a permit.
+/// Decision on one permit request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PermitDecision {
     /// One request may be sent.
     Granted(RequestLimit),
-    /// There is no room before some time has passed.
+    /// No permit is available yet.
     Denied {
         /// The limit.
         limit: RequestLimit,
-        /// Time until there is room.
+        /// Time until a permit is available.
         retry_after: Duration,
     },
     /// The back end has no limit.
     Unlimited,
 }
 
-/// One back end's limit, and the permits for it.
+/// Limit of one back end and its permits.
 #[derive(Clone, Copy, Debug)]
 struct LimitState {
-    /// `None` once it was lifted.
+    /// `None` once the limit was lifted.
     limit: Option<RequestLimit>,
-    /// When this limit, or a lower one, was heard last.
+    /// When this limit or a lower one was last observed.
     last_observed_at: Instant,
-    /// When the permit was given whose answer raised or lifted the limit last.
+    /// When the permit was granted whose response last raised or lifted the limit.
     raised_at: Option<Instant>,
-    /// Permits that may be given.
+    /// Available permits.
     level: f64,
-    /// Routers that were told to come back and are not due yet.
+    /// Routers that were denied a permit and have not retried yet.
     pending_retries: f64,
     updated_at: Instant,
 }
 
-/// All limits in one term of a leader.
+/// Limits of all back ends in one term of the leader.
 #[derive(Clone, Debug, Default)]
 pub struct LimitLedger {
     limits: HashMap<String, LimitState>,
 }
 
-/// The bucket from which permits for a limit are given, within what a back end may get in a window. Permits may
-/// be used [`GRANT_LIFE`](railtack_rpc::serving::GRANT_LIFE) after they were asked for, and a former leader may
-/// give some beside a new one for a quarter of a second: with half a second for the way to the back end, a
-/// window takes what is given in 5.1 s, and the burst. At a limit of N that is 5.6 N + 1, of 6 N + 5 allowed.
+/// Token bucket of the permits for a limit.
+///
+/// Permits may be used until [`GRANT_LIFE`](railtack_rpc::serving::GRANT_LIFE) after the request,
+/// and a previous leader may grant some beside a new one for 0.25 s. With 0.5 s for the way to the
+/// back end, a window receives at most the permits of 5.1 s and the burst. At a limit of N per
+/// second that is 5.6 N + 1 of the allowed 6 N + 5.
 fn bucket(limit: RequestLimit) -> Bucket {
     let rate_per_s = limit.requests_per_s().max(MIN_RATE_PER_S);
     Bucket {
@@ -95,15 +97,15 @@
     }
 }
 
-/// What is there when a limit is first heard of: the first permit is given [`BURST`] later than a permit takes to
-/// come. In a new term the first router that asks may have heard of a limit that is lower since, and others tell
-/// of that meanwhile.
+/// Initial level of a bucket: the first permit is delayed by [`BURST_TIME`]. In a new term the
+/// first router that sends a request may have an outdated limit, and the delay lets others report a
+/// lower one.
 fn initial_level(limit: RequestLimit) -> f64 {
     1.0 - bucket(limit).capacity
 }
 
 impl LimitLedger {
-    /// Takes in what a router heard of a back end's limit.
+    /// Records a router's observation of a back end's limit.
     pub fn record(&mut self, incarnation_id: &str, observation: LimitObservation, now: Instant) {
         if let Some(state) = self.limits.get_mut(incarnation_id) {
             state.record(observation, now);
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Gives a permit if there is room for one.
+    /// Grants a permit if one is available.
     pub fn acquire(&mut self, incarnation_id: &str, now: Instant) -> PermitDecision {
         let state = self.limits.get_mut(incarnation_id);
         state.map_or(PermitDecision::Unlimited, |state| state.acquire(now))
@@ -124,7 +126,7 @@
         self.limits.get(incarnation_id)?.limit
     }
 
-    /// Back ends that have a limit, with the time since it was heard last.
+    /// Back ends with a limit, and the time since it was last observed.
     pub fn limited(&self, now: Instant) -> impl Iterator<Item = (&str, RequestLimit, Duration)> {
         self.limits
             .iter()
@@ -134,7 +136,7 @@
             })
     }
 
-    /// Forgets limits that nobody has spoken of for long.
+    /// Removes limits without recent observations.
     pub fn remove_expired(&mut self, now: Instant) {
         self.limits
             .retain(|_, state| now.saturating_duration_since(state.updated_at) < LIMIT_TTL);
@@ -157,7 +159,8 @@
         self.refill(now);
         let is_not_higher = |limit: RequestLimit| self.limit.is_none_or(|known| limit <= known);
         if observation.limit.is_some_and(is_not_higher) {
-            // What was heard before a permit was given is older than that request's answer.
+            // An observation from before the permit is older than the response to the permitted
+            // request.
             if self
                 .raised_at
                 .is_some_and(|at| observation.observed_at <= at)
@@ -190,7 +193,7 @@
         }
         let rate_per_s = bucket(limit).rate_per_s;
         let until_next = Duration::from_secs_f64((1.0 - self.level) / rate_per_s);
-        // Those that are told to come back do not all come for the same permit.
+        // Routers that were denied permits retry one after the other.
         let queue_delay = Duration::from_secs_f64(self.pending_retries / rate_per_s);
         self.pending_retries += 1.0;
         PermitDecision::Denied {
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -1,4 +1,5 @@
-//! Signs of life of back-end replicas and routers. Not replicated: a new leader learns them anew.
+//! Tracks the heartbeats of back-end replicas and the requests of routers. Not replicated: a new
+//! leader starts without this state.
 
 use std::{
     collections::HashMap,
@@ -24,39 +25,39 @@
     view::NodeView,
 };
 
-/// Time between two notices to the leader, and between two digests that it makes: part of the age at
-/// which routers go by what all of them meet.
+/// Interval of the reports to the leader and of the leader's digests. It adds to the age of the
+/// observations that routers act on.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Age up to which signs of life are told to a leader that was told none yet.
+/// Maximum age of heartbeats and requests in the first report to a leader.
 const MAX_FIRST_REPORT_AGE: Duration = Duration::from_secs(2);
-/// Time between two looks at all replicas: whether one is silent is a matter of many heartbeats, and a
-/// look takes a time that grows with their number.
+/// Interval of the scan for silent replicas, whose cost grows with their number.
 const SCAN_INTERVAL: Duration = Duration::from_secs(1);
-/// Heartbeats that may be missing before a replica's signs of life count as interrupted.
+/// Heartbeats that a replica may miss and still count as alive.
 const MAX_MISSED_WHILE_ALIVE: u32 = 2;
-/// Time for one notice.
+/// Timeout of one report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Silence after which a router counts as gone.
+/// Silence after which a router is no longer counted.
 const ROUTER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Heartbeats in a row that a replica may miss before it counts as ended.
+/// Consecutive missed heartbeats after which a replica is removed.
 const MISSED_HEARTBEATS_TO_EXPIRE: u32 = 12;
-/// Heartbeats for which the replica that has an address must have been silent before another one is
-/// taken in there, in tenths: one may be late. A replica that restarts is away for longer.
+/// Heartbeat intervals, in tenths, for which the replica at an address must have been silent before
+/// another one may register there. More than one, since a heartbeat may be late; a restart takes
+/// longer.
 const ADDRESS_TAKEOVER_TENTHS: u32 = 15;
-/// Time in which a sign of life that another control replica took reaches the leader.
+/// Time in which a heartbeat received by another control replica reaches the leader.
 const REPORT_DELAY: Duration = Duration::from_millis(500);
-/// Time for removing a replica that is silent.
+/// Timeout of the removal of a silent replica.
 const REMOVAL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Who was heard from, and when.
+/// Heartbeats and requests received, and the aggregated observations of routers.
 pub struct Liveness {
     state: Mutex<LivenessState>,
     fleet: Mutex<FleetView>,
-    /// Time between heartbeats of back-end replicas.
+    /// Heartbeat interval of back-end replicas.
     heartbeat: Duration,
 }
 
-/// The last heartbeat of a replica that came to this control replica.
+/// The last heartbeat that a replica sent to this control replica.
 struct ReceivedHeartbeat {
     received_at: Instant,
     sequence: u64,
@@ -64,25 +65,26 @@
 
 #[derive(Default)]
 struct LivenessState {
-    /// Heartbeats that came here.
+    /// Heartbeats received by this control replica, by incarnation id.
     heartbeats: HashMap<String, ReceivedHeartbeat>,
-    /// Replicas whose heartbeats came here lately, as of the last look.
+    /// Replicas that recently sent heartbeats here, as of the last scan.
     local_replica_count: usize,
-    /// Signs of life that came here or, while leading, of which other control replicas told.
+    /// Last heartbeat by replica: received here or, while leader, reported by other control
+    /// replicas.
     last_seen: HashMap<ReplicaKey, Instant>,
-    /// The leader that was told last, and the moment up to which it knows what came here.
+    /// The leader that received the last report, and the time up to which it covers heartbeats.
     last_report: Option<(String, Instant)>,
-    /// Routers that ask this control replica.
+    /// Last request of each router connected here.
     local_routers: HashMap<String, Instant>,
-    /// Routers of which other control replicas told.
+    /// Last report of each router connected to another control replica.
     remote_routers: HashMap<String, Instant>,
-    /// Routers that the leader last told of.
+    /// Number of routers, as last reported by the leader.
     leader_router_count: u32,
     leading_since: Option<Instant>,
 }
 
 impl Liveness {
-    /// For replicas that send a heartbeat at this interval.
+    /// Creates the state for replicas that send heartbeats at this interval.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
             state: Mutex::default(),
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Takes in a heartbeat; false if it is older than one that was seen before.
+    /// Records a heartbeat; returns false if it is older than a recorded one.
     pub fn record_heartbeat(&self, replica: &str, sequence: u64) -> bool {
         let mut state = self.lock();
         let at = Instant::now();
@@ -108,26 +110,26 @@
         true
     }
 
-    /// Replicas whose heartbeats come here.
+    /// Number of replicas that send heartbeats here.
     pub fn local_replica_count(&self) -> usize {
         self.lock().local_replica_count
     }
 
-    /// Notes that a router asked.
+    /// Records a request of a router.
     pub fn record_router_request(&self, router: &str) {
         self.lock()
             .local_routers
             .insert(router.to_owned(), Instant::now());
     }
 
-    /// Routers that have asked this control replica lately.
+    /// Number of routers that recently sent requests here.
     pub fn local_router_count(&self) -> u32 {
         let state = self.lock();
         let requests = state.local_routers.values();
         requests.filter(|at| at.elapsed() < ROUTER_TIMEOUT).count() as u32
     }
 
-    /// Takes in what another control replica has heard.
+    /// Merges the report of another control replica; returns the leader's reply to it.
     pub fn merge_report(&self, notice: AliveNotice) -> AliveReply {
         let now = Instant::now();
         let signs = notice.signs();
@@ -152,24 +154,24 @@
         }
     }
 
-    /// Routers that are alive.
+    /// Number of live routers in the deployment.
     pub fn router_count(&self) -> u32 {
         let state = self.lock();
         state.live_router_count().max(state.leader_router_count)
     }
 
-    /// Notes that a router asked, and what it has met at the replicas.
+    /// Records a router's observations at back-end replicas.
     pub fn record_observations(&self, router: &str, sightings: Vec<ReplicaSighting>) {
         let now = Instant::now();
         self.fleet().record_router_report(router, sightings, now);
     }
 
-    /// What all routers together meet at the replicas.
+    /// Aggregated observations of all routers.
     pub fn fleet_digest(&self) -> Option<FleetDigest> {
         self.fleet().digest(Instant::now())
     }
 
-    /// While leading: makes the digest for all routers.
+    /// While leader: builds the digest for all routers.
     fn build_digest(&self, view: &NodeView, limited: Vec<LimitedReplica>) {
         let now = Instant::now();
         let heartbeat = self.heartbeat;
@@ -216,10 +218,10 @@
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the leader has to be told, and the moment up to which it then knows what came here. Signs of
-    /// life that it knows are not told again: told four times a second for two seconds each, those of
-    /// 10,000 replicas would be 1.5 MB a second.
-    /// A leader of a build that knows the first level only reads identities.
+    /// Builds the report to the leader; returns it with the time up to which it covers heartbeats.
+    /// Heartbeats that the leader has received are not reported again, which keeps the report small
+    /// with thousands of replicas. A leader of a build that supports only the first level reads
+    /// `identities`.
     fn build_report(
         &self,
         sender: &str,
@@ -268,7 +270,7 @@
         (notice, now)
     }
 
-    /// Takes in the answer of a leader that knows since what came here before `through`.
+    /// Records that the leader has received all heartbeats up to `through`, and applies its reply.
     fn apply_reply(&self, leader: String, through: Instant, reply: AliveReply) {
         let mut state = self.lock();
         state.last_report = Some((leader, through));
@@ -277,8 +279,8 @@
         self.fleet().set_digest(reply.fleet, Instant::now());
     }
 
-    /// While leading: whether nothing was heard of a replica for longer than `limit`. A replica that was
-    /// never heard counts as heard when the lead began.
+    /// While leader: whether a replica has been silent for longer than `limit`. For a replica
+    /// without heartbeats the time starts when this replica became leader.
     fn is_silent(&self, replica: &str, limit: Duration) -> bool {
         let state = self.lock();
         let last_seen = state.last_seen.get(&ReplicaKey::of(replica));
@@ -286,9 +288,9 @@
         last_seen.is_some_and(|last_seen| last_seen.elapsed() > limit)
     }
 
-    /// While leading: removes a replica at whose address another one wants to be taken in, if it has
-    /// been silent for long enough. Two cannot listen at one address, and a heartbeat that was held back
-    /// may come after its sender has crashed and another life has taken the address.
+    /// While leader: removes a replica whose address another one wants to register, if it has been
+    /// silent for long enough. Only one of them can listen at the address, and a delayed heartbeat
+    /// may arrive after its sender has crashed and another incarnation has taken the address.
     pub async fn remove_if_silent(&self, leader_client: &LeaderClient, replica: &str) -> bool {
         let takeover_delay = self.address_takeover_delay();
         let is_free = leader_client.view().leads && self.is_silent(replica, takeover_delay);
@@ -305,12 +307,12 @@
             .is_ok()
     }
 
-    /// Silence after which another replica may be taken in at the address of one.
+    /// Silence after which another replica may take over an address.
     pub fn address_takeover_delay(&self) -> Duration {
         self.heartbeat * ADDRESS_TAKEOVER_TENTHS / 10 + REPORT_DELAY
     }
 
-    /// Notes that this control replica leads.
+    /// Records that this control replica is the leader.
     fn mark_leading(&self) {
         let mut state = self.lock();
         state.leading_since.get_or_insert_with(Instant::now);
@@ -318,7 +320,7 @@
         state.last_report = None;
     }
 
-    /// While leading: replicas of `known` that have been silent for longer than `limit`.
+    /// While leader: returns the replicas of `known` that have been silent for longer than `limit`.
     fn silent_replicas<'a>(
         &self,
         known: impl Iterator<Item = &'a String>,
@@ -327,13 +329,14 @@
         let now = Instant::now();
         let mut state = self.lock();
         let since = state.leading_since.unwrap_or(now);
-        // What was not heard of for so long is either gone or removed below.
+        // Entries this old belong to replicas that are gone or are removed below.
         state
             .last_seen
             .retain(|_, at| now.saturating_duration_since(*at) < limit * 2);
         let mut silent = Vec::new();
         for replica in known {
-            // One that another control replica took in counts from when it is first seen here.
+            // For a replica without heartbeats here, the time starts with the first scan that sees
+            // it.
             let key = ReplicaKey::of(replica);
             let last_seen = *state.last_seen.entry(key).or_insert(now);
             if now.saturating_duration_since(last_seen.max(since)) > limit {
@@ -350,7 +353,7 @@
         let is_recent = |heartbeat: &ReceivedHeartbeat| {
             now.saturating_duration_since(heartbeat.received_at) < max_silence
         };
-        // One that is not recorded yet is kept as long as its heartbeats come.
+        // Replicas that are not recorded yet are kept while their heartbeats arrive.
         state
             .heartbeats
             .retain(|replica, heartbeat| is_recent(heartbeat) || is_recorded(replica));
@@ -382,15 +385,15 @@
     }
 }
 
-/// Removes a replica that is silent.
+/// Removes a silent replica.
 async fn expire(leader_client: &LeaderClient, replica: String) {
     spdlog::info!("replica silent", kv: { replica = replica.clone() });
     let command = ServingCommand::Expire { replica };
-    // Looked at again after the next interval.
+    // A failed removal is retried at the next scan.
     let _ = leader_client.propose(command, REMOVAL_TIMEOUT).await;
 }
 
-/// Tells the leader who was heard from; as the leader, removes replicas that are silent.
+/// Sends reports to the leader or, while leader, builds digests and removes silent replicas.
 pub async fn run_reports(
     leader_client: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
@@ -412,7 +415,7 @@
                 let known = view.serving.replicas().keys();
                 let silent = liveness
                     .silent_replicas(known, liveness.heartbeat * MISSED_HEARTBEATS_TO_EXPIRE);
-                // Together, so that they share a commit: many are silent at once or none.
+                // Concurrent proposals share a commit; often many replicas fall silent at once.
                 join_all(
                     silent
                         .into_iter()
@@ -440,7 +443,7 @@
     let reply = connection
         .call(|client| async move { client.alive(call_deadline(REPORT_TIMEOUT), notice).await })
         .await;
-    // What was not answered is told again.
+    // Without a reply, the next report covers the same heartbeats again.
     if let Ok(reply) = reply {
         liveness.apply_reply(leader, through, reply);
     }
--- a/crates/control/src/serving/mod.rs
+++ b/crates/control/src/serving/mod.rs
@@ -1,22 +1,23 @@
-//! A control replica as part of a group that forms and mends itself, and serves routers, back-end
-//! replicas and operators through an adapter.
+//! A control replica as a member of a group that forms and repairs itself. It serves routers,
+//! back-end replicas and operators through an adapter. Modules marked as pure do no I/O and get
+//! times as arguments.
 //!
 //! | module | job |
 //! |---|---|
 //! | [`daemon`] | starts the replica, its internal service and the tasks below |
-//! | [`fleet`] | what all routers together meet at the replicas (pure) |
-//! | [`formation`] | first member, joining, joining again |
-//! | [`handle`] | what an adapter may ask: documents, registrations, weights |
-//! | [`leader`] | proposals and reads by way of the leader |
-//! | [`ledger`], [`quota`] | what tenants use of their quotas (the ledger is pure) |
-//! | [`limits`], [`permits`] | requests to back ends that name a limit (the former is pure) |
-//! | [`quarantine`] | releases requests that were quarantined long ago |
-//! | [`liveness`] | signs of life of back-end replicas and routers |
-//! | [`orders`], [`order_giver`] | carrying out the rollout of weights |
-//! | [`order_channel`] | how orders reach back ends |
-//! | [`weights`] | the rollout's pure decision |
-//! | [`registration_queue`], [`registrar`] | recording back-end replicas in batches (the former is pure) |
-//! | [`watch`] | answering routers |
+//! | [`fleet`] | aggregates the observations of all routers at back-end replicas (pure) |
+//! | [`formation`] | bootstraps the group and joins it |
+//! | [`handle`] | interface for adapters: documents, registrations, target weights |
+//! | [`leader`] | client of the leader: proposals and linearizable reads |
+//! | [`ledger`], [`quota`] | quotas of tenants and shared retries (the ledger is pure) |
+//! | [`limits`], [`permits`] | permits for back ends that advertise a limit (the former is pure) |
+//! | [`quarantine`] | releases quarantined requests after a time |
+//! | [`liveness`] | heartbeats of back-end replicas and requests of routers |
+//! | [`rollout_driver`], [`order_dispatcher`] | execute the rollout of weights |
+//! | [`order_channel`] | transport of orders to back ends |
+//! | [`rollout_plan`] | plans the next steps of a rollout (pure) |
+//! | [`registration_queue`], [`registrar`] | record back-end replicas in batches (the former is pure) |
+//! | [`watch`] | replies to watch requests of routers |
 
 pub mod daemon;
 pub mod errors;
--- a/crates/control/src/serving/order_channel.rs
+++ b/crates/control/src/serving/order_channel.rs
@@ -1,75 +1,75 @@
-//! How orders reach back ends; an adapter implements it.
+//! Transport of orders to back ends, implemented by an adapter.
 
 use std::{future::Future, pin::Pin, time::Duration};
 
 use railtack_serving::{HeldWeights, PendingOrder, ReplicaRecord};
 
-/// An order with everything that the back end needs to judge it.
+/// An order with everything that the back end needs to check it.
 #[derive(Clone, Debug)]
 pub struct OrderRequest {
     /// The back-end replica.
     pub replica: ReplicaRecord,
     /// The weights to load.
     pub order: PendingOrder,
-    /// Names the control replica that gives it.
+    /// Name of the machine that issues the order.
     pub issuer: String,
-    /// Its fencing token.
+    /// Fencing token of the issuer.
     pub token: u64,
-    /// Orders that the back end had taken when it was last asked.
+    /// Number of accepted orders in the back end's last report.
     pub expected_sequence: u64,
 }
 
-/// What a back end answered to an order.
+/// Reply of a back end to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It is carrying the order out.
+    /// The back end is executing the order.
     Taken,
-    /// It already holds what was ordered.
+    /// The back end already holds the ordered weights.
     Held,
-    /// Another order is under way, or its count of orders differs.
+    /// Another order is in progress, or the sequence number differs.
     Conflict,
-    /// A higher fencing token was seen.
+    /// The back end has seen a higher fencing token.
     Fenced,
-    /// It refused for another reason, or is another replica.
+    /// The back end refused for another reason, or is another replica.
     Refused,
-    /// It turned the order away, and wants nothing from this machine for so long.
+    /// The back end refused and asked for no requests from this machine for this time.
     BackOff(Duration),
-    /// No answer; the order may be carried out.
+    /// No reply; the order may still be executed.
     Unknown,
 }
 
-/// Why a back end gave no report.
+/// Error of a request for a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportError {
-    /// It turned the question away, and wants nothing from this machine for so long.
+    /// The back end refused and asked for no requests from this machine for this time.
     BackOff(Duration),
-    /// No answer that could be read.
+    /// No valid reply.
     NoReply,
 }
 
-/// What a back end says of its weights.
+/// Report of a back end about its weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightsReport {
     /// Weights that it holds.
     pub weights: Vec<HeldWeights>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Orders that it has taken.
+    /// Number of orders that it has accepted.
     pub sequence: u64,
-    /// Requests that wait there and would be declined by an order.
+    /// Requests queued at the back end, which it would reject when it executes an order.
     pub queued_requests: u64,
 }
 
-/// A future that an adapter returns.
+/// Future returned by the methods of [`OrderChannel`].
 pub type ChannelFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// How orders reach back ends; an adapter implements it.
+/// Transport of orders to back ends, implemented by an adapter.
 pub trait OrderChannel: Send + Sync {
-    /// Asks what a back end holds.
+    /// Requests a back end's report.
     fn report<'a>(
         &'a self,
         replica: &'a ReplicaRecord,
     ) -> ChannelFuture<'a, Result<WeightsReport, ReportError>>;
-    /// Gives an order.
+    /// Sends an order.
     fn order(&self, request: OrderRequest) -> ChannelFuture<'_, OrderReply>;
 }
--- a/crates/control/src/serving/order_dispatcher.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Giving one back end its order, and seeing whether it was carried out.
+//! Sends orders to back ends and checks whether they were executed.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -26,64 +26,66 @@
     view::NodeView,
 };
 
-/// Time for one exchange with a back end.
+/// Timeout of one exchange with a back end.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for recording a step.
+/// Timeout for recording a step.
 pub(crate) const RECORD_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time after which an order that shows no effect is given again; a back end's report is some
-/// hundred milliseconds old.
+/// Time after which an order without effect is sent again. Reports of back ends may be some hundred
+/// milliseconds old.
 const RESEND_AFTER: Duration = Duration::from_millis(700);
-/// Longest time for which requests that wait at a replica put its order off.
+/// Longest time for which an order waits until the replica's queue is empty.
 const MAX_DRAIN_WAIT: Duration = Duration::from_millis(700);
-/// Time between two looks at what waits.
+/// Interval of the check of the replica's queue.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time in which news of an order reaches a router once an answer to it is due.
+/// Time for an update about an order to reach a router once it is due.
 const NOTIFICATION_DELAY: Duration = Duration::from_millis(50);
 
-/// The right to give orders.
+/// The order lock, as acquired by this replica.
 #[derive(Clone, Debug)]
 pub struct HeldOrderLock {
-    /// Term of the log in which it was acquired.
+    /// Term in which it was acquired.
     pub term: u64,
     /// Fencing token.
     pub token: u64,
-    /// When the former holder can give no order any more.
+    /// When the previous holder can no longer send orders.
     pub usable_from: Instant,
 }
 
 impl HeldOrderLock {
-    /// Whether the leader of `term` still holds the right, if tokens up to `refused` were refused.
+    /// Whether the leader of `term` still holds the lock, if tokens up to `refused_token` were
+    /// refused.
     pub fn is_held(&self, term: u64, refused_token: u64) -> bool {
         self.term == term && self.token > refused_token
     }
 }
 
-/// Gives orders. Each back end is dealt with by one task at a time.
+/// Sends orders to back ends; at most one task per back end at a time.
 pub struct OrderDispatcher {
     leader_client: Arc<LeaderClient>,
-    /// Tells routers of orders.
+    /// Updates routers about orders.
     watch: Arc<WatchServer>,
     channel: Arc<dyn OrderChannel>,
     node: String,
     bounds: Bounds,
     started: BootInstant,
     state: Mutex<DispatchState>,
-    /// Highest token that the group or a back end refused because it knew a higher one.
+    /// Highest token that was refused by the group or a back end in favour of a higher one.
     refused_token: AtomicU64,
 }
 
 #[derive(Default)]
 struct DispatchState {
-    /// When each replica was last given an order.
+    /// When an order was last sent to each replica.
     last_sent: HashMap<String, Instant>,
-    /// Replicas that a task deals with.
+    /// Replicas with a running task.
     in_progress: HashSet<String>,
-    /// Which replicas asked for neither orders nor questions from this machine for a time.
+    /// Replicas that asked for no requests from this machine for some time.
     availability: Availability,
 }
 
 impl OrderDispatcher {
-    /// A giver for the control replica behind `link`, whose clock began at `started`.
+    /// Creates a dispatcher for the control replica behind `leader_client`, whose clock started at
+    /// `started`.
     pub fn new(
         leader_client: Arc<LeaderClient>,
         watch: Arc<WatchServer>,
@@ -104,19 +106,20 @@
         }
     }
 
-    /// Highest token that was refused because a higher one is known; 0 if none was.
+    /// Highest token that was refused in favour of a higher one; 0 if none was.
     pub fn refused_token(&self) -> u64 {
         self.refused_token.load(Ordering::Relaxed)
     }
 
-    /// Reserves a replica for a task; false if one deals with it already, or if it asked for rest.
+    /// Reserves a replica for a task; returns false if one is running or the replica asked for a
+    /// back-off.
     pub fn try_reserve(&self, replica: &str) -> bool {
         let mut state = self.lock();
         state.availability.takes(replica, self.uptime())
             && state.in_progress.insert(replica.to_owned())
     }
 
-    /// Forgets replicas that are gone.
+    /// Removes the state of replicas that are no longer registered.
     pub fn prune_removed(&self, view: &NodeView) {
         let replicas = view.serving.replicas();
         let now = self.uptime();
@@ -127,7 +130,7 @@
         state.availability.forget_past(now);
     }
 
-    /// Carries out a step for a replica that was reserved.
+    /// Runs a step for a reserved replica.
     pub async fn run_step(
         self: Arc<Self>,
         view: NodeView,
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Records an order, so that routers send the replica no more work, and gives it.
+    /// Records an order, so that routers stop sending requests to the replica, and then sends it.
     async fn begin_order(
         &self,
         order_lock: &HeldOrderLock,
@@ -174,15 +177,15 @@
         if recorded != Ok(ServingOutcome::Done) {
             return;
         }
-        // An order makes the replica decline what routers still send; they learn of it first.
+        // The replica rejects requests while it executes an order, so routers are updated first.
         sleep(self.watch.update_interval() + NOTIFICATION_DELAY).await;
         if let Some(report) = self.report_after_drain(record).await {
             self.send_order(order_lock, record, order, &report).await;
         }
     }
 
-    /// The replica's report once nothing waits there any more, or after a while: an order makes it
-    /// decline the requests that wait.
+    /// Waits until the replica's queue is empty, or for [`MAX_DRAIN_WAIT`], and returns its last
+    /// report. An order makes the replica reject queued requests.
     async fn report_after_drain(&self, record: &ReplicaRecord) -> Option<WeightsReport> {
         let deadline = Instant::now() + MAX_DRAIN_WAIT;
         loop {
@@ -237,8 +240,8 @@
         }
     }
 
-    /// A replica that turns this machine away is neither asked nor ordered until the time that it named is
-    /// over: it sheds load, and each try is one more request there.
+    /// Records the back-off that a replica asked for while it sheds load. Until it has passed, the
+    /// replica gets no orders or requests for reports.
     fn record_back_off(&self, record: &ReplicaRecord, delay: Duration) {
         let notice = BackEndNotice {
             back_off: Some(delay),
@@ -257,7 +260,7 @@
             weights,
             ..record.clone()
         };
-        // The next look records it if this fails.
+        // A failed proposal is repeated at the next check.
         let _ = self
             .leader_client
             .propose(ServingCommand::Register(updated), RECORD_TIMEOUT)
@@ -301,14 +304,15 @@
         });
     }
 
-    /// Another holder took over; a new right must be acquired before the next order.
+    /// Records that another holder took over, so that the lock has to be acquired again.
     fn record_refused_lock(&self, order_lock: &HeldOrderLock) {
         self.refused_token
             .fetch_max(order_lock.token, Ordering::Relaxed);
         spdlog::info!("right to give orders lost", kv: { token = order_lock.token, term = order_lock.term });
     }
 
-    /// Whether this replica still is the one that gives orders: known to lead a moment ago.
+    /// Whether this replica holds the order lock and was confirmed as leader within a third of the
+    /// lease.
     fn may_send(&self, order_lock: &HeldOrderLock) -> bool {
         let view = self.leader_client.view();
         let limit = Duration::from_millis(self.bounds.lease_ms / 3);
--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -1,5 +1,5 @@
-//! Answering routers that ask for permits to send requests to back ends that name a limit, while this replica
-//! leads.
+//! Replies to permit requests of routers for back ends that advertise a limit, while this replica
+//! is the leader.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -22,16 +22,16 @@
     },
 };
 
-/// Gives permits from the ledger of this replica's present term.
+/// Grants permits from the ledger of the current term.
 pub struct PermitServer {
     node: NodeHandle,
-    /// Zero of the replica's clock.
+    /// Start of the replica's clock.
     started: BootInstant,
     metrics: ControlMetrics,
     term_ledger: Mutex<Option<TermLedger>>,
 }
 
-/// The ledger of one term.
+/// Ledger of one term.
 struct TermLedger {
     number: u64,
     began_at: Instant,
@@ -66,7 +66,7 @@
 }
 
 impl PermitServer {
-    /// A server for the replica behind `node`, whose clock began at `started`.
+    /// Creates a server for the replica behind `node`, whose clock started at `started`.
     pub fn new(node: NodeHandle, started: BootInstant, metrics: ControlMetrics) -> Self {
         Self {
             node,
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Takes in what a router heard, and gives it a permit if it wants one and there is room.
+    /// Records the router's observation, and grants a permit if the router wants one and one is
+    /// available.
     pub fn handle(&self, request: &PermitRequest) -> PermitReply {
         let receiver = self.node.view();
         let view = receiver.borrow();
@@ -123,7 +124,7 @@
         }
     }
 
-    /// While leading: the back ends that have a limit, for all routers.
+    /// While leader: the back ends with a limit, for the digest to all routers.
     pub fn limited(&self) -> Vec<LimitedReplica> {
         let now = Instant::now();
         let mut term_slot = self.lock();
@@ -152,7 +153,7 @@
     }
 }
 
-/// The ledger of the present term; a new one if the term is new.
+/// Returns the ledger of the given term, replacing the one of another term.
 fn ledger_for_term(slot: &mut Option<TermLedger>, number: u64, now: Instant) -> &mut TermLedger {
     let existing = slot.take().filter(|term| term.number == number);
     slot.insert(existing.unwrap_or_else(|| TermLedger::new(number, now)))
--- a/crates/control/src/serving/quarantine.rs
+++ b/crates/control/src/serving/quarantine.rs
@@ -1,6 +1,6 @@
-//! The time part of the quarantine: the leader measures how long ago the last replica ended under each
-//! request, and has requests released or forgotten. A new leader measures anew, so a request stays
-//! quarantined for longer after a change of leaders, never for less.
+//! Timers of the quarantine. The leader measures the time since the last crash under each request
+//! and proposes its release. A new leader starts the timers again, so a change of leader may
+//! prolong a quarantine but never shorten it.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -18,19 +18,20 @@
     metrics::ControlMetrics, serving::leader::LeaderClient, serving_state::quarantine::Quarantine,
 };
 
-/// Time between looks; a release may be late by this.
+/// Interval of the check; a release may be late by this.
 const SCAN_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for having one request released; it is tried again at the next look.
+/// Timeout of one release; it is retried at the next check.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// When this replica first saw each request as it is now. Pure: times are passed in.
+/// When this replica first saw the current state of each suspect. Pure: times are passed in.
 #[derive(Debug, Default)]
 pub struct ReleaseTimers {
     first_seen: HashMap<ContentKey, (LogIndex, Instant)>,
 }
 
 impl ReleaseTimers {
-    /// Requests that have not changed for long enough, with the change that was seen.
+    /// Suspects whose quarantine time has passed since their last change, with the position of that
+    /// change.
     pub fn due(&mut self, quarantine: &Quarantine, now: Instant) -> Vec<(ContentKey, LogIndex)> {
         let suspects = quarantine.suspects();
         self.first_seen
@@ -52,7 +53,7 @@
     }
 }
 
-/// Keeps the timers, the counters and the log lines of the quarantine, for as long as the process runs.
+/// Runs the timers, and updates the metrics and the log of the quarantine.
 pub async fn run_release_timers(leader_client: Arc<LeaderClient>, metrics: ControlMetrics) {
     let mut timers = ReleaseTimers::default();
     let mut quarantined = BTreeSet::new();
--- a/crates/control/src/serving/quota.rs
+++ b/crates/control/src/serving/quota.rs
@@ -1,10 +1,9 @@
-//! Answering routers that ask for a part of a tenant's quota or of a service's retries, while this replica
-//! leads.
+//! Replies to quota requests of routers, for tenants and for shared retries, while this replica is
+//! the leader.
 //!
-//! All routers ask the leader, so every part of a quota is known to one ledger before it is used.
-//! *Weighed:* an equal division of each quota among routers: of 79, each would hold less than one
-//! long request of a tenant needs. Counts that come back with the digest are a second old, in which
-//! a tenant may run several times its quota.
+//! All routers send their requests to the leader, so one ledger accounts for all grants before they
+//! are used. Equal shares per router would be smaller than one long request, and usage reported
+//! after the fact would let a tenant exceed its quota several times.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -26,19 +25,19 @@
     view::NodeView,
 };
 
-/// Age of the last proof of leadership up to which quotas are granted. A leader has one every
-/// heartbeat of 100 ms; a new leader may grant beside a former one for as long as this.
+/// Maximum age of the last proof of leadership at which quotas are granted. The leader gets a proof
+/// with each heartbeat of 100 ms. For this time, a previous leader may grant beside a new one.
 pub const MAX_LEADERSHIP_PROOF_AGE: Duration = Duration::from_millis(250);
 /// Term of a group's first leader.
 const FIRST_TERM: u64 = 1;
-/// Time between looks at whether a term has begun.
+/// Interval of the check for a new term.
 const TERM_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Grants parts of quotas from the ledger of this replica's present term.
+/// Grants quotas from the ledgers of the current term.
 pub struct QuotaServer {
     node: NodeHandle,
     bounds: Bounds,
-    /// Zero of the replica's clock.
+    /// Start of the replica's clock.
     started: BootInstant,
     metrics: ControlMetrics,
     ledgers: Mutex<Option<TermLedgers>>,
@@ -47,7 +46,7 @@
 struct TermLedgers {
     term: u64,
     tenants: QuotaLedger,
-    /// Retries by service.
+    /// Shared retries by service.
     retries: QuotaLedger,
 }
 
@@ -74,7 +73,7 @@
 }
 
 impl QuotaServer {
-    /// A server for the replica behind `node`, whose clock began at `started`.
+    /// Creates a server for the replica behind `node`, whose clock started at `started`.
     pub fn new(
         node: NodeHandle,
         bounds: Bounds,
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Takes a part of a tenant's quota, or a service's retry, for one request.
+    /// Grants or refuses quota, or a shared retry, for one request.
     pub fn handle(&self, request: &QuotaRequest) -> QuotaReply {
         let receiver = self.node.view();
         let view = receiver.borrow();
@@ -160,7 +159,7 @@
         ledger.withdraw(withdrawal, now)
     }
 
-    /// The ledgers of the present term; new ones if the term is new.
+    /// Returns the ledgers of the given term, replacing those of another term.
     fn ledgers_for_term<'a>(
         &self,
         ledgers: &'a mut Option<TermLedgers>,
@@ -177,14 +176,14 @@
     }
 }
 
-/// Whether this replica led a moment ago, so that nobody else grants beside it for longer than that.
-/// `started` is the zero of its clock.
+/// Whether the last proof of leadership is at most [`MAX_LEADERSHIP_PROOF_AGE`] old. `started` is
+/// the start of the replica's clock.
 pub fn has_fresh_leadership(view: &NodeView, started: BootInstant) -> bool {
     let age = view.leadership_age(started);
     age.is_some_and(|age| age < MAX_LEADERSHIP_PROOF_AGE)
 }
 
-/// Times on which the room above a quota is spent.
+/// Times by which a grant may be used late or granted twice, covered by the margin above a quota.
 pub fn grant_times() -> GrantTimes {
     GrantTimes {
         grant_life: GRANT_LIFE,
@@ -198,7 +197,8 @@
     tenants.find(|known| known.name == tenant)?.quota
 }
 
-/// Begins a ledger as soon as this replica leads: its buckets fill from then on.
+/// Creates the ledgers as soon as this replica becomes the leader, so that their buckets start to
+/// refill.
 pub async fn run_ledgers(server: Arc<QuotaServer>) {
     loop {
         let led_term = {
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -1,4 +1,4 @@
-//! Has the back-end replicas recorded whose heartbeats reach this control replica.
+//! Records the back-end replicas that send heartbeats to this control replica.
 
 use std::{
     collections::HashMap,
@@ -28,20 +28,20 @@
     view::NodeView,
 };
 
-/// Time in which callers expect an answer; they ask elsewhere after a second.
+/// Timeout of a request. Callers retry elsewhere after one second.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time for one batch to be recorded: some elections. Its records wait here again after that.
+/// Timeout of a batch, enough for some elections. Its records are queued again after that.
 const BATCH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a batch that was not recorded.
+/// Delay after a batch that was not recorded.
 const BATCH_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time between two tries at a replica whose address another one has.
+/// Interval at which blocked registrations are queued again.
 const BLOCKED_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Time beyond that in which the other one counts as silent for which a replica is tried again.
+/// Time beyond [`Liveness::address_takeover_delay`] for which a blocked registration is retried.
 const BLOCKED_RETRY_MARGIN: Duration = Duration::from_secs(1);
-/// Time for one question to the leader.
+/// Timeout of one request to the leader.
 const REMOVAL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Somebody who waits for what becomes of a registration.
+/// Receives the outcome of a registration.
 type ReplySender = oneshot::Sender<Registration>;
 
 /// Records replicas in batches, one at a time.
@@ -51,20 +51,20 @@
     metrics: ControlMetrics,
     queue: Mutex<RegistrationQueue<ReplySender>>,
     enqueued: Notify,
-    /// Replicas that wait until another one at their address is silent.
+    /// Registrations at an address whose holder is not yet silent, by incarnation id.
     blocked: Mutex<HashMap<String, BlockedRegistration>>,
 }
 
-/// A replica at whose address another one is.
+/// A registration at an address that another replica holds.
 struct BlockedRegistration {
-    /// Until when it is tried.
+    /// End of the retries.
     retry_until: Instant,
-    /// Its record, unless it is just being tried.
+    /// The record; `None` while it is queued.
     record: Option<ReplicaRecord>,
 }
 
 impl Registrar {
-    /// A registrar over the replica behind `link`.
+    /// Creates a registrar that proposes through `leader_client`.
     pub fn new(
         leader_client: Arc<LeaderClient>,
         liveness: Arc<Liveness>,
@@ -80,13 +80,13 @@
         }
     }
 
-    /// Has a replica recorded, without waiting for that.
+    /// Queues a record without waiting for its outcome.
     pub fn enqueue(&self, record: ReplicaRecord) -> Result<(), Unavailable> {
         self.enqueue_with_waiter(record, None)
     }
 
-    /// Records what a replica says of itself. If that takes too long for the caller, it goes on all the
-    /// same, and a later heartbeat finds it recorded.
+    /// Records a replica and waits for the outcome. After a timeout the record stays queued, and a
+    /// later heartbeat finds it recorded.
     pub async fn record_and_wait(&self, record: ReplicaRecord) -> Result<(), Unavailable> {
         let (sender, reply) = oneshot::channel();
         self.enqueue_with_waiter(record, Some(sender))?;
@@ -116,7 +116,7 @@
             .lock()
             .next_batch(|record| needs_recording(&view, record));
         for sender in already_recorded {
-            // A caller that is gone needs no answer.
+            // The caller may be gone.
             let _ = sender.send(Registration::Recorded);
         }
         if batch.is_empty() {
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Has a batch recorded in one entry of the log, or one by one while the group has members that know no
-    /// batches.
+    /// Proposes a batch as one log entry, or one entry per record while the group is at a level
+    /// without batches.
     async fn propose(
         &self,
         batch: Vec<ReplicaRecord>,
@@ -210,7 +210,7 @@
             return;
         }
         for sender in waiters {
-            // A caller that is gone needs no answer.
+            // The caller may be gone.
             let _ = sender.send(outcome.clone());
         }
     }
@@ -218,13 +218,13 @@
     fn enqueue_again(&self, record: &ReplicaRecord, waiters: Vec<ReplySender>) {
         let waiters = waiters.into_iter().map(Some).chain([None]);
         for sender in waiters {
-            // Without a place the caller is answered by the end of its channel, and comes again.
+            // If the queue is full, the caller's channel closes and it retries.
             let _ = self.enqueue_with_waiter(record.clone(), sender);
         }
     }
 
-    /// Tries a replica again that was acknowledged though another one has its address: by then that one is
-    /// silent, or the heartbeat was one that a cut had held back.
+    /// Queues an acknowledged registration again while another replica holds its address. By then
+    /// that one is silent, or this heartbeat was a delayed one.
     fn block(&self, record: ReplicaRecord) {
         let retry_until =
             Instant::now() + self.liveness.address_takeover_delay() + BLOCKED_RETRY_MARGIN;
@@ -238,7 +238,7 @@
             .record = Some(record);
     }
 
-    /// Offers those again that are held.
+    /// Queues the blocked registrations again.
     fn enqueue_blocked(&self) {
         let now = Instant::now();
         let enqueued: Vec<ReplicaRecord> = {
@@ -256,8 +256,8 @@
         }
     }
 
-    /// Has the leader remove a replica that is silent, so that another is taken in at its address: only
-    /// the leader hears of all heartbeats.
+    /// Asks the leader to remove a silent replica from an address. Only the leader knows all
+    /// heartbeats.
     async fn remove_if_silent(&self, holder: &str) -> bool {
         let Some(leader) = self.leader_client.view().leader else {
             return false;
@@ -288,7 +288,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Whether a heartbeat says something that the replica here has not applied.
+/// Whether a heartbeat differs from the applied record.
 pub fn needs_recording(view: &NodeView, record: &ReplicaRecord) -> bool {
     if view.serving.has_departed(&record.id) {
         return false;
@@ -307,7 +307,7 @@
     })
 }
 
-/// Records what is offered, for as long as the process runs.
+/// Records queued replicas until the process exits.
 pub async fn run(registrar: Arc<Registrar>) {
     loop {
         let enqueued = registrar.enqueued.notified();
--- a/crates/control/src/serving/registration_queue.rs
+++ b/crates/control/src/serving/registration_queue.rs
@@ -1,30 +1,27 @@
-//! Back-end replicas that wait to be recorded by the group. Pure.
+//! Queue of back-end replicas that wait to be recorded by the group. Pure.
 //!
-//! When thousands of replicas register together, one entry of the log for each, proposed again by each
-//! control replica that a heartbeat reaches, is more than the leader can take in: its backlog grows
-//! until its memory is used up, and members never catch up. So a control replica keeps one place for
-//! each replica, however often its heartbeat comes, and has one batch under way at a time. What all of
-//! them have under way at the leader is then bounded by their number and [`BATCH`], however many
-//! replicas there are.
+//! When thousands of replicas register at once, one log entry per heartbeat and control replica
+//! would overload the leader. So each control replica queues at most one record per replica and has
+//! one batch in flight. The records in flight at the leader are then bounded by
+//! [`MAX_BATCH_RECORDS`] times the number of control replicas.
 
 use std::collections::{HashMap, VecDeque};
 
 use railtack_rpc::serving::Registration;
 use railtack_serving::{ReplicaRecord, ReplicaState};
 
-/// Records in one entry of the log, some 40 kB: ten control replicas have at most 0.4 MB under way, and
-/// 10,000 replicas take 40 entries.
+/// Records in one log entry, about 40 kB.
 pub const MAX_BATCH_RECORDS: usize = 256;
 
-/// Replicas that may wait at one control replica, some 8 MB: more than all of a fleet twice as large as
-/// any that is planned for. A heartbeat beyond is refused, and comes again.
+/// Records in the queue, about 8 MB. Heartbeats beyond this are refused and repeated by the
+/// replica.
 pub const CAPACITY: usize = 20_000;
 
-/// Waiting replicas, and those of the batch under way. `T` stands for somebody who waits for an answer.
+/// Queued records and those of the batch in flight. `T` is a caller that waits for the outcome.
 #[derive(Debug)]
 pub struct RegistrationQueue<T> {
     queued: HashMap<String, QueuedRegistration<T>>,
-    /// The order in which they came; those that leave go first.
+    /// Ids in the order of arrival; leaving replicas come first.
     queue_order: VecDeque<String>,
     in_flight: Vec<QueuedRegistration<T>>,
 }
@@ -35,14 +32,14 @@
     waiters: Vec<T>,
 }
 
-/// What became of one record of a batch.
+/// Outcome of one record of a batch.
 #[derive(Debug)]
 pub struct CompletedRegistration<T> {
     /// The record.
     pub record: ReplicaRecord,
-    /// Those who wait for an answer.
+    /// Callers that wait for the outcome.
     pub waiters: Vec<T>,
-    /// What became of it.
+    /// The outcome.
     pub outcome: Registration,
 }
 
@@ -57,8 +54,8 @@
 }
 
 impl<T> RegistrationQueue<T> {
-    /// Takes in what a replica says of itself, and who waits for what becomes of it; false if there is no
-    /// place.
+    /// Queues a record with a caller that waits for its outcome; returns false if the queue is
+    /// full.
     pub fn enqueue(&mut self, record: ReplicaRecord, waiter: Option<T>) -> bool {
         let in_flight = self.in_flight.iter_mut();
         let mut same_reports = in_flight.filter(|known| is_same_report(&known.record, &record));
@@ -85,8 +82,8 @@
         true
     }
 
-    /// The next batch, if none is under way. `is_wanted` tells which records still have to be recorded;
-    /// who asked for another is answered.
+    /// Returns the next batch, if none is in flight, and the callers whose records no longer need
+    /// recording according to `needs_recording`.
     pub fn next_batch(
         &mut self,
         needs_recording: impl Fn(&ReplicaRecord) -> bool,
@@ -99,7 +96,7 @@
             let Some(id) = self.queue_order.pop_front() else {
                 break;
             };
-            // One that said in the meantime that it leaves stands there twice.
+            // A replica that started leaving while queued has two entries in the order.
             let Some(entry) = self.queued.remove(&id) else {
                 continue;
             };
@@ -113,7 +110,8 @@
         (records.collect(), already_recorded)
     }
 
-    /// Takes in what became of the batch under way. Tells who is to be answered what.
+    /// Records the outcomes of the batch in flight, and queues the records without an outcome
+    /// again.
     pub fn complete_batch(&mut self, outcomes: Vec<Registration>) -> Vec<CompletedRegistration<T>> {
         let batch = std::mem::take(&mut self.in_flight);
         let mut outcomes = outcomes.into_iter();
@@ -131,12 +129,12 @@
         completed
     }
 
-    /// Has the batch under way wait again: what became of it is not known.
+    /// Queues the batch in flight again, since its outcome is unknown.
     pub fn requeue_batch(&mut self) {
         self.complete_batch(Vec::new());
     }
 
-    /// Replicas that wait, without those under way.
+    /// Number of queued records, without those in flight.
     pub fn queued_count(&self) -> usize {
         self.queued.len()
     }
@@ -161,7 +159,7 @@
     }
 }
 
-/// Whether two heartbeats differ at most by when they came.
+/// Whether two records differ at most in the position at which they were received.
 fn is_same_report(one: &ReplicaRecord, other: &ReplicaRecord) -> bool {
     let same_position = ReplicaRecord {
         changed_at: one.changed_at,
@@ -170,7 +168,7 @@
     *one == same_position
 }
 
-/// What a replica said last; that it leaves is never taken back.
+/// Returns the latest record; a replica that is leaving stays leaving.
 fn merge_reports(previous: &ReplicaRecord, mut latest: ReplicaRecord) -> ReplicaRecord {
     if previous.state == ReplicaState::Leaving {
         latest.state = ReplicaState::Leaving;
--- a/crates/control/src/serving/rollout_driver.rs
+++ b/crates/control/src/serving/rollout_driver.rs
@@ -1,9 +1,9 @@
-//! Carrying out the rollout: while this replica leads, it alone gives orders to back ends.
+//! Runs the rollout of weights: only the leader sends orders to back ends.
 //!
-//! A new holder of the right to give orders waits until the former one can give none any more: the
-//! former one gives none unless it was known to lead within a third of the lease, and the new one
-//! waits for the whole of it. Every order names the number of orders that the back end had taken,
-//! so that one that is carried out late does nothing.
+//! A new holder of the order lock waits until the previous one can no longer send orders: a holder
+//! sends none unless it was confirmed as leader within a third of the lease, and the new holder
+//! waits for the whole lease. Each order carries the number of orders that the back end had
+//! accepted, so a late one has no effect.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,17 +27,17 @@
     view::NodeView,
 };
 
-/// Time between two looks while a rollout is under way.
+/// Interval of the steps while a rollout is in progress.
 const BUSY_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two looks otherwise.
+/// Interval of the steps otherwise.
 const IDLE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Weight of the newest load in the estimate.
+/// Weight of the newest sample in the moving average of the load interval.
 const NEWEST_SAMPLE_WEIGHT: f64 = 0.3;
-/// Named versions whose age is remembered.
+/// Target versions kept per model with their age.
 const MAX_TARGET_VERSIONS: usize = 64;
 
-/// Rolls weights out for as long as the process runs.
+/// Runs rollouts until the process exits.
 pub async fn run(
     leader_client: Arc<LeaderClient>,
     watch: Arc<WatchServer>,
@@ -77,21 +77,21 @@
     bounds: Bounds,
     dispatcher: Arc<OrderDispatcher>,
     order_lock: Option<HeldOrderLock>,
-    /// The versions of each model seen to be named, and when.
+    /// Target versions of each model, and when they were first seen.
     targets: BTreeMap<String, Vec<(u64, Instant)>>,
-    /// Replicas with an order under way.
+    /// Replicas with a pending order.
     loading: BTreeSet<String>,
-    /// When a load ended while others were under way.
+    /// When a load last finished while others were in progress.
     last_load_finished_at: Option<Instant>,
-    /// Time between the ends of two loads, milliseconds.
+    /// Average time between the ends of two loads, milliseconds.
     load_interval_ms: Option<f64>,
 }
 
 impl Rollout {
-    /// One look; true if a rollout is under way.
+    /// Runs one step; returns true if a rollout is in progress.
     async fn tick(&mut self) -> bool {
         let view = self.leader_client.view();
-        // Also while another replica leads: the next leader needs the ages.
+        // Followers record the ages too, since they may become leader.
         self.record_targets(&view);
         self.record_finished_loads(&view);
         if !view.leads {
@@ -105,7 +105,8 @@
             load_interval_ms: self.load_interval_ms.map(|interval| interval as u64),
         };
         let steps = plan_rollout(&view.serving, inputs);
-        // Taken before it is needed: a right that was taken over may not be used at once.
+        // Acquired before it is needed, since a lock taken over from another holder is not usable
+        // at once.
         let order_lock = if view.serving.weights().is_empty() {
             None
         } else {
@@ -119,7 +120,7 @@
         };
         self.dispatcher.prune_removed(&view);
         for step in steps {
-            // A back end that does not answer must not hold up the others.
+            // A back end without a reply must not delay the others.
             if self.dispatcher.try_reserve(step.replica()) {
                 let dispatcher = Arc::clone(&self.dispatcher);
                 tokio::spawn(dispatcher.run_step(view.clone(), order_lock.clone(), step));
--- a/crates/control/src/serving/rollout_plan.rs
+++ b/crates/control/src/serving/rollout_plan.rs
@@ -1,9 +1,8 @@
-//! Which back-end replica is brought to newer weights next. Pure.
+//! Plans which back-end replicas load newer weights next. Pure.
 //!
-//! A rollout begins at once: what is made on older weights is worth less from the moment at which
-//! newer ones are named. A replica that loads serves nothing, so only some of a model's replicas
-//! load at a time. More do when the time in which requests may still start on older weights runs
-//! out.
+//! A rollout starts as soon as a new target version is set. A replica serves no requests while it
+//! loads, so only a share of a model's replicas load at a time. The share grows when the time in
+//! which requests may still start on older weights runs out.
 
 use std::collections::BTreeMap;
 
@@ -11,42 +10,42 @@
 
 use crate::serving_state::ServingState;
 
-/// Of a model's replicas, one in this many loads at a time.
+/// Replicas of a model per concurrent load.
 const REPLICAS_PER_LOAD: usize = 4;
 /// The same when the rollout is late.
 const REPLICAS_PER_LOAD_WHEN_LATE: usize = 2;
-/// Part of the bound within which every replica should have changed.
+/// Share of the time bound in which all replicas should have loaded the new weights.
 const PLANNED_SHARE: f64 = 0.75;
 
-/// Times the expected duration of a rollout that are planned for it.
+/// Factor on the expected duration of a rollout.
 const DURATION_MARGIN: f64 = 1.2;
-/// Part of the bound that a rollout is assumed to take before one was measured.
+/// Expected duration of a rollout as a share of the time bound, before one was measured.
 const ASSUMED_SHARE: f64 = 0.4;
 
-/// One thing to do for one replica.
+/// One step for one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutStep {
-    /// Record the order, so that routers send the replica no more work, and then give it.
+    /// Record the order, so that routers stop sending requests to the replica, and then send it.
     Begin {
         /// The replica.
         replica: String,
         /// The order.
         order: PendingOrder,
     },
-    /// The order is recorded: see whether the replica has carried it out, and give it again if it
-    /// seems lost.
+    /// Check whether the replica has executed the recorded order, and send it again if it seems
+    /// lost.
     Check {
         /// The replica.
         replica: String,
         /// The order.
         order: PendingOrder,
-        /// The newest version that is named.
+        /// The newest target version.
         target_version: u64,
     },
 }
 
 impl RolloutStep {
-    /// The replica that the step is about.
+    /// The replica of the step.
     pub fn replica(&self) -> &str {
         match self {
             Self::Begin { replica, .. } | Self::Check { replica, .. } => replica,
@@ -54,29 +53,29 @@
     }
 }
 
-/// A version that operators named.
+/// A target version and its age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetVersion {
     /// The version.
     pub version: u64,
-    /// Time since it was seen to be named, milliseconds.
+    /// Time since it was first seen, milliseconds.
     pub age_ms: u64,
 }
 
-/// What is known besides the replicated state.
+/// Inputs besides the replicated state.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutInputs<'a> {
-    /// Versions of each model that were named lately.
+    /// Recent target versions of each model.
     pub targets: &'a BTreeMap<String, Vec<TargetVersion>>,
-    /// Time in which requests must stop starting on older weights, milliseconds.
+    /// Time after which requests must not start on older weights, milliseconds.
     pub version_ms: u64,
-    /// Time between the ends of two loads in a rollout, milliseconds, as measured lately. Weights
-    /// come from one place, so more loads at once need not bring more loads in a second.
+    /// Recent average time between the ends of two loads, milliseconds. Weights come from a shared
+    /// source, so more concurrent loads may not finish sooner.
     pub load_interval_ms: Option<u64>,
 }
 
 impl RolloutInputs<'_> {
-    /// Time that `left` replicas are expected to need, with a margin, milliseconds.
+    /// Expected time for `remaining` replicas, with a margin, milliseconds.
     fn expected_ms(&self, remaining: usize) -> u64 {
         let expected = match self.load_interval_ms {
             Some(interval) => interval as f64 * remaining as f64,
@@ -85,7 +84,7 @@
         (expected * DURATION_MARGIN) as u64
     }
 
-    /// Time left until a replica that holds `held` should have newer weights, milliseconds.
+    /// Time until a replica that holds version `held` should have newer weights, milliseconds.
     fn time_left_ms(&self, model: &str, held: u64) -> u64 {
         let newer = self.targets.get(model).into_iter().flatten();
         let oldest_age = newer
@@ -98,7 +97,7 @@
     }
 }
 
-/// What to do now, for all models.
+/// Plans the next steps for all models.
 pub fn plan_rollout(state: &ServingState, inputs: RolloutInputs<'_>) -> Vec<RolloutStep> {
     let mut steps = Vec::new();
     for (model, version) in state.weights() {
@@ -137,7 +136,8 @@
             None => {}
         }
     }
-    // Those with the oldest weights are the first that may not be used any more.
+    // Replicas with the oldest weights first, since these are the first that may not be used any
+    // more.
     outdated.sort_by_key(|(held, _)| *held);
     let Some((oldest, _)) = outdated.first() else {
         return;
@@ -158,8 +158,8 @@
     }
 }
 
-/// Replicas that may load at the same time: more if the rollout is late; with two replicas or more,
-/// one always serves.
+/// Number of replicas that may load at the same time: more if the rollout is late. With two or more
+/// replicas, one always serves.
 fn max_concurrent_loads(replicas: usize, is_late: bool) -> usize {
     let replicas_per_load = if is_late {
         REPLICAS_PER_LOAD_WHEN_LATE
--- a/crates/control/src/serving/watch.rs
+++ b/crates/control/src/serving/watch.rs
@@ -1,4 +1,5 @@
-//! Answering routers: what changed, and how surely it is current.
+//! Replies to watch requests of routers: the changes since their position, and how current they
+//! are.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -15,45 +16,45 @@
     view::NodeView,
 };
 
-/// Time between two confirmations by the leader while routers ask.
+/// Interval of the confirmations by the leader while routers send requests.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for one confirmation.
+/// Timeout of one confirmation.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time after a router's last question in which confirmations go on.
+/// Time after the last request of a router for which confirmations continue.
 const CONFIRM_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time for which an answer is held, milliseconds.
+/// Longest time for which a reply is held, milliseconds.
 const MAX_WAIT_MS: u64 = 5_000;
-/// Shortest time between two answers with news to a router that is not new.
+/// Shortest interval between two updates to a router that has a complete copy.
 const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(20);
-/// Answers with news that a control replica gives in a second to all routers that ask it. One
-/// takes about 0.1 ms of its processor, so they take about 1.5% of a core.
+/// Updates per second that a control replica sends to all its routers. One takes about 0.1 ms of
+/// processor time, so they use about 1.5% of a core.
 const UPDATES_PER_SECOND: u32 = 150;
-/// Part of the shortest bound on news for which an answer may wait: news also takes a commit, a
-/// confirmation and the routers' own work.
+/// Divisor of the shortest bound on changes that gives the longest delay of an update. A change
+/// also takes a commit, a confirmation and the router's own processing.
 const BATCHING_DIVISOR: u64 = 8;
 
-/// Answers routers from this replica's state.
+/// Replies to routers from this replica's state.
 pub struct WatchServer {
     leader_client: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
     zone: String,
-    /// Zero of the replica's clock.
+    /// Start of the replica's clock.
     started: BootInstant,
-    /// Longest time for which news is gathered.
+    /// Longest interval between two updates to one router.
     max_update_interval: Duration,
     times: Mutex<RequestTimes>,
 }
 
 #[derive(Clone, Copy, Default)]
 struct RequestTimes {
-    /// Moment at which everything committed before it was known to be applied here.
+    /// Time up to which all committed entries are known to be applied here.
     confirmed_at: Option<BootInstant>,
     last_request_at: Option<Instant>,
 }
 
 impl WatchServer {
-    /// A server over the replica behind `link`, whose clock began at `started`, under the
-    /// deployment's bounds.
+    /// Creates a server for the replica behind `leader_client`, whose clock started at `started`,
+    /// under the bounds of the deployment.
     pub fn new(
         leader_client: Arc<LeaderClient>,
         liveness: Arc<Liveness>,
@@ -71,10 +72,11 @@
         }
     }
 
-    /// Answers one question, at the latest after the time that it allows.
+    /// Handles one request, at the latest after the wait that it allows.
     pub async fn handle(&self, mut request: WatchRequest) -> WatchReply {
         let received_at = Instant::now();
-        // The router subtracts the age of the confirmation from this time, so both count suspensions.
+        // The router subtracts the age of the confirmation from this time, so both have to count
+        // suspensions.
         let held_since = BootInstant::now();
         self.liveness.record_router_request(&request.router);
         let sightings = std::mem::take(&mut request.sightings);
@@ -83,7 +85,7 @@
         self.update_times(|times| times.last_request_at = Some(received_at));
         let deadline = received_at + Duration::from_millis(request.wait_ms.min(MAX_WAIT_MS));
         let mut receiver = self.leader_client.node().view();
-        // One that knows more than is applied here waits until that is applied here too.
+        // If the router is ahead of this replica, wait until the replica has caught up.
         let known = request.known;
         let known_through = if request.takes_records {
             known.records_through
@@ -100,7 +102,7 @@
                 () = self.confirmation(), if !request.has_lease => {}
             }
         };
-        // Either way the present view is answered.
+        // The reply holds the current view, also after a timeout.
         let _ = timeout_at(deadline, reply_due).await;
         let interval = self.update_interval();
         let delay = batching_delay(&request, received_at.elapsed(), interval);
@@ -125,12 +127,12 @@
         }
     }
 
-    /// Shortest time between two answers with news to one router, at the present number of routers.
+    /// Shortest interval between two updates to one router at the current number of routers.
     pub fn update_interval(&self) -> Duration {
         update_interval(self.liveness.local_router_count(), self.max_update_interval)
     }
 
-    /// Waits until the state here is confirmed.
+    /// Waits until the state of this replica is confirmed.
     async fn confirmation(&self) {
         loop {
             let age = self.confirmed_age_ms(&self.leader_client.view());
@@ -164,14 +166,14 @@
     }
 }
 
-/// Shortest time between two answers with news to one router if `routers` ask one control replica:
-/// all their answers together take a bounded share of its processor, however fast changes come.
+/// Shortest interval between two updates to one router if `routers` are connected to this control
+/// replica. It bounds the processor time of all updates, however frequent the changes are.
 pub fn update_interval(routers: u32, max: Duration) -> Duration {
     let interval = Duration::from_secs(1) * routers / UPDATES_PER_SECOND;
     interval.min(max).max(MIN_UPDATE_INTERVAL)
 }
 
-/// Longest time for which news may be gathered under the deployment's bounds.
+/// Longest interval between two updates under the bounds of the deployment.
 pub fn max_update_interval(bounds: &Bounds) -> Duration {
     let shortest_bound = bounds
         .config_apply_ms
@@ -180,11 +182,10 @@
     Duration::from_millis(shortest_bound / BATCHING_DIVISOR)
 }
 
-/// Time for which the answer to a question that was asked `asked` ago waits for further changes. A
-/// router asks again as soon as it has an answer, so only changes close behind one another wait:
-/// hundreds of replicas that register or load together are told in a few answers, and news after a
-/// calm moment is told at once. An answer never waits beyond the time that the router allows: one
-/// without a lease allows none.
+/// Time for which the reply to a request received `elapsed` ago is delayed to batch further
+/// changes. A router sends its next request right after a reply, so only changes in close
+/// succession are batched, and a change after a pause is sent at once. The delay stays within the
+/// wait that the request allows; a router without a lease allows none.
 pub fn batching_delay(request: &WatchRequest, elapsed: Duration, interval: Duration) -> Duration {
     let is_incomplete = request.known.through == 0 || !request.known.is_whole();
     if is_incomplete || !request.has_lease {
@@ -194,10 +195,11 @@
     interval.min(max_delay).saturating_sub(elapsed)
 }
 
-/// While routers ask this replica and it does not lead, has the leader confirm its state.
+/// Confirms the state of this replica with the leader while routers send requests and it is not the
+/// leader itself.
 ///
-/// One question to the leader serves all routers that ask here, so the leader's load does not
-/// grow with their number.
+/// One request to the leader serves all routers connected here, so the leader's load does not grow
+/// with their number.
 pub async fn run_confirmations(server: Arc<WatchServer>) {
     loop {
         sleep(CONFIRM_INTERVAL).await;
--- a/crates/control/src/serving_state/quarantine.rs
+++ b/crates/control/src/serving_state/quarantine.rs
@@ -194,8 +194,8 @@
     }
 
     /// Returns the request with the most unexplained crashes if they suffice to quarantine it. Its
-    /// rivals are returned with it once it has [`CRASHES_DESPITE_RIVAL`] crashes; until then rivals
-    /// exclude each other.
+    /// rivals are returned with it once it has [`CRASHES_DESPITE_RIVAL`] crashes; until then none of
+    /// them is returned.
     fn next_to_blame(&self, explained: &BTreeSet<ReplicaKey>) -> Vec<ContentKey> {
         let unexplained = |suspect: &Suspect| -> BTreeSet<ReplicaKey> {
             let crashes = suspect.crashes.iter().copied();
