--- a/crates/control/src/serving/daemon.rs
+++ b/crates/control/src/serving/daemon.rs
@@ -176,7 +176,7 @@
         match open(options, 0) {
             Ok(replica) => return replica,
             Err(report) => {
-                spdlog::warn!("storage unusable", kv: { cause = format!("{report:?}") });
+                spdlog::warn!("cannot open the data folder; retrying", kv: { cause = format!("{report:?}") });
                 tokio::time::sleep(OPEN_RETRY_INTERVAL).await;
             }
         }
--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -119,7 +119,7 @@
         let view = self.leader_client.view();
         if !is_service_configured(&view, &record) {
             self.metrics.registrations_unnamed.inc();
-            spdlog::info!("heartbeat for no service", kv: {
+            spdlog::info!("heartbeat for an unknown service", kv: {
                 replica = record.id,
                 service = record.service,
             });
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -204,7 +204,7 @@
                 .replicas()
                 .keys()
                 .find(|replica| ReplicaKey::of(replica) == change.replica);
-            spdlog::info!("replica judged by all routers", kv: {
+            spdlog::info!("replica responsiveness changed", kv: {
                 replica = replica.cloned().unwrap_or_default(),
                 is_dark = change.is_dark,
                 waiting_in_vain = change.sighting.waiting_in_vain,
@@ -294,7 +294,7 @@
     pub async fn remove_if_silent(&self, leader_client: &LeaderClient, replica: &str) -> bool {
         let takeover_delay = self.address_takeover_delay();
         let is_free = leader_client.view().leads && self.is_silent(replica, takeover_delay);
-        spdlog::info!("address is held", kv: { holder = replica.to_owned(), is_free });
+        spdlog::info!("address is held by another replica", kv: { holder = replica.to_owned(), is_free });
         if !is_free {
             return false;
         }
--- a/crates/control/src/serving/order_dispatcher.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -247,7 +247,7 @@
             back_off: Some(delay),
             ..BackEndNotice::default()
         };
-        spdlog::info!("replica asked for rest from orders", kv: {
+        spdlog::info!("replica asked for a back-off from orders", kv: {
             replica = record.id.clone(),
             back_off_ms = delay.as_millis() as u64,
         });
@@ -308,7 +308,7 @@
     fn record_refused_lock(&self, order_lock: &HeldOrderLock) {
         self.refused_token
             .fetch_max(order_lock.token, Ordering::Relaxed);
-        spdlog::info!("right to give orders lost", kv: { token = order_lock.token, term = order_lock.term });
+        spdlog::info!("order lock lost", kv: { token = order_lock.token, term = order_lock.term });
     }
 
     /// Whether this replica holds the order lock and was confirmed as leader within a third of the
--- a/crates/control/src/serving/quarantine.rs
+++ b/crates/control/src/serving/quarantine.rs
@@ -83,7 +83,7 @@
         changed_at,
     };
     let outcome = leader_client.propose(command, RELEASE_TIMEOUT).await;
-    spdlog::info!("quarantine time over", kv: {
+    spdlog::info!("quarantine expired", kv: {
         content = content.to_string(),
         changed_at,
         outcome = format!("{outcome:?}"),
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -134,7 +134,7 @@
                     queue.requeue_batch();
                     queue.queued_count()
                 };
-                spdlog::warn!("registrations delayed", kv: {
+                spdlog::warn!("registration batch was not recorded; retrying", kv: {
                     records,
                     waiting = queued,
                     cause = error.to_string(),
@@ -251,7 +251,7 @@
         };
         for record in enqueued {
             if let Err(error) = self.enqueue_with_waiter(record, None) {
-                spdlog::warn!("held replica dropped", kv: { cause = error.to_string() });
+                spdlog::warn!("blocked registration dropped", kv: { cause = error.to_string() });
             }
         }
     }
--- a/crates/control/src/serving/rollout_driver.rs
+++ b/crates/control/src/serving/rollout_driver.rs
@@ -203,7 +203,7 @@
             return None;
         };
         let wait_ms = if taken_over { self.bounds.lease_ms } else { 0 };
-        spdlog::info!("orders acquired", kv: { token, taken_over });
+        spdlog::info!("order lock acquired", kv: { token, taken_over });
         Some(HeldOrderLock {
             term,
             token,
--- a/crates/control/tests/incarnations.rs
+++ b/crates/control/tests/incarnations.rs
@@ -92,7 +92,7 @@
     assert_eq!(known.weights, restarted.weights);
     assert_eq!(start_times(&state), [Some(2)]);
     // Routers that knew the former life end it with the record of the newer one.
-    let update = state.update_after(Known::all(3)).expect("news");
+    let update = state.update_after(Known::all(3)).expect("an update");
     let updated_ids: Vec<&str> = update
         .replicas
         .iter()
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -456,6 +456,6 @@
         Mutant::LastReportWins,
     ] {
         let detected = failing_seed(mutant, MUTANT_SEEDS);
-        assert!(detected.is_some(), "{mutant:?} was not noticed");
+        assert!(detected.is_some(), "{mutant:?} was not detected");
     }
 }
--- a/crates/control/tests/previous_builds.rs
+++ b/crates/control/tests/previous_builds.rs
@@ -29,7 +29,8 @@
 }
 
 fn message(name: &str) -> Vec<u8> {
-    fs::read(data().join("production/messages").join(name)).expect("a message of the former build")
+    fs::read(data().join("production/messages").join(name))
+        .expect("a message of the previous build")
 }
 
 fn request(name: &str) -> ControlRequest {
@@ -64,8 +65,8 @@
     // It is there only if an earlier run was ended.
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
-    for file in
-        fs::read_dir(data().join(build).join("data")).expect("the folder of the former build")
+    for file in fs::read_dir(data().join(build).join("data"))
+        .expect("the data folder of the previous build")
     {
         let file = file.expect("a file");
         fs::copy(file.path(), folder.join(file.file_name())).expect("a copy");
@@ -85,7 +86,7 @@
 
 #[test]
 fn a_data_folder_of_a_previous_build_is_opened() {
-    let media = FileMedia::open(copy_of_folder("production", "former-folder")).expect("a folder");
+    let media = FileMedia::open(copy_of_folder("production", "previous-folder")).expect("a folder");
     let mut replica = Replica::open(&media, options(), 0).expect("opened");
     elect_as_leader(&mut replica);
     let serving = replica.state().serving();
@@ -104,7 +105,7 @@
 #[test]
 fn messages_of_a_previous_build_are_decoded() {
     let ControlRequest::Watch { request: watch } = request("watch-request") else {
-        panic!("no question");
+        panic!("not a watch request");
     };
     assert_eq!(
         (watch.router.as_str(), watch.known.through),
@@ -114,7 +115,7 @@
     assert_eq!((watch.wait_ms, watch.sightings.len()), (500, 1));
 
     let ControlResponse::Watch(reply) = response("watch-reply") else {
-        panic!("no answer");
+        panic!("not a reply to `watch`");
     };
     assert_eq!((reply.confirmed_age_ms, reply.routers), (Some(35), 2));
     let update = reply.update.expect("an update");
@@ -127,13 +128,13 @@
     assert_eq!(reply.fleet.expect("a digest").replicas[0].open_requests, 5);
 
     let ControlRequest::Alive { notice } = request("alive-notice") else {
-        panic!("no notice");
+        panic!("not a liveness report");
     };
     assert_eq!(notice.sender, "127.0.0.1:2");
     assert_eq!((notice.routers.len(), notice.sightings.len()), (1, 1));
 
     let ControlResponse::Alive(reply) = response("alive-reply") else {
-        panic!("no answer");
+        panic!("not a reply to `alive`");
     };
     assert_eq!(
         (reply.routers, reply.fleet.map(|fleet| fleet.age_ms)),
@@ -141,7 +142,7 @@
     );
 
     let ControlRequest::Poll { request: poll } = request("poll-request") else {
-        panic!("no poll");
+        panic!("not a poll request");
     };
     assert_eq!(
         (poll.applied, poll.want_update, poll.quarantine_known),
@@ -149,7 +150,7 @@
     );
 
     let ControlResponse::Poll(reply) = response("poll-reply") else {
-        panic!("no answer");
+        panic!("not a reply to `poll`");
     };
     assert_eq!(
         (
@@ -209,7 +210,7 @@
 
 #[test]
 fn a_state_of_a_previous_build_is_written_unchanged() {
-    let media = FileMedia::open(copy_of_folder("production", "former-state")).expect("a folder");
+    let media = FileMedia::open(copy_of_folder("production", "previous-state")).expect("a folder");
     let replica = Replica::open(&media, options(), 0).expect("opened");
     let bytes = &replica.raft().log().snapshot().state;
     let state = ControlState::read_from_buffer(bytes).expect("a state");
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -196,15 +196,15 @@
     assert_eq!(
         state.update_after(Known::all(0)),
         None,
-        "one end is no news for routers"
+        "one crash must not wake routers"
     );
     state.apply(2, crash(2));
     state.apply(3, crash(3));
-    let update = state.update_after(Known::all(2)).expect("news");
+    let update = state.update_after(Known::all(2)).expect("an update");
     let received = update.quarantine.expect("a quarantine");
     assert_eq!(received.quarantined, [FATAL]);
     // A router that has just started learns all of it; one that knows it hears nothing more.
-    let full = state.update_after(Known::all(0)).expect("everything");
+    let full = state.update_after(Known::all(0)).expect("a full update");
     assert_eq!(full.quarantine, Some(received));
     assert_eq!(state.update_after(Known::all(3)), None);
 }
--- a/crates/control/tests/quota.rs
+++ b/crates/control/tests/quota.rs
@@ -285,7 +285,7 @@
         Mutant::StaleLeaderGrants,
     ] {
         let detected = failing_seed(mutant, MUTANT_SEEDS);
-        assert!(detected.is_some(), "{mutant:?} was not noticed");
+        assert!(detected.is_some(), "{mutant:?} was not detected");
     }
 }
 
--- a/crates/control/tests/serving_state.rs
+++ b/crates/control/tests/serving_state.rs
@@ -97,7 +97,7 @@
         state.apply(3, register("r", "h:1", 1)),
         ServingOutcome::Done
     );
-    let update = state.update_after(Known::all(1)).expect("news");
+    let update = state.update_after(Known::all(1)).expect("an update");
     assert_eq!(update.replicas.len(), 1);
 }
 
@@ -124,7 +124,7 @@
     let late = state.apply(5, register("old", "h:1", 1));
     assert_eq!(late, ServingOutcome::UnknownReplica);
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["new"]);
-    let update = state.update_after(Known::all(1)).expect("news");
+    let update = state.update_after(Known::all(1)).expect("an update");
     assert_eq!(update.removed, ["old"]);
 }
 
@@ -166,7 +166,7 @@
     assert_eq!(state.replicas().size(), 2);
     state.apply(4, crash_report("r", Some("router-2")));
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["other"]);
-    let update = state.update_after(Known::all(3)).expect("news");
+    let update = state.update_after(Known::all(3)).expect("an update");
     assert_eq!(update.removed, ["r"]);
     // Its next life may take the address at once.
     assert_eq!(
@@ -272,9 +272,11 @@
     state.apply(1, document(1, "one"));
     state.apply(2, register("a", "h:1", 1));
     state.apply(3, register("b", "h:2", 1));
-    let first = state.update_after(Known::all(0)).expect("everything");
+    let first = state.update_after(Known::all(0)).expect("a full update");
     assert!(first.complete && first.configuration.is_some() && first.replicas.len() == 2);
-    let next = state.update_after(Known::all(2)).expect("one replica");
+    let next = state
+        .update_after(Known::all(2))
+        .expect("an update with one replica");
     assert!(!next.complete && next.configuration.is_none());
     assert_eq!(next.replicas.len(), 1);
     assert_eq!(state.update_after(Known::all(3)), None);
@@ -284,7 +286,10 @@
     };
     state.apply(4, ServingCommand::NameWeights(target.clone()));
     assert_eq!(
-        state.update_after(Known::all(3)).expect("weights").weights,
+        state
+            .update_after(Known::all(3))
+            .expect("an update of the weights")
+            .weights,
         [target]
     );
 }
@@ -341,7 +346,7 @@
         holder: "c".to_owned(),
     };
     let ServingOutcome::OrdersAcquired { token, .. } = state.apply(2, acquired) else {
-        panic!("the right was not acquired");
+        panic!("the order lock was not acquired");
     };
     let begin_order = || ServingCommand::BeginOrder {
         token,
