--- a/crates/control/tests/current_layout.rs
+++ b/crates/control/tests/current_layout.rs
@@ -1,4 +1,4 @@
-//! The layout of this build, which later ones have to read.
+//! Layouts of this build, which later builds have to read.
 
 use std::{fs, path::PathBuf};
 
@@ -21,9 +21,8 @@
     files.collect()
 }
 
-/// A field that is moved, removed or added changes what is read or written here. What is added belongs behind all
-/// that there is, and is written only where the receiver may lack it without harm; its bytes get a folder of
-/// their own, and these stay as they are.
+/// Fails if a field was moved, removed or added. New fields belong at the end, are written only
+/// where the receiver may lack them, and get test data in a new folder; the existing data stays.
 #[test]
 fn message_layouts_are_unchanged() {
     let files = files("messages");
--- a/crates/control/tests/first_level.rs
+++ b/crates/control/tests/first_level.rs
@@ -1,4 +1,4 @@
-//! A group that has members of a former build, on one state whichever build applies a command.
+//! Groups with members of a previous build: both builds apply commands to the same state.
 
 mod production_state;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A command that a member of any build may find in the log.
+/// A command that members of any build may find in the log.
 #[derive(Clone, Debug)]
 struct AnyCommand(ServingCommand);
 
@@ -86,14 +86,15 @@
     }
 }
 
-/// As the log holds it.
+/// Encodes and decodes a command, as the log does.
 fn from_log(command: &ServingCommand) -> ServingCommand {
     let bytes = command.write_to_vec().expect("encoded");
     ServingCommand::read_from_buffer(&bytes).expect("decoded")
 }
 
 quickcheck! {
-    /// Members of both builds hold the same state after each command, down to the bytes of their snapshots.
+    /// Members of both builds hold the same state after each command, including the bytes of their
+    /// snapshots.
     fn both_builds_hold_the_same_state_after_each_command(commands: Vec<AnyCommand>) -> bool {
         let mut first_build = FirstBuildState::default();
         let mut current = ServingState::at(FeatureLevel::FIRST);
@@ -103,7 +104,7 @@
                 first_build.apply(index, from_log(command)) == current.apply(index, from_log(command));
             let has_same_bytes = first_build.write_to_vec().expect("encoded")
                 == current.write_to_vec().expect("encoded");
-            // One that is replaced, and back to the former build, goes on from the same state.
+            // A member that is upgraded, or downgraded again, continues from the same state.
             let bytes = first_build.write_to_vec().expect("encoded");
             current = ServingState::read_from_buffer(&bytes).expect("decoded");
             has_same_outcome && has_same_bytes
@@ -126,7 +127,7 @@
     assert!(put.fits(FeatureLevel::FIRST));
     state.apply(1, from_log(&put));
     assert_eq!(state.configuration().tenants[0].quota, None);
-    // What was read of a document that is held no more raises nothing.
+    // Quotas of a replaced document must not raise the level.
     assert_eq!(state.apply(2, raise_level(2)), ServingOutcome::Superseded);
     assert_eq!(state.level(), FeatureLevel::FIRST);
     assert_eq!(
@@ -141,7 +142,7 @@
         ServingState::read_from_buffer(&bytes).expect("decoded"),
         state
     );
-    // A document that was made before would take them back.
+    // A document proposed before the level was raised would remove the quotas.
     assert!(!put.fits(state.level()));
     let put = ServingCommand::put(document(4), state.level());
     state.apply(5, from_log(&put));
@@ -176,17 +177,17 @@
     for member in 2..=4 {
         levels.hear(ReplicaId(member), highest, 10);
     }
-    // What was said before the lead began may be out of date.
+    // Levels reported before this replica became leader may be outdated.
     assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
     levels.note_lead(true, 20);
     assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
     levels.hear(ReplicaId(2), highest, 30);
     levels.hear(ReplicaId(3), highest, 30);
-    // The learner has said nothing.
+    // The learner has not reported a level.
     assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
     levels.hear(ReplicaId(4), highest, 31);
     assert_eq!(levels.common(leader, &group), highest);
-    // One is replaced by the former build again.
+    // A member is downgraded to the previous build.
     levels.hear(ReplicaId(3), FeatureLevel::FIRST, 40);
     assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
     levels.hear(ReplicaId(3), FeatureLevel(highest.0 + 1), 50);
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What all routers together meet at the replicas: added up, aged, and which replicas are dark.
+//! Aggregation of the routers' observations, their expiry, and unresponsive replicas.
 
 use std::time::Duration;
 
@@ -93,10 +93,10 @@
     let start = Instant::now();
     let mut leader = FleetView::default();
     let replicas = known(4);
-    // One router may be cut off itself.
+    // The path of a single router may have failed.
     leader.record_router_report("r1", vec![observation(1, 1, 3_000, true)], start);
     assert!(leader.build_digest(&replicas, HEARTBEAT, start).is_empty());
-    // Another one waits as well, but a third hears from it: it is busy.
+    // A second router is stalled too, but a third one receives events: the replica is busy.
     leader.record_router_report("r2", vec![observation(1, 1, 3_000, true)], start);
     leader.record_router_report("r3", vec![observation(1, 1, 100, false)], start);
     assert!(leader.build_digest(&replicas, HEARTBEAT, start).is_empty());
@@ -106,7 +106,7 @@
     assert_eq!(changes.len(), 1);
     assert!(changes[0].is_dark);
     assert_eq!(unresponsive(&leader.digest(now).expect("a digest")), [1]);
-    // Nobody sends there any more, so nobody waits: it stays dark.
+    // Routers send no requests there any more, so none is stalled; the replica stays unresponsive.
     let now = after(start, 3_500);
     leader.record_router_report("r1", Vec::new(), now);
     assert!(leader.build_digest(&replicas, HEARTBEAT, now).is_empty());
@@ -134,8 +134,9 @@
 }
 
 quickcheck! {
-    /// Routers that are cut off, or lie, may call every replica dark: at most half of a service's
-    /// replicas are taken from it, and none that somebody hears from.
+    /// Routers with failed paths or wrong reports may claim that every replica is stalled: at most
+    /// half of a service's replicas become unresponsive, and none that a router receives events
+    /// from.
     fn at_most_half_of_a_service_is_unresponsive(
         reports: Vec<(u8, u8, u16, bool)>,
         replicas: u8
@@ -165,7 +166,7 @@
         TestResult::passed()
     }
 
-    /// However replicas are told dark by all routers at once, half of them stay.
+    /// Half of the replicas stay usable even if all routers report all of them at once.
     fn half_of_a_service_stays_usable_when_all_replicas_are_reported_stalled(replicas: u8) -> bool {
         let replicas = u32::from(replicas) + 1;
         let start = Instant::now();
--- a/crates/control/tests/incarnations.rs
+++ b/crates/control/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Several lives of one replica in the replicated state.
+//! Tests of several incarnations of one replica in the replicated state.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use railtack_control::serving_state::ServingState;
@@ -34,7 +34,7 @@
     ServingCommand::Register(record(Some(born_ms), "h:1"))
 }
 
-/// The births of the replica's lives that the state holds.
+/// Start times of the replica's recorded incarnations.
 fn start_times(state: &ServingState) -> Vec<Option<u64>> {
     let names = state.replicas().keys();
     names.map(|name| Life::named(name).born_ms).collect()
@@ -91,7 +91,7 @@
     assert_eq!(known.order, None);
     assert_eq!(known.weights, restarted.weights);
     assert_eq!(start_times(&state), [Some(2)]);
-    // Routers that knew the former life end it with the record of the newer one.
+    // Routers infer the removal of the previous incarnation from the record of the newer one.
     let update = state.update_after(Known::all(3)).expect("an update");
     let updated_ids: Vec<&str> = update
         .replicas
@@ -112,7 +112,7 @@
     assert!(state.replicas().is_empty());
     assert_eq!(state.apply(3, register(5)), ServingOutcome::UnknownReplica);
     assert_eq!(state.apply(4, register(6)), ServingOutcome::Done);
-    // A leave of the former life that comes late names that one.
+    // A late request that names the previous incarnation does not affect the newer one.
     let late = ServingCommand::Deregister {
         replica: id(Some(5)),
     };
@@ -120,14 +120,14 @@
     assert_eq!(start_times(&state), [Some(6)]);
 }
 
-/// Something that happens to one of the lives.
+/// An event of one of the incarnations.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Register(u8),
     Leave(u8),
     Expire(u8),
     Order(u8),
-    /// A control replica starts from a snapshot.
+    /// A control replica restarts from a snapshot.
     Restart,
 }
 
@@ -172,8 +172,8 @@
 }
 
 quickcheck! {
-    /// Whatever comes of several lives of one replica, and in whatever order: a life that a newer one has
-    /// followed is never there again, and a replica that starts from a snapshot decides like the others.
+    /// For any events in any order, an incarnation never returns after a newer one, and a control
+    /// replica restored from a snapshot decides like the others.
     fn a_previous_incarnation_never_returns(steps: Vec<Step>) -> bool {
         let acquire = ServingCommand::AcquireOrders { holder: "c".to_owned() };
         let mut state = ServingState::default();
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -1,7 +1,7 @@
-//! Limits of back ends over all routers: no order of messages, leaders, lost time and changed limits lets more
-//! arrive in a window than a limit allows.
+//! Randomized test of back-end limits over all routers: for any order of messages, changes of
+//! leader, delays and changes of limits, no window receives more requests than its limit allows.
 //!
-//! The runs are in virtual time. Each mutant takes one safeguard away and must be noticed.
+//! Runs use virtual time. Each mutant removes one safeguard and must be detected.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,28 +18,28 @@
 use tokio::time::Instant;
 
 const SEEDS: u64 = 2_000;
-/// Seeds within which each mutant must be noticed.
+/// Seeds within which each mutant must be detected.
 const MUTANT_SEEDS: u64 = 400;
 const RUN_MS: u64 = 40_000;
 const ROUTERS: usize = 30;
 const LIFE: &str = "i-1";
-/// Time in which an answer takes effect at the leader unless messages rest, and a new limit binds all routers.
+/// Time after which a new limit binds all routers, unless messages are delayed.
 const LIMIT_EFFECTIVE_AFTER_MS: u64 = 3_000;
 
-/// A safeguard that is taken away.
+/// A safeguard that is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
-    /// None: the code as it is.
+    /// No safeguard is removed.
     None,
-    /// Routers send what they have.
+    /// Routers send all requests without permits.
     NoPermits,
-    /// Each router keeps to the limit by itself.
+    /// Each router applies the limit by itself.
     NoSharing,
-    /// Routers use permits however late the answer is.
+    /// Routers use permits however late the reply arrives.
     LatePermitsAccepted,
-    /// A former leader goes on giving permits until it hears of the new one.
+    /// A previous leader keeps granting permits until it learns of the new one.
     StaleLeaderGrants,
-    /// Whatever a leader is told last raises or lifts a limit.
+    /// The last report raises or lifts a limit, whichever permit its request had.
     LastReportWins,
 }
 
@@ -51,21 +51,21 @@
     time.as_millis() as u64
 }
 
-/// A control replica that leads, or believes that it does.
+/// A control replica that is the leader, or believes that it is.
 struct Leader {
     ledger: LimitLedger,
-    /// When it last had proof; `None` while nobody has replaced it.
+    /// Time of its last proof of leadership; `None` until it is replaced.
     last_proof_ms: Option<u64>,
 }
 
-/// When a permit was given, and by whom.
+/// When and by which leader a permit was granted.
 #[derive(Clone, Copy)]
 struct GrantedPermit {
     leader: usize,
     at_ms: u64,
 }
 
-/// What a router heard.
+/// A limit received by a router.
 #[derive(Clone, Copy)]
 struct Report {
     limit: Option<RequestLimit>,
@@ -74,7 +74,7 @@
 }
 
 enum Event {
-    /// A question, or what a router tells, arrives at a leader.
+    /// A permit request, or a report without one, arrives at a leader.
     PermitRequest {
         router: usize,
         requested_ms: u64,
@@ -82,13 +82,13 @@
         report: Report,
         wants_permit: bool,
     },
-    /// The answer arrives at the router.
+    /// The reply arrives at the router.
     PermitReply {
         router: usize,
         requested_ms: u64,
         granted: Option<GrantedPermit>,
     },
-    /// The back end's answer arrives at the router.
+    /// The back end's response arrives at the router.
     Response {
         router: usize,
         limit: Option<RequestLimit>,
@@ -102,16 +102,16 @@
     start: Instant,
     now_ms: u64,
     leaders: Vec<Leader>,
-    /// What the back end names in its next answer.
+    /// The limit that the back end advertises in its next response.
     advertised: Option<RequestLimit>,
-    /// What it named, each with the moment of the first answer that did.
+    /// Advertised limits, each with the time of the first response that had it.
     advertised_history: Vec<(u64, Option<RequestLimit>)>,
-    /// What each router heard last; kept until a leader says that there is no limit.
+    /// Limit last received by each router; kept until a leader replies that there is none.
     known_limits: Vec<Option<Report>>,
-    /// When each router sent something last, for a mutant.
+    /// When each router last sent a request, for [`Mutant::NoSharing`].
     sent_ms: Vec<u64>,
     events: BTreeMap<u64, Vec<Event>>,
-    /// Until when permits that are given rest on their way, and come all at once.
+    /// Until when replies with permits are delayed; they then arrive all at once.
     permits_delayed_until_ms: u64,
     arrivals: Vec<u64>,
 }
@@ -170,7 +170,7 @@
         self.advertised
     }
 
-    /// Mostly short; now and then a message or a process rests for seconds.
+    /// Mostly short; occasionally a message or a process is delayed for seconds.
     fn delay(&mut self) -> u64 {
         if self.random.random_bool(0.02) {
             self.random.random_range(1..3_000)
@@ -192,7 +192,7 @@
         self.leaders.len() - 1 - usize::from(to_previous)
     }
 
-    /// A router has a request for the back end.
+    /// Handles a request that a router has for the back end.
     fn handle_demand(&mut self, router: usize) {
         let Some(report) = self.known_limits[router] else {
             return self.send(router, None);
@@ -244,7 +244,7 @@
             permit,
         };
         if limit.is_some() {
-            // Without the permit it came by, as it is told again later.
+            // Later reports of this limit must not carry the permit.
             let permit = None;
             self.known_limits[router] = Some(Report { permit, ..report });
         }
@@ -272,7 +272,7 @@
         if proof_age >= milliseconds(max_proof_age) {
             return;
         }
-        // The message's own time counts as the router's.
+        // The delay of the message counts towards the age.
         let age = Duration::from_millis(requested_ms.saturating_sub(report.received_ms));
         let granted = report
             .permit
@@ -362,7 +362,7 @@
                     } => self.handle_response(router, limit, permit),
                 }
             }
-            // All routers are told of a limit by the digest, a while after it was named.
+            // The digest informs all routers about a limit some time after it was advertised.
             self.broadcast_digest();
             if self.random.random_ratio(1, pause_limit) {
                 let router = self.random.random_range(0..ROUTERS);
@@ -371,7 +371,7 @@
         }
     }
 
-    /// Twice a second the digest tells all routers what the newest leader heard last.
+    /// Twice per second, sends the newest leader's limit to all routers.
     fn broadcast_digest(&mut self) {
         if !self.now_ms.is_multiple_of(500) || self.mutant == Mutant::NoPermits {
             return;
@@ -394,7 +394,7 @@
         }
     }
 
-    /// The first window in which more arrived than is allowed, with both figures.
+    /// The first window with more requests than allowed: its start, the requests and the bound.
     fn violated_window(&self) -> Option<(u64, usize, f64)> {
         let window_ms = milliseconds(WINDOW);
         let mut end = 0;
@@ -412,7 +412,8 @@
         None
     }
 
-    /// What a window allows; `None` for any number. What was named before counts until the next binds.
+    /// Requests allowed in a window; `None` if unlimited. A previous limit counts until the next
+    /// one takes effect.
     fn allowed(&self, began_ms: u64, ended_ms: u64) -> Option<f64> {
         let mut largest: f64 = 0.0;
         for (position, (from_ms, limit)) in self.advertised_history.iter().enumerate() {
--- a/crates/control/tests/previous_builds.rs
+++ b/crates/control/tests/previous_builds.rs
@@ -1,13 +1,7 @@
-//! Replacing the machines of a former build, one after the other.
+//! Compatibility with the messages and data folders of previous builds during a rolling upgrade.
 //!
-//! What was seen: once three of five control replicas ran the new build, no change was accepted any more, routers
-//! lost their leases, and what had been accepted could not be read back, also after all machines ran the new build.
-//! How: a new replica that opened the folder of the former one, was sent its log, or was elected, could not read the
-//! commands and the state in it, and gave up its term; routers of either build could not read the answers of the other.
-//! Cause: types were given new fields in the middle of their bytes, and new meanings to commands that were there, so
-//! that neither a record nor a message could be read by another build; nothing said which build wrote it.
-//! Proof: bytes that the former build itself wrote (`data/production`, with the program that wrote them) are read
-//! here; the whole is played by hand with the programs of both builds.
+//! The bytes in `data/production` were written by such a build. A build that cannot read them loses
+//! the log and the state of the group, and replicas of both builds cannot exchange messages.
 
 use std::{
     fs,
@@ -62,7 +56,7 @@
 
 fn copy_of_folder(build: &str, name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    // It is there only if an earlier run was ended.
+    // The folder exists only if an earlier run was aborted.
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
     for file in fs::read_dir(data().join(build).join("data"))
@@ -183,7 +177,7 @@
     ));
 }
 
-/// That build passes over what follows the message that it knows.
+/// Previous builds ignore bytes after the message that they know.
 #[test]
 fn encoded_messages_begin_with_the_previous_layout() {
     let requests = [
@@ -203,7 +197,7 @@
         let written = response(name).write_to_vec().expect("encoded");
         assert!(written.starts_with(&message(name)), "{name}");
     }
-    // What enters the log or a snapshot has nothing behind it either.
+    // Log entries and snapshots must not have trailing bytes.
     let proposed = request("propose-request").write_to_vec().expect("encoded");
     assert_eq!(proposed, message("propose-request"));
 }
@@ -218,7 +212,7 @@
     assert_eq!(&state.write_to_vec().expect("encoded"), bytes);
 }
 
-/// Builds after it wrote each tenant's quota behind the tenant, without saying so.
+/// Some builds stored the quota of each tenant inline, without a version of the layout.
 #[test]
 fn a_data_folder_with_inline_quotas_is_opened() {
     let folder = copy_of_folder("inline_quotas", "inline-quotas");
@@ -242,7 +236,7 @@
     assert!(serving.has_departed("r-1"));
 }
 
-/// A build that is older than the disk must not take what it cannot read for nothing.
+/// A build older than the data must not ignore what it cannot read.
 #[test]
 fn trailing_bytes_after_a_known_layout_are_rejected() {
     let mut bytes = message("propose-request");
--- a/crates/control/tests/production_state/mod.rs
+++ b/crates/control/tests/production_state/mod.rs
@@ -1,5 +1,5 @@
-//! The serving state as the first build that was in production applied commands, kept as it was: a judge of what
-//! today's builds do while such a build is a member of their group.
+//! The serving state as the first production build applied commands. Kept unchanged as the
+//! reference for groups that have members of that build.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,28 +12,27 @@
 
 mod stored;
 
-/// Replicas that have left and are remembered, so that their late messages do not revive them and
-/// routers can be told only what changed.
+/// Removed replicas that are kept, to reject their late messages and to send removals as changes.
 const MAX_TOMBSTONES: usize = 1_024;
 
-/// The right to give orders to back ends.
+/// Holder of the lock that permits sending orders to back ends.
 #[derive(Clone, Debug, PartialEq, Eq, speedy::Readable, speedy::Writable)]
 struct OrderLock {
     holder: String,
     token: u64,
 }
 
-/// Back-end replicas by identity.
+/// Back-end replicas by id.
 pub type ReplicaMap = RedBlackTreeMapSync<String, ReplicaRecord>;
 
-/// What routers serve from, and who may give orders. A copy shares what it can.
+/// State that routers serve from, and the holder of the order lock.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServingState {
     content: Arc<Vec<u8>>,
     configuration: Arc<ServingConfiguration>,
     configuration_at: LogIndex,
     replicas: ReplicaMap,
-    /// Replicas that have left, oldest first.
+    /// Removed replicas, oldest first.
     removals: RedBlackTreeSetSync<(LogIndex, String)>,
     ended: RedBlackTreeSetSync<String>,
     removals_evicted_through: LogIndex,
@@ -43,17 +42,17 @@
 }
 
 impl ServingState {
-    /// What the document held means.
+    /// Parsed form of the current document.
     pub fn configuration(&self) -> &ServingConfiguration {
         &self.configuration
     }
 
-    /// Whether a document is held.
+    /// Whether the group has received a document.
     pub fn has_configuration(&self) -> bool {
         self.configuration_at > 0
     }
 
-    /// Whether a replica of this identity has left.
+    /// Whether a replica with this id has left.
     pub fn has_departed(&self, replica: &str) -> bool {
         self.ended.contains(replica)
     }
@@ -99,8 +98,9 @@
             let held = record.version_of(&order.model);
             held.is_none_or(|held| held < order.version)
         });
-        // The same heartbeat may be recorded several times: it reaches several control replicas,
-        // and a proposal whose answer is late is made again. Only the first is told to routers.
+        // The same heartbeat may be recorded several times, since it may reach several control
+        // replicas and a proposal without a reply is repeated. Only the first one changes the
+        // position.
         if self.replicas.get(&record.id) == Some(&record) {
             return ServingOutcome::Done;
         }
@@ -110,7 +110,7 @@
         ServingOutcome::Done
     }
 
-    /// A new life at the address of another one means that the other one has ended.
+    /// A replica that registers at the address of another one replaces it.
     fn deregister_previous_at(&mut self, index: LogIndex, record: &ReplicaRecord) {
         let previous: Vec<String> = self
             .replicas
@@ -140,7 +140,7 @@
         ServingOutcome::Done
     }
 
-    /// Removes a replica and remembers that, for routers that know it.
+    /// Removes a replica and leaves a tombstone for routers that know it.
     fn remove(&mut self, index: LogIndex, replica: &str) {
         self.replicas.remove_mut(replica);
         self.changed_at = index;
@@ -204,7 +204,8 @@
     }
 }
 
-/// Takes in what a replica says now without going back on what it said before.
+/// Merges a reported record into the known one; leaving replicas stay leaving and weight versions
+/// never decrease.
 fn merge_record(known: &ReplicaRecord, mut reported: ReplicaRecord) -> ReplicaRecord {
     if known.state == ReplicaState::Leaving {
         reported.state = ReplicaState::Leaving;
--- a/crates/control/tests/production_state/stored.rs
+++ b/crates/control/tests/production_state/stored.rs
@@ -1,4 +1,4 @@
-//! The serving state as snapshots hold it: plain collections, in the layout of the first build.
+//! Snapshot layout of the first production build: plain collections.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are quarantined after replicas ended.
+//! Tests of the quarantine of requests under which replicas crash.
 
 use quickcheck::{TestResult, quickcheck};
 use railtack_control::{
@@ -19,7 +19,7 @@
 const FATAL: ContentKey = ContentKey(1);
 const OTHER: ContentKey = ContentKey(2);
 
-/// Records ends of replicas 1, 2, 3 and so on, each with the requests that ran there.
+/// Records crashes of replicas 1, 2, 3 and so on, each with the requests that ran there.
 fn quarantine_after(crashes: &[&[ContentKey]]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (position, contents) in crashes.iter().enumerate() {
@@ -67,7 +67,7 @@
     let together: &[ContentKey] = &[OTHER, FATAL];
     let mut quarantine = quarantine_after(&[together, together, together]);
     assert_eq!(quarantined(&quarantine), []);
-    // The next end tells them apart.
+    // The next crash distinguishes them.
     quarantine.record_crash(4, ReplicaKey(4), &[FATAL]);
     assert_eq!(quarantined(&quarantine), [FATAL]);
 }
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_late_report_corrects_a_wrong_quarantine() {
-    // The first reports of the third end name only the request that shared it.
+    // The first reports of the third crash name only the harmless request.
     let mut quarantine = quarantine_after(&[&[FATAL, OTHER], &[FATAL, OTHER], &[OTHER]]);
     assert_eq!(quarantined(&quarantine), [OTHER]);
     quarantine.record_crash(4, ReplicaKey(3), &[FATAL]);
@@ -163,13 +163,13 @@
     let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL], &[FATAL]]);
     assert_eq!(timers.due(&quarantine, start), []);
     assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME / 2), []);
-    // One more end begins the time anew.
+    // A further crash restarts the timer.
     quarantine.record_crash(9, ReplicaKey(9), &[FATAL]);
     assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME / 2), []);
     assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME), []);
     let expired = start + QUARANTINE_TIME + QUARANTINE_TIME / 2;
     assert_eq!(timers.due(&quarantine, expired), [(FATAL, 9)]);
-    // A new leader measures from when it first sees it.
+    // A new leader starts its timers when it first sees the request.
     assert_eq!(ReleaseTimers::default().due(&quarantine, expired), []);
 }
 
@@ -203,7 +203,7 @@
     let update = state.update_after(Known::all(2)).expect("an update");
     let received = update.quarantine.expect("a quarantine");
     assert_eq!(received.quarantined, [FATAL]);
-    // A router that has just started learns all of it; one that knows it hears nothing more.
+    // A router that has just started receives the full lists; one that has them receives no update.
     let full = state.update_after(Known::all(0)).expect("a full update");
     assert_eq!(full.quarantine, Some(received));
     assert_eq!(state.update_after(Known::all(3)), None);
@@ -216,10 +216,10 @@
     quarantine.record_crash(3, ReplicaKey(3), &[FATAL, OTHER]);
     assert_eq!(quarantine.update().watched, previous.watched);
     assert_eq!(quarantine.update().changed_at, 3);
-    // The same report again is none.
+    // A repeated report is no update.
     quarantine.record_crash(4, ReplicaKey(3), &[FATAL, OTHER]);
     assert_eq!(quarantine.update().changed_at, 3);
-    // Nor is the end of a replica under others.
+    // Neither is a crash under other requests.
     quarantine.record_crash(5, ReplicaKey(5), &[ContentKey(9)]);
     assert_eq!(quarantine.update().changed_at, 3);
 }
@@ -245,26 +245,26 @@
         ServingState::read_from_buffer(&bytes).expect("a state"),
         state
     );
-    // The layout that ended before: two tables and two lists, all empty, a position, the group's level and the
-    // empty list of quotas less.
+    // The layout before the quarantine lacks two empty tables, two empty lists, a position, the
+    // group's level and the empty list of quotas.
     let without_quarantine = &empty[..empty.len() - (4 + 8 + 4 + 4 + 4) - (4 + 4)];
     let read = ServingState::read_from_buffer(without_quarantine).expect("a state");
     let first_level = ServingState::at(FeatureLevel::FIRST);
     assert_eq!(read, first_level);
-    // A group that still has members of that build writes just this.
+    // A group at the first level still writes this layout.
     assert_eq!(
         first_level.write_to_vec().expect("a snapshot"),
         without_quarantine
     );
-    // The one that ended before the level: its builds did all that the level stands for.
+    // The layout before the level; its builds supported all of that level.
     let without_level = &empty[..empty.len() - (4 + 4)];
     let read = ServingState::read_from_buffer(without_level).expect("a state");
     assert_eq!(read, ServingState::at(FeatureLevel::SHARED_GRANTS));
 }
 
 quickcheck! {
-    /// Whatever else runs beside it, one that is at every end is found, and nobody who was at fewer
-    /// than three ends is condemned.
+    /// Whatever other requests run beside it, a request present at every crash is quarantined, and
+    /// none that was present at fewer than three crashes.
     fn a_request_present_at_every_crash_is_quarantined(others_per_crash: Vec<Vec<u8>>) -> TestResult {
         if others_per_crash.len() < CRASHES_DESPITE_RIVAL {
             return TestResult::discard();
--- a/crates/control/tests/quota.rs
+++ b/crates/control/tests/quota.rs
@@ -1,7 +1,7 @@
-//! Quotas over all routers: no schedule of demand, leaders, lost time and changed limits lets more
-//! of a tenant's requests run in a window than its bound allows.
+//! Randomized test of tenant quotas over all routers: for any demand, changes of leader, delays and
+//! changes of quotas, no window runs more of a tenant's requests than its bound allows.
 //!
-//! The runs are in virtual time. Each mutant takes one safeguard away and must be noticed.
+//! Runs use virtual time. Each mutant removes one safeguard and must be detected.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,24 +15,24 @@
 use tokio::time::Instant;
 
 const SEEDS: u64 = 3_000;
-/// Seeds within which each mutant must be noticed.
+/// Seeds within which each mutant must be detected.
 const MUTANT_SEEDS: u64 = 1_500;
 const RUN_MS: u64 = 24_000;
 const ROUTERS: u32 = 300;
 const TENANT: &str = "office";
 
-/// A safeguard that is taken away.
+/// A safeguard that is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
-    /// None: the code as it is.
+    /// No safeguard is removed.
     None,
-    /// Every request is let through.
+    /// Every request is granted.
     NoLimit,
-    /// Routers use what they are granted however late the answer is.
+    /// Routers use grants however late the reply arrives.
     LateGrantsAccepted,
-    /// A new term begins with full buckets.
+    /// A new term starts with full buckets.
     FullBucketsAtNewTerm,
-    /// A former leader goes on granting until it hears of the new one.
+    /// A previous leader keeps granting quota until it learns of the new one.
     StaleLeaderGrants,
 }
 
@@ -57,21 +57,21 @@
     start + Duration::from_millis(milliseconds)
 }
 
-/// A control replica that leads, or believes that it does.
+/// A control replica that is the leader, or believes that it is.
 struct Leader {
     ledger: QuotaLedger,
-    /// When it last had proof; `None` while nobody has replaced it.
+    /// Time of its last proof of leadership; `None` until it is replaced.
     last_proof_ms: Option<u64>,
 }
 
-/// What a tenant's requests used, and when they were sent to a replica.
+/// Cost of one request, and when it was sent to a replica.
 #[derive(Clone, Copy)]
 struct Usage {
     at_ms: u64,
     cost: u64,
 }
 
-/// A question on its way to a leader.
+/// A request on its way to a leader.
 #[derive(Clone, Copy)]
 struct QuotaRequest {
     requested_ms: u64,
@@ -84,9 +84,9 @@
     mutant: Mutant,
     start: Instant,
     leaders: Vec<Leader>,
-    /// Quotas, each with the moment from which it is in force.
+    /// Quotas with the times from which they apply.
     quotas: Vec<(u64, TenantQuota)>,
-    /// Questions by the moment at which they arrive.
+    /// Requests by time of arrival.
     in_flight: BTreeMap<u64, Vec<QuotaRequest>>,
     usages: Vec<Usage>,
 }
@@ -109,7 +109,7 @@
         simulation
     }
 
-    /// A new leader; the former one's last proof is some time old.
+    /// Elects a new leader; the last proof of the previous one is some time old.
     fn elect(&mut self, now_ms: u64) {
         let proof_age = self.random.random_range(0..200);
         if let Some(previous) = self.leaders.last_mut() {
@@ -126,7 +126,7 @@
         });
     }
 
-    /// A limit that is raised or lowered.
+    /// Raises or lowers the quota.
     fn change_quota(&mut self, now_ms: u64) {
         let rate = self.random.random_range(40_000..600_000);
         let burst = self.random.random_range(rate / 2..rate * 2);
@@ -137,7 +137,7 @@
         self.quotas[self.quotas.len() - 1].1
     }
 
-    /// One router asks one of those that believe to lead.
+    /// A router sends a request to one of the replicas that believe to be the leader.
     fn send_request(&mut self, now_ms: u64, cost: u64) {
         let to_previous = self.leaders.len() > 1 && self.random.random_bool(0.5);
         let request = QuotaRequest {
@@ -149,7 +149,7 @@
         self.in_flight.entry(arrives_ms).or_default().push(request);
     }
 
-    /// The question arrives; the router sends its request if the answer allows it.
+    /// The request arrives; the router uses the grant if the reply is in time.
     fn handle_request(&mut self, now_ms: u64, request: QuotaRequest) {
         let quota = self.current_quota();
         let max_proof_age = if self.mutant == Mutant::StaleLeaderGrants {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Mostly short; now and then a message or a process rests for seconds.
+    /// Mostly short; occasionally a message or a process is delayed for seconds.
     fn delay(&mut self) -> u64 {
         if self.random.random_bool(0.1) {
             self.random.random_range(0..4_000)
@@ -195,7 +195,7 @@
     }
 
     fn run(&mut self) {
-        // Demand swings between far below and far above the limit.
+        // Demand varies between far below and far above the quota.
         let mut pause_limit = 100;
         for now_ms in 0..RUN_MS {
             if self.random.random_ratio(1, 2_000) {
@@ -213,7 +213,7 @@
                 self.handle_request(now_ms, request);
             }
             if self.random.random_ratio(1, pause_limit) {
-                // Which of the routers asks makes no difference: none of them keeps anything.
+                // Routers keep no state, so it does not matter which of them sends the request.
                 let _router = self.random.random_range(0..ROUTERS);
                 let cost = self.random.random_range(200..50_000);
                 self.send_request(now_ms, cost);
@@ -221,7 +221,7 @@
         }
     }
 
-    /// The first window in which more ran than the bound allows, with both figures.
+    /// The first window that exceeds its bound: its start, the cost and the bound.
     fn violated_window(&mut self) -> Option<(u64, f64, f64)> {
         self.usages.sort_by_key(|used| used.at_ms);
         let window = bounds().window_ms;
@@ -242,7 +242,7 @@
         None
     }
 
-    /// The bound on a window; a lower limit binds one window after its change.
+    /// The bound on a window; a lower quota applies one window after its change.
     fn bound(&self, began_ms: u64, window_ms: u64) -> f64 {
         let bounds = bounds();
         let mut largest: f64 = 0.0;
@@ -307,7 +307,7 @@
     let mut now_ms = 2_000.0;
     let mut refused = 0;
     for _ in 0..10_000 {
-        // A mean of 75,000 tokens a second, in requests that come at random.
+        // On average 75,000 tokens per second, with random intervals.
         now_ms += -random.random_range(0.0_f64..1.0).max(1e-9).ln() * 120.0;
         let cost = random.random_range(1_000..17_000);
         let decision = withdraw(&mut ledger, cost, at(start, now_ms as u64));
@@ -324,7 +324,8 @@
     while matches!(withdraw(&mut ledger, 5_000, now), LedgerReply::Granted { wait } if wait.is_zero())
     {
     }
-    // What the bucket will hold within 100 ms goes to the large one; the small one waits behind it.
+    // The large request is granted what the bucket gains within 100 ms; the small one queues up
+    // behind it.
     now += Duration::from_millis(400);
     let large = withdraw(&mut ledger, 45_000, now);
     assert!(matches!(large, LedgerReply::Granted { .. }), "{large:?}");
--- a/crates/control/tests/registration_queue.rs
+++ b/crates/control/tests/registration_queue.rs
@@ -1,4 +1,4 @@
-//! Thousands of replicas that register together.
+//! Registration of thousands of replicas at once.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Control replicas that record into one log, each with one batch under way at a time.
+/// Control replicas that record into one log, each with one batch in flight.
 struct ControlGroup {
     state: ServingState,
     index: u64,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Every control replica records one batch; tells the records that were under way together.
+    /// Every control replica records one batch; returns the number of records in flight together.
     fn round(&mut self) -> usize {
         let mut in_flight = 0;
         for queue in &mut self.queues {
@@ -73,8 +73,8 @@
     }
 }
 
-/// Ten thousand replicas send heartbeats to ten control replicas and, unanswered, send them again to
-/// others. One entry for each of these would be 40,000, and all of them could be under way at once.
+/// Ten thousand replicas send heartbeats to ten control replicas and repeat them at others. One log
+/// entry per heartbeat would be 40,000 entries, all of them in flight at once.
 #[test]
 fn many_registrations_take_few_entries_and_a_bounded_backlog() {
     let mut group = ControlGroup::new(10);
@@ -104,7 +104,7 @@
     }
     let (batch, _) = queue.next_batch(|_| true);
     assert_eq!(batch, [record(1)]);
-    // One that comes while the batch is under way waits for the same answer.
+    // A heartbeat that arrives while the batch is in flight waits for the same outcome.
     assert!(queue.enqueue(record(1), Some(5)));
     assert_eq!(queue.queued_count(), 0);
     let completed = queue.complete_batch(vec![Registration::Recorded]);
@@ -150,8 +150,8 @@
     assert_eq!(already_recorded.len(), 9);
 }
 
-/// A router that knows nothing is told of all replicas in answers of a bounded size, whatever changes
-/// in between, and ends with the same records as the group.
+/// A router without a copy receives all replicas in updates of bounded size, also while records
+/// change, and ends with the same records as the group.
 #[test]
 fn a_full_copy_is_sent_in_bounded_updates() {
     let mut state = ServingState::default();
@@ -173,11 +173,12 @@
             update.replicas.len()
         );
         known = apply(&mut copy, update, known);
-        // What it knows so far may be served from.
+        // The router may serve from each partial copy.
         assert!(known.is_current());
         assert!(is_subset(&copy, &state));
         if updates <= 5 {
-            // A replica that was told already is gone, one that was not told yet leaves.
+            // One replica that the router has received leaves the group, and another one starts
+            // leaving.
             index += 1;
             let removed_id = format!("i-{updates}");
             state.apply(
@@ -198,7 +199,7 @@
     let recorded = state.replicas().iter();
     let recorded = recorded.map(|(id, record)| (id.clone(), record.clone()));
     assert_eq!(copy, recorded.collect());
-    // Whoever lags behind what a router knows tells it nothing.
+    // A control replica that is behind the router sends no update.
     assert_eq!(state.update_after(Known::all(index + 1)), None);
 }
 
@@ -214,16 +215,16 @@
     update.known
 }
 
-/// Whether a router that was told these knows nothing that is outdated.
+/// Whether a copy holds no outdated record.
 fn is_subset(copy: &BTreeMap<String, ReplicaRecord>, state: &ServingState) -> bool {
     let mut copy = copy.iter();
     copy.all(|(id, record)| state.replicas().get(id) == Some(record))
 }
 
 quickcheck! {
-    /// A router that is told changes of a fleet while it is told the fleet itself knows nothing outdated
-    /// whenever it is current, and in the end what a whole copy holds. Routers that were away for a while
-    /// ask from where they were.
+    /// A router that receives changes along with its first copy holds no outdated record whenever
+    /// it is current, and ends with a full copy. Routers that were disconnected continue from their
+    /// position.
     fn any_order_of_changes_and_updates_gives_a_full_copy(events: Vec<(u8, u16, bool)>) -> bool {
         let mut state = ServingState::default();
         let mut index = 1;
--- a/crates/control/tests/rollout_plan.rs
+++ b/crates/control/tests/rollout_plan.rs
@@ -1,4 +1,4 @@
-//! Which replica is brought to newer weights next.
+//! Tests of the rollout plan.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Replicas with the versions given, and version `named` wanted.
+/// State with one replica per version and the given target version.
 fn state(versions: &[u64], target: u64) -> ServingState {
     let mut state = ServingState::default();
     for (position, version) in versions.iter().enumerate() {
@@ -77,7 +77,7 @@
     assert!(begun_loads(&done, &[(2, 7_000)], 1_000).is_empty());
 }
 
-/// Found on a quiet day: replicas were changed again while others kept the oldest weights.
+/// Replicas must not load a second time while others keep the oldest weights.
 #[test]
 fn the_oldest_weights_are_replaced_first() {
     let state = state(&[2, 2, 2, 2, 2, 2, 2, 2, 2, 2, 1, 1], 3);
@@ -117,8 +117,8 @@
     assert!(begun_loads(&state, &[(2, VERSION_MS)], 1_000).is_empty());
 }
 
-/// Found on a random day: a former leader that woke acquired the right through the new leader, whose
-/// own right was then refused for as long as it led, so that no order was given any more.
+/// A previous leader may acquire the lock through the new one. The new leader then has to acquire
+/// it again, or no order would be sent until the next election.
 #[test]
 fn a_refused_lock_is_not_held() {
     let order_lock = HeldOrderLock {
--- a/crates/control/tests/serving_state.rs
+++ b/crates/control/tests/serving_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state that routers serve from.
+//! Tests of the replicated state that routers serve from.
 
 use railtack_control::serving_state::ServingState;
 use railtack_rpc::serving::{ConfigurationDocument, Known, ServingCommand, ServingOutcome};
@@ -83,7 +83,7 @@
     assert!(state.replicas().is_empty());
 }
 
-/// Found by a hunt: a live replica that was counted as silent was never taken in again.
+/// An expired replica that is alive must be able to register again.
 #[test]
 fn an_expired_replica_returns_with_its_next_heartbeat() {
     let mut state = ServingState::default();
@@ -101,8 +101,7 @@
     assert_eq!(update.replicas.len(), 1);
 }
 
-/// Which of two that claim one address is alive is not decided by who comes last: a heartbeat of the
-/// former life may have been held back.
+/// A delayed heartbeat of a previous replica must not take over an address.
 #[test]
 fn an_address_belongs_to_one_replica_until_it_is_removed() {
     let mut state = ServingState::default();
@@ -158,9 +157,9 @@
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
     state.apply(2, register("other", "h:2", 1));
-    // A router that hears from nobody does not know whether it is the replica.
+    // A report without a reporter does not count: the router receives nothing from any replica.
     state.apply(3, crash_report("r", None));
-    // One that hears from others does, unless its path to this one is broken; a second one shows.
+    // A single reporter does not suffice, since its path to the replica may have failed.
     state.apply(3, crash_report("r", Some("router-1")));
     state.apply(3, crash_report("r", Some("router-1")));
     assert_eq!(state.replicas().size(), 2);
@@ -168,14 +167,14 @@
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["other"]);
     let update = state.update_after(Known::all(3)).expect("an update");
     assert_eq!(update.removed, ["r"]);
-    // Its next life may take the address at once.
+    // Another replica may register at the address at once.
     assert_eq!(
         state.apply(5, register("next", "h:1", 1)),
         ServingOutcome::Done
     );
 }
 
-/// Found while reading the code: a path on which connections are refused though the replica lives.
+/// A failed path must not remove a live replica again and again.
 #[test]
 fn a_replica_that_returns_is_not_removed_by_further_reports() {
     let mut state = ServingState::default();
@@ -194,8 +193,7 @@
     }
 }
 
-/// A control replica that does not learn in time what became of a batch has it recorded again; between the
-/// two a replica of the batch may have ended.
+/// A batch whose outcome is unknown is recorded again; a replica may have crashed in between.
 #[test]
 fn a_repeated_batch_does_not_restore_a_crashed_replica() {
     let received_at = |position| {
@@ -212,7 +210,7 @@
     state.apply(5, received_at(1));
     assert!(state.replicas().is_empty());
     assert_eq!(state.quarantine().suspects().len(), 1);
-    // A heartbeat that came after its removal shows that it lives.
+    // A heartbeat received after the removal shows that the replica is alive.
     state.apply(6, received_at(5));
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["r"]);
     assert!(state.quarantine().suspects().is_empty());
@@ -239,7 +237,7 @@
     };
     assert_eq!(state.apply(3, begin_order(token, 3)), ServingOutcome::Done);
     assert_eq!(state.replicas()["r"].order, Some(pending_order(3)));
-    // A heartbeat that was sent before the load had ended changes nothing.
+    // A heartbeat sent before the load has finished changes nothing.
     state.apply(4, register("r", "h:1", 1));
     assert_eq!(state.replicas()["r"].order, Some(pending_order(3)));
     state.apply(5, register("r", "h:1", 3));
@@ -294,7 +292,7 @@
     );
 }
 
-/// Found by the sweep: a copy of all records at each registration took the memory of control.
+/// A deep copy of all records per registration would exhaust the memory.
 #[test]
 fn clones_share_unchanged_records() {
     let mut state = ServingState::default();
@@ -322,8 +320,7 @@
     assert_eq!(read, state);
 }
 
-/// A heartbeat that reaches several control replicas is recorded more than once; a record that says
-/// nothing new must not be told to every router again.
+/// A heartbeat recorded by several control replicas must not cause an update for each.
 #[test]
 fn an_unchanged_record_does_not_advance_the_position() {
     let mut state = ServingState::default();
--- a/crates/control/tests/watch.rs
+++ b/crates/control/tests/watch.rs
@@ -1,4 +1,4 @@
-//! When a router's question is answered.
+//! Delay of replies to watch requests.
 
 use std::time::Duration;
 
@@ -28,12 +28,13 @@
     assert_eq!(delay(0, elapsed(0)), Duration::ZERO);
     assert!(delay(7, elapsed(1)) > Duration::from_millis(10));
     assert_eq!(delay(7, elapsed(300)), Duration::ZERO);
-    // A router asks again at once: what waits is far below any bound on changes.
+    // Routers send the next request at once, so the delay has to stay far below the bounds on
+    // changes.
     assert!(delay(7, elapsed(0)) <= Duration::from_millis(50));
 }
 
-/// A router without a lease allows no time and gives the question up soon: with hundreds of
-/// routers it would never have an answer, and no lease.
+/// A router without a lease abandons its request early. With hundreds of routers a longer delay
+/// would leave it without a reply and without a lease.
 #[test]
 fn no_reply_is_delayed_beyond_the_wait_of_the_request() {
     let interval = update_interval(60, MAX_INTERVAL);
@@ -43,7 +44,7 @@
     assert_eq!(delay(100), Duration::from_millis(100));
 }
 
-/// It waits for the confirmation instead, which is no news that is gathered.
+/// A router without a lease waits for the confirmation only.
 #[test]
 fn a_router_without_a_lease_gets_its_reply_without_batching() {
     let interval = update_interval(60, MAX_INTERVAL);
@@ -69,8 +70,8 @@
     );
 }
 
-/// A rollout changes hundreds of records in a second. However many routers ask one control
-/// replica, the answers that it gives in a second stay the same in number.
+/// A rollout changes hundreds of records per second. The rate of updates must not grow with the
+/// number of routers.
 #[test]
 fn the_rate_of_updates_does_not_grow_with_the_number_of_routers() {
     for routers in [8_u32, 33, 55] {
