--- a/crates/control/src/serving/fleet.rs
+++ b/crates/control/src/serving/fleet.rs
@@ -15,7 +15,7 @@
 };
 
 use railtack_rpc::permits::LimitedReplica;
-use railtack_rpc::serving::{FleetDigest, ReplicaCondition, ReplicaSighting};
+use railtack_rpc::serving::{FleetDigest, ReplicaCondition, ReplicaObservation};
 use railtack_serving::ReplicaKey;
 use tokio::time::Instant;
 
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 struct ObservationReport {
     received_at: Instant,
-    observations: Vec<ReplicaSighting>,
+    observations: Vec<ReplicaObservation>,
 }
 
 /// A replica that became unresponsive or responsive.
@@ -69,9 +69,9 @@
     /// Key of the replica.
     pub replica: ReplicaKey,
     /// Whether it is unresponsive now.
-    pub is_dark: bool,
+    pub is_unresponsive: bool,
     /// Aggregated observation of the routers.
-    pub sighting: ReplicaSighting,
+    pub sighting: ReplicaObservation,
 }
 
 impl FleetView {
@@ -79,7 +79,7 @@
     pub fn record_router_report(
         &mut self,
         router: &str,
-        observations: Vec<ReplicaSighting>,
+        observations: Vec<ReplicaObservation>,
         now: Instant,
     ) {
         let report = ObservationReport {
@@ -93,7 +93,7 @@
     pub fn record_control_report(
         &mut self,
         control: String,
-        observations: Vec<ReplicaSighting>,
+        observations: Vec<ReplicaObservation>,
         now: Instant,
     ) {
         let report = ObservationReport {
@@ -104,7 +104,7 @@
     }
 
     /// Returns the observations of the routers connected here, aggregated by replica.
-    pub fn local_observations(&mut self, now: Instant) -> Vec<ReplicaSighting> {
+    pub fn local_observations(&mut self, now: Instant) -> Vec<ReplicaObservation> {
         self.router_reports
             .retain(|_, report| is_fresh(report, now));
         aggregate(self.router_reports.values(), now)
@@ -137,13 +137,14 @@
         let changes = self.update_unresponsive(&observations, known, heartbeat, now);
         let conditions = known.iter().filter_map(|replica| {
             let observation = observations.get(&replica.key);
-            let is_dark = self.unresponsive_since.contains_key(&replica.key);
-            (observation.is_some() || is_dark).then(|| ReplicaCondition {
+            let is_unresponsive = self.unresponsive_since.contains_key(&replica.key);
+            (observation.is_some() || is_unresponsive).then(|| ReplicaCondition {
                 replica: replica.key,
                 open_requests: observation.map_or(0, |observed| observed.open_requests),
-                unread_tokens: observation.map_or(0, |observed| observed.unread_tokens),
-                heard_ms: observation.map_or(u16::MAX, |observed| observed.heard_ms),
-                is_dark,
+                pending_prefill_tokens: observation
+                    .map_or(0, |observed| observed.pending_prefill_tokens),
+                silent_ms: observation.map_or(u16::MAX, |observed| observed.silent_ms),
+                is_unresponsive,
             })
         });
         let digest = FleetDigest {
@@ -173,7 +174,7 @@
 
     fn update_unresponsive(
         &mut self,
-        observations: &BTreeMap<ReplicaKey, ReplicaSighting>,
+        observations: &BTreeMap<ReplicaKey, ReplicaObservation>,
         known: &[KnownReplica<'_>],
         heartbeat: Duration,
         now: Instant,
@@ -212,14 +213,14 @@
     fn responsiveness_change(
         &self,
         previous: &BTreeMap<ReplicaKey, Instant>,
-        observations: &BTreeMap<ReplicaKey, ReplicaSighting>,
+        observations: &BTreeMap<ReplicaKey, ReplicaObservation>,
         replica: ReplicaKey,
     ) -> Option<ResponsivenessChange> {
-        let is_dark = self.unresponsive_since.contains_key(&replica);
+        let is_unresponsive = self.unresponsive_since.contains_key(&replica);
         let observation = observations.get(&replica).copied();
-        (previous.contains_key(&replica) != is_dark).then(|| ResponsivenessChange {
+        (previous.contains_key(&replica) != is_unresponsive).then(|| ResponsivenessChange {
             replica,
-            is_dark,
+            is_unresponsive,
             sighting: observation.unwrap_or_else(|| no_observation(replica)),
         })
     }
@@ -229,30 +230,30 @@
     now.saturating_duration_since(report.received_at) < REPORT_TTL
 }
 
-fn no_observation(replica: ReplicaKey) -> ReplicaSighting {
-    ReplicaSighting {
+fn no_observation(replica: ReplicaKey) -> ReplicaObservation {
+    ReplicaObservation {
         replica,
         open_requests: 0,
-        unread_tokens: 0,
-        heard_ms: u16::MAX,
-        waiting_in_vain: 0,
+        pending_prefill_tokens: 0,
+        silent_ms: u16::MAX,
+        stalled_routers: 0,
     }
 }
 
 /// Whether any router has recently received something from the replica.
-fn is_recently_heard(observation: Option<&ReplicaSighting>) -> bool {
-    observation.is_some_and(|observed| observed.heard_ms < UNRESPONSIVE_SILENCE_MS)
+fn is_recently_heard(observation: Option<&ReplicaObservation>) -> bool {
+    observation.is_some_and(|observed| observed.silent_ms < UNRESPONSIVE_SILENCE_MS)
 }
 
-fn is_stalled(observed: &ReplicaSighting) -> bool {
-    observed.waiting_in_vain >= MIN_STALLED_ROUTERS && observed.heard_ms >= UNRESPONSIVE_SILENCE_MS
+fn is_stalled(observed: &ReplicaObservation) -> bool {
+    observed.stalled_routers >= MIN_STALLED_ROUTERS && observed.silent_ms >= UNRESPONSIVE_SILENCE_MS
 }
 
 fn aggregate<'a>(
     reports: impl Iterator<Item = &'a ObservationReport>,
     now: Instant,
-) -> BTreeMap<ReplicaKey, ReplicaSighting> {
-    let mut totals: BTreeMap<ReplicaKey, ReplicaSighting> = BTreeMap::new();
+) -> BTreeMap<ReplicaKey, ReplicaObservation> {
+    let mut totals: BTreeMap<ReplicaKey, ReplicaObservation> = BTreeMap::new();
     for report in reports {
         let age_ms = now
             .saturating_duration_since(report.received_at)
@@ -262,11 +263,15 @@
                 .entry(observed.replica)
                 .or_insert_with(|| no_observation(observed.replica));
             total.open_requests = total.open_requests.saturating_add(observed.open_requests);
-            total.unread_tokens = total.unread_tokens.saturating_add(observed.unread_tokens);
-            total.heard_ms = total.heard_ms.min(observed.heard_ms.saturating_add(age_ms));
-            total.waiting_in_vain = total
-                .waiting_in_vain
-                .saturating_add(observed.waiting_in_vain);
+            total.pending_prefill_tokens = total
+                .pending_prefill_tokens
+                .saturating_add(observed.pending_prefill_tokens);
+            total.silent_ms = total
+                .silent_ms
+                .min(observed.silent_ms.saturating_add(age_ms));
+            total.stalled_routers = total
+                .stalled_routers
+                .saturating_add(observed.stalled_routers);
         }
     }
     totals
--- a/crates/control/src/serving/formation.rs
+++ b/crates/control/src/serving/formation.rs
@@ -10,7 +10,7 @@
 
 use railtack_consensus::{DiskId, ReplicaId};
 use railtack_rpc::{
-    FeatureLevel, call_deadline,
+    FeatureLevel, call_context,
     serving::{JoinReply, JoinRequest},
 };
 use tokio::time::{Instant, sleep};
@@ -51,7 +51,7 @@
                 replica,
                 disk,
                 address: leader_client.local_address().to_owned(),
-                level: FeatureLevel::OF_THIS_BUILD,
+                level: FeatureLevel::SUPPORTED,
             };
             send_join_requests(&leader_client, &request, &view.voters, &seeds).await;
         }
@@ -91,7 +91,7 @@
     let connection = leader_client.connection(target)?;
     let request = request.clone();
     connection
-        .call(|client| async move { client.join(call_deadline(JOIN_TIMEOUT), request).await })
+        .call(|client| async move { client.join(call_context(JOIN_TIMEOUT), request).await })
         .await
         .ok()
 }
--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -4,11 +4,11 @@
 
 use railtack_consensus::ReplicaId;
 use railtack_rpc::{
-    FeatureLevel, call_deadline,
+    FeatureLevel, call_context,
     serving::{ConfigurationDocument, ServingCommand, ServingOutcome},
 };
 use railtack_serving::{
-    FaultTolerance, HeldWeights, Life, ReplicaKey, ReplicaRecord, ReplicaState,
+    FaultTolerance, Incarnation, ModelWeights, ReplicaKey, ReplicaRecord, ReplicaState,
 };
 
 use crate::{
@@ -86,7 +86,8 @@
     ) -> Result<ServingOutcome, Unavailable> {
         self.require_formed()?;
         let level = self.leader_client.view().serving.level();
-        self.propose(ServingCommand::put(document, level)).await
+        self.propose(ServingCommand::put_document(document, level))
+            .await
     }
 
     /// The newest document, byte for byte.
@@ -100,10 +101,10 @@
     /// Sets the weights that the replicas of a model should hold.
     pub async fn set_target_weights(
         &self,
-        target: HeldWeights,
+        target: ModelWeights,
     ) -> Result<ServingOutcome, Unavailable> {
         self.require_formed()?;
-        self.propose(ServingCommand::NameWeights(target)).await
+        self.propose(ServingCommand::SetTargetWeights(target)).await
     }
 
     /// Accepts a heartbeat of a replica and returns where it should send the next ones. If the
@@ -190,7 +191,7 @@
         let replica = self.replica;
         // Without the request, the leader detects the silence of this replica.
         let _ = connection
-            .call(|client| async move { client.leave(call_deadline(LEAVE_TIMEOUT), replica).await })
+            .call(|client| async move { client.leave(call_context(LEAVE_TIMEOUT), replica).await })
             .await;
     }
 
@@ -217,7 +218,7 @@
     if view.serving.level() >= FeatureLevel::SHARED_GRANTS {
         return name;
     }
-    Life::named(&name).replica.to_owned()
+    Incarnation::parse(&name).replica.to_owned()
 }
 
 /// Whether the heartbeat's service is in the configuration, or the replica is already recorded.
--- a/crates/control/src/serving/leader.rs
+++ b/crates/control/src/serving/leader.rs
@@ -9,7 +9,7 @@
 
 use railtack_consensus::LogIndex;
 use railtack_rpc::{
-    ControlConnection, call_deadline,
+    ControlConnection, call_context,
     protocol::{Command, Outcome, Proposal, ProposeReply},
     serving::{ReadIndexReply, ServingCommand, ServingOutcome},
 };
@@ -133,7 +133,7 @@
     ) -> Option<ProposeReply> {
         let reply = self
             .node
-            .ask(|sender| Input::Propose(proposal.clone(), sender));
+            .request(|sender| Input::Propose(proposal.clone(), sender));
         timeout(timeout_after, reply).await.ok()?.ok()
     }
 
@@ -149,7 +149,9 @@
         let connection = self.connection(&leader)?;
         let proposal = proposal.clone();
         connection
-            .call(|client| async move { client.propose(call_deadline(timeout_after), proposal).await })
+            .call(
+                |client| async move { client.propose(call_context(timeout_after), proposal).await },
+            )
             .await
             .ok()
     }
@@ -175,13 +177,13 @@
     async fn read_index(&self) -> Option<LogIndex> {
         let leader = self.view().leader?;
         let reply = if leader == self.local_address {
-            let reply = self.node.ask(Input::ReadIndex);
+            let reply = self.node.request(Input::ReadIndex);
             timeout(ATTEMPT_TIMEOUT, reply).await.ok()?.ok()?
         } else {
             let connection = self.connection(&leader)?;
             connection
                 .call(
-                    |client| async move { client.read_index(call_deadline(ATTEMPT_TIMEOUT)).await },
+                    |client| async move { client.read_index(call_context(ATTEMPT_TIMEOUT)).await },
                 )
                 .await
                 .ok()?
--- a/crates/control/src/serving/ledger.rs
+++ b/crates/control/src/serving/ledger.rs
@@ -135,7 +135,7 @@
             // The quota changed at an unknown time since the last request, so the smaller bucket
             // applies.
             let previous_bucket = self.bounds.bucket(&state.quota, self.times);
-            state.refill(previous_bucket.smaller(bucket), now);
+            state.refill(previous_bucket.min(bucket), now);
             state.quota = withdrawal.quota;
         }
         state.refill(bucket, now);
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -9,9 +9,12 @@
 
 use futures::future::join_all;
 use railtack_rpc::{
-    FeatureLevel, call_deadline,
+    FeatureLevel, call_context,
     permits::LimitedReplica,
-    serving::{AliveNotice, AliveReply, FleetDigest, ReplicaSighting, ServingCommand, SignOfLife},
+    serving::{
+        FleetDigest, LivenessReply, LivenessReport, ReplicaHeartbeat, ReplicaObservation,
+        ServingCommand,
+    },
 };
 use railtack_serving::ReplicaKey;
 use tokio::time::{Instant, sleep};
@@ -130,12 +133,12 @@
     }
 
     /// Merges the report of another control replica; returns the leader's reply to it.
-    pub fn merge_report(&self, notice: AliveNotice) -> AliveReply {
+    pub fn merge_report(&self, notice: LivenessReport) -> LivenessReply {
         let now = Instant::now();
-        let signs = notice.signs();
+        let signs = notice.heartbeats();
         let fleet = {
             let mut fleet = self.fleet();
-            fleet.record_control_report(notice.sender, notice.sightings, now);
+            fleet.record_control_report(notice.sender, notice.observations, now);
             fleet.digest(now)
         };
         let mut state = self.lock();
@@ -148,7 +151,7 @@
         for router in notice.routers {
             state.remote_routers.insert(router, now);
         }
-        AliveReply {
+        LivenessReply {
             routers: state.live_router_count(),
             fleet,
         }
@@ -161,9 +164,9 @@
     }
 
     /// Records a router's observations at back-end replicas.
-    pub fn record_observations(&self, router: &str, sightings: Vec<ReplicaSighting>) {
+    pub fn record_observations(&self, router: &str, observations: Vec<ReplicaObservation>) {
         let now = Instant::now();
-        self.fleet().record_router_report(router, sightings, now);
+        self.fleet().record_router_report(router, observations, now);
     }
 
     /// Aggregated observations of all routers.
@@ -206,9 +209,9 @@
                 .find(|replica| ReplicaKey::of(replica) == change.replica);
             spdlog::info!("replica responsiveness changed", kv: {
                 replica = replica.cloned().unwrap_or_default(),
-                is_dark = change.is_dark,
-                waiting_in_vain = change.sighting.waiting_in_vain,
-                heard_ms = change.sighting.heard_ms,
+                is_dark = change.is_unresponsive,
+                waiting_in_vain = change.sighting.stalled_routers,
+                heard_ms = change.sighting.silent_ms,
                 open_requests = change.sighting.open_requests,
             });
         }
@@ -227,9 +230,9 @@
         sender: &str,
         leader: &str,
         group_level: FeatureLevel,
-    ) -> (AliveNotice, Instant) {
+    ) -> (LivenessReport, Instant) {
         let now = Instant::now();
-        let sightings = self.fleet().local_observations(now);
+        let observations = self.fleet().local_observations(now);
         let mut state = self.lock();
         state.leading_since = None;
         let last_report = state
@@ -253,25 +256,25 @@
         };
         let replicas = heartbeats.map(|(replica, heartbeat)| {
             let age = now.saturating_duration_since(heartbeat.received_at);
-            SignOfLife {
+            ReplicaHeartbeat {
                 replica: ReplicaKey::of(replica),
                 age_ms: u16::try_from(age.as_millis()).unwrap_or(u16::MAX),
             }
         });
         let routers = state.local_routers.iter();
         let recent = routers.filter(|(_, at)| at.elapsed() < MAX_FIRST_REPORT_AGE);
-        let notice = AliveNotice {
+        let notice = LivenessReport {
             identities,
             replicas: replicas.collect(),
             routers: recent.map(|(router, _)| router.clone()).collect(),
             sender: sender.to_owned(),
-            sightings,
+            observations,
         };
         (notice, now)
     }
 
     /// Records that the leader has received all heartbeats up to `through`, and applies its reply.
-    fn apply_reply(&self, leader: String, through: Instant, reply: AliveReply) {
+    fn apply_reply(&self, leader: String, through: Instant, reply: LivenessReply) {
         let mut state = self.lock();
         state.last_report = Some((leader, through));
         state.leader_router_count = reply.routers;
@@ -293,7 +296,7 @@
     /// may arrive after its sender has crashed and another incarnation has taken the address.
     pub async fn remove_if_silent(&self, leader_client: &LeaderClient, replica: &str) -> bool {
         let takeover_delay = self.address_takeover_delay();
-        let is_free = leader_client.view().leads && self.is_silent(replica, takeover_delay);
+        let is_free = leader_client.view().is_leader && self.is_silent(replica, takeover_delay);
         spdlog::info!("address is held by another replica", kv: { holder = replica.to_owned(), is_free });
         if !is_free {
             return false;
@@ -408,7 +411,7 @@
             scanned_at = Instant::now();
             liveness.remove_expired(|replica| view.serving.replicas().contains_key(replica));
         }
-        if view.leads {
+        if view.is_leader {
             liveness.mark_leading();
             liveness.build_digest(&view, permits.limited());
             if scan_due {
@@ -441,7 +444,7 @@
     let (notice, through) =
         liveness.build_report(leader_client.local_address(), &leader, group_level);
     let reply = connection
-        .call(|client| async move { client.alive(call_deadline(REPORT_TIMEOUT), notice).await })
+        .call(|client| async move { client.alive(call_context(REPORT_TIMEOUT), notice).await })
         .await;
     // Without a reply, the next report covers the same heartbeats again.
     if let Ok(reply) = reply {
--- a/crates/control/src/serving/order_dispatcher.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -12,7 +12,7 @@
 use railtack_clock::BootInstant;
 use railtack_rpc::serving::{ServingCommand, ServingOutcome};
 use railtack_serving::{
-    Availability, BackEndNotice, Bounds, HeldWeights, Moment, PendingOrder, ReplicaRecord,
+    Availability, BackEndSignals, Bounds, ModelWeights, MonotonicTime, PendingOrder, ReplicaRecord,
 };
 use tokio::time::{Instant, sleep, timeout};
 
@@ -115,7 +115,7 @@
     /// back-off.
     pub fn try_reserve(&self, replica: &str) -> bool {
         let mut state = self.lock();
-        state.availability.takes(replica, self.uptime())
+        state.availability.accepts_requests(replica, self.uptime())
             && state.in_progress.insert(replica.to_owned())
     }
 
@@ -127,7 +127,7 @@
         state
             .last_sent
             .retain(|replica, _| replicas.contains_key(replica));
-        state.availability.forget_past(now);
+        state.availability.remove_expired(now);
     }
 
     /// Runs a step for a reserved replica.
@@ -243,19 +243,19 @@
     /// Records the back-off that a replica asked for while it sheds load. Until it has passed, the
     /// replica gets no orders or requests for reports.
     fn record_back_off(&self, record: &ReplicaRecord, delay: Duration) {
-        let notice = BackEndNotice {
+        let notice = BackEndSignals {
             back_off: Some(delay),
-            ..BackEndNotice::default()
+            ..BackEndSignals::default()
         };
         spdlog::info!("replica asked for a back-off from orders", kv: {
             replica = record.id.clone(),
             back_off_ms = delay.as_millis() as u64,
         });
         let now = self.uptime();
-        self.lock().availability.note(&record.id, notice, now);
+        self.lock().availability.record(&record.id, notice, now);
     }
 
-    async fn record_weights(&self, record: &ReplicaRecord, weights: Vec<HeldWeights>) {
+    async fn record_weights(&self, record: &ReplicaRecord, weights: Vec<ModelWeights>) {
         let updated = ReplicaRecord {
             weights,
             ..record.clone()
@@ -316,12 +316,12 @@
     fn may_send(&self, order_lock: &HeldOrderLock) -> bool {
         let view = self.leader_client.view();
         let limit = Duration::from_millis(self.bounds.lease_ms / 3);
-        let age = view.leadership_age(self.started);
+        let age = view.leadership_confirmation_age(self.started);
         order_lock.is_held(view.term, self.refused_token()) && age.is_some_and(|age| age < limit)
     }
 
     /// Time since this process started.
-    fn uptime(&self) -> Moment {
+    fn uptime(&self) -> MonotonicTime {
         self.started.elapsed()
     }
 
--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -7,9 +7,7 @@
 };
 
 use railtack_clock::BootInstant;
-use railtack_rpc::permits::{
-    LimitStatement, LimitedReplica, PermitReply, PermitRequest, PermitStamp,
-};
+use railtack_rpc::permits::{LimitReport, LimitedReplica, PermitReply, PermitRequest, PermitStamp};
 use railtack_serving::ReplicaKey;
 use tokio::time::Instant;
 
@@ -54,7 +52,7 @@
         }
     }
 
-    fn observation(&self, statement: LimitStatement, now: Instant) -> LimitObservation {
+    fn observation(&self, statement: LimitReport, now: Instant) -> LimitObservation {
         let age = Duration::from_millis(u64::from(statement.age_ms));
         let permit = statement.permit.filter(|stamp| stamp.term == self.number);
         LimitObservation {
@@ -89,10 +87,11 @@
         let now = Instant::now();
         let mut term_slot = self.lock();
         let term = ledger_for_term(&mut term_slot, view.term, now);
-        let previous_limit = term.ledger.limit(&request.life);
-        let observation = term.observation(request.statement, now);
-        term.ledger.record(&request.life, observation, now);
-        let current_limit = term.ledger.limit(&request.life);
+        let previous_limit = term.ledger.limit(&request.incarnation_id);
+        let observation = term.observation(request.report, now);
+        term.ledger
+            .record(&request.incarnation_id, observation, now);
+        let current_limit = term.ledger.limit(&request.incarnation_id);
         if previous_limit != current_limit {
             log_change(
                 request,
@@ -104,20 +103,23 @@
             return PermitReply::Unlimited;
         };
         if !request.wants_permit {
-            let room_in_ms = 0;
-            return PermitReply::Withheld { limit, room_in_ms };
+            let retry_after_ms = 0;
+            return PermitReply::Denied {
+                limit,
+                retry_after_ms,
+            };
         }
         self.metrics.permits_asked.inc();
-        match term.ledger.acquire(&request.life, now) {
-            PermitDecision::Granted(limit) => PermitReply::Given {
+        match term.ledger.acquire(&request.incarnation_id, now) {
+            PermitDecision::Granted(limit) => PermitReply::Granted {
                 limit,
                 stamp: term.stamp(now),
             },
             PermitDecision::Denied { limit, retry_after } => {
                 self.metrics.permits_withheld.inc();
-                PermitReply::Withheld {
+                PermitReply::Denied {
                     limit,
-                    room_in_ms: retry_after.as_millis() as u32 + 1,
+                    retry_after_ms: retry_after.as_millis() as u32 + 1,
                 }
             }
             PermitDecision::Unlimited => PermitReply::Unlimited,
@@ -136,7 +138,7 @@
             .ledger
             .limited(now)
             .map(|(incarnation_id, limit, age)| {
-                let named_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
+                let advertised_age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
                 LimitedReplica {
                     replica: ReplicaKey::of(incarnation_id),
                     limit,
@@ -161,10 +163,10 @@
 
 fn log_change(request: &PermitRequest, term: u64, per_s: Option<f64>) {
     spdlog::info!("limit of a back end changed", kv: {
-        replica = request.life.clone(),
+        replica = request.incarnation_id.clone(),
         per_s = per_s.unwrap_or_default(),
         is_lifted = per_s.is_none(),
-        heard_ms = request.statement.age_ms,
+        heard_ms = request.report.age_ms,
         term,
     });
 }
--- a/crates/control/src/serving/quarantine.rs
+++ b/crates/control/src/serving/quarantine.rs
@@ -10,7 +10,7 @@
 
 use futures::future::join_all;
 use railtack_consensus::LogIndex;
-use railtack_rpc::serving::{QUARANTINE_TIME, ServingCommand};
+use railtack_rpc::serving::{QUARANTINE_DURATION, ServingCommand};
 use railtack_serving::ContentKey;
 use tokio::time::{Instant, sleep};
 
@@ -45,7 +45,7 @@
             if entry.0 != suspect.changed_at() {
                 *entry = (suspect.changed_at(), now);
             }
-            if now.saturating_duration_since(entry.1) >= QUARANTINE_TIME {
+            if now.saturating_duration_since(entry.1) >= QUARANTINE_DURATION {
                 due.push((*content, entry.0));
             }
         }
@@ -64,7 +64,7 @@
         log_changes(quarantine, &mut quarantined);
         metrics.quarantined.set(quarantined.len() as i64);
         metrics.suspects.set(quarantine.suspects().len() as i64);
-        if !view.leads {
+        if !view.is_leader {
             timers = ReleaseTimers::default();
             continue;
         }
--- a/crates/control/src/serving/quota.rs
+++ b/crates/control/src/serving/quota.rs
@@ -11,10 +11,10 @@
 };
 
 use railtack_clock::BootInstant;
-use railtack_rpc::serving::{GRANT_LIFE, QuotaReply, QuotaRequest, QuotaSubject};
+use railtack_rpc::serving::{GRANT_TTL, QuotaReply, QuotaRequest, QuotaSubject};
 use railtack_serving::{
     Bounds, GrantTimes, TenantQuota,
-    retries::{lent_bounds, lent_quota},
+    retries::{shared_retry_bounds, shared_retry_quota},
 };
 use tokio::time::{Instant, sleep};
 
@@ -60,7 +60,7 @@
         Self {
             term,
             tenants: new_ledger(bounds.quota, grant_times(), now),
-            retries: new_ledger(lent_bounds(bounds), grant_times(), now),
+            retries: new_ledger(shared_retry_bounds(bounds), grant_times(), now),
         }
     }
 
@@ -108,7 +108,7 @@
             }
             QuotaSubject::Retries { service } => {
                 let is_known = view.serving.configuration().service(service).is_some();
-                let Some(quota) = lent_quota(&self.bounds).filter(|_| is_known) else {
+                let Some(quota) = shared_retry_quota(&self.bounds).filter(|_| is_known) else {
                     return self.refuse(Duration::ZERO, 0, 0.0, view.term);
                 };
                 (service, quota)
@@ -117,7 +117,7 @@
         let withdrawal = Withdrawal {
             account,
             quota,
-            cost: quota.cost(request.stated_tokens),
+            cost: quota.cost(request.declared_tokens),
             max_wait: Duration::from_millis(u64::from(request.longest_wait_ms)),
         };
         let decision = self.withdraw(view.term, &request.subject, withdrawal);
@@ -179,14 +179,14 @@
 /// Whether the last proof of leadership is at most [`MAX_LEADERSHIP_PROOF_AGE`] old. `started` is
 /// the start of the replica's clock.
 pub fn has_fresh_leadership(view: &NodeView, started: BootInstant) -> bool {
-    let age = view.leadership_age(started);
+    let age = view.leadership_confirmation_age(started);
     age.is_some_and(|age| age < MAX_LEADERSHIP_PROOF_AGE)
 }
 
 /// Times by which a grant may be used late or granted twice, covered by the margin above a quota.
 pub fn grant_times() -> GrantTimes {
     GrantTimes {
-        grant_life: GRANT_LIFE,
+        grant_ttl: GRANT_TTL,
         leader_overlap: MAX_LEADERSHIP_PROOF_AGE,
     }
 }
--- a/crates/control/src/serving/rollout_driver.rs
+++ b/crates/control/src/serving/rollout_driver.rs
@@ -94,7 +94,7 @@
         // Followers record the ages too, since they may become leader.
         self.record_targets(&view);
         self.record_finished_loads(&view);
-        if !view.leads {
+        if !view.is_leader {
             self.order_lock = None;
             return false;
         }
@@ -195,11 +195,11 @@
     }
 
     async fn acquire(&self, term: u64) -> Option<HeldOrderLock> {
-        let command = ServingCommand::AcquireOrders {
+        let command = ServingCommand::AcquireOrderLock {
             holder: self.node.clone(),
         };
         let outcome = self.leader_client.propose_if_leader(command).await?;
-        let ServingOutcome::OrdersAcquired { token, taken_over } = outcome else {
+        let ServingOutcome::OrderLockAcquired { token, taken_over } = outcome else {
             return None;
         };
         let wait_ms = if taken_over { self.bounds.lease_ms } else { 0 };
--- a/crates/control/src/serving/watch.rs
+++ b/crates/control/src/serving/watch.rs
@@ -79,22 +79,22 @@
         // suspensions.
         let held_since = BootInstant::now();
         self.liveness.record_router_request(&request.router);
-        let sightings = std::mem::take(&mut request.sightings);
+        let observations = std::mem::take(&mut request.observations);
         self.liveness
-            .record_observations(&request.router, sightings);
+            .record_observations(&request.router, observations);
         self.update_times(|times| times.last_request_at = Some(received_at));
         let deadline = received_at + Duration::from_millis(request.wait_ms.min(MAX_WAIT_MS));
         let mut receiver = self.leader_client.node().view();
         // If the router is ahead of this replica, wait until the replica has caught up.
         let known = request.known;
-        let known_through = if request.takes_records {
-            known.records_through
+        let known_through = if request.wants_records {
+            known.records
         } else {
-            known.changes_through
+            known.changes
         };
         let changed = receiver.wait_for(|view| {
             let changed_at = view.serving.changed_at();
-            changed_at > known_through && changed_at >= known.through
+            changed_at > known_through && changed_at >= known.state
         });
         let reply_due = async {
             tokio::select! {
@@ -108,9 +108,9 @@
         let delay = batching_delay(&request, received_at.elapsed(), interval);
         sleep(delay).await;
         let view = self.leader_client.view();
-        let update = if !request.takes_parts {
+        let update = if !request.accepts_partial {
             view.serving.full_update_after(known)
-        } else if request.takes_records {
+        } else if request.wants_records {
             view.serving.update_after(known)
         } else {
             view.serving.known_changes_after(known)
@@ -144,8 +144,8 @@
     }
 
     fn confirmed_age_ms(&self, view: &NodeView) -> Option<u64> {
-        if view.leads {
-            let age = view.leadership_age(self.started)?;
+        if view.is_leader {
+            let age = view.leadership_confirmation_age(self.started)?;
             return Some(age.as_millis() as u64);
         }
         let confirmed_at = self.times().confirmed_at?;
@@ -187,7 +187,7 @@
 /// succession are batched, and a change after a pause is sent at once. The delay stays within the
 /// wait that the request allows; a router without a lease allows none.
 pub fn batching_delay(request: &WatchRequest, elapsed: Duration, interval: Duration) -> Duration {
-    let is_incomplete = request.known.through == 0 || !request.known.is_whole();
+    let is_incomplete = request.known.state == 0 || !request.known.is_complete();
     if is_incomplete || !request.has_lease {
         return Duration::ZERO;
     }
@@ -203,7 +203,7 @@
 pub async fn run_confirmations(server: Arc<WatchServer>) {
     loop {
         sleep(CONFIRM_INTERVAL).await;
-        if !server.has_recent_requests() || server.leader_client.view().leads {
+        if !server.has_recent_requests() || server.leader_client.view().is_leader {
             continue;
         }
         let received_at = BootInstant::now();
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -26,8 +26,8 @@
     },
 };
 use railtack_serving::{
-    HeldWeights, Life, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState, ServingConfiguration,
-    TenantQuota,
+    Incarnation, ModelWeights, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState,
+    ServingConfiguration, TenantQuota,
 };
 
 mod crash_reports;
@@ -66,7 +66,7 @@
 impl Default for ServingState {
     /// The state of a new group in which all members run this build.
     fn default() -> Self {
-        Self::at(FeatureLevel::OF_THIS_BUILD)
+        Self::at(FeatureLevel::SUPPORTED)
     }
 }
 
@@ -116,17 +116,17 @@
     /// Whether an incarnation has ended for good or was replaced by a newer one, so that its
     /// messages are late.
     pub fn has_departed(&self, replica: &str) -> bool {
-        let incarnation = Life::named(replica);
+        let incarnation = Incarnation::parse(replica);
         let current = self.replicas.current_incarnation_id(incarnation.replica);
         let is_superseded =
-            current.is_some_and(|current| Life::named(current).is_newer_than(&incarnation));
+            current.is_some_and(|current| Incarnation::parse(current).is_newer_than(&incarnation));
         is_superseded || self.tombstones.has_ended(replica)
     }
 
     /// Returns the id of the known incarnation if `name` is a replica's name without a start time,
     /// and `name` otherwise.
     pub fn resolve_incarnation_id<'a>(&'a self, name: &'a str) -> &'a str {
-        if Life::named(name).born_ms.is_some() {
+        if Incarnation::parse(name).started_ms.is_some() {
             return name;
         }
         self.replicas
@@ -153,7 +153,7 @@
     pub fn apply(&mut self, index: LogIndex, command: ServingCommand) -> ServingOutcome {
         // Some previous builds proposed commands above the group's level in groups without other
         // members.
-        self.level = self.level.max(command.needs_level());
+        self.level = self.level.max(command.required_level());
         match command {
             ServingCommand::PutDocument(document) => self.put_document(index, document),
             ServingCommand::PutDocumentWithQuotas {
@@ -180,27 +180,27 @@
             }
             ServingCommand::Deregister { replica } => self.deregister(index, &replica),
             ServingCommand::Expire { replica } => self.expire(index, &replica),
-            ServingCommand::NameWeights(target) => self.set_target_weights(index, target),
-            ServingCommand::AcquireOrders { holder } => self.acquire_orders(index, holder),
+            ServingCommand::SetTargetWeights(target) => self.set_target_weights(index, target),
+            ServingCommand::AcquireOrderLock { holder } => self.acquire_orders(index, holder),
             ServingCommand::BeginOrder {
                 token,
                 replica,
                 order,
             } => self.begin_order(index, token, &replica, order),
-            ServingCommand::RecordEnd {
+            ServingCommand::RecordCrash {
                 replica,
                 contents,
-                witness,
+                reporter,
             } => {
-                if let Some(witness) = witness {
-                    self.report_crash(index, replica, witness);
+                if let Some(reporter) = reporter {
+                    self.report_crash(index, replica, reporter);
                 }
                 let told = self.update_quarantine(|quarantine| {
                     quarantine.record_crash(index, replica, &contents);
                 });
-                ServingOutcome::EndRecorded(told.clone())
+                ServingOutcome::CrashRecorded(told.clone())
             }
-            ServingCommand::ClearContents { contents } => {
+            ServingCommand::ClearSuspects { contents } => {
                 self.update_quarantine(|quarantine| quarantine.clear(index, &contents));
                 ServingOutcome::Done
             }
@@ -300,9 +300,9 @@
     /// no state from it, and the previous one need not be silent first, since the replica itself
     /// reports which incarnation is newer.
     fn previous_incarnation_id(&self, name: &str) -> Option<String> {
-        let incarnation = Life::named(name);
+        let incarnation = Incarnation::parse(name);
         let current = self.replicas.current_incarnation_id(incarnation.replica)?;
-        let is_superseded = incarnation.is_newer_than(&Life::named(current));
+        let is_superseded = incarnation.is_newer_than(&Incarnation::parse(current));
         is_superseded.then(|| current.clone())
     }
 
@@ -369,7 +369,7 @@
         self.tombstones.record_removal(index, replica);
     }
 
-    fn set_target_weights(&mut self, index: LogIndex, target: HeldWeights) -> ServingOutcome {
+    fn set_target_weights(&mut self, index: LogIndex, target: ModelWeights) -> ServingOutcome {
         let known = self.weights.get(&target.model).copied().unwrap_or(0);
         if target.version <= known {
             return ServingOutcome::Superseded;
@@ -395,7 +395,7 @@
             holder,
             token: index,
         });
-        ServingOutcome::OrdersAcquired {
+        ServingOutcome::OrderLockAcquired {
             token: index,
             taken_over,
         }
--- a/crates/control/src/serving_state/quarantine.rs
+++ b/crates/control/src/serving_state/quarantine.rs
@@ -14,12 +14,12 @@
 };
 
 use railtack_consensus::LogIndex;
-use railtack_rpc::serving::{ENDS_TO_QUARANTINE, QuarantineUpdate, SuspectStatus};
+use railtack_rpc::serving::{CRASHES_TO_QUARANTINE, QuarantineUpdate, SuspectStatus};
 use railtack_serving::{ContentKey, ReplicaKey};
 use speedy::{Readable, Writable};
 
-/// [`ENDS_TO_QUARANTINE`] as a length.
-const CRASHES_FOR_BLAME: usize = ENDS_TO_QUARANTINE as usize;
+/// [`CRASHES_TO_QUARANTINE`] as a length.
+const CRASHES_FOR_BLAME: usize = CRASHES_TO_QUARANTINE as usize;
 /// Crashes after which a request is quarantined although another one was present each time: one of
 /// the two may be harmless, but further crashes cost more.
 pub const CRASHES_DESPITE_RIVAL: usize = 6;
@@ -77,7 +77,7 @@
             .iter()
             .map(|(content, suspect)| SuspectStatus {
                 content: *content,
-                ends: suspect.crashes.len() as u32,
+                crashes: suspect.crashes.len() as u32,
                 is_quarantined: suspect.is_quarantined,
                 changed_at: suspect.changed_at,
             })
@@ -184,7 +184,7 @@
             if suspect.is_quarantined {
                 told.quarantined.push(*content);
             } else if suspect.crashes.len() >= CRASHES_TO_WATCH {
-                told.watched.push(*content);
+                told.suspected.push(*content);
             }
         }
         if told != self.update {
--- a/crates/control/src/serving_state/registry.rs
+++ b/crates/control/src/serving_state/registry.rs
@@ -54,7 +54,7 @@
     pub fn insert(&mut self, record: ReplicaRecord) {
         self.remove(&record.id);
         let id = record.id.clone();
-        let replica = record.instance().to_owned();
+        let replica = record.replica_name().to_owned();
         self.current_incarnation_ids.insert_mut(replica, id.clone());
         self.ids_by_address
             .insert_mut(record.address.clone(), id.clone());
@@ -70,8 +70,9 @@
         if self.ids_by_address.get(&record.address) == Some(&record.id) {
             self.ids_by_address.remove_mut(&record.address);
         }
-        if self.current_incarnation_ids.get(record.instance()) == Some(&record.id) {
-            self.current_incarnation_ids.remove_mut(record.instance());
+        if self.current_incarnation_ids.get(record.replica_name()) == Some(&record.id) {
+            self.current_incarnation_ids
+                .remove_mut(record.replica_name());
         }
         self.by_change.remove_mut(&(record.changed_at, record.id));
         self.records.remove_mut(replica);
--- a/crates/control/src/serving_state/tombstones.rs
+++ b/crates/control/src/serving_state/tombstones.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use railtack_consensus::LogIndex;
-use railtack_serving::Life;
+use railtack_serving::Incarnation;
 use rpds::RedBlackTreeSetSync;
 
 const MAX_TOMBSTONES: usize = 1_024;
@@ -14,16 +14,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RemovedIncarnation {
     replica: String,
-    born_ms: Option<u64>,
+    started_ms: Option<u64>,
     removed_at: LogIndex,
 }
 
 impl RemovedIncarnation {
     fn of(index: LogIndex, incarnation_id: &str) -> Self {
-        let incarnation = Life::named(incarnation_id);
+        let incarnation = Incarnation::parse(incarnation_id);
         Self {
             replica: incarnation.replica.to_owned(),
-            born_ms: incarnation.born_ms,
+            started_ms: incarnation.started_ms,
             removed_at: index,
         }
     }
@@ -83,7 +83,7 @@
     fn has_newer_removal(&self, incarnation_id: &str) -> bool {
         let start = RemovedIncarnation::of(LogIndex::MAX, incarnation_id);
         let newer = self.by_incarnation.range(start..).next();
-        newer.is_some_and(|removal| removal.replica == Life::named(incarnation_id).replica)
+        newer.is_some_and(|removal| removal.replica == Incarnation::parse(incarnation_id).replica)
     }
 
     /// Incarnations removed after a log position.
--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -2,8 +2,8 @@
 //! bounded size.
 
 use railtack_consensus::LogIndex;
-use railtack_rpc::serving::{Known, ServingUpdate};
-use railtack_serving::{HeldWeights, Life, ReplicaRecord};
+use railtack_rpc::serving::{ServingUpdate, WatchPosition};
+use railtack_serving::{Incarnation, ModelWeights, ReplicaRecord};
 
 use super::ServingState;
 
@@ -24,7 +24,7 @@
     /// Returns the changes after the position of a router; `None` if there are none, or if the
     /// router is ahead of this replica. The update holds all other changes, and as many records as
     /// fit.
-    pub fn update_after(&self, known: Known) -> Option<ServingUpdate> {
+    pub fn update_after(&self, known: WatchPosition) -> Option<ServingUpdate> {
         let limits = UpdateLimits {
             records: MAX_RECORDS_PER_UPDATE,
             unknown_records: MAX_RECORDS_PER_UPDATE,
@@ -33,7 +33,7 @@
     }
 
     /// Like [`Self::update_after`], but without records that the router has not received before.
-    pub fn known_changes_after(&self, known: Known) -> Option<ServingUpdate> {
+    pub fn known_changes_after(&self, known: WatchPosition) -> Option<ServingUpdate> {
         let limits = UpdateLimits {
             records: MAX_RECORDS_PER_UPDATE,
             unknown_records: 0,
@@ -44,68 +44,72 @@
 
     /// Returns all changes in one update, for routers of builds that do not accept partial updates
     /// and identify replicas by name alone.
-    pub fn full_update_after(&self, known: Known) -> Option<ServingUpdate> {
+    pub fn full_update_after(&self, known: WatchPosition) -> Option<ServingUpdate> {
         let limits = UpdateLimits {
             records: usize::MAX,
             unknown_records: usize::MAX,
         };
         let mut update = self.build_update(known, limits)?;
         for record in &mut update.replicas {
-            record.id = record.instance().to_owned();
+            record.id = record.replica_name().to_owned();
         }
         let ended = update.removed.into_iter();
-        let ended = ended.map(|name| Life::named(&name).replica.to_owned());
+        let ended = ended.map(|name| Incarnation::parse(&name).replica.to_owned());
         update.removed = ended
             .filter(|replica| self.replicas.current_incarnation_id(replica).is_none())
             .collect();
         Some(update)
     }
 
-    fn build_update(&self, known: Known, limits: UpdateLimits) -> Option<ServingUpdate> {
-        if known.through > self.changed_at || known.records_through >= self.changed_at {
+    fn build_update(&self, known: WatchPosition, limits: UpdateLimits) -> Option<ServingUpdate> {
+        if known.state > self.changed_at || known.records >= self.changed_at {
             return None;
         }
-        let complete = known.through == 0 || known.through < self.tombstones.evicted_through();
+        let complete = known.state == 0 || known.state < self.tombstones.evicted_through();
         let (replicas, position) = if complete {
             self.initial_records(limits)
         } else {
             self.records_after(known, limits)
         };
         let configuration =
-            (self.configuration_at > known.through).then(|| self.configuration().clone());
+            (self.configuration_at > known.state).then(|| self.configuration().clone());
         let quarantine = Some(self.quarantine.update())
-            .filter(|told| told.changed_at > known.through)
+            .filter(|told| told.changed_at > known.state)
             .cloned();
         Some(ServingUpdate {
             known: position,
             configuration,
             complete,
             replicas,
-            removed: self.removed_after(known.through),
+            removed: self.removed_after(known.state),
             weights: self.target_weights(),
             quarantine,
         })
     }
 
     /// Records for a router that has none yet, so that none of its records can be stale.
-    fn initial_records(&self, limits: UpdateLimits) -> (Vec<ReplicaRecord>, Known) {
+    fn initial_records(&self, limits: UpdateLimits) -> (Vec<ReplicaRecord>, WatchPosition) {
         let (records, records_through) =
             self.records_between(0, self.changed_at, limits.unknown_records);
-        let position = Known {
-            through: self.changed_at,
-            changes_through: self.changed_at,
-            records_through,
+        let position = WatchPosition {
+            state: self.changed_at,
+            changes: self.changed_at,
+            records: records_through,
         };
         (records, position)
     }
 
     /// Records for one update: first the changes of records that the router has, then as many of
     /// the others as fit.
-    fn records_after(&self, known: Known, limits: UpdateLimits) -> (Vec<ReplicaRecord>, Known) {
+    fn records_after(
+        &self,
+        known: WatchPosition,
+        limits: UpdateLimits,
+    ) -> (Vec<ReplicaRecord>, WatchPosition) {
         let (mut records, changes_through) =
-            self.records_between(known.changes_through, self.changed_at, limits.records);
-        let had_all_records = known.records_through >= known.changes_through;
-        let mut records_through = known.records_through;
+            self.records_between(known.changes, self.changed_at, limits.records);
+        let had_all_records = known.records >= known.changes;
+        let mut records_through = known.records;
         let room = limits
             .records
             .saturating_sub(records.len())
@@ -114,19 +118,19 @@
             records_through = changes_through;
         } else if changes_through == self.changed_at && room > 0 {
             let (new_records, sent_through) =
-                self.records_between(known.records_through, known.changes_through, room);
+                self.records_between(known.records, known.changes, room);
             records.extend(new_records);
             // The router has all records now.
-            records_through = if sent_through == known.changes_through {
+            records_through = if sent_through == known.changes {
                 changes_through
             } else {
                 sent_through
             };
         }
-        let position = Known {
-            through: self.changed_at,
-            changes_through,
-            records_through,
+        let position = WatchPosition {
+            state: self.changed_at,
+            changes: changes_through,
+            records: records_through,
         };
         (records, position)
     }
@@ -158,8 +162,8 @@
         self.tombstones.removed_after(known).cloned().collect()
     }
 
-    fn target_weights(&self) -> Vec<HeldWeights> {
-        let targets = self.weights.iter().map(|(model, version)| HeldWeights {
+    fn target_weights(&self) -> Vec<ModelWeights> {
+        let targets = self.weights.iter().map(|(model, version)| ModelWeights {
             model: model.clone(),
             version: *version,
         });
--- a/crates/control/tests/first_level.rs
+++ b/crates/control/tests/first_level.rs
@@ -11,8 +11,8 @@
     serving::{ConfigurationDocument, ServingCommand, ServingOutcome},
 };
 use railtack_serving::{
-    HeldWeights, PendingOrder, QuotaUnit, ReplicaRecord, ReplicaState, ServingConfiguration,
-    TenantQuota, TenantShape,
+    ModelWeights, PendingOrder, QuotaUnit, ReplicaRecord, ReplicaState, ServingConfiguration,
+    TenantConfig, TenantQuota,
 };
 use speedy::{Readable, Writable};
 
@@ -20,7 +20,7 @@
     unit: QuotaUnit::Requests,
     rate_per_s: 5,
     burst: 10,
-    unstated_tokens: 0,
+    default_tokens: 0,
 };
 
 fn document(revision: u64) -> ConfigurationDocument {
@@ -29,7 +29,7 @@
         content: revision.to_le_bytes().to_vec(),
         configuration: ServingConfiguration {
             revision,
-            tenants: vec![TenantShape {
+            tenants: vec![TenantConfig {
                 name: "registry".to_owned(),
                 api_keys: vec!["key".to_owned()],
                 priority: None,
@@ -63,7 +63,7 @@
             } else {
                 ReplicaState::Ready
             },
-            weights: vec![HeldWeights {
+            weights: vec![ModelWeights {
                 model: model.clone(),
                 version,
             }],
@@ -80,8 +80,8 @@
                 replica,
                 order: PendingOrder { model, version },
             },
-            _ if leaves => ServingCommand::AcquireOrders { holder: replica },
-            _ => ServingCommand::NameWeights(HeldWeights { model, version }),
+            _ if leaves => ServingCommand::AcquireOrderLock { holder: replica },
+            _ => ServingCommand::SetTargetWeights(ModelWeights { model, version }),
         })
     }
 }
@@ -114,7 +114,7 @@
 
 fn raise_level(revision: u64) -> ServingCommand {
     ServingCommand::RaiseLevel {
-        level: FeatureLevel::OF_THIS_BUILD,
+        level: FeatureLevel::SUPPORTED,
         revision,
         quotas: document(revision).configuration.quotas(),
     }
@@ -123,8 +123,8 @@
 #[test]
 fn quotas_apply_once_the_level_is_raised() {
     let mut state = ServingState::at(FeatureLevel::FIRST);
-    let put = ServingCommand::put(document(3), state.level());
-    assert!(put.fits(FeatureLevel::FIRST));
+    let put = ServingCommand::put_document(document(3), state.level());
+    assert!(put.is_supported_at(FeatureLevel::FIRST));
     state.apply(1, from_log(&put));
     assert_eq!(state.configuration().tenants[0].quota, None);
     // Quotas of a replaced document must not raise the level.
@@ -134,7 +134,7 @@
         state.apply(3, from_log(&raise_level(3))),
         ServingOutcome::Done
     );
-    assert_eq!(state.level(), FeatureLevel::OF_THIS_BUILD);
+    assert_eq!(state.level(), FeatureLevel::SUPPORTED);
     assert_eq!(state.configuration().tenants[0].quota, Some(QUOTA));
     assert_eq!(state.apply(4, raise_level(3)), ServingOutcome::Superseded);
     let bytes = state.write_to_vec().expect("encoded");
@@ -143,8 +143,8 @@
         state
     );
     // A document proposed before the level was raised would remove the quotas.
-    assert!(!put.fits(state.level()));
-    let put = ServingCommand::put(document(4), state.level());
+    assert!(!put.is_supported_at(state.level()));
+    let put = ServingCommand::put_document(document(4), state.level());
     state.apply(5, from_log(&put));
     assert_eq!(state.configuration().tenants[0].quota, Some(QUOTA));
 }
@@ -171,29 +171,29 @@
 #[test]
 fn the_level_is_raised_only_once_all_members_support_it() {
     let leader = ReplicaId(1);
-    let highest = FeatureLevel::OF_THIS_BUILD;
+    let highest = FeatureLevel::SUPPORTED;
     let group = membership(3, 1);
     let mut levels = MemberLevels::default();
     for member in 2..=4 {
-        levels.hear(ReplicaId(member), highest, 10);
+        levels.record(ReplicaId(member), highest, 10);
     }
     // Levels reported before this replica became leader may be outdated.
-    assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
-    levels.note_lead(true, 20);
-    assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
-    levels.hear(ReplicaId(2), highest, 30);
-    levels.hear(ReplicaId(3), highest, 30);
+    assert_eq!(levels.common_level(leader, &group), FeatureLevel::FIRST);
+    levels.set_leading(true, 20);
+    assert_eq!(levels.common_level(leader, &group), FeatureLevel::FIRST);
+    levels.record(ReplicaId(2), highest, 30);
+    levels.record(ReplicaId(3), highest, 30);
     // The learner has not reported a level.
-    assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
-    levels.hear(ReplicaId(4), highest, 31);
-    assert_eq!(levels.common(leader, &group), highest);
+    assert_eq!(levels.common_level(leader, &group), FeatureLevel::FIRST);
+    levels.record(ReplicaId(4), highest, 31);
+    assert_eq!(levels.common_level(leader, &group), highest);
     // A member is downgraded to the previous build.
-    levels.hear(ReplicaId(3), FeatureLevel::FIRST, 40);
-    assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
-    levels.hear(ReplicaId(3), FeatureLevel(highest.0 + 1), 50);
-    assert_eq!(levels.common(leader, &group), highest);
-    levels.note_lead(false, 60);
-    assert_eq!(levels.common(leader, &group), FeatureLevel::FIRST);
-    levels.note_lead(true, 70);
-    assert_eq!(levels.common(leader, &membership(1, 0)), highest);
+    levels.record(ReplicaId(3), FeatureLevel::FIRST, 40);
+    assert_eq!(levels.common_level(leader, &group), FeatureLevel::FIRST);
+    levels.record(ReplicaId(3), FeatureLevel(highest.0 + 1), 50);
+    assert_eq!(levels.common_level(leader, &group), highest);
+    levels.set_leading(false, 60);
+    assert_eq!(levels.common_level(leader, &group), FeatureLevel::FIRST);
+    levels.set_leading(true, 70);
+    assert_eq!(levels.common_level(leader, &membership(1, 0)), highest);
 }
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::{TestResult, quickcheck};
 use railtack_control::serving::fleet::{FleetView, KnownReplica};
-use railtack_rpc::serving::{FleetDigest, ReplicaSighting};
+use railtack_rpc::serving::{FleetDigest, ReplicaObservation};
 use railtack_serving::ReplicaKey;
 use tokio::time::Instant;
 
@@ -13,15 +13,15 @@
 fn observation(
     replica: u32,
     open_requests: u16,
-    heard_ms: u16,
+    silent_ms: u16,
     is_stalled: bool,
-) -> ReplicaSighting {
-    ReplicaSighting {
+) -> ReplicaObservation {
+    ReplicaObservation {
         replica: ReplicaKey(replica),
         open_requests,
-        unread_tokens: u32::from(open_requests) * 100,
-        heard_ms,
-        waiting_in_vain: u16::from(is_stalled),
+        pending_prefill_tokens: u32::from(open_requests) * 100,
+        silent_ms,
+        stalled_routers: u16::from(is_stalled),
     }
 }
 
@@ -42,7 +42,7 @@
 fn unresponsive(digest: &FleetDigest) -> Vec<u32> {
     let replicas = digest.replicas.iter();
     replicas
-        .filter(|condition| condition.is_dark)
+        .filter(|condition| condition.is_unresponsive)
         .map(|condition| condition.replica.0)
         .collect()
 }
@@ -60,7 +60,7 @@
     let digest = leader.digest(start).expect("a digest");
     assert_eq!(digest.replicas.len(), 1);
     assert_eq!(digest.replicas[0].open_requests, 6);
-    assert_eq!(digest.replicas[0].unread_tokens, 600);
+    assert_eq!(digest.replicas[0].pending_prefill_tokens, 600);
 }
 
 #[test]
@@ -104,7 +104,7 @@
     leader.record_router_report("r3", vec![observation(1, 1, 1_100, true)], now);
     let changes = leader.build_digest(&replicas, HEARTBEAT, now);
     assert_eq!(changes.len(), 1);
-    assert!(changes[0].is_dark);
+    assert!(changes[0].is_unresponsive);
     assert_eq!(unresponsive(&leader.digest(now).expect("a digest")), [1]);
     // Routers send no requests there any more, so none is stalled; the replica stays unresponsive.
     let now = after(start, 3_500);
@@ -112,7 +112,7 @@
     assert!(leader.build_digest(&replicas, HEARTBEAT, now).is_empty());
     leader.record_router_report("r2", vec![observation(1, 0, 20, false)], now);
     let changes = leader.build_digest(&replicas, HEARTBEAT, now);
-    assert!(!changes[0].is_dark);
+    assert!(!changes[0].is_unresponsive);
 }
 
 #[test]
--- a/crates/control/tests/incarnations.rs
+++ b/crates/control/tests/incarnations.rs
@@ -2,26 +2,30 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use railtack_control::serving_state::ServingState;
-use railtack_rpc::serving::{Known, ServingCommand, ServingOutcome};
-use railtack_serving::{HeldWeights, Life, PendingOrder, ReplicaRecord, ReplicaState};
+use railtack_rpc::serving::{ServingCommand, ServingOutcome, WatchPosition};
+use railtack_serving::{Incarnation, ModelWeights, PendingOrder, ReplicaRecord, ReplicaState};
 use speedy::{Readable, Writable};
 
 const REPLICA: &str = "i-1";
 
-fn id(born_ms: Option<u64>) -> String {
+fn id(started_ms: Option<u64>) -> String {
     let replica = REPLICA;
-    Life { replica, born_ms }.to_string()
+    Incarnation {
+        replica,
+        started_ms,
+    }
+    .to_string()
 }
 
-fn record(born_ms: Option<u64>, address: &str) -> ReplicaRecord {
+fn record(started_ms: Option<u64>, address: &str) -> ReplicaRecord {
     ReplicaRecord {
-        id: id(born_ms),
+        id: id(started_ms),
         service: "pool".to_owned(),
         address: address.to_owned(),
         zone: "a".to_owned(),
         slots: 4,
         state: ReplicaState::Ready,
-        weights: vec![HeldWeights {
+        weights: vec![ModelWeights {
             model: "m".to_owned(),
             version: 3,
         }],
@@ -30,31 +34,39 @@
     }
 }
 
-fn register(born_ms: u64) -> ServingCommand {
-    ServingCommand::Register(record(Some(born_ms), "h:1"))
+fn register(started_ms: u64) -> ServingCommand {
+    ServingCommand::Register(record(Some(started_ms), "h:1"))
 }
 
 /// Start times of the replica's recorded incarnations.
 fn start_times(state: &ServingState) -> Vec<Option<u64>> {
     let names = state.replicas().keys();
-    names.map(|name| Life::named(name).born_ms).collect()
+    names
+        .map(|name| Incarnation::parse(name).started_ms)
+        .collect()
 }
 
 #[test]
 fn an_incarnation_id_holds_the_replica_and_its_start_time() {
-    let incarnation = Life {
+    let incarnation = Incarnation {
         replica: REPLICA,
-        born_ms: Some(17),
+        started_ms: Some(17),
     };
     assert_eq!(incarnation.to_string(), "i-1#17");
-    assert_eq!(Life::named("i-1#17"), incarnation);
+    assert_eq!(Incarnation::parse("i-1#17"), incarnation);
     for replica in ["i-1", "i-1#", "i-1#x", "i-1#-1", ""] {
-        let born_ms = None;
-        assert_eq!(Life::named(replica), Life { replica, born_ms });
+        let started_ms = None;
+        assert_eq!(
+            Incarnation::parse(replica),
+            Incarnation {
+                replica,
+                started_ms
+            }
+        );
     }
-    assert!(incarnation.is_newer_than(&Life::named(REPLICA)));
-    assert!(!incarnation.is_newer_than(&Life::named("i-1#17")));
-    assert!(!incarnation.is_newer_than(&Life::named("i-2#16")));
+    assert!(incarnation.is_newer_than(&Incarnation::parse(REPLICA)));
+    assert!(!incarnation.is_newer_than(&Incarnation::parse("i-1#17")));
+    assert!(!incarnation.is_newer_than(&Incarnation::parse("i-2#16")));
 }
 
 #[test]
@@ -65,11 +77,11 @@
     state.apply(1, ServingCommand::Register(leaving));
     let acquired = state.apply(
         2,
-        ServingCommand::AcquireOrders {
+        ServingCommand::AcquireOrderLock {
             holder: "c".to_owned(),
         },
     );
-    assert!(matches!(acquired, ServingOutcome::OrdersAcquired { .. }));
+    assert!(matches!(acquired, ServingOutcome::OrderLockAcquired { .. }));
     let order = PendingOrder {
         model: "m".to_owned(),
         version: 9,
@@ -92,7 +104,7 @@
     assert_eq!(known.weights, restarted.weights);
     assert_eq!(start_times(&state), [Some(2)]);
     // Routers infer the removal of the previous incarnation from the record of the newer one.
-    let update = state.update_after(Known::all(3)).expect("an update");
+    let update = state.update_after(WatchPosition::at(3)).expect("an update");
     let updated_ids: Vec<&str> = update
         .replicas
         .iter()
@@ -175,7 +187,7 @@
     /// For any events in any order, an incarnation never returns after a newer one, and a control
     /// replica restored from a snapshot decides like the others.
     fn a_previous_incarnation_never_returns(steps: Vec<Step>) -> bool {
-        let acquire = ServingCommand::AcquireOrders { holder: "c".to_owned() };
+        let acquire = ServingCommand::AcquireOrderLock { holder: "c".to_owned() };
         let mut state = ServingState::default();
         state.apply(1, acquire.clone());
         let mut other = ServingState::default();
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -12,7 +12,7 @@
     },
     quota::MAX_LEADERSHIP_PROOF_AGE,
 };
-use railtack_rpc::serving::GRANT_LIFE;
+use railtack_rpc::serving::GRANT_TTL;
 use railtack_serving::RequestLimit;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use tokio::time::Instant;
@@ -313,7 +313,7 @@
         requested_ms: u64,
         granted: Option<GrantedPermit>,
     ) {
-        let is_fresh = self.now_ms <= requested_ms + milliseconds(GRANT_LIFE);
+        let is_fresh = self.now_ms <= requested_ms + milliseconds(GRANT_TTL);
         if is_fresh || self.mutant == Mutant::LatePermitsAccepted {
             self.send(router, granted);
         }
--- a/crates/control/tests/previous_builds.rs
+++ b/crates/control/tests/previous_builds.rs
@@ -41,7 +41,7 @@
     ReplicaOptions {
         cluster: "layouts".to_owned(),
         replica: ReplicaId(1),
-        adopts_folder: true,
+        accept_stored_id: true,
         new_disk: DiskId(11),
         election_timeout: 300,
         heartbeat_interval: 50,
@@ -70,7 +70,7 @@
 
 fn elect_as_leader(replica: &mut Replica) {
     let mut now = 0;
-    while !replica.leads_with_current_state() {
+    while !replica.is_ready_leader() {
         now += 10;
         assert!(now < 10_000, "no leader");
         replica.tick(now);
@@ -101,20 +101,17 @@
     let ControlRequest::Watch { request: watch } = request("watch-request") else {
         panic!("not a watch request");
     };
-    assert_eq!(
-        (watch.router.as_str(), watch.known.through),
-        ("router-1", 7)
-    );
-    assert!(watch.known.is_whole() && watch.known.is_current());
-    assert_eq!((watch.wait_ms, watch.sightings.len()), (500, 1));
+    assert_eq!((watch.router.as_str(), watch.known.state), ("router-1", 7));
+    assert!(watch.known.is_complete() && watch.known.is_current());
+    assert_eq!((watch.wait_ms, watch.observations.len()), (500, 1));
 
     let ControlResponse::Watch(reply) = response("watch-reply") else {
         panic!("not a reply to `watch`");
     };
     assert_eq!((reply.confirmed_age_ms, reply.routers), (Some(35), 2));
     let update = reply.update.expect("an update");
-    assert!(update.known.is_whole() && update.complete);
-    assert_eq!((update.known.through, update.replicas.len()), (9, 1));
+    assert!(update.known.is_complete() && update.complete);
+    assert_eq!((update.known.state, update.replicas.len()), (9, 1));
     assert_eq!(
         update.configuration.expect("a configuration").tenants.len(),
         2
@@ -125,7 +122,7 @@
         panic!("not a liveness report");
     };
     assert_eq!(notice.sender, "127.0.0.1:2");
-    assert_eq!((notice.routers.len(), notice.sightings.len()), (1, 1));
+    assert_eq!((notice.routers.len(), notice.observations.len()), (1, 1));
 
     let ControlResponse::Alive(reply) = response("alive-reply") else {
         panic!("not a reply to `alive`");
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -10,7 +10,7 @@
 };
 use railtack_rpc::{
     FeatureLevel,
-    serving::{ENDS_TO_QUARANTINE, Known, QUARANTINE_TIME, ServingCommand},
+    serving::{CRASHES_TO_QUARANTINE, QUARANTINE_DURATION, ServingCommand, WatchPosition},
 };
 use railtack_serving::{ContentKey, ReplicaKey};
 use speedy::{Readable, Writable};
@@ -120,7 +120,7 @@
 #[test]
 fn a_successful_run_clears_a_request() {
     let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL]]);
-    assert_eq!(quarantine.update().watched, [FATAL]);
+    assert_eq!(quarantine.update().suspected, [FATAL]);
     quarantine.clear(8, &[FATAL]);
     assert!(quarantine.suspects().is_empty());
     quarantine.record_crash(9, ReplicaKey(9), &[FATAL]);
@@ -162,12 +162,12 @@
     let mut timers = ReleaseTimers::default();
     let mut quarantine = quarantine_after(&[&[FATAL], &[FATAL], &[FATAL]]);
     assert_eq!(timers.due(&quarantine, start), []);
-    assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME / 2), []);
+    assert_eq!(timers.due(&quarantine, start + QUARANTINE_DURATION / 2), []);
     // A further crash restarts the timer.
     quarantine.record_crash(9, ReplicaKey(9), &[FATAL]);
-    assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME / 2), []);
-    assert_eq!(timers.due(&quarantine, start + QUARANTINE_TIME), []);
-    let expired = start + QUARANTINE_TIME + QUARANTINE_TIME / 2;
+    assert_eq!(timers.due(&quarantine, start + QUARANTINE_DURATION / 2), []);
+    assert_eq!(timers.due(&quarantine, start + QUARANTINE_DURATION), []);
+    let expired = start + QUARANTINE_DURATION + QUARANTINE_DURATION / 2;
     assert_eq!(timers.due(&quarantine, expired), [(FATAL, 9)]);
     // A new leader starts its timers when it first sees the request.
     assert_eq!(ReleaseTimers::default().due(&quarantine, expired), []);
@@ -187,26 +187,28 @@
 #[test]
 fn routers_receive_only_changed_lists() {
     let mut state = ServingState::default();
-    let crash = |replica: u32| ServingCommand::RecordEnd {
+    let crash = |replica: u32| ServingCommand::RecordCrash {
         replica: ReplicaKey(replica),
         contents: vec![FATAL],
-        witness: None,
+        reporter: None,
     };
     state.apply(1, crash(1));
     assert_eq!(
-        state.update_after(Known::all(0)),
+        state.update_after(WatchPosition::at(0)),
         None,
         "one crash must not wake routers"
     );
     state.apply(2, crash(2));
     state.apply(3, crash(3));
-    let update = state.update_after(Known::all(2)).expect("an update");
+    let update = state.update_after(WatchPosition::at(2)).expect("an update");
     let received = update.quarantine.expect("a quarantine");
     assert_eq!(received.quarantined, [FATAL]);
     // A router that has just started receives the full lists; one that has them receives no update.
-    let full = state.update_after(Known::all(0)).expect("a full update");
+    let full = state
+        .update_after(WatchPosition::at(0))
+        .expect("a full update");
     assert_eq!(full.quarantine, Some(received));
-    assert_eq!(state.update_after(Known::all(3)), None);
+    assert_eq!(state.update_after(WatchPosition::at(3)), None);
 }
 
 #[test]
@@ -214,7 +216,7 @@
     let mut quarantine = quarantine_after(&[&[FATAL, OTHER], &[FATAL, OTHER]]);
     let previous = quarantine.update().clone();
     quarantine.record_crash(3, ReplicaKey(3), &[FATAL, OTHER]);
-    assert_eq!(quarantine.update().watched, previous.watched);
+    assert_eq!(quarantine.update().suspected, previous.suspected);
     assert_eq!(quarantine.update().changed_at, 3);
     // A repeated report is no update.
     quarantine.record_crash(4, ReplicaKey(3), &[FATAL, OTHER]);
@@ -233,10 +235,10 @@
         let replica = ReplicaKey(replica);
         state.apply(
             u64::from(replica.0),
-            ServingCommand::RecordEnd {
+            ServingCommand::RecordCrash {
                 replica,
                 contents,
-                witness: None,
+                reporter: None,
             },
         );
     }
@@ -284,7 +286,7 @@
             quarantine.record_crash(index, ReplicaKey(index as u32), &contents);
         }
         let found = quarantined(&quarantine);
-        let has_few_crashes = |content: &ContentKey| counts.get(content).copied().unwrap_or(0) < ENDS_TO_QUARANTINE;
+        let has_few_crashes = |content: &ContentKey| counts.get(content).copied().unwrap_or(0) < CRASHES_TO_QUARANTINE;
         let is_wrongly_quarantined = found.iter().any(|content| *content != FATAL && has_few_crashes(content));
         TestResult::from_bool(found.contains(&FATAL) && !is_wrongly_quarantined)
     }
--- a/crates/control/tests/registration_queue.rs
+++ b/crates/control/tests/registration_queue.rs
@@ -7,7 +7,9 @@
     serving::registration_queue::{MAX_BATCH_RECORDS, RegistrationQueue},
     serving_state::ServingState,
 };
-use railtack_rpc::serving::{Known, Registration, ServingCommand, ServingOutcome, ServingUpdate};
+use railtack_rpc::serving::{
+    Registration, ServingCommand, ServingOutcome, ServingUpdate, WatchPosition,
+};
 use railtack_serving::{ReplicaRecord, ReplicaState};
 
 fn record(number: usize) -> ReplicaRecord {
@@ -162,7 +164,7 @@
         state.apply(position as u64 + 1, ServingCommand::RegisterAll(batch));
     }
     let mut index = 100;
-    let mut known = Known::default();
+    let mut known = WatchPosition::default();
     let mut copy = BTreeMap::new();
     let mut updates = 0;
     while let Some(update) = state.update_after(known) {
@@ -195,17 +197,21 @@
         }
     }
     assert!(updates > 10, "{updates}");
-    assert_eq!(known, Known::all(state.changed_at()));
+    assert_eq!(known, WatchPosition::at(state.changed_at()));
     let recorded = state.replicas().iter();
     let recorded = recorded.map(|(id, record)| (id.clone(), record.clone()));
     assert_eq!(copy, recorded.collect());
     // A control replica that is behind the router sends no update.
-    assert_eq!(state.update_after(Known::all(index + 1)), None);
+    assert_eq!(state.update_after(WatchPosition::at(index + 1)), None);
 }
 
-fn apply(copy: &mut BTreeMap<String, ReplicaRecord>, update: ServingUpdate, known: Known) -> Known {
-    assert!(update.known.through >= known.through);
-    assert!(update.complete == (known.through == 0));
+fn apply(
+    copy: &mut BTreeMap<String, ReplicaRecord>,
+    update: ServingUpdate,
+    known: WatchPosition,
+) -> WatchPosition {
+    assert!(update.known.state >= known.state);
+    assert!(update.complete == (known.state == 0));
     for replica in &update.removed {
         copy.remove(replica);
     }
@@ -234,7 +240,7 @@
             let batch = (first..first + 100).map(record).collect();
             state.apply(index, ServingCommand::RegisterAll(batch));
         }
-        let mut known = Known::default();
+        let mut known = WatchPosition::default();
         let mut copy = BTreeMap::new();
         let mut holds = true;
         for (kind, number, polls) in events {
--- a/crates/control/tests/serving_state.rs
+++ b/crates/control/tests/serving_state.rs
@@ -1,9 +1,9 @@
 //! Tests of the replicated state that routers serve from.
 
 use railtack_control::serving_state::ServingState;
-use railtack_rpc::serving::{ConfigurationDocument, Known, ServingCommand, ServingOutcome};
+use railtack_rpc::serving::{ConfigurationDocument, ServingCommand, ServingOutcome, WatchPosition};
 use railtack_serving::{
-    ContentKey, HeldWeights, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState,
+    ContentKey, ModelWeights, PendingOrder, ReplicaKey, ReplicaRecord, ReplicaState,
     ServingConfiguration,
 };
 use speedy::{Readable, Writable};
@@ -27,7 +27,7 @@
         zone: "a".to_owned(),
         slots: 4,
         state: ReplicaState::Ready,
-        weights: vec![HeldWeights {
+        weights: vec![ModelWeights {
             model: "m".to_owned(),
             version,
         }],
@@ -97,7 +97,7 @@
         state.apply(3, register("r", "h:1", 1)),
         ServingOutcome::Done
     );
-    let update = state.update_after(Known::all(1)).expect("an update");
+    let update = state.update_after(WatchPosition::at(1)).expect("an update");
     assert_eq!(update.replicas.len(), 1);
 }
 
@@ -111,7 +111,7 @@
     };
     assert_eq!(state.apply(2, register("new", "h:1", 1)), held);
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["old"]);
-    assert_eq!(state.update_after(Known::all(1)), None);
+    assert_eq!(state.update_after(WatchPosition::at(1)), None);
     let removed = ServingCommand::Deregister {
         replica: "old".to_owned(),
     };
@@ -123,7 +123,7 @@
     let late = state.apply(5, register("old", "h:1", 1));
     assert_eq!(late, ServingOutcome::UnknownReplica);
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["new"]);
-    let update = state.update_after(Known::all(1)).expect("an update");
+    let update = state.update_after(WatchPosition::at(1)).expect("an update");
     assert_eq!(update.removed, ["old"]);
 }
 
@@ -145,10 +145,10 @@
 }
 
 fn crash_report(replica: &str, reporter: Option<&str>) -> ServingCommand {
-    ServingCommand::RecordEnd {
+    ServingCommand::RecordCrash {
         replica: ReplicaKey::of(replica),
         contents: vec![ContentKey(7)],
-        witness: reporter.map(str::to_owned),
+        reporter: reporter.map(str::to_owned),
     }
 }
 
@@ -165,7 +165,7 @@
     assert_eq!(state.replicas().size(), 2);
     state.apply(4, crash_report("r", Some("router-2")));
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["other"]);
-    let update = state.update_after(Known::all(3)).expect("an update");
+    let update = state.update_after(WatchPosition::at(3)).expect("an update");
     assert_eq!(update.removed, ["r"]);
     // Another replica may register at the address at once.
     assert_eq!(
@@ -222,11 +222,11 @@
     state.apply(1, register("r", "h:1", 1));
     let acquired = state.apply(
         2,
-        ServingCommand::AcquireOrders {
+        ServingCommand::AcquireOrderLock {
             holder: "n1".to_owned(),
         },
     );
-    let ServingOutcome::OrdersAcquired { token, taken_over } = acquired else {
+    let ServingOutcome::OrderLockAcquired { token, taken_over } = acquired else {
         panic!("{acquired:?}");
     };
     assert!(!taken_over);
@@ -247,13 +247,13 @@
 
     let other = state.apply(
         7,
-        ServingCommand::AcquireOrders {
+        ServingCommand::AcquireOrderLock {
             holder: "n2".to_owned(),
         },
     );
     assert!(matches!(
         other,
-        ServingOutcome::OrdersAcquired {
+        ServingOutcome::OrderLockAcquired {
             token: 7,
             taken_over: true
         }
@@ -270,22 +270,24 @@
     state.apply(1, document(1, "one"));
     state.apply(2, register("a", "h:1", 1));
     state.apply(3, register("b", "h:2", 1));
-    let first = state.update_after(Known::all(0)).expect("a full update");
+    let first = state
+        .update_after(WatchPosition::at(0))
+        .expect("a full update");
     assert!(first.complete && first.configuration.is_some() && first.replicas.len() == 2);
     let next = state
-        .update_after(Known::all(2))
+        .update_after(WatchPosition::at(2))
         .expect("an update with one replica");
     assert!(!next.complete && next.configuration.is_none());
     assert_eq!(next.replicas.len(), 1);
-    assert_eq!(state.update_after(Known::all(3)), None);
-    let target = HeldWeights {
+    assert_eq!(state.update_after(WatchPosition::at(3)), None);
+    let target = ModelWeights {
         model: "m".to_owned(),
         version: 2,
     };
-    state.apply(4, ServingCommand::NameWeights(target.clone()));
+    state.apply(4, ServingCommand::SetTargetWeights(target.clone()));
     assert_eq!(
         state
-            .update_after(Known::all(3))
+            .update_after(WatchPosition::at(3))
             .expect("an update of the weights")
             .weights,
         [target]
@@ -330,7 +332,7 @@
         ServingOutcome::Done
     );
     assert_eq!(state.changed_at(), 1);
-    assert_eq!(state.update_after(Known::all(1)), None);
+    assert_eq!(state.update_after(WatchPosition::at(1)), None);
     state.apply(3, register("r", "h:1", 2));
     assert_eq!(state.changed_at(), 3);
 }
@@ -339,10 +341,10 @@
 fn a_repeated_order_does_not_advance_the_position() {
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
-    let acquired = ServingCommand::AcquireOrders {
+    let acquired = ServingCommand::AcquireOrderLock {
         holder: "c".to_owned(),
     };
-    let ServingOutcome::OrdersAcquired { token, .. } = state.apply(2, acquired) else {
+    let ServingOutcome::OrderLockAcquired { token, .. } = state.apply(2, acquired) else {
         panic!("the order lock was not acquired");
     };
     let begin_order = || ServingCommand::BeginOrder {
--- a/crates/control/tests/watch.rs
+++ b/crates/control/tests/watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use railtack_control::serving::watch::{batching_delay, max_update_interval, update_interval};
-use railtack_rpc::serving::{Known, WatchRequest};
+use railtack_rpc::serving::{WatchPosition, WatchRequest};
 use railtack_serving::{Bounds, QuotaBounds};
 
 const MAX_INTERVAL: Duration = Duration::from_millis(400);
@@ -11,12 +11,12 @@
 fn request(known: u64, wait_ms: u64) -> WatchRequest {
     WatchRequest {
         router: "r".to_owned(),
-        known: Known::all(known),
-        takes_records: true,
-        takes_parts: true,
+        known: WatchPosition::at(known),
+        wants_records: true,
+        accepts_partial: true,
         wait_ms,
         has_lease: true,
-        sightings: Vec::new(),
+        observations: Vec::new(),
     }
 }
 
@@ -57,10 +57,10 @@
         Duration::ZERO
     );
     let partial = WatchRequest {
-        known: Known {
-            through: 9,
-            changes_through: 5,
-            records_through: 5,
+        known: WatchPosition {
+            state: 9,
+            changes: 5,
+            records: 5,
         },
         ..request(7, 500)
     };
--- a/crates/router/src/keyed.rs
+++ b/crates/router/src/idempotency.rs
@@ -15,35 +15,35 @@
 use railtack_core::{AttemptId, IdempotencyKey, RefusalCode, TenantName};
 use railtack_http::SendError;
 use railtack_rpc::protocol::{
-    ClaimAnswer, ClaimOutcome, ClaimRequest, Command, Outcome, StoredAnswer,
+    ClaimOutcome, ClaimReply, ClaimRequest, Command, Outcome, StoredResponse,
 };
 
-use crate::{proposal::Proposed, refusal::Refusal};
+use crate::{proposal::ProposalOutcome, refusal::Refusal};
 
 /// Time for recording a claim, or its end, before the caller is told that it could not be.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time for recording how a claim ended in the background.
 pub const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// When a caller may ask again for the outcome of a request in progress, milliseconds.
-const IN_PROGRESS_PAUSE_MS: u64 = 500;
+const IN_PROGRESS_RETRY_MS: u64 = 500;
 /// When a caller may ask again after a failure, milliseconds.
-const FAILURE_PAUSE_MS: u64 = 1_000;
+const FAILURE_RETRY_MS: u64 = 1_000;
 /// Largest answer that is kept for later arrivals, bytes.
-const STORED_ANSWER_LIMIT: usize = 64 * 1024;
+const MAX_STORED_BODY_BYTES: usize = 64 * 1024;
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeyedStep {
-    /// Commit the command within [`CLAIM_TIMEOUT`], then call [`KeyedRun::proposed`].
+pub enum IdempotentStep {
+    /// Commit the command within [`CLAIM_TIMEOUT`], then call [`IdempotentRequest::on_proposal`].
     Propose(Command),
-    /// Send the request to a back end, once, then call [`KeyedRun::sent`].
+    /// Send the request to a back end, once, then call [`IdempotentRequest::on_response`].
     Send,
     /// Answer the caller.
-    Answer {
+    Respond {
         /// The answer.
-        answer: Result<StoredAnswer, Refusal>,
+        response: Result<StoredResponse, Refusal>,
         /// To be committed in the background within [`SETTLE_TIMEOUT`].
-        later: Option<Command>,
+        settlement: Option<Command>,
     },
 }
 
@@ -52,7 +52,7 @@
     Claiming,
     Sending,
     Settling {
-        answer: Result<StoredAnswer, Refusal>,
+        answer: Result<StoredResponse, Refusal>,
         outcome: ClaimOutcome,
     },
     Answered,
@@ -60,26 +60,26 @@
 
 /// One arrival of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyedRun {
+pub struct IdempotentRequest {
     claim: ClaimRequest,
     stage: Stage,
 }
 
-impl KeyedRun {
+impl IdempotentRequest {
     /// Begins with the claim. `attempt` must be new, `fingerprint` is the request's hash.
     pub fn begin(
         tenant: TenantName,
         key: IdempotencyKey,
         fingerprint: u128,
         attempt: AttemptId,
-    ) -> (Self, KeyedStep) {
+    ) -> (Self, IdempotentStep) {
         let claim = ClaimRequest {
             tenant,
             key,
             fingerprint,
             attempt,
         };
-        let step = KeyedStep::Propose(Command::Claim(claim.clone()));
+        let step = IdempotentStep::Propose(Command::Claim(claim.clone()));
         let run = Self {
             claim,
             stage: Stage::Claiming,
@@ -88,14 +88,16 @@
     }
 
     /// Takes in what came of the last proposal.
-    pub fn proposed(&mut self, proposed: Proposed) -> KeyedStep {
+    pub fn on_proposal(&mut self, outcome: ProposalOutcome) -> IdempotentStep {
         let stage = std::mem::replace(&mut self.stage, Stage::Answered);
-        match (stage, proposed) {
-            (Stage::Claiming, Proposed::Done(Outcome::Claim(answer))) => self.claimed(answer),
-            (Stage::Settling { answer, .. }, Proposed::Done(Outcome::Settled)) => {
-                KeyedStep::Answer {
-                    answer,
-                    later: None,
+        match (stage, outcome) {
+            (Stage::Claiming, ProposalOutcome::Done(Outcome::Claim(answer))) => {
+                self.claimed(answer)
+            }
+            (Stage::Settling { answer, .. }, ProposalOutcome::Done(Outcome::Settled)) => {
+                IdempotentStep::Respond {
+                    response: answer,
+                    settlement: None,
                 }
             }
             (Stage::Settling { answer, outcome }, _) => self.unsettled(answer, outcome),
@@ -105,16 +107,16 @@
                     RefusalCode::ControlUnavailable,
                     "the claim could not be recorded; this arrival was not sent",
                 )
-                .retry_after_ms(FAILURE_PAUSE_MS),
+                .retry_after_ms(FAILURE_RETRY_MS),
             ),
         }
     }
 
     /// Takes in what came of sending; `NotSent` must be proven.
-    pub fn sent(&mut self, sent: Result<StoredAnswer, SendError>) -> KeyedStep {
-        match sent {
+    pub fn on_response(&mut self, response: Result<StoredResponse, SendError>) -> IdempotentStep {
+        match response {
             Ok(answer) => {
-                let outcome = ClaimOutcome::Completed(storable(&answer));
+                let outcome = ClaimOutcome::Completed(without_large_body(&answer));
                 self.settle(Ok(answer), outcome)
             }
             Err(SendError::NotSent) => {
@@ -122,49 +124,49 @@
                     RefusalCode::NoBackend,
                     "no back end of the service could be reached",
                 )
-                .retry_after_ms(FAILURE_PAUSE_MS);
+                .retry_after_ms(FAILURE_RETRY_MS);
                 let outcome = ClaimOutcome::NotRun { code: refusal.code };
                 self.settle(Err(refusal), outcome)
             }
             Err(SendError::MaybeSent) => {
                 self.stage = Stage::Answered;
-                KeyedStep::Answer {
-                    answer: Err(Refusal::unknown(
+                IdempotentStep::Respond {
+                    response: Err(Refusal::unknown(
                         RefusalCode::OutcomeUnknown,
                         "the service was lost after the request was sent",
                     )),
-                    later: Some(self.settlement(ClaimOutcome::Unknown)),
+                    settlement: Some(self.settlement(ClaimOutcome::Unknown)),
                 }
             }
         }
     }
 
-    fn claimed(&mut self, answer: ClaimAnswer) -> KeyedStep {
+    fn claimed(&mut self, answer: ClaimReply) -> IdempotentStep {
         match answer {
-            ClaimAnswer::Granted => {
+            ClaimReply::Granted => {
                 self.stage = Stage::Sending;
-                KeyedStep::Send
+                IdempotentStep::Send
             }
-            ClaimAnswer::InProgress => refuse(
+            ClaimReply::InProgress => refuse(
                 Refusal::unknown(
                     RefusalCode::InProgress,
                     "an earlier arrival of this key has not ended",
                 )
-                .retry_after_ms(IN_PROGRESS_PAUSE_MS),
+                .retry_after_ms(IN_PROGRESS_RETRY_MS),
             ),
-            ClaimAnswer::KeyReused => refuse(Refusal::unknown(
+            ClaimReply::KeyReused => refuse(Refusal::unknown(
                 RefusalCode::IdempotencyKeyReused,
                 "the key was used for another request",
             )),
-            ClaimAnswer::Ended(ClaimOutcome::Completed(stored)) => KeyedStep::Answer {
-                answer: Ok(stored),
-                later: None,
+            ClaimReply::Ended(ClaimOutcome::Completed(stored)) => IdempotentStep::Respond {
+                response: Ok(stored),
+                settlement: None,
             },
-            ClaimAnswer::Ended(ClaimOutcome::NotRun { code }) => refuse(Refusal::not_run(
+            ClaimReply::Ended(ClaimOutcome::NotRun { code }) => refuse(Refusal::not_run(
                 code,
                 "an earlier arrival of this key was refused before it ran; use a new key",
             )),
-            ClaimAnswer::Ended(ClaimOutcome::Unknown) => refuse(Refusal::unknown(
+            ClaimReply::Ended(ClaimOutcome::Unknown) => refuse(Refusal::unknown(
                 RefusalCode::OutcomeUnknown,
                 "an earlier arrival of this key ended without a known outcome",
             )),
@@ -173,24 +175,28 @@
 
     fn settle(
         &mut self,
-        answer: Result<StoredAnswer, Refusal>,
+        answer: Result<StoredResponse, Refusal>,
         outcome: ClaimOutcome,
-    ) -> KeyedStep {
+    ) -> IdempotentStep {
         let command = self.settlement(outcome.clone());
         self.stage = Stage::Settling { answer, outcome };
-        KeyedStep::Propose(command)
+        IdempotentStep::Propose(command)
     }
 
     /// Without the record a second arrival could not be told from one that may run, so "not run"
     /// becomes "unknown"; an answer is an answer all the same.
-    fn unsettled(&self, answer: Result<StoredAnswer, Refusal>, outcome: ClaimOutcome) -> KeyedStep {
+    fn unsettled(
+        &self,
+        answer: Result<StoredResponse, Refusal>,
+        outcome: ClaimOutcome,
+    ) -> IdempotentStep {
         let answer = answer.map_err(|refusal| Refusal {
             execution: railtack_core::Execution::Unknown,
             ..refusal
         });
-        KeyedStep::Answer {
-            answer,
-            later: Some(self.settlement(outcome)),
+        IdempotentStep::Respond {
+            response: answer,
+            settlement: Some(self.settlement(outcome)),
         }
     }
 
@@ -204,19 +210,19 @@
     }
 }
 
-fn refuse(refusal: Refusal) -> KeyedStep {
-    KeyedStep::Answer {
-        answer: Err(refusal),
-        later: None,
+fn refuse(refusal: Refusal) -> IdempotentStep {
+    IdempotentStep::Respond {
+        response: Err(refusal),
+        settlement: None,
     }
 }
 
-fn storable(answer: &StoredAnswer) -> StoredAnswer {
+fn without_large_body(answer: &StoredResponse) -> StoredResponse {
     let body = answer
         .body
         .clone()
-        .filter(|content| content.len() <= STORED_ANSWER_LIMIT);
-    StoredAnswer {
+        .filter(|content| content.len() <= MAX_STORED_BODY_BYTES);
+    StoredResponse {
         body,
         ..answer.clone()
     }
--- a/crates/router/src/proposal.rs
+++ b/crates/router/src/proposal.rs
@@ -1,59 +1,61 @@
-//! What is known of a proposal that is sent to one replica after another.
+//! Outcome of a proposal that is sent to one control replica after another.
 //!
-//! Pure: the daemon and the simulator feed it each replica's answer.
+//! Performs no I/O. The daemon and the simulator pass in the response of each replica.
 
 use railtack_rpc::protocol::{Outcome, ProposeReply};
 
-/// How a proposal ended.
+/// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Proposed {
-    /// It is committed and applied.
+pub enum ProposalOutcome {
+    /// The command is committed and applied.
     Done(Outcome),
-    /// No replica took it: it has had no effect and will have none.
+    /// No replica accepted the command; it has no effect and never will.
     NotProposed,
-    /// It may be committed now or later.
+    /// The command may be committed now or later.
     Unknown,
 }
 
-/// One replica's answer to a proposal.
+/// Response of one replica to a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ProposalAnswer {
-    /// The replica answered.
+pub enum ReplicaResponse {
+    /// The replica replied.
     Reply(ProposeReply),
-    /// The replica could not be connected to, so it has not received the proposal.
+    /// The connection failed, so the replica has not received the proposal.
     Unreachable,
-    /// The replica may have received the proposal.
-    NoAnswer,
+    /// No reply; the replica may have received the proposal.
+    NoReply,
 }
 
-/// One proposal over all its sends. Every command is safe to repeat.
+/// State of one proposal over all attempts. Commands are idempotent, so retries are safe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ProposalRun {
+pub struct ProposalAttempts {
     may_be_proposed: bool,
 }
 
-impl ProposalRun {
-    /// Takes an answer in; the end if it is known now.
-    pub fn answered(&mut self, answer: ProposalAnswer) -> Option<Proposed> {
+impl ProposalAttempts {
+    /// Records the response of a replica. Returns the outcome once it is known.
+    pub fn record(&mut self, answer: ReplicaResponse) -> Option<ProposalOutcome> {
         match answer {
-            ProposalAnswer::Reply(ProposeReply::Done(outcome)) => Some(Proposed::Done(outcome)),
-            ProposalAnswer::Reply(
-                ProposeReply::NotLeader { .. } | ProposeReply::LevelDiffers { .. },
+            ReplicaResponse::Reply(ProposeReply::Done(outcome)) => {
+                Some(ProposalOutcome::Done(outcome))
+            }
+            ReplicaResponse::Reply(
+                ProposeReply::NotLeader { .. } | ProposeReply::LevelMismatch { .. },
             )
-            | ProposalAnswer::Unreachable => None,
-            ProposalAnswer::Reply(ProposeReply::Unknown) | ProposalAnswer::NoAnswer => {
+            | ReplicaResponse::Unreachable => None,
+            ReplicaResponse::Reply(ProposeReply::Unknown) | ReplicaResponse::NoReply => {
                 self.may_be_proposed = true;
                 None
             }
         }
     }
 
-    /// The end when there is no time for another send.
-    pub fn expired(self) -> Proposed {
+    /// Returns the outcome when no time is left for another attempt.
+    pub fn outcome_at_deadline(self) -> ProposalOutcome {
         if self.may_be_proposed {
-            Proposed::Unknown
+            ProposalOutcome::Unknown
         } else {
-            Proposed::NotProposed
+            ProposalOutcome::NotProposed
         }
     }
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,11 +1,11 @@
-//! Requests under which engines or back ends end: refusing those that the control group has
-//! quarantined, and telling it what this router's own requests met.
+//! Quarantine of requests that crash engines or back ends: refuses requests that the control group
+//! has quarantined, and reports crashes under this router's requests to the control group.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use railtack_core::{EngineId, EngineIncarnation, RefusalCode};
-use railtack_http::client::port_refuses;
-use railtack_proxy::quarantine::{GATHERING, RECORD_LIMIT};
+use railtack_http::client::is_port_closed;
+use railtack_proxy::quarantine::{REPORT_BATCH_DELAY, REPORT_TIMEOUT};
 use railtack_rpc::{
     protocol::{Command, Outcome},
     serving::{QuarantineUpdate, ServingCommand, ServingOutcome},
@@ -14,43 +14,43 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    proposal::Proposed,
+    proposal::ProposalOutcome,
     refusal::Refusal,
     state::{RouterState, lock},
 };
 
-/// Time in which a port that nobody listens at refuses a connection.
-const PORT_TIMEOUT: Duration = Duration::from_millis(350);
+/// Timeout of the connection attempt that checks whether a port is closed.
+const PORT_CHECK_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// One life of an engine or back end.
+/// One incarnation of an engine or back end.
 #[derive(Clone, Debug)]
 pub struct BackEndLife {
-    /// Names it.
+    /// Unique name of the incarnation.
     pub name: String,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
 }
 
-/// Names one life of an engine.
+/// Returns the unique name of an engine's incarnation.
 pub fn engine_life(engine: EngineId, incarnation: EngineIncarnation) -> String {
     format!("{engine}@{}", incarnation.0)
 }
 
-/// The refusal of a request that is quarantined.
+/// Returns the refusal for a quarantined request; `None` if it is not quarantined.
 pub fn refusal(state: &RouterState, content: ContentKey) -> Option<Refusal> {
-    let pause = lock(&state.quarantine).pause(content, Instant::now())?;
+    let pause = lock(&state.quarantine).retry_after(content, Instant::now())?;
     let detail = "back ends ended under this request, one after the other";
     let refusal = Refusal::not_run(RefusalCode::Quarantined, detail);
     Some(refusal.retry_after_ms(pause.as_millis() as u64))
 }
 
-/// Takes in what the control group has quarantined.
-pub fn learn(state: &RouterState, told: &QuarantineUpdate) {
+/// Applies an update of the control group's quarantine list.
+pub fn apply_update(state: &RouterState, update: &QuarantineUpdate) {
     let mut quarantine = lock(&state.quarantine);
-    for change in quarantine.learn(told, Instant::now()) {
+    for change in quarantine.apply(update, Instant::now()) {
         spdlog::info!("quarantine changed", kv: {
             change = format!("{change:?}"),
-            changed_at = told.changed_at,
+            changed_at = update.changed_at,
         });
     }
     state
@@ -59,71 +59,75 @@
         .set(quarantine.quarantined() as i64);
 }
 
-/// Notes that a back end outlived a request; tells the control group if that request is suspect.
-pub fn outlived(state: &Arc<RouterState>, content: ContentKey) {
-    lock(&state.ends_met).outlived(content, Instant::now());
-    if lock(&state.quarantine).take_good_end(content) {
+/// Records that a back end completed a request, and reports this to the control group if the request
+/// is suspected.
+pub fn record_success(state: &Arc<RouterState>, content: ContentKey) {
+    lock(&state.observed_failures).record_success(content, Instant::now());
+    if lock(&state.quarantine).should_report_success(content) {
         let state = Arc::clone(state);
         let contents = vec![content];
         tokio::spawn(
-            async move { record(&state, ServingCommand::ClearContents { contents }).await },
+            async move { propose(&state, ServingCommand::ClearSuspects { contents }).await },
         );
     }
 }
 
-/// Notes that the connection over which a back end had a request broke; looks in the background whether
-/// it has ended: its port refuses connections.
-pub fn connection_broke(state: &Arc<RouterState>, life: BackEndLife, content: ContentKey) {
-    if lock(&state.ends_met).broke(&life.name, content, Instant::now()) {
+/// Records a broken connection to a back end that was running a request. Checks in the background
+/// whether the back end has exited, i.e. whether its port refuses connections.
+pub fn record_broken_connection(state: &Arc<RouterState>, life: BackEndLife, content: ContentKey) {
+    if lock(&state.observed_failures).record_broken_connection(&life.name, content, Instant::now())
+    {
         let state = Arc::clone(state);
-        tokio::spawn(async move { look(&state, &life).await });
+        tokio::spawn(async move { check_ended(&state, &life).await });
     }
 }
 
-async fn look(state: &RouterState, life: &BackEndLife) {
-    let has_ended = port_refuses(life.address, PORT_TIMEOUT).await;
+async fn check_ended(state: &RouterState, life: &BackEndLife) {
+    let has_ended = is_port_closed(life.address, PORT_CHECK_TIMEOUT).await;
     spdlog::info!("replica looked at after a connection broke", kv: {
         replica = life.name.clone(),
         address = life.address.to_string(),
         has_ended,
     });
     if has_ended {
-        state.metrics.back_end_ends.inc();
-        sleep(GATHERING).await;
-        report_end(state, life).await;
+        state.metrics.back_end_failures.inc();
+        sleep(REPORT_BATCH_DELAY).await;
+        report_failure(state, life).await;
     }
-    lock(&state.ends_met).forget(&life.name);
+    lock(&state.observed_failures).forget(&life.name);
 }
 
-async fn report_end(state: &RouterState, life: &BackEndLife) {
+async fn report_failure(state: &RouterState, life: &BackEndLife) {
     loop {
-        let contents = lock(&state.ends_met).next_report(&life.name);
+        let contents = lock(&state.observed_failures).take_unreported(&life.name);
         if contents.is_empty() {
             return;
         }
         let replica = ReplicaKey::of(&life.name);
-        let command = ServingCommand::RecordEnd {
+        let command = ServingCommand::RecordCrash {
             replica,
             contents,
-            // Engines and back ends are listed by the platform.
-            witness: None,
+            // No witness is needed: the platform lists engines and back ends.
+            reporter: None,
         };
-        record(state, command).await;
+        propose(state, command).await;
     }
 }
 
-async fn record(state: &RouterState, command: ServingCommand) {
-    if !state.control.grants() {
+async fn propose(state: &RouterState, command: ServingCommand) {
+    if !state.control.supports_shared_grants() {
         spdlog::info!("report kept back: the group does not record it yet");
         return;
     }
     let proposed = state
         .control
-        .propose(Command::Serving(command), RECORD_LIMIT)
+        .propose(Command::Serving(command), REPORT_TIMEOUT)
         .await;
     match proposed {
-        Proposed::Done(Outcome::Serving(ServingOutcome::EndRecorded(told))) => learn(state, &told),
-        Proposed::Done(_) => {}
+        ProposalOutcome::Done(Outcome::Serving(ServingOutcome::CrashRecorded(update))) => {
+            apply_update(state, &update)
+        }
+        ProposalOutcome::Done(_) => {}
         other => spdlog::warn!("report given up", kv: { outcome = format!("{other:?}") }),
     }
 }
--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Which engines to consider for a request: a handful, however many there are.
+//! Selects a bounded number of engines to consider for a request.
 
 use railtack_core::PrefixChain;
 use rand::{RngExt, SeedableRng};
@@ -10,32 +10,32 @@
     index::OverlapScores,
 };
 
-/// Engines ranked by rendezvous hashing for the deepest shared segment.
-const AFFINITY_DEEP: usize = 2;
-/// Engines drawn at random, so that load can move away from the favourites.
-const RANDOM_DRAWS: usize = 2;
-/// Most candidates.
+/// Engines chosen by rendezvous hashing for the deepest shared segment.
+const AFFINITY_ENGINES: usize = 2;
+/// Engines drawn at random, so that load can move away from the affinity engines.
+const RANDOM_ENGINES: usize = 2;
+/// Maximum number of candidates.
 pub const CANDIDATE_LIMIT: usize = 16;
 
 /// An engine to consider.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The engine.
+    /// Slot of the engine.
     pub engine: EngineSlot,
-    /// Leading blocks that the index says it holds.
+    /// Leading blocks that the engine has cached according to the index.
     pub held_blocks: u32,
-    /// Leading blocks for which rendezvous hashing makes it a favourite: all routers send this
-    /// prefix there unless load keeps them, so it probably holds them even if no event says so.
-    pub favoured_blocks: u32,
+    /// Leading blocks for which rendezvous hashing selects the engine. All routers prefer it for
+    /// this prefix, so it has probably cached these blocks even without an event.
+    pub affinity_blocks: u32,
 }
 
 /// Candidates of one decision.
 pub type Candidates = SmallVec<[Candidate; CANDIDATE_LIMIT]>;
 
-/// Collects holders, favourites and random draws from `group`. `belongs` tells whether an engine is
-/// in the group.
+/// Collects the engines of `group` that have cached the prefix, that rendezvous hashing selects, and
+/// that are drawn at random. `belongs` returns whether an engine is in the group.
 ///
-/// `boundaries` gives, in blocks, where the segments shared with other requests end, shallowest
+/// `boundaries` are the ends of the segments shared with other requests, in blocks, shallowest
 /// first.
 pub fn collect(
     group: &[Member],
@@ -51,12 +51,12 @@
             add(&mut candidates, *engine, *held_blocks, 0);
         }
     }
-    add_favourites(&mut candidates, group, chain, boundaries);
+    add_affinity(&mut candidates, group, chain, boundaries);
     add_random(&mut candidates, group, seed);
     candidates
 }
 
-fn add_favourites(
+fn add_affinity(
     candidates: &mut Candidates,
     group: &[Member],
     chain: &PrefixChain,
@@ -67,29 +67,29 @@
         let Some(hash) = chain.blocks.get(blocks as usize - 1) else {
             continue;
         };
-        let count = if rank == 0 { AFFINITY_DEEP } else { 1 };
+        let count = if rank == 0 { AFFINITY_ENGINES } else { 1 };
         for engine in top_by_rendezvous(group, hash.short(), count) {
             add(candidates, engine, 0, blocks);
         }
     }
 }
 
-/// The `count` engines with the highest hash of prefix and engine, best first.
+/// Returns the `count` engines with the highest hash of prefix and engine, highest first.
 fn top_by_rendezvous(
     group: &[Member],
     prefix: u64,
     count: usize,
-) -> SmallVec<[EngineSlot; AFFINITY_DEEP]> {
-    let mut best: SmallVec<[(u64, EngineSlot); AFFINITY_DEEP + 1]> = SmallVec::new();
-    // Nearly every engine of a large group fails this one comparison.
+) -> SmallVec<[EngineSlot; AFFINITY_ENGINES]> {
+    let mut best: SmallVec<[(u64, EngineSlot); AFFINITY_ENGINES + 1]> = SmallVec::new();
+    // In a large group, most engines are rejected by this comparison alone.
     let mut floor = None;
     for member in group {
         let weight = mix(member.seed ^ prefix);
         if Some(weight) <= floor {
             continue;
         }
-        let place = best.partition_point(|(known, _)| *known > weight);
-        best.insert(place, (weight, member.slot));
+        let position = best.partition_point(|(known, _)| *known > weight);
+        best.insert(position, (weight, member.slot));
         best.truncate(count);
         if best.len() == count {
             floor = best.last().map(|(lowest, _)| *lowest);
@@ -98,8 +98,8 @@
     best.into_iter().map(|(_, engine)| engine).collect()
 }
 
-/// Spreads the bits of a value over the whole result (the finalizer of SplitMix64). Every engine
-/// of a group is weighed in every decision, so this must be cheap.
+/// The finalizer of SplitMix64. It runs for every engine of a group in every decision, so it must be
+/// cheap.
 fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -111,13 +111,13 @@
         return;
     }
     let mut generator = ChaCha8Rng::seed_from_u64(seed);
-    for _ in 0..RANDOM_DRAWS {
+    for _ in 0..RANDOM_ENGINES {
         let engine = group[generator.random_range(0..group.len())].slot;
         add(candidates, engine, 0, 0);
     }
 }
 
-fn add(candidates: &mut Candidates, engine: EngineSlot, held_blocks: u32, favoured_blocks: u32) {
+fn add(candidates: &mut Candidates, engine: EngineSlot, held_blocks: u32, affinity_blocks: u32) {
     let has_room = candidates.len() < CANDIDATE_LIMIT;
     let known = candidates
         .iter_mut()
@@ -125,13 +125,13 @@
     match known {
         Some(candidate) => {
             candidate.held_blocks = candidate.held_blocks.max(held_blocks);
-            candidate.favoured_blocks = candidate.favoured_blocks.max(favoured_blocks);
+            candidate.affinity_blocks = candidate.affinity_blocks.max(affinity_blocks);
         }
         None if has_room => {
             candidates.push(Candidate {
                 engine,
                 held_blocks,
-                favoured_blocks,
+                affinity_blocks,
             });
         }
         None => {}
