--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -142,7 +142,7 @@
                 LimitedReplica {
                     replica: ReplicaKey::of(incarnation_id),
                     limit,
-                    named_ms,
+                    advertised_age_ms,
                 }
             });
         limited.collect()
