--- a/crates/control/src/serving/fleet.rs
+++ b/crates/control/src/serving/fleet.rs
@@ -71,7 +71,7 @@
     /// Whether it is unresponsive now.
     pub is_unresponsive: bool,
     /// Aggregated observation of the routers.
-    pub sighting: ReplicaObservation,
+    pub observation: ReplicaObservation,
 }
 
 impl FleetView {
@@ -221,7 +221,7 @@
         (previous.contains_key(&replica) != is_unresponsive).then(|| ResponsivenessChange {
             replica,
             is_unresponsive,
-            sighting: observation.unwrap_or_else(|| no_observation(replica)),
+            observation: observation.unwrap_or_else(|| no_observation(replica)),
         })
     }
 }
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -133,22 +133,22 @@
     }
 
     /// Merges the report of another control replica; returns the leader's reply to it.
-    pub fn merge_report(&self, notice: LivenessReport) -> LivenessReply {
+    pub fn merge_report(&self, report: LivenessReport) -> LivenessReply {
         let now = Instant::now();
-        let signs = notice.heartbeats();
+        let heartbeats = report.heartbeats();
         let fleet = {
             let mut fleet = self.fleet();
-            fleet.record_control_report(notice.sender, notice.observations, now);
+            fleet.record_control_report(report.sender, report.observations, now);
             fleet.digest(now)
         };
         let mut state = self.lock();
-        for sign in signs {
-            let age = Duration::from_millis(u64::from(sign.age_ms));
+        for heartbeat in heartbeats {
+            let age = Duration::from_millis(u64::from(heartbeat.age_ms));
             let at = now.checked_sub(age).unwrap_or(now);
-            let known = state.last_seen.entry(sign.replica).or_insert(at);
+            let known = state.last_seen.entry(heartbeat.replica).or_insert(at);
             *known = at.max(*known);
         }
-        for router in notice.routers {
+        for router in report.routers {
             state.remote_routers.insert(router, now);
         }
         LivenessReply {
@@ -210,9 +210,9 @@
             spdlog::info!("replica responsiveness changed", kv: {
                 replica = replica.cloned().unwrap_or_default(),
                 is_dark = change.is_unresponsive,
-                waiting_in_vain = change.sighting.stalled_routers,
-                heard_ms = change.sighting.silent_ms,
-                open_requests = change.sighting.open_requests,
+                waiting_in_vain = change.observation.stalled_routers,
+                heard_ms = change.observation.silent_ms,
+                open_requests = change.observation.open_requests,
             });
         }
     }
@@ -263,14 +263,14 @@
         });
         let routers = state.local_routers.iter();
         let recent = routers.filter(|(_, at)| at.elapsed() < MAX_FIRST_REPORT_AGE);
-        let notice = LivenessReport {
+        let report = LivenessReport {
             identities,
             replicas: replicas.collect(),
             routers: recent.map(|(router, _)| router.clone()).collect(),
             sender: sender.to_owned(),
             observations,
         };
-        (notice, now)
+        (report, now)
     }
 
     /// Records that the leader has received all heartbeats up to `through`, and applies its reply.
@@ -441,10 +441,10 @@
     let Some(connection) = leader_client.connection(&leader) else {
         return;
     };
-    let (notice, through) =
+    let (report, through) =
         liveness.build_report(leader_client.local_address(), &leader, group_level);
     let reply = connection
-        .call(|client| async move { client.alive(call_context(REPORT_TIMEOUT), notice).await })
+        .call(|client| async move { client.alive(call_context(REPORT_TIMEOUT), report).await })
         .await;
     // Without a reply, the next report covers the same heartbeats again.
     if let Ok(reply) = reply {
--- a/crates/control/src/serving/order_dispatcher.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -243,7 +243,7 @@
     /// Records the back-off that a replica asked for while it sheds load. Until it has passed, the
     /// replica gets no orders or requests for reports.
     fn record_back_off(&self, record: &ReplicaRecord, delay: Duration) {
-        let notice = BackEndSignals {
+        let signals = BackEndSignals {
             back_off: Some(delay),
             ..BackEndSignals::default()
         };
@@ -252,7 +252,7 @@
             back_off_ms = delay.as_millis() as u64,
         });
         let now = self.uptime();
-        self.lock().availability.record(&record.id, notice, now);
+        self.lock().availability.record(&record.id, signals, now);
     }
 
     async fn record_weights(&self, record: &ReplicaRecord, weights: Vec<ModelWeights>) {
--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -52,11 +52,11 @@
         }
     }
 
-    fn observation(&self, statement: LimitReport, now: Instant) -> LimitObservation {
-        let age = Duration::from_millis(u64::from(statement.age_ms));
-        let permit = statement.permit.filter(|stamp| stamp.term == self.number);
+    fn observation(&self, report: LimitReport, now: Instant) -> LimitObservation {
+        let age = Duration::from_millis(u64::from(report.age_ms));
+        let permit = report.permit.filter(|stamp| stamp.term == self.number);
         LimitObservation {
-            limit: statement.limit,
+            limit: report.limit,
             observed_at: now.checked_sub(age).unwrap_or(now),
             permitted_at: permit.map(|stamp| self.began_at + Duration::from_millis(stamp.at_ms)),
         }
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -181,7 +181,7 @@
             ServingCommand::Deregister { replica } => self.deregister(index, &replica),
             ServingCommand::Expire { replica } => self.expire(index, &replica),
             ServingCommand::SetTargetWeights(target) => self.set_target_weights(index, target),
-            ServingCommand::AcquireOrderLock { holder } => self.acquire_orders(index, holder),
+            ServingCommand::AcquireOrderLock { holder } => self.acquire_order_lock(index, holder),
             ServingCommand::BeginOrder {
                 token,
                 replica,
@@ -195,10 +195,10 @@
                 if let Some(reporter) = reporter {
                     self.report_crash(index, replica, reporter);
                 }
-                let told = self.update_quarantine(|quarantine| {
+                let lists = self.update_quarantine(|quarantine| {
                     quarantine.record_crash(index, replica, &contents);
                 });
-                ServingOutcome::CrashRecorded(told.clone())
+                ServingOutcome::CrashRecorded(lists.clone())
             }
             ServingCommand::ClearSuspects { contents } => {
                 self.update_quarantine(|quarantine| quarantine.clear(index, &contents));
@@ -330,12 +330,12 @@
 
     /// Records that a router lost its requests at a replica. Removes the replica once two routers
     /// have reported it, so that other routers do not lose requests to it.
-    fn report_crash(&mut self, index: LogIndex, replica: ReplicaKey, witness: String) {
+    fn report_crash(&mut self, index: LogIndex, replica: ReplicaKey, reporter: String) {
         let mut known = self.replicas.records().keys();
         let Some(id) = known.find(|id| ReplicaKey::of(id) == replica).cloned() else {
             return;
         };
-        if Arc::make_mut(&mut self.crash_reports).record(replica, witness) {
+        if Arc::make_mut(&mut self.crash_reports).record(replica, reporter) {
             self.remove(index, &id);
         }
     }
@@ -383,12 +383,12 @@
     /// change.
     fn update_quarantine(&mut self, update: impl FnOnce(&mut Quarantine)) -> &QuarantineUpdate {
         update(Arc::make_mut(&mut self.quarantine));
-        let told = self.quarantine.update();
-        self.changed_at = self.changed_at.max(told.changed_at);
-        told
+        let lists = self.quarantine.update();
+        self.changed_at = self.changed_at.max(lists.changed_at);
+        lists
     }
 
-    fn acquire_orders(&mut self, index: LogIndex, holder: String) -> ServingOutcome {
+    fn acquire_order_lock(&mut self, index: LogIndex, holder: String) -> ServingOutcome {
         let previous = self.order_lock.take();
         let taken_over = previous.is_some_and(|previous| previous.holder != holder);
         self.order_lock = Some(OrderLock {
--- a/crates/control/src/serving_state/quarantine.rs
+++ b/crates/control/src/serving_state/quarantine.rs
@@ -176,20 +176,20 @@
 
     /// Rebuilds the lists for routers and advances their position if they changed.
     fn refresh_update(&mut self, index: LogIndex) {
-        let mut told = QuarantineUpdate {
+        let mut lists = QuarantineUpdate {
             changed_at: self.update.changed_at,
             ..QuarantineUpdate::default()
         };
         for (content, suspect) in &self.suspects {
             if suspect.is_quarantined {
-                told.quarantined.push(*content);
+                lists.quarantined.push(*content);
             } else if suspect.crashes.len() >= CRASHES_TO_WATCH {
-                told.suspected.push(*content);
+                lists.suspected.push(*content);
             }
         }
-        if told != self.update {
-            told.changed_at = index;
-            self.update = told;
+        if lists != self.update {
+            lists.changed_at = index;
+            self.update = lists;
         }
     }
 
--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -53,9 +53,9 @@
         for record in &mut update.replicas {
             record.id = record.replica_name().to_owned();
         }
-        let ended = update.removed.into_iter();
-        let ended = ended.map(|name| Incarnation::parse(&name).replica.to_owned());
-        update.removed = ended
+        let names = update.removed.into_iter();
+        let names = names.map(|name| Incarnation::parse(&name).replica.to_owned());
+        update.removed = names
             .filter(|replica| self.replicas.current_incarnation_id(replica).is_none())
             .collect();
         Some(update)
@@ -74,7 +74,7 @@
         let configuration =
             (self.configuration_at > known.state).then(|| self.configuration().clone());
         let quarantine = Some(self.quarantine.update())
-            .filter(|told| told.changed_at > known.state)
+            .filter(|lists| lists.changed_at > known.state)
             .cloned();
         Some(ServingUpdate {
             known: position,
@@ -110,15 +110,15 @@
             self.records_between(known.changes, self.changed_at, limits.records);
         let had_all_records = known.records >= known.changes;
         let mut records_through = known.records;
-        let room = limits
+        let free = limits
             .records
             .saturating_sub(records.len())
             .min(limits.unknown_records);
         if had_all_records {
             records_through = changes_through;
-        } else if changes_through == self.changed_at && room > 0 {
+        } else if changes_through == self.changed_at && free > 0 {
             let (new_records, sent_through) =
-                self.records_between(known.records, known.changes, room);
+                self.records_between(known.records, known.changes, free);
             records.extend(new_records);
             // The router has all records now.
             records_through = if sent_through == known.changes {
--- a/crates/control/tests/incarnations.rs
+++ b/crates/control/tests/incarnations.rs
@@ -40,10 +40,8 @@
 
 /// Start times of the replica's recorded incarnations.
 fn start_times(state: &ServingState) -> Vec<Option<u64>> {
-    let names = state.replicas().keys();
-    names
-        .map(|name| Incarnation::parse(name).started_ms)
-        .collect()
+    let ids = state.replicas().keys();
+    ids.map(|id| Incarnation::parse(id).started_ms).collect()
 }
 
 #[test]
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -22,7 +22,7 @@
 const MUTANT_SEEDS: u64 = 400;
 const RUN_MS: u64 = 40_000;
 const ROUTERS: usize = 30;
-const LIFE: &str = "i-1";
+const INCARNATION_ID: &str = "i-1";
 /// Time after which a new limit binds all routers, unless messages are delayed.
 const LIMIT_EFFECTIVE_AFTER_MS: u64 = 3_000;
 
@@ -285,11 +285,11 @@
                 _ => granted.map(|granted| at(self.start, granted.at_ms)),
             },
         };
-        leader.ledger.record(LIFE, observation, now);
+        leader.ledger.record(INCARNATION_ID, observation, now);
         if !wants_permit {
             return;
         }
-        let granted = match leader.ledger.acquire(LIFE, now) {
+        let granted = match leader.ledger.acquire(INCARNATION_ID, now) {
             PermitDecision::Granted(_) => Some(GrantedPermit {
                 leader: leader_index,
                 at_ms: self.now_ms,
--- a/crates/control/tests/production_state/mod.rs
+++ b/crates/control/tests/production_state/mod.rs
@@ -64,8 +64,8 @@
             ServingCommand::Register(record) => self.register(index, record),
             ServingCommand::Deregister { replica } => self.deregister(index, &replica),
             ServingCommand::Expire { replica } => self.expire(index, &replica),
-            ServingCommand::SetTargetWeights(named) => self.name_weights(index, named),
-            ServingCommand::AcquireOrderLock { holder } => self.acquire_orders(index, holder),
+            ServingCommand::SetTargetWeights(target) => self.set_target_weights(index, target),
+            ServingCommand::AcquireOrderLock { holder } => self.acquire_order_lock(index, holder),
             ServingCommand::BeginOrder {
                 token,
                 replica,
@@ -154,19 +154,19 @@
         }
     }
 
-    fn name_weights(&mut self, index: LogIndex, named: ModelWeights) -> ServingOutcome {
-        let known = self.weights.get(&named.model).copied().unwrap_or(0);
-        if named.version <= known {
+    fn set_target_weights(&mut self, index: LogIndex, target: ModelWeights) -> ServingOutcome {
+        let known = self.weights.get(&target.model).copied().unwrap_or(0);
+        if target.version <= known {
             return ServingOutcome::Superseded;
         }
-        self.weights.insert(named.model, named.version);
+        self.weights.insert(target.model, target.version);
         self.changed_at = index;
         ServingOutcome::Done
     }
 
-    fn acquire_orders(&mut self, index: LogIndex, holder: String) -> ServingOutcome {
-        let former = self.order_lock.take();
-        let taken_over = former.is_some_and(|former| former.holder != holder);
+    fn acquire_order_lock(&mut self, index: LogIndex, holder: String) -> ServingOutcome {
+        let previous = self.order_lock.take();
+        let taken_over = previous.is_some_and(|previous| previous.holder != holder);
         self.order_lock = Some(OrderLock {
             holder,
             token: index,
--- a/crates/control/tests/quota.rs
+++ b/crates/control/tests/quota.rs
@@ -255,8 +255,8 @@
                 *from_ms <= began_ms + window_ms && until_ms.saturating_add(window_ms) >= began_ms;
             if in_force {
                 let window_s = window_ms as f64 / 1_000.0;
-                let stated = quota.rate_per_s as f64 * window_s + quota.burst as f64;
-                largest = largest.max(stated * (1.0 + bounds.overage) + bounds.slack);
+                let allowance = quota.rate_per_s as f64 * window_s + quota.burst as f64;
+                largest = largest.max(allowance * (1.0 + bounds.overage) + bounds.slack);
             }
         }
         largest
