--- a/crates/control/src/serving/daemon.rs
+++ b/crates/control/src/serving/daemon.rs
@@ -35,7 +35,7 @@
 /// Name of the cluster. Groups that form themselves are distinguished by their data folders.
 const CLUSTER: &str = "railtack";
 /// Interval of the heartbeats of the replicated log, milliseconds.
-const HEARTBEAT_MS: Millis = 100;
+const HEARTBEAT_INTERVAL_MS: Millis = 100;
 /// Shortest election timeout, milliseconds.
 const ELECTION_TIMEOUT_MS: Millis = 400;
 /// Longest time between two rounds of the replica's thread.
@@ -208,7 +208,7 @@
         accept_stored_id: true,
         new_disk: DiskId(rand::random()),
         election_timeout: ELECTION_TIMEOUT_MS,
-        heartbeat_interval: HEARTBEAT_MS,
+        heartbeat_interval: HEARTBEAT_INTERVAL_MS,
         snapshot_entries: SNAPSHOT_ENTRIES,
         snapshot_bytes: SNAPSHOT_BYTES,
         claim_retention_ms: CLAIM_RETENTION_MS,
--- a/crates/control/src/serving/fleet.rs
+++ b/crates/control/src/serving/fleet.rs
@@ -122,7 +122,7 @@
     pub fn build_digest(
         &mut self,
         known: &[KnownReplica<'_>],
-        heartbeat: Duration,
+        heartbeat_interval: Duration,
         now: Instant,
     ) -> Vec<ResponsivenessChange> {
         self.router_reports
@@ -134,7 +134,7 @@
             .values()
             .chain(self.control_reports.values());
         let observations = aggregate(reports, now);
-        let changes = self.update_unresponsive(&observations, known, heartbeat, now);
+        let changes = self.update_unresponsive(&observations, known, heartbeat_interval, now);
         let conditions = known.iter().filter_map(|replica| {
             let observation = observations.get(&replica.key);
             let is_unresponsive = self.unresponsive_since.contains_key(&replica.key);
@@ -176,7 +176,7 @@
         &mut self,
         observations: &BTreeMap<ReplicaKey, ReplicaObservation>,
         known: &[KnownReplica<'_>],
-        heartbeat: Duration,
+        heartbeat_interval: Duration,
         now: Instant,
     ) -> Vec<ResponsivenessChange> {
         let previous = std::mem::take(&mut self.unresponsive_since);
@@ -192,7 +192,7 @@
             let observation = observations.get(&replica.key);
             let since = previous.get(&replica.key).copied();
             let stays_unresponsive = since.is_some_and(|since| {
-                let is_in_retry_delay = now < since + heartbeat * RETRY_AFTER_HEARTBEATS;
+                let is_in_retry_delay = now < since + heartbeat_interval * RETRY_AFTER_HEARTBEATS;
                 !is_recently_heard(observation) && (is_in_retry_delay || !replica.is_alive)
             });
             let limit = replicas[replica.service] / MIN_REPLICAS_PER_UNRESPONSIVE;
@@ -221,7 +221,7 @@
         (previous.contains_key(&replica) != is_unresponsive).then(|| ResponsivenessChange {
             replica,
             is_unresponsive,
-            observation: observation.unwrap_or_else(|| no_observation(replica)),
+            observation: observation.unwrap_or_else(|| empty_observation(replica)),
         })
     }
 }
@@ -230,7 +230,7 @@
     now.saturating_duration_since(report.received_at) < REPORT_TTL
 }
 
-fn no_observation(replica: ReplicaKey) -> ReplicaObservation {
+fn empty_observation(replica: ReplicaKey) -> ReplicaObservation {
     ReplicaObservation {
         replica,
         open_requests: 0,
@@ -261,7 +261,7 @@
         for observed in &report.observations {
             let total = totals
                 .entry(observed.replica)
-                .or_insert_with(|| no_observation(observed.replica));
+                .or_insert_with(|| empty_observation(observed.replica));
             total.open_requests = total.open_requests.saturating_add(observed.open_requests);
             total.pending_prefill_tokens = total
                 .pending_prefill_tokens
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -57,7 +57,7 @@
     state: Mutex<LivenessState>,
     fleet: Mutex<FleetView>,
     /// Heartbeat interval of back-end replicas.
-    heartbeat: Duration,
+    heartbeat_interval: Duration,
 }
 
 /// The last heartbeat that a replica sent to this control replica.
@@ -88,11 +88,11 @@
 
 impl Liveness {
     /// Creates the state for replicas that send heartbeats at this interval.
-    pub fn new(heartbeat: Duration) -> Self {
+    pub fn new(heartbeat_interval: Duration) -> Self {
         Self {
             state: Mutex::default(),
             fleet: Mutex::default(),
-            heartbeat,
+            heartbeat_interval,
         }
     }
 
@@ -177,11 +177,11 @@
     /// While leader: builds the digest for all routers.
     fn build_digest(&self, view: &NodeView, limited: Vec<LimitedReplica>) {
         let now = Instant::now();
-        let heartbeat = self.heartbeat;
+        let heartbeat_interval = self.heartbeat_interval;
         let records = view.serving.replicas().values();
         let known: Vec<KnownReplica<'_>> = {
             let state = self.lock();
-            let alive_for = heartbeat * MAX_MISSED_WHILE_ALIVE;
+            let alive_for = heartbeat_interval * MAX_MISSED_WHILE_ALIVE;
             let is_alive = |replica: ReplicaKey| {
                 let last_seen = state.last_seen.get(&replica);
                 last_seen.is_some_and(|at| now.saturating_duration_since(*at) < alive_for)
@@ -199,7 +199,7 @@
         let changes = {
             let mut fleet = self.fleet();
             fleet.set_limited(limited);
-            fleet.build_digest(&known, heartbeat, now)
+            fleet.build_digest(&known, heartbeat_interval, now)
         };
         for change in changes {
             let replica = view
@@ -248,16 +248,16 @@
             .heartbeats
             .iter()
             .filter(|(_, heartbeat)| is_unreported(heartbeat.received_at));
-        let names = heartbeats.clone().map(|(replica, _)| replica.clone());
+        let ids = heartbeats.clone().map(|(replica, _)| replica.clone());
         let identities = if group_level < FeatureLevel::SHARED_GRANTS {
-            names.collect()
+            ids.collect()
         } else {
             Vec::new()
         };
-        let replicas = heartbeats.map(|(replica, heartbeat)| {
+        let replicas = heartbeats.map(|(id, heartbeat)| {
             let age = now.saturating_duration_since(heartbeat.received_at);
             ReplicaHeartbeat {
-                replica: ReplicaKey::of(replica),
+                replica: ReplicaKey::of(id),
                 age_ms: u16::try_from(age.as_millis()).unwrap_or(u16::MAX),
             }
         });
@@ -312,7 +312,7 @@
 
     /// Silence after which another replica may take over an address.
     pub fn address_takeover_delay(&self) -> Duration {
-        self.heartbeat * ADDRESS_TAKEOVER_TENTHS / 10 + REPORT_DELAY
+        self.heartbeat_interval * ADDRESS_TAKEOVER_TENTHS / 10 + REPORT_DELAY
     }
 
     /// Records that this control replica is the leader.
@@ -352,7 +352,7 @@
     fn remove_expired(&self, is_recorded: impl Fn(&str) -> bool) {
         let mut state = self.lock();
         let now = Instant::now();
-        let max_silence = self.heartbeat * MAX_MISSED_WHILE_ALIVE;
+        let max_silence = self.heartbeat_interval * MAX_MISSED_WHILE_ALIVE;
         let is_recent = |heartbeat: &ReceivedHeartbeat| {
             now.saturating_duration_since(heartbeat.received_at) < max_silence
         };
@@ -416,8 +416,10 @@
             liveness.build_digest(&view, permits.limited());
             if scan_due {
                 let known = view.serving.replicas().keys();
-                let silent = liveness
-                    .silent_replicas(known, liveness.heartbeat * MISSED_HEARTBEATS_TO_EXPIRE);
+                let silent = liveness.silent_replicas(
+                    known,
+                    liveness.heartbeat_interval * MISSED_HEARTBEATS_TO_EXPIRE,
+                );
                 // Concurrent proposals share a commit; often many replicas fall silent at once.
                 join_all(
                     silent
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -272,9 +272,9 @@
             return false;
         };
         let holder = holder.to_owned();
-        let deadline = call_context(REMOVAL_TIMEOUT);
+        let context = call_context(REMOVAL_TIMEOUT);
         let removed = connection
-            .call(|client| async move { client.remove_if_silent(deadline, holder).await })
+            .call(|client| async move { client.remove_if_silent(context, holder).await })
             .await;
         removed.unwrap_or(false)
     }
--- a/crates/control/src/serving_state/quarantine.rs
+++ b/crates/control/src/serving_state/quarantine.rs
@@ -19,13 +19,13 @@
 use speedy::{Readable, Writable};
 
 /// [`CRASHES_TO_QUARANTINE`] as a length.
-const CRASHES_FOR_BLAME: usize = CRASHES_TO_QUARANTINE as usize;
+const MIN_CRASHES: usize = CRASHES_TO_QUARANTINE as usize;
 /// Crashes after which a request is quarantined although another one was present each time: one of
 /// the two may be harmless, but further crashes cost more.
 pub const CRASHES_DESPITE_RIVAL: usize = 6;
 /// Crashes after which routers report that a request completed. One crash is common, and reports
 /// about all requests present at it would be too many.
-const CRASHES_TO_WATCH: usize = 2;
+const MIN_CRASHES_TO_SUSPECT: usize = 2;
 /// Suspects kept: enough for all requests of thirty replicas with 32 slots that crash together.
 const MAX_SUSPECTS: usize = 1_024;
 /// Crashes kept for one suspect.
@@ -106,7 +106,7 @@
             {
                 suspect.crashes.push(replica);
                 suspect.changed_at = index;
-                is_visible_to_routers |= suspect.crashes.len() >= CRASHES_TO_WATCH;
+                is_visible_to_routers |= suspect.crashes.len() >= MIN_CRASHES_TO_SUSPECT;
             }
         }
         self.recompute(index);
@@ -144,7 +144,7 @@
             return;
         }
         if suspect.is_quarantined {
-            let excess = (suspect.crashes.len() + 1).saturating_sub(CRASHES_FOR_BLAME);
+            let excess = (suspect.crashes.len() + 1).saturating_sub(MIN_CRASHES);
             suspect.crashes.drain(..excess);
             suspect.changed_at = index;
         } else {
@@ -156,20 +156,20 @@
     /// Recomputes which requests are at fault, starting with those that have the most crashes,
     /// since each of them explains its crashes for all others.
     fn recompute(&mut self, index: LogIndex) {
-        let mut blamed: BTreeSet<ContentKey> = BTreeSet::new();
+        let mut quarantined: BTreeSet<ContentKey> = BTreeSet::new();
         let mut explained: BTreeSet<ReplicaKey> = BTreeSet::new();
         loop {
-            let newly_blamed = self.next_to_blame(&explained);
-            if newly_blamed.is_empty() {
+            let newly_quarantined = self.next_to_quarantine(&explained);
+            if newly_quarantined.is_empty() {
                 break;
             }
-            for content in newly_blamed {
+            for content in newly_quarantined {
                 explained.extend(&self.suspects[&content].crashes);
-                blamed.insert(content);
+                quarantined.insert(content);
             }
         }
         for (content, suspect) in &mut self.suspects {
-            suspect.is_quarantined = blamed.contains(content);
+            suspect.is_quarantined = quarantined.contains(content);
         }
         self.refresh_update(index);
     }
@@ -183,7 +183,7 @@
         for (content, suspect) in &self.suspects {
             if suspect.is_quarantined {
                 lists.quarantined.push(*content);
-            } else if suspect.crashes.len() >= CRASHES_TO_WATCH {
+            } else if suspect.crashes.len() >= MIN_CRASHES_TO_SUSPECT {
                 lists.suspected.push(*content);
             }
         }
@@ -196,7 +196,7 @@
     /// Returns the request with the most unexplained crashes if they suffice to quarantine it. Its
     /// rivals are returned with it once it has [`CRASHES_DESPITE_RIVAL`] crashes; until then none of
     /// them is returned.
-    fn next_to_blame(&self, explained: &BTreeSet<ReplicaKey>) -> Vec<ContentKey> {
+    fn next_to_quarantine(&self, explained: &BTreeSet<ReplicaKey>) -> Vec<ContentKey> {
         let unexplained = |suspect: &Suspect| -> BTreeSet<ReplicaKey> {
             let crashes = suspect.crashes.iter().copied();
             crashes.filter(|crash| !explained.contains(crash)).collect()
@@ -204,9 +204,9 @@
         let mut candidates: Vec<(ContentKey, BTreeSet<ReplicaKey>)> = self
             .suspects
             .iter()
-            .filter(|(_, suspect)| suspect.crashes.len() >= CRASHES_FOR_BLAME)
+            .filter(|(_, suspect)| suspect.crashes.len() >= MIN_CRASHES)
             .map(|(content, suspect)| (*content, unexplained(suspect)))
-            .filter(|(_, crashes)| crashes.len() >= CRASHES_FOR_BLAME)
+            .filter(|(_, crashes)| crashes.len() >= MIN_CRASHES)
             .collect();
         candidates.sort_by_key(|(_, crashes)| Reverse(crashes.len()));
         for (content, crashes) in &candidates {
@@ -250,5 +250,5 @@
 /// as many crashes, and too few remain at which it was absent.
 fn is_rival(crashes: &BTreeSet<ReplicaKey>, other_crashes: &BTreeSet<ReplicaKey>) -> bool {
     let alone = crashes.difference(other_crashes).count();
-    other_crashes.len() >= crashes.len() && alone < CRASHES_FOR_BLAME
+    other_crashes.len() >= crashes.len() && alone < MIN_CRASHES
 }
--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -110,15 +110,15 @@
             self.records_between(known.changes, self.changed_at, limits.records);
         let had_all_records = known.records >= known.changes;
         let mut records_through = known.records;
-        let free = limits
+        let remaining = limits
             .records
             .saturating_sub(records.len())
             .min(limits.unknown_records);
         if had_all_records {
             records_through = changes_through;
-        } else if changes_through == self.changed_at && free > 0 {
+        } else if changes_through == self.changed_at && remaining > 0 {
             let (new_records, sent_through) =
-                self.records_between(known.records, known.changes, free);
+                self.records_between(known.records, known.changes, remaining);
             records.extend(new_records);
             // The router has all records now.
             records_through = if sent_through == known.changes {
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -8,7 +8,7 @@
 use railtack_serving::ReplicaKey;
 use tokio::time::Instant;
 
-const HEARTBEAT: Duration = Duration::from_millis(1_200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 fn observation(
     replica: u32,
@@ -56,7 +56,7 @@
     let mut leader = FleetView::default();
     leader.record_control_report("c2".to_owned(), other.local_observations(start), start);
     leader.record_router_report("r3", vec![observation(1, 1, 5, false)], start);
-    leader.build_digest(&known(4), HEARTBEAT, start);
+    leader.build_digest(&known(4), HEARTBEAT_INTERVAL, start);
     let digest = leader.digest(start).expect("a digest");
     assert_eq!(digest.replicas.len(), 1);
     assert_eq!(digest.replicas[0].open_requests, 6);
@@ -68,7 +68,7 @@
     let start = Instant::now();
     let mut leader = FleetView::default();
     assert_eq!(leader.digest(start), None);
-    leader.build_digest(&known(1), HEARTBEAT, start);
+    leader.build_digest(&known(1), HEARTBEAT_INTERVAL, start);
     let sent = leader.digest(after(start, 300));
     let mut follower = FleetView::default();
     follower.set_digest(sent, after(start, 300));
@@ -83,7 +83,7 @@
     let mut leader = FleetView::default();
     leader.record_router_report("r1", vec![observation(1, 3, 10, false)], start);
     assert!(leader.local_observations(after(start, 2_500)).is_empty());
-    leader.build_digest(&known(2), HEARTBEAT, after(start, 2_500));
+    leader.build_digest(&known(2), HEARTBEAT_INTERVAL, after(start, 2_500));
     let digest = leader.digest(after(start, 2_500)).expect("a digest");
     assert!(digest.replicas.is_empty());
 }
@@ -95,23 +95,35 @@
     let replicas = known(4);
     // The path of a single router may have failed.
     leader.record_router_report("r1", vec![observation(1, 1, 3_000, true)], start);
-    assert!(leader.build_digest(&replicas, HEARTBEAT, start).is_empty());
+    assert!(
+        leader
+            .build_digest(&replicas, HEARTBEAT_INTERVAL, start)
+            .is_empty()
+    );
     // A second router is stalled too, but a third one receives events: the replica is busy.
     leader.record_router_report("r2", vec![observation(1, 1, 3_000, true)], start);
     leader.record_router_report("r3", vec![observation(1, 1, 100, false)], start);
-    assert!(leader.build_digest(&replicas, HEARTBEAT, start).is_empty());
+    assert!(
+        leader
+            .build_digest(&replicas, HEARTBEAT_INTERVAL, start)
+            .is_empty()
+    );
     let now = after(start, 1_000);
     leader.record_router_report("r3", vec![observation(1, 1, 1_100, true)], now);
-    let changes = leader.build_digest(&replicas, HEARTBEAT, now);
+    let changes = leader.build_digest(&replicas, HEARTBEAT_INTERVAL, now);
     assert_eq!(changes.len(), 1);
     assert!(changes[0].is_unresponsive);
     assert_eq!(unresponsive(&leader.digest(now).expect("a digest")), [1]);
     // Routers send no requests there any more, so none is stalled; the replica stays unresponsive.
     let now = after(start, 3_500);
     leader.record_router_report("r1", Vec::new(), now);
-    assert!(leader.build_digest(&replicas, HEARTBEAT, now).is_empty());
+    assert!(
+        leader
+            .build_digest(&replicas, HEARTBEAT_INTERVAL, now)
+            .is_empty()
+    );
     leader.record_router_report("r2", vec![observation(1, 0, 20, false)], now);
-    let changes = leader.build_digest(&replicas, HEARTBEAT, now);
+    let changes = leader.build_digest(&replicas, HEARTBEAT_INTERVAL, now);
     assert!(!changes[0].is_unresponsive);
 }
 
@@ -124,12 +136,12 @@
     for router in ["r1", "r2"] {
         leader.record_router_report(router, vec![observation(1, 1, 3_000, true)], start);
     }
-    leader.build_digest(&replicas, HEARTBEAT, start);
+    leader.build_digest(&replicas, HEARTBEAT_INTERVAL, start);
     let now = after(start, 60_000);
-    leader.build_digest(&replicas, HEARTBEAT, now);
+    leader.build_digest(&replicas, HEARTBEAT_INTERVAL, now);
     assert_eq!(unresponsive(&leader.digest(now).expect("a digest")), [1]);
     replicas[1].is_alive = true;
-    leader.build_digest(&replicas, HEARTBEAT, now);
+    leader.build_digest(&replicas, HEARTBEAT_INTERVAL, now);
     assert!(unresponsive(&leader.digest(now).expect("a digest")).is_empty());
 }
 
@@ -153,7 +165,7 @@
             let replica = u32::from(*replica) % replicas;
             let observed = vec![observation(replica, 1, *heard_ms, *is_stalled)];
             leader.record_router_report(&format!("r{}", router % 8), observed, now);
-            leader.build_digest(&known, HEARTBEAT, now);
+            leader.build_digest(&known, HEARTBEAT_INTERVAL, now);
             let Some(digest) = leader.digest(now) else {
                 return TestResult::failed();
             };
@@ -175,7 +187,7 @@
             let all = (0..replicas).map(|replica| observation(replica, 1, u16::MAX, true));
             leader.record_router_report(router, all.collect(), start);
         }
-        leader.build_digest(&known(replicas), HEARTBEAT, start);
+        leader.build_digest(&known(replicas), HEARTBEAT_INTERVAL, start);
         let digest = leader.digest(start).expect("a digest");
         unresponsive(&digest).len() == replicas as usize / 2
     }
--- a/crates/control/tests/quarantine.rs
+++ b/crates/control/tests/quarantine.rs
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn each_crash_of_a_watched_request_is_an_update_though_the_lists_stay() {
+fn each_crash_of_a_suspected_request_is_an_update_though_the_lists_stay() {
     let mut quarantine = quarantine_after(&[&[FATAL, OTHER], &[FATAL, OTHER]]);
     let previous = quarantine.update().clone();
     quarantine.record_crash(3, ReplicaKey(3), &[FATAL, OTHER]);
