--- a/crates/control/src/serving/fleet.rs
+++ b/crates/control/src/serving/fleet.rs
@@ -112,13 +112,13 @@
             .collect()
     }
 
-    /// While leader: sets the replicas that advertise a limit.
+    /// On the leader: sets the replicas that advertise a limit.
     pub fn set_limited(&mut self, limited_replicas: Vec<LimitedReplica>) {
         self.limited_replicas = limited_replicas;
     }
 
-    /// While leader: builds the digest of all observations at the `known` replicas, which send
-    /// heartbeats at the interval `heartbeat`. Returns the changes of responsiveness.
+    /// On the leader: builds the digest of all observations at the `known` replicas, which send
+    /// heartbeats every `heartbeat_interval`. Returns the changes of responsiveness.
     pub fn build_digest(
         &mut self,
         known: &[KnownReplica<'_>],
--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -78,8 +78,8 @@
         self.leader_client.view()
     }
 
-    /// Stores a complete document. On success, it or one with a higher revision is on one disk more
-    /// than the deployment may lose.
+    /// Stores a complete document. On success, it or one with a higher revision is on more disks than
+    /// the deployment may lose.
     pub async fn put_document(
         &self,
         document: ConfigurationDocument,
--- a/crates/control/src/serving/limits.rs
+++ b/crates/control/src/serving/limits.rs
@@ -39,7 +39,7 @@
 pub struct LimitObservation {
     /// The limit; `None` if the response advertised none.
     pub limit: Option<RequestLimit>,
-    /// When the router received it. Too late by the delay of the router's message.
+    /// When the router received it. Late by the delay of the router's message.
     pub observed_at: Instant,
     /// When this term granted the permit of the request whose response advertised it.
     pub permitted_at: Option<Instant>,
@@ -85,7 +85,7 @@
 
 /// Token bucket of the permits for a limit.
 ///
-/// Permits may be used until [`GRANT_LIFE`](railtack_rpc::serving::GRANT_LIFE) after the request,
+/// Permits may be used until [`GRANT_TTL`](railtack_rpc::serving::GRANT_TTL) after the request,
 /// and a previous leader may grant some beside a new one for 0.25 s. With 0.5 s for the way to the
 /// back end, a window receives at most the permits of 5.1 s and the burst. At a limit of N per
 /// second that is 5.6 N + 1 of the allowed 6 N + 5.
--- a/crates/control/src/serving/liveness.rs
+++ b/crates/control/src/serving/liveness.rs
@@ -72,7 +72,7 @@
     heartbeats: HashMap<String, ReceivedHeartbeat>,
     /// Replicas that recently sent heartbeats here, as of the last scan.
     local_replica_count: usize,
-    /// Last heartbeat by replica: received here or, while leader, reported by other control
+    /// Last heartbeat by replica: received here or, on the leader, reported by other control
     /// replicas.
     last_seen: HashMap<ReplicaKey, Instant>,
     /// The leader that received the last report, and the time up to which it covers heartbeats.
@@ -174,7 +174,7 @@
         self.fleet().digest(Instant::now())
     }
 
-    /// While leader: builds the digest for all routers.
+    /// On the leader: builds the digest for all routers.
     fn build_digest(&self, view: &NodeView, limited: Vec<LimitedReplica>) {
         let now = Instant::now();
         let heartbeat_interval = self.heartbeat_interval;
@@ -282,7 +282,7 @@
         self.fleet().set_digest(reply.fleet, Instant::now());
     }
 
-    /// While leader: whether a replica has been silent for longer than `limit`. For a replica
+    /// On the leader: whether a replica has been silent for longer than `limit`. For a replica
     /// without heartbeats the time starts when this replica became leader.
     fn is_silent(&self, replica: &str, limit: Duration) -> bool {
         let state = self.lock();
@@ -291,7 +291,7 @@
         last_seen.is_some_and(|last_seen| last_seen.elapsed() > limit)
     }
 
-    /// While leader: removes a replica whose address another one wants to register, if it has been
+    /// On the leader: removes a replica whose address another one wants to register, if it has been
     /// silent for long enough. Only one of them can listen at the address, and a delayed heartbeat
     /// may arrive after its sender has crashed and another incarnation has taken the address.
     pub async fn remove_if_silent(&self, leader_client: &LeaderClient, replica: &str) -> bool {
@@ -323,7 +323,7 @@
         state.last_report = None;
     }
 
-    /// While leader: returns the replicas of `known` that have been silent for longer than `limit`.
+    /// On the leader: returns the replicas of `known` that have been silent for longer than `limit`.
     fn silent_replicas<'a>(
         &self,
         known: impl Iterator<Item = &'a String>,
@@ -396,7 +396,7 @@
     let _ = leader_client.propose(command, REMOVAL_TIMEOUT).await;
 }
 
-/// Sends reports to the leader or, while leader, builds digests and removes silent replicas.
+/// Sends reports to the leader or, on the leader, builds digests and removes silent replicas.
 pub async fn run_reports(
     leader_client: Arc<LeaderClient>,
     liveness: Arc<Liveness>,
--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// While leader: the back ends with a limit, for the digest to all routers.
+    /// On the leader: the back ends with a limit, for the digest to all routers.
     pub fn limited(&self) -> Vec<LimitedReplica> {
         let now = Instant::now();
         let mut term_slot = self.lock();
--- a/crates/control/src/serving_state/quarantine.rs
+++ b/crates/control/src/serving_state/quarantine.rs
@@ -18,13 +18,13 @@
 use railtack_serving::{ContentKey, ReplicaKey};
 use speedy::{Readable, Writable};
 
-/// [`CRASHES_TO_QUARANTINE`] as a length.
+/// [`CRASHES_TO_QUARANTINE`] as a `usize`.
 const MIN_CRASHES: usize = CRASHES_TO_QUARANTINE as usize;
 /// Crashes after which a request is quarantined although another one was present each time: one of
 /// the two may be harmless, but further crashes cost more.
 pub const CRASHES_DESPITE_RIVAL: usize = 6;
-/// Crashes after which routers report that a request completed. One crash is common, and reports
-/// about all requests present at it would be too many.
+/// Crashes after which a request is in the list `suspected`, so that routers report when it
+/// completes. After a single crash such reports would be too many.
 const MIN_CRASHES_TO_SUSPECT: usize = 2;
 /// Suspects kept: enough for all requests of thirty replicas with 32 slots that crash together.
 const MAX_SUSPECTS: usize = 1_024;
@@ -89,7 +89,7 @@
     }
 
     /// Records that a replica crashed while running these requests. Repeated reports, and reports
-    /// about the same crash by several routers, count once. A crash under a watched or quarantined
+    /// about the same crash by several routers, count once. A crash under a suspected or quarantined
     /// request advances the position even if the lists stay the same: routers hold back suspects
     /// until all reports of the crash are in.
     pub fn record_crash(&mut self, index: LogIndex, replica: ReplicaKey, contents: &[ContentKey]) {
