--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -16,7 +16,7 @@
     node::NodeHandle,
     serving::{
         limits::{LimitLedger, LimitObservation, PermitDecision},
-        quota::has_fresh_leadership,
+        quota::has_confirmed_leadership,
     },
 };
 
@@ -79,7 +79,7 @@
     pub fn handle(&self, request: &PermitRequest) -> PermitReply {
         let receiver = self.node.view();
         let view = receiver.borrow();
-        if !has_fresh_leadership(&view, self.started) {
+        if !has_confirmed_leadership(&view, self.started) {
             return PermitReply::NotLeader {
                 leader: view.leader.clone(),
             };
--- a/crates/control/src/serving/quota.rs
+++ b/crates/control/src/serving/quota.rs
@@ -27,7 +27,7 @@
 
 /// Maximum age of the last proof of leadership at which quotas are granted. The leader gets a proof
 /// with each heartbeat of 100 ms. For this time, a previous leader may grant beside a new one.
-pub const MAX_LEADERSHIP_PROOF_AGE: Duration = Duration::from_millis(250);
+pub const MAX_LEADERSHIP_CONFIRMATION_AGE: Duration = Duration::from_millis(250);
 /// Term of a group's first leader.
 const FIRST_TERM: u64 = 1;
 /// Interval of the check for a new term.
@@ -93,7 +93,7 @@
     pub fn handle(&self, request: &QuotaRequest) -> QuotaReply {
         let receiver = self.node.view();
         let view = receiver.borrow();
-        if !has_fresh_leadership(&view, self.started) {
+        if !has_confirmed_leadership(&view, self.started) {
             return QuotaReply::NotLeader {
                 leader: view.leader.clone(),
             };
@@ -178,16 +178,16 @@
 
 /// Whether the last proof of leadership is at most [`MAX_LEADERSHIP_PROOF_AGE`] old. `started` is
 /// the start of the replica's clock.
-pub fn has_fresh_leadership(view: &NodeView, started: BootInstant) -> bool {
+pub fn has_confirmed_leadership(view: &NodeView, started: BootInstant) -> bool {
     let age = view.leadership_confirmation_age(started);
-    age.is_some_and(|age| age < MAX_LEADERSHIP_PROOF_AGE)
+    age.is_some_and(|age| age < MAX_LEADERSHIP_CONFIRMATION_AGE)
 }
 
 /// Times by which a grant may be used late or granted twice, covered by the margin above a quota.
 pub fn grant_times() -> GrantTimes {
     GrantTimes {
         grant_ttl: GRANT_TTL,
-        leader_overlap: MAX_LEADERSHIP_PROOF_AGE,
+        leader_overlap: MAX_LEADERSHIP_CONFIRMATION_AGE,
     }
 }
 
@@ -201,12 +201,12 @@
 /// refill.
 pub async fn run_ledgers(server: Arc<QuotaServer>) {
     loop {
-        let led_term = {
+        let leader_term = {
             let receiver = server.node.view();
             let view = receiver.borrow();
-            has_fresh_leadership(&view, server.started).then_some(view.term)
+            has_confirmed_leadership(&view, server.started).then_some(view.term)
         };
-        if let Some(term) = led_term {
+        if let Some(term) = leader_term {
             let mut ledgers = server.lock();
             server.ledgers_for_term(&mut ledgers, term, Instant::now());
         }
--- a/crates/control/src/serving/watch.rs
+++ b/crates/control/src/serving/watch.rs
@@ -206,9 +206,9 @@
         if !server.has_recent_requests() || server.leader_client.view().is_leader {
             continue;
         }
-        let received_at = BootInstant::now();
+        let requested_at = BootInstant::now();
         if server.leader_client.catch_up(CONFIRM_TIMEOUT).await.is_ok() {
-            server.update_times(|times| times.confirmed_at = Some(received_at));
+            server.update_times(|times| times.confirmed_at = Some(requested_at));
         }
     }
 }
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -10,7 +10,7 @@
         LimitLedger, LimitObservation, MAX_WINDOW_RATIO, PermitDecision, WINDOW,
         WINDOW_SLACK_REQUESTS,
     },
-    quota::MAX_LEADERSHIP_PROOF_AGE,
+    quota::MAX_LEADERSHIP_CONFIRMATION_AGE,
 };
 use railtack_rpc::serving::GRANT_TTL;
 use railtack_serving::RequestLimit;
@@ -55,7 +55,7 @@
 struct Leader {
     ledger: LimitLedger,
     /// Time of its last proof of leadership; `None` until it is replaced.
-    last_proof_ms: Option<u64>,
+    last_confirmation_ms: Option<u64>,
 }
 
 /// When and by which leader a permit was granted.
@@ -138,14 +138,14 @@
     }
 
     fn elect(&mut self) {
-        let proof_age = self.random.random_range(0..200);
+        let confirmation_age = self.random.random_range(0..200);
         let now_ms = self.now_ms;
         if let Some(previous) = self.leaders.last_mut() {
-            previous.last_proof_ms = Some(now_ms.saturating_sub(proof_age));
+            previous.last_confirmation_ms = Some(now_ms.saturating_sub(confirmation_age));
         }
         self.leaders.push(Leader {
             ledger: LimitLedger::default(),
-            last_proof_ms: None,
+            last_confirmation_ms: None,
         });
     }
 
@@ -263,13 +263,15 @@
     ) {
         let now = at(self.start, self.now_ms);
         let leader = &mut self.leaders[leader_index];
-        let max_proof_age = if self.mutant == Mutant::StaleLeaderGrants {
+        let max_confirmation_age = if self.mutant == Mutant::StaleLeaderGrants {
             Duration::from_secs(8)
         } else {
-            MAX_LEADERSHIP_PROOF_AGE
+            MAX_LEADERSHIP_CONFIRMATION_AGE
         };
-        let proof_age = leader.last_proof_ms.map_or(0, |proof| self.now_ms - proof);
-        if proof_age >= milliseconds(max_proof_age) {
+        let confirmation_age = leader
+            .last_confirmation_ms
+            .map_or(0, |confirmed_ms| self.now_ms - confirmed_ms);
+        if confirmation_age >= milliseconds(max_confirmation_age) {
             return;
         }
         // The delay of the message counts towards the age.
--- a/crates/control/tests/quota.rs
+++ b/crates/control/tests/quota.rs
@@ -7,7 +7,7 @@
 
 use railtack_control::serving::{
     ledger::{LedgerReply, QuotaLedger, Withdrawal},
-    quota::{MAX_LEADERSHIP_PROOF_AGE, grant_times},
+    quota::{MAX_LEADERSHIP_CONFIRMATION_AGE, grant_times},
 };
 use railtack_rpc::serving::GRANT_TTL;
 use railtack_serving::{QuotaBounds, QuotaUnit, TenantQuota};
@@ -61,7 +61,7 @@
 struct Leader {
     ledger: QuotaLedger,
     /// Time of its last proof of leadership; `None` until it is replaced.
-    last_proof_ms: Option<u64>,
+    last_confirmation_ms: Option<u64>,
 }
 
 /// Cost of one request, and when it was sent to a replica.
@@ -111,9 +111,9 @@
 
     /// Elects a new leader; the last proof of the previous one is some time old.
     fn elect(&mut self, now_ms: u64) {
-        let proof_age = self.random.random_range(0..200);
+        let confirmation_age = self.random.random_range(0..200);
         if let Some(previous) = self.leaders.last_mut() {
-            previous.last_proof_ms = Some(now_ms.saturating_sub(proof_age));
+            previous.last_confirmation_ms = Some(now_ms.saturating_sub(confirmation_age));
         }
         let began = at(self.start, now_ms);
         let mut ledger = QuotaLedger::new(bounds(), grant_times(), began);
@@ -122,7 +122,7 @@
         }
         self.leaders.push(Leader {
             ledger,
-            last_proof_ms: None,
+            last_confirmation_ms: None,
         });
     }
 
@@ -152,15 +152,17 @@
     /// The request arrives; the router uses the grant if the reply is in time.
     fn handle_request(&mut self, now_ms: u64, request: QuotaRequest) {
         let quota = self.current_quota();
-        let max_proof_age = if self.mutant == Mutant::StaleLeaderGrants {
+        let max_confirmation_age = if self.mutant == Mutant::StaleLeaderGrants {
             Duration::from_secs(8)
         } else {
-            MAX_LEADERSHIP_PROOF_AGE
+            MAX_LEADERSHIP_CONFIRMATION_AGE
         };
         let start = self.start;
         let leader = &mut self.leaders[request.leader];
-        let proof_age = leader.last_proof_ms.map_or(0, |proof| now_ms - proof);
-        if Duration::from_millis(proof_age) >= max_proof_age {
+        let confirmation_age = leader
+            .last_confirmation_ms
+            .map_or(0, |confirmed_ms| now_ms - confirmed_ms);
+        if Duration::from_millis(confirmation_age) >= max_confirmation_age {
             return;
         }
         let withdrawal = Withdrawal {
