--- a/crates/control/src/serving/quota.rs
+++ b/crates/control/src/serving/quota.rs
@@ -25,7 +25,7 @@
     view::NodeView,
 };
 
-/// Maximum age of the last proof of leadership at which quotas are granted. The leader gets a proof
+/// Maximum age of the last confirmation of leadership for granting quotas. The leader is confirmed
 /// with each heartbeat of 100 ms. For this time, a previous leader may grant beside a new one.
 pub const MAX_LEADERSHIP_CONFIRMATION_AGE: Duration = Duration::from_millis(250);
 /// Term of a group's first leader.
@@ -176,14 +176,14 @@
     }
 }
 
-/// Whether the last proof of leadership is at most [`MAX_LEADERSHIP_PROOF_AGE`] old. `started` is
-/// the start of the replica's clock.
+/// Whether leadership was confirmed within [`MAX_LEADERSHIP_CONFIRMATION_AGE`]. `started` is the
+/// start of the replica's clock.
 pub fn has_confirmed_leadership(view: &NodeView, started: BootInstant) -> bool {
     let age = view.leadership_confirmation_age(started);
     age.is_some_and(|age| age < MAX_LEADERSHIP_CONFIRMATION_AGE)
 }
 
-/// Times by which a grant may be used late or granted twice, covered by the margin above a quota.
+/// How late a grant may be used, and for how long two leaders may grant at once.
 pub fn grant_times() -> GrantTimes {
     GrantTimes {
         grant_ttl: GRANT_TTL,
--- a/crates/control/tests/limits.rs
+++ b/crates/control/tests/limits.rs
@@ -54,7 +54,7 @@
 /// A control replica that is the leader, or believes that it is.
 struct Leader {
     ledger: LimitLedger,
-    /// Time of its last proof of leadership; `None` until it is replaced.
+    /// Time of its last confirmation as leader; `None` until it is replaced.
     last_confirmation_ms: Option<u64>,
 }
 
--- a/crates/control/tests/quota.rs
+++ b/crates/control/tests/quota.rs
@@ -60,7 +60,7 @@
 /// A control replica that is the leader, or believes that it is.
 struct Leader {
     ledger: QuotaLedger,
-    /// Time of its last proof of leadership; `None` until it is replaced.
+    /// Time of its last confirmation as leader; `None` until it is replaced.
     last_confirmation_ms: Option<u64>,
 }
 
@@ -109,7 +109,7 @@
         simulation
     }
 
-    /// Elects a new leader; the last proof of the previous one is some time old.
+    /// Elects a new leader; the last confirmation of the previous one is some time old.
     fn elect(&mut self, now_ms: u64) {
         let confirmation_age = self.random.random_range(0..200);
         if let Some(previous) = self.leaders.last_mut() {
