--- a/crates/control/src/serving/fleet.rs
+++ b/crates/control/src/serving/fleet.rs
@@ -193,7 +193,7 @@
             let since = previous.get(&replica.key).copied();
             let stays_unresponsive = since.is_some_and(|since| {
                 let is_in_retry_delay = now < since + heartbeat_interval * RETRY_AFTER_HEARTBEATS;
-                !is_recently_heard(observation) && (is_in_retry_delay || !replica.is_alive)
+                !is_recently_active(observation) && (is_in_retry_delay || !replica.is_alive)
             });
             let limit = replicas[replica.service] / MIN_REPLICAS_PER_UNRESPONSIVE;
             let unresponsive = unresponsive_by_service.entry(replica.service).or_default();
@@ -241,7 +241,7 @@
 }
 
 /// Whether any router has recently received something from the replica.
-fn is_recently_heard(observation: Option<&ReplicaObservation>) -> bool {
+fn is_recently_active(observation: Option<&ReplicaObservation>) -> bool {
     observation.is_some_and(|observed| observed.silent_ms < UNRESPONSIVE_SILENCE_MS)
 }
 
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_replica_silent_to_all_routers_is_unresponsive_until_one_hears_from_it() {
+fn a_replica_silent_to_all_routers_is_unresponsive_until_it_sends_to_one() {
     let start = Instant::now();
     let mut leader = FleetView::default();
     let replicas = known(4);
@@ -160,18 +160,18 @@
         let start = Instant::now();
         let mut leader = FleetView::default();
         let known = known(replicas);
-        for (step, (router, replica, heard_ms, is_stalled)) in reports.iter().enumerate() {
+        for (step, (router, replica, silent_ms, is_stalled)) in reports.iter().enumerate() {
             let now = after(start, step as u64 * 100);
             let replica = u32::from(*replica) % replicas;
-            let observed = vec![observation(replica, 1, *heard_ms, *is_stalled)];
+            let observed = vec![observation(replica, 1, *silent_ms, *is_stalled)];
             leader.record_router_report(&format!("r{}", router % 8), observed, now);
             leader.build_digest(&known, HEARTBEAT_INTERVAL, now);
             let Some(digest) = leader.digest(now) else {
                 return TestResult::failed();
             };
             let found = unresponsive(&digest);
-            let heard_now = *heard_ms < 1_000 && found.contains(&replica);
-            if found.len() > replicas as usize / 2 || heard_now {
+            let is_active = *silent_ms < 1_000 && found.contains(&replica);
+            if found.len() > replicas as usize / 2 || is_active {
                 return TestResult::failed();
             }
         }
