--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -170,8 +170,8 @@
                 return TestResult::failed();
             };
             let found = unresponsive(&digest);
-            let is_active = *silent_ms < 1_000 && found.contains(&replica);
-            if found.len() > replicas as usize / 2 || is_active {
+            let is_wrongly_unresponsive = *silent_ms < 1_000 && found.contains(&replica);
+            if found.len() > replicas as usize / 2 || is_wrongly_unresponsive {
                 return TestResult::failed();
             }
         }
