--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -1,5 +1,5 @@
-//! Answering routers that ask for permits to send requests to back ends that name a limit, while this replica
-//! leads.
+//! Replies to permit requests of routers for back ends that advertise a limit, while this replica
+//! is the leader.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -16,20 +16,20 @@
     node::NodeHandle,
     serving::{
         limits::{LimitLedger, LimitObservation, PermitDecision},
-        quota::has_fresh_leadership,
+        quota::has_confirmed_leadership,
     },
 };
 
-/// Gives permits from the ledger of this replica's present term.
+/// Grants permits from the ledger of the current term.
 pub struct PermitServer {
     node: NodeHandle,
-    /// Zero of the replica's clock.
+    /// Start of the replica's clock.
     started: BootInstant,
     metrics: ControlMetrics,
     term_ledger: Mutex<Option<TermLedger>>,
 }
 
-/// The ledger of one term.
+/// Ledger of one term.
 struct TermLedger {
     number: u64,
     began_at: Instant,
@@ -52,11 +52,11 @@
         }
     }
 
-    fn observation(&self, statement: LimitReport, now: Instant) -> LimitObservation {
-        let age = Duration::from_millis(u64::from(statement.age_ms));
-        let permit = statement.permit.filter(|stamp| stamp.term == self.number);
+    fn observation(&self, report: LimitReport, now: Instant) -> LimitObservation {
+        let age = Duration::from_millis(u64::from(report.age_ms));
+        let permit = report.permit.filter(|stamp| stamp.term == self.number);
         LimitObservation {
-            limit: statement.limit,
+            limit: report.limit,
             observed_at: now.checked_sub(age).unwrap_or(now),
             permitted_at: permit.map(|stamp| self.began_at + Duration::from_millis(stamp.at_ms)),
         }
@@ -64,7 +64,7 @@
 }
 
 impl PermitServer {
-    /// A server for the replica behind `node`, whose clock began at `started`.
+    /// Creates a server for the replica behind `node`, whose clock started at `started`.
     pub fn new(node: NodeHandle, started: BootInstant, metrics: ControlMetrics) -> Self {
         Self {
             node,
@@ -74,11 +74,12 @@
         }
     }
 
-    /// Takes in what a router heard, and gives it a permit if it wants one and there is room.
+    /// Records the router's observation, and grants a permit if the router wants one and one is
+    /// available.
     pub fn handle(&self, request: &PermitRequest) -> PermitReply {
         let receiver = self.node.view();
         let view = receiver.borrow();
-        if !has_fresh_leadership(&view, self.started) {
+        if !has_confirmed_leadership(&view, self.started) {
             return PermitReply::NotLeader {
                 leader: view.leader.clone(),
             };
@@ -125,7 +126,7 @@
         }
     }
 
-    /// While leading: the back ends that have a limit, for all routers.
+    /// On the leader: the back ends with a limit, for the digest to all routers.
     pub fn limited(&self) -> Vec<LimitedReplica> {
         let now = Instant::now();
         let mut term_slot = self.lock();
@@ -133,14 +134,17 @@
             return Vec::new();
         };
         term.ledger.remove_expired(now);
-        let limited = term.ledger.limited(now).map(|(life, limit, age)| {
-            let advertised_age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-            LimitedReplica {
-                replica: ReplicaKey::of(life),
-                limit,
-                advertised_age_ms,
-            }
-        });
+        let limited = term
+            .ledger
+            .limited(now)
+            .map(|(incarnation_id, limit, age)| {
+                let advertised_age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
+                LimitedReplica {
+                    replica: ReplicaKey::of(incarnation_id),
+                    limit,
+                    advertised_age_ms,
+                }
+            });
         limited.collect()
     }
 
@@ -151,7 +155,7 @@
     }
 }
 
-/// The ledger of the present term; a new one if the term is new.
+/// Returns the ledger of the given term, replacing the one of another term.
 fn ledger_for_term(slot: &mut Option<TermLedger>, number: u64, now: Instant) -> &mut TermLedger {
     let existing = slot.take().filter(|term| term.number == number);
     slot.insert(existing.unwrap_or_else(|| TermLedger::new(number, now)))
--- a/crates/control/src/serving_state/tombstones.rs
+++ b/crates/control/src/serving_state/tombstones.rs
@@ -1,5 +1,5 @@
-//! Lives of replicas that are gone, as long as they are remembered: their late messages do not revive them,
-//! and routers can be told only what changed. Copies share everything.
+//! Tombstones of removed replicas. They reject late messages of removed incarnations and let
+//! routers receive removals as changes. Clones share everything.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +7,10 @@
 use railtack_serving::Incarnation;
 use rpds::RedBlackTreeSetSync;
 
-/// Lives that are remembered.
 const MAX_TOMBSTONES: usize = 1_024;
 
-/// A removal, found by replica and birth. Follows from the removals alone, so that a control replica that
-/// starts from a snapshot decides like the others.
+/// Key of a removal, ordered by replica and start time. It depends on the removals alone, so that a
+/// control replica restored from a snapshot decides like the others.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RemovedIncarnation {
     replica: String,
@@ -20,31 +19,29 @@
 }
 
 impl RemovedIncarnation {
-    fn of(index: LogIndex, name: &str) -> Self {
-        let life = Incarnation::parse(name);
+    fn of(index: LogIndex, incarnation_id: &str) -> Self {
+        let incarnation = Incarnation::parse(incarnation_id);
         Self {
-            replica: life.replica.to_owned(),
-            started_ms: life.started_ms,
+            replica: incarnation.replica.to_owned(),
+            started_ms: incarnation.started_ms,
             removed_at: index,
         }
     }
 }
 
-/// Lives that are gone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tombstones {
-    /// Their names by the position of their removal, oldest first.
+    /// Removed incarnations by log position, oldest first.
     removals: RedBlackTreeSetSync<(LogIndex, String)>,
-    /// Those that ended for good; others were only silent and may be heard again.
+    /// Incarnations that ended for good. The others were silent and may return.
     ended: RedBlackTreeSetSync<String>,
-    /// The same removals by replica and by when the life began, the newest last.
+    /// The same removals by replica and start time, newest last.
     by_incarnation: RedBlackTreeSetSync<RemovedIncarnation>,
-    /// Removals up to here may be forgotten.
+    /// Log position of the newest evicted tombstone.
     evicted_through: LogIndex,
 }
 
 impl Tombstones {
-    /// What a snapshot holds.
     pub fn from_snapshot(
         removals: BTreeSet<(LogIndex, String)>,
         ended: BTreeSet<String>,
@@ -55,57 +52,59 @@
             evicted_through,
             ..Self::default()
         };
-        for (index, life) in removals {
+        for (index, incarnation_id) in removals {
             tombstones
                 .by_incarnation
-                .insert_mut(RemovedIncarnation::of(index, &life));
-            tombstones.removals.insert_mut((index, life));
+                .insert_mut(RemovedIncarnation::of(index, &incarnation_id));
+            tombstones.removals.insert_mut((index, incarnation_id));
         }
         tombstones
     }
 
-    /// Names of all lives by the position of their removal.
     pub fn removals(&self) -> impl Iterator<Item = &(LogIndex, String)> {
         self.removals.iter()
     }
 
-    /// Those that ended for good.
+    /// Incarnations that ended for good.
     pub fn ended(&self) -> impl Iterator<Item = &String> {
         self.ended.iter()
     }
 
-    /// Removals up to here may be forgotten.
+    /// Log position of the newest evicted tombstone; removals up to it may be missing.
     pub fn evicted_through(&self) -> LogIndex {
         self.evicted_through
     }
 
-    /// Whether a life ended for good, or a newer one of its replica is gone.
-    pub fn has_ended(&self, name: &str) -> bool {
-        self.ended.contains(name) || self.has_newer_removal(name)
+    /// Whether an incarnation ended for good, or a newer one of the same replica was removed.
+    pub fn has_ended(&self, incarnation_id: &str) -> bool {
+        self.ended.contains(incarnation_id) || self.has_newer_removal(incarnation_id)
     }
 
-    fn has_newer_removal(&self, name: &str) -> bool {
-        let start = RemovedIncarnation::of(LogIndex::MAX, name);
+    fn has_newer_removal(&self, incarnation_id: &str) -> bool {
+        let start = RemovedIncarnation::of(LogIndex::MAX, incarnation_id);
         let newer = self.by_incarnation.range(start..).next();
-        newer.is_some_and(|removal| removal.replica == Incarnation::parse(name).replica)
+        newer.is_some_and(|removal| removal.replica == Incarnation::parse(incarnation_id).replica)
     }
 
-    /// Lives that were removed after a position.
+    /// Incarnations removed after a log position.
     pub fn removed_after(&self, index: LogIndex) -> impl Iterator<Item = &String> {
         let first = (index.saturating_add(1), String::new());
-        self.removals.range(first..).map(|(_, life)| life)
+        self.removals
+            .range(first..)
+            .map(|(_, incarnation_id)| incarnation_id)
     }
 
-    /// Notes that a life ended for good.
-    pub fn mark_ended(&mut self, life: &str) {
-        self.ended.insert_mut(life.to_owned());
+    /// Records that an incarnation ended for good.
+    pub fn mark_ended(&mut self, incarnation_id: &str) {
+        self.ended.insert_mut(incarnation_id.to_owned());
     }
 
-    /// Notes that a life was removed.
-    pub fn record_removal(&mut self, index: LogIndex, life: &str) {
+    /// Records that an incarnation was removed, and evicts the oldest tombstone if there are too
+    /// many.
+    pub fn record_removal(&mut self, index: LogIndex, incarnation_id: &str) {
         self.by_incarnation
-            .insert_mut(RemovedIncarnation::of(index, life));
-        self.removals.insert_mut((index, life.to_owned()));
+            .insert_mut(RemovedIncarnation::of(index, incarnation_id));
+        self.removals.insert_mut((index, incarnation_id.to_owned()));
         if self.removals.size() > MAX_TOMBSTONES {
             self.evict_oldest();
         }
@@ -116,10 +115,10 @@
             return;
         };
         self.removals.remove_mut(&oldest);
-        let (index, name) = oldest;
+        let (index, incarnation_id) = oldest;
         self.by_incarnation
-            .remove_mut(&RemovedIncarnation::of(index, &name));
-        self.ended.remove_mut(&name);
+            .remove_mut(&RemovedIncarnation::of(index, &incarnation_id));
+        self.ended.remove_mut(&incarnation_id);
         self.evicted_through = index;
     }
 }
