--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -23,8 +23,8 @@
 
     /// The moment of the steady clock's `steady`, at which the machine had been suspended for
     /// `suspended` in all.
-    pub fn at(steady: Instant, suspended: Duration) -> Self {
-        Self(steady + suspended)
+    pub fn at(monotonic: Instant, suspended: Duration) -> Self {
+        Self(monotonic + suspended)
     }
 
     /// Time since this moment.
@@ -55,9 +55,9 @@
 fn suspended() -> Duration {
     // In this order, what passes between the two looks counts as suspended: a lease ends early by it,
     // never late.
-    let steady = clock_gettime(ClockId::Monotonic);
-    let with_suspension = clock_gettime(ClockId::Boottime);
-    duration(with_suspension).saturating_sub(duration(steady))
+    let monotonic = clock_gettime(ClockId::Monotonic);
+    let boot = clock_gettime(ClockId::Boottime);
+    duration(boot).saturating_sub(duration(monotonic))
 }
 
 fn duration(time: Timespec) -> Duration {
--- a/crates/core/tests/prefix.rs
+++ b/crates/core/tests/prefix.rs
@@ -29,14 +29,14 @@
         (left == right) == (derive(&left) == derive(&right))
     }
 
-    fn tenants_share_no_block(left: String, right: String, text: String) -> bool {
+    fn different_tenants_share_no_block(left: String, right: String, text: String) -> bool {
         let left_chain = chain(namespace(&left, "model", 1, None), &text);
         let right_chain = chain(namespace(&right, "model", 1, None), &text);
         let shared = left_chain.blocks.iter().any(|block| right_chain.blocks.contains(block));
         shared == (left == right && !left_chain.blocks.is_empty())
     }
 
-    fn chains_agree_exactly_as_far_as_the_texts_do(prefix: String, left: String, right: String) -> bool {
+    fn chains_share_exactly_the_blocks_of_the_common_prefix(prefix: String, left: String, right: String) -> bool {
         let namespace = namespace("tenant", "model", 1, None);
         let left = chain(namespace, &format!("{prefix}{left}"));
         let right = chain(namespace, &format!("{prefix}{right}"));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn fields_that_join_alike_stay_apart() {
+fn moving_text_between_fields_changes_the_namespace() {
     assert_ne!(namespace("ab", "c", 1, None), namespace("a", "bc", 1, None));
     assert_ne!(
         namespace("a", "b", 1, Some("")),
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -142,12 +142,12 @@
     const BACK_OFF_US: u64 = 3_000_000;
     let mut scheduler = scheduler(1);
     let chain = chain("short");
-    let notice = BackEndSignals {
+    let signals = BackEndSignals {
         back_off: Some(Duration::from_micros(BACK_OFF_US)),
         ..BackEndSignals::default()
     };
     let view = scheduler.engines.view_mut(EngineSlot(0));
-    view.advertised.record(notice, Duration::ZERO);
+    view.advertised.record(signals, Duration::ZERO);
     // Neither a successful request nor a load report ends the back-off.
     scheduler
         .engines
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -91,12 +91,12 @@
         if let Some(client) = slot.as_ref() {
             return Ok(client.clone());
         }
-        let client = self.dial().await?;
+        let client = self.connect().await?;
         *slot = Some(client.clone());
         Ok(client)
     }
 
-    async fn dial(&self) -> Result<ControlClient, Report<ConnectionError>> {
+    async fn connect(&self) -> Result<ControlClient, Report<ConnectionError>> {
         let unreachable = ConnectionError::Unreachable {
             address: self.address,
         };
--- a/crates/rpc/src/level.rs
+++ b/crates/rpc/src/level.rs
@@ -29,8 +29,8 @@
 
 impl GroupLevel {
     /// Takes in what an answer says. A control replica may be behind, and the level never falls.
-    pub fn raise(&self, told: FeatureLevel) {
-        self.0.fetch_max(told.0, Ordering::Relaxed);
+    pub fn raise(&self, level: FeatureLevel) {
+        self.0.fetch_max(level.0, Ordering::Relaxed);
     }
 
     /// The level.
--- a/crates/rpc/src/serving.rs
+++ b/crates/rpc/src/serving.rs
@@ -334,11 +334,11 @@
             return self.replicas.clone();
         }
         let identities = self.identities.iter();
-        let signs = identities.map(|identity| ReplicaHeartbeat {
+        let heartbeats = identities.map(|identity| ReplicaHeartbeat {
             replica: ReplicaKey::of(identity),
             age_ms: 0,
         });
-        signs.collect()
+        heartbeats.collect()
     }
 }
 
--- a/crates/rpc/tests/codec.rs
+++ b/crates/rpc/tests/codec.rs
@@ -35,7 +35,7 @@
         true
     }
 
-    fn a_cut_message_is_an_error(term: u64, last_index: u64, cut: usize) -> bool {
+    fn a_truncated_message_is_an_error(term: u64, last_index: u64, length: usize) -> bool {
         let message = Message {
             from: ReplicaId(1),
             from_disk: DiskId(2),
@@ -46,11 +46,11 @@
         };
         let bytes = message.write_to_vec().expect("writing into memory");
         let whole = Message::read_from_buffer(&bytes).expect("what was written is read");
-        let shorter = &bytes[..cut % bytes.len()];
-        whole == message && Message::read_from_buffer(shorter).is_err()
+        let truncated = &bytes[..length % bytes.len()];
+        whole == message && Message::read_from_buffer(truncated).is_err()
     }
 
-    fn damaged_proposals_do_not_panic(at: u64, position: usize, value: u8) -> bool {
+    fn corrupted_proposals_do_not_panic(at: u64, position: usize, value: u8) -> bool {
         let proposal = Proposal { at, command: Command::Barrier };
         let mut bytes = proposal.write_to_vec().expect("writing into memory");
         let position = position % bytes.len();
--- a/crates/rpc/tests/silent_connections.rs
+++ b/crates/rpc/tests/silent_connections.rs
@@ -30,14 +30,14 @@
 }
 
 #[tokio::test]
-async fn a_call_after_one_without_an_answer_goes_over_a_new_connection() {
+async fn a_call_without_response_is_followed_by_a_new_connection() {
     let (address, accepted) = silent_peer().await;
     let connection = ControlConnection::new(address, LIMIT);
     for call in 1..=3 {
-        let answer = connection
+        let response = connection
             .call(|client| async move { client.identify(call_context(LIMIT)).await })
             .await;
-        assert!(answer.is_err());
+        assert!(response.is_err());
         assert_eq!(accepted.load(Ordering::SeqCst), call);
     }
 }
--- a/crates/serving/src/availability.rs
+++ b/crates/serving/src/availability.rs
@@ -52,48 +52,52 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdvertisedState {
     /// End of the requested back-off.
-    backs_off_until: MonotonicTime,
+    back_off_until: MonotonicTime,
     /// When it last announced that it is leaving.
-    left_at: Option<MonotonicTime>,
+    leaving_at: Option<MonotonicTime>,
     limit: Option<AdvertisedLimit>,
     /// Earliest time at which the limit admits a request from this router.
-    room_at: MonotonicTime,
+    limited_until: MonotonicTime,
     /// The limit that `room_at` follows from.
     exhausted_limit: Option<RequestLimit>,
 }
 
 impl AdvertisedState {
     /// Applies the notice of a response.
-    pub fn record(&mut self, notice: BackEndSignals, now: MonotonicTime) -> SignalChanges {
-        if let Some(time) = notice.back_off {
+    pub fn record(&mut self, signals: BackEndSignals, now: MonotonicTime) -> SignalChanges {
+        if let Some(time) = signals.back_off {
             let until = now.saturating_add(time);
-            self.backs_off_until = until.max(self.backs_off_until);
+            self.back_off_until = until.max(self.back_off_until);
         }
-        let is_leaving = notice.is_leaving && self.left_at.is_none();
-        if notice.is_leaving {
-            self.left_at = Some(now);
+        let is_leaving = signals.is_leaving && self.leaving_at.is_none();
+        if signals.is_leaving {
+            self.leaving_at = Some(now);
         }
-        let mut news = SignalChanges {
+        let mut changes = SignalChanges {
             is_leaving,
             limit: None,
         };
-        if let LimitHeader::Present(limit) = notice.limit {
+        if let LimitHeader::Present(limit) = signals.limit {
             let known = self.limit.map(|known| known.limit);
-            news.limit = Some(limit).filter(|limit| known != Some(*limit));
+            changes.limit = Some(limit).filter(|limit| known != Some(*limit));
             self.limit = Some(AdvertisedLimit {
                 limit,
                 advertised_at: now,
             });
         }
-        news
+        changes
     }
 
     /// Time until the back end accepts requests; `None` if it is leaving.
     pub fn available_in(&self, now: MonotonicTime) -> Option<Duration> {
-        if self.left_at.is_some() {
+        if self.leaving_at.is_some() {
             return None;
         }
-        Some(self.backs_off_until.max(self.room_at).saturating_sub(now))
+        Some(
+            self.back_off_until
+                .max(self.limited_until)
+                .saturating_sub(now),
+        )
     }
 
     /// Whether the back end accepts requests.
@@ -107,8 +111,8 @@
     }
 
     /// Records that `limit` admits no request from this router before `room_at`.
-    pub fn set_limited_until(&mut self, limit: RequestLimit, room_at: MonotonicTime) {
-        self.room_at = self.room_at.max(room_at);
+    pub fn set_limited_until(&mut self, limit: RequestLimit, limited_until: MonotonicTime) {
+        self.limited_until = self.limited_until.max(limited_until);
         self.exhausted_limit = Some(limit);
     }
 
@@ -121,11 +125,11 @@
 
     fn is_relevant(&self, now: MonotonicTime) -> bool {
         let is_recent = |at: MonotonicTime| now < at + RETENTION;
-        let is_leaving = self.left_at.is_some_and(is_recent);
+        let is_leaving = self.leaving_at.is_some_and(is_recent);
         let has_limit = self
             .limit
             .is_some_and(|known| is_recent(known.advertised_at));
-        is_leaving || has_limit || now < self.backs_off_until.max(self.room_at)
+        is_leaving || has_limit || now < self.back_off_until.max(self.limited_until)
     }
 }
 
@@ -139,64 +143,77 @@
     /// Applies the notice of a response from a back end.
     pub fn record(
         &mut self,
-        life: &str,
-        notice: BackEndSignals,
+        incarnation_id: &str,
+        signals: BackEndSignals,
         now: MonotonicTime,
     ) -> SignalChanges {
-        let is_empty = notice.back_off.is_none()
-            && !notice.is_leaving
-            && !matches!(notice.limit, LimitHeader::Present(_));
+        let is_empty = signals.back_off.is_none()
+            && !signals.is_leaving
+            && !matches!(signals.limit, LimitHeader::Present(_));
         if is_empty {
             return SignalChanges::default();
         }
-        let back_end = self.back_ends.entry(life.to_owned()).or_default();
-        back_end.record(notice, now)
+        let back_end = self.back_ends.entry(incarnation_id.to_owned()).or_default();
+        back_end.record(signals, now)
     }
 
     /// Returns the state of a back end, which is added if it is missing.
-    pub fn of(&mut self, life: &str) -> &mut AdvertisedState {
-        self.back_ends.entry(life.to_owned()).or_default()
+    pub fn of(&mut self, incarnation_id: &str) -> &mut AdvertisedState {
+        self.back_ends.entry(incarnation_id.to_owned()).or_default()
     }
 
     /// Whether a back end accepts requests.
-    pub fn accepts_requests(&self, life: &str, now: MonotonicTime) -> bool {
+    pub fn accepts_requests(&self, incarnation_id: &str, now: MonotonicTime) -> bool {
         self.back_ends
-            .get(life)
+            .get(incarnation_id)
             .is_none_or(|back_end| back_end.accepts_requests(now))
     }
 
     /// Time until a back end accepts requests; `None` if it is leaving.
-    pub fn available_in(&self, life: &str, now: MonotonicTime) -> Option<Duration> {
-        let back_end = self.back_ends.get(life);
+    pub fn available_in(&self, incarnation_id: &str, now: MonotonicTime) -> Option<Duration> {
+        let back_end = self.back_ends.get(incarnation_id);
         back_end.map_or(Some(Duration::ZERO), |back_end| back_end.available_in(now))
     }
 
     /// The limit that a back end advertises.
-    pub fn limit(&self, life: &str) -> Option<AdvertisedLimit> {
-        self.back_ends.get(life)?.limit
+    pub fn limit(&self, incarnation_id: &str) -> Option<AdvertisedLimit> {
+        self.back_ends.get(incarnation_id)?.limit
     }
 
     /// All limits, with the ids of the back ends.
     pub fn limits(&self) -> impl Iterator<Item = (&str, AdvertisedLimit)> {
         let limited = self.back_ends.iter();
-        limited.filter_map(|(life, back_end)| Some((life.as_str(), back_end.limit?)))
+        limited.filter_map(|(incarnation_id, back_end)| {
+            Some((incarnation_id.as_str(), back_end.limit?))
+        })
     }
 
     /// Records that `limit` admits no request from this router before `room_at`.
-    pub fn set_limited_until(&mut self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
-        let back_end = self.back_ends.entry(life.to_owned()).or_default();
-        back_end.set_limited_until(limit, room_at);
+    pub fn set_limited_until(
+        &mut self,
+        incarnation_id: &str,
+        limit: RequestLimit,
+        limited_until: MonotonicTime,
+    ) {
+        let back_end = self.back_ends.entry(incarnation_id.to_owned()).or_default();
+        back_end.set_limited_until(limit, limited_until);
     }
 
     /// The limit because of which a back end accepts no requests at present.
-    pub fn exhausted_limit(&self, life: &str, now: MonotonicTime) -> Option<RequestLimit> {
-        let back_end = self.back_ends.get(life)?;
-        back_end.exhausted_limit.filter(|_| now < back_end.room_at)
+    pub fn exhausted_limit(
+        &self,
+        incarnation_id: &str,
+        now: MonotonicTime,
+    ) -> Option<RequestLimit> {
+        let back_end = self.back_ends.get(incarnation_id)?;
+        back_end
+            .exhausted_limit
+            .filter(|_| now < back_end.limited_until)
     }
 
     /// Removes the limit of a back end unless it was received after `advertised_at`.
-    pub fn clear_limit(&mut self, life: &str, advertised_at: MonotonicTime) {
-        if let Some(back_end) = self.back_ends.get_mut(life) {
+    pub fn clear_limit(&mut self, incarnation_id: &str, advertised_at: MonotonicTime) {
+        if let Some(back_end) = self.back_ends.get_mut(incarnation_id) {
             back_end.clear_limit(advertised_at);
         }
     }
--- a/crates/serving/src/incarnation.rs
+++ b/crates/serving/src/incarnation.rs
@@ -27,8 +27,8 @@
 impl<'a> Incarnation<'a> {
     /// Parses the id of an incarnation. A text without a valid start time is the name of a replica that
     /// does not report one.
-    pub fn parse(name: &'a str) -> Self {
-        let parts = name.rsplit_once(SEPARATOR);
+    pub fn parse(id: &'a str) -> Self {
+        let parts = id.rsplit_once(SEPARATOR);
         let parsed = parts.and_then(|(replica, start)| Some((replica, start.parse().ok()?)));
         match parsed {
             Some((replica, started_ms)) => Self {
@@ -36,7 +36,7 @@
                 started_ms: Some(started_ms),
             },
             None => Self {
-                replica: name,
+                replica: id,
                 started_ms: None,
             },
         }
@@ -44,9 +44,9 @@
 
     /// Range that contains all ids with a start time of a replica, in the order of strings.
     pub fn id_range(replica: &str) -> Range<String> {
-        let first = format!("{replica}{SEPARATOR}");
+        let start = format!("{replica}{SEPARATOR}");
         let end = format!("{replica}{}", char::from(SEPARATOR as u8 + 1));
-        first..end
+        start..end
     }
 
     /// Whether this is a newer incarnation of the same replica than `other`.
--- a/crates/serving/tests/availability.rs
+++ b/crates/serving/tests/availability.rs
@@ -76,23 +76,23 @@
 
 fn limited(per_s: f64) -> (BackEndSignals, RequestLimit) {
     let limit = RequestLimit::per_s(per_s).expect("a limit");
-    let notice = BackEndSignals {
+    let signals = BackEndSignals {
         limit: LimitHeader::Present(limit),
         ..BackEndSignals::default()
     };
-    (notice, limit)
+    (signals, limit)
 }
 
 #[test]
 fn a_limit_is_reported_once_and_kept_until_it_is_cleared() {
     let start = MonotonicTime::from_secs(7);
     let mut availability = Availability::default();
-    let (notice, limit) = limited(1.2);
-    let news = availability.record(REPLICA, notice, start);
-    assert_eq!(news.limit, Some(limit));
+    let (signals, limit) = limited(1.2);
+    let changes = availability.record(REPLICA, signals, start);
+    assert_eq!(changes.limit, Some(limit));
     let later = start + Duration::from_secs(1);
     assert_eq!(
-        availability.record(REPLICA, notice, later),
+        availability.record(REPLICA, signals, later),
         SignalChanges::default()
     );
     // A response without a limit may be older than the limit.
@@ -109,30 +109,30 @@
 #[test]
 fn an_exhausted_limit_blocks_requests_until_it_has_room() {
     let start = MonotonicTime::from_secs(7);
-    let room_at = start + Duration::from_millis(300);
+    let limited_until = start + Duration::from_millis(300);
     let mut availability = Availability::default();
-    let (notice, limit) = limited(2.0);
-    availability.record(REPLICA, notice, start);
+    let (signals, limit) = limited(2.0);
+    availability.record(REPLICA, signals, start);
     assert!(availability.accepts_requests(REPLICA, start));
-    availability.set_limited_until(REPLICA, limit, room_at);
+    availability.set_limited_until(REPLICA, limit, limited_until);
     assert_eq!(availability.exhausted_limit(REPLICA, start), Some(limit));
     assert_eq!(
         availability.available_in(REPLICA, start),
         Some(Duration::from_millis(300))
     );
-    assert!(availability.accepts_requests(REPLICA, room_at));
-    assert_eq!(availability.exhausted_limit(REPLICA, room_at), None);
+    assert!(availability.accepts_requests(REPLICA, limited_until));
+    assert_eq!(availability.exhausted_limit(REPLICA, limited_until), None);
 }
 
 quickcheck! {
     /// For any sequence of notices, each replica is unavailable exactly until the end of its latest
     /// back-off, also after expired state was removed.
-    fn each_replica_is_unavailable_until_its_latest_back_off_ends(notices: Vec<(u8, u16, u16)>) -> bool {
+    fn each_replica_is_unavailable_until_its_latest_back_off_ends(signals: Vec<(u8, u16, u16)>) -> bool {
         let start = MonotonicTime::from_secs(7);
         let mut availability = Availability::default();
         let mut latest = [Duration::ZERO; 4];
         let mut elapsed = Duration::ZERO;
-        notices.into_iter().all(|(replica, gap_ms, back_off_ms)| {
+        signals.into_iter().all(|(replica, gap_ms, back_off_ms)| {
             elapsed += Duration::from_millis(u64::from(gap_ms));
             let now = start + elapsed;
             availability.remove_expired(now);
