--- a/crates/backend-api/src/lib.rs
+++ b/crates/backend-api/src/lib.rs
@@ -1,28 +1,28 @@
-//! JSON shapes of the engines' and the platform's published interfaces.
+//! JSON types of the HTTP APIs of engines and of the platform.
 //!
-//! | path | served by | shape |
+//! | path | served by | body |
 //! |---|---|---|
 //! | `GET /machines` | platform | [`MachineList`] |
 //! | `POST /weights` | platform | [`WeightsRequest`], [`WeightsGrant`] |
 //! | `POST /v1/completions` | engine | [`EngineRequest`], then [`StreamFrame`]s as server-sent events |
-//! | `GET /v1/streams/ATTEMPT?from=N` | engine | the stream's frames from `N` on |
+//! | `GET /v1/streams/ATTEMPT?from=N` | engine | the frames of the stream from `N` on |
 //! | `DELETE /v1/streams/ATTEMPT` | engine | cancels the stream |
 //! | `GET /events?after=N` | engine | [`EngineEvent`]s as JSON lines |
 //! | `GET /cache` | engine | [`CacheListing`] |
 //! | `GET /status` | engine | [`EngineStatus`] |
 //! | `POST /orders` | engine | [`OrderRequest`], [`OrderReply`] |
-//! | `POST /drain` | engine | begins a planned stop |
+//! | `POST /drain` | engine | starts a graceful shutdown |
 
 use std::net::SocketAddr;
 
 use railtack_core::{EngineId, EngineIncarnation, ModelName, WeightsVersion, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// Header of an answer: requests a second, a decimal number, that the engine or service which answers takes from
-/// all routers together, for as long as its answers say so.
+/// Response header by which an engine or service advertises a limit on requests per second, a decimal number,
+/// for all routers together. The limit applies as long as responses carry the header.
 pub const REQUEST_LIMIT_HEADER: &str = "x-railtack-request-limit";
 
-/// A block hash or attempt id as it travels in JSON: hexadecimal, because JSON numbers lose bits.
+/// A block hash or attempt id, encoded in hexadecimal because JSON numbers lose precision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Hex(pub u128);
 
@@ -40,271 +40,271 @@
     }
 }
 
-/// The platform's list of machines. It lags behind the truth.
+/// List of machines published by the platform. It may be outdated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Grows with every change of the list.
+    /// Version of the list; it increases with every change.
     pub version: u64,
-    /// The machines.
+    /// All listed machines.
     pub machines: Vec<Machine>,
 }
 
-/// One back end.
+/// A machine that runs one back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// What runs there.
+    /// The back end that runs on the machine.
     pub kind: MachineKind,
-    /// Where it listens.
+    /// Address of the back end's HTTP API.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Whether it is leaving.
+    /// Whether the machine is about to be removed.
     pub leaving: bool,
 }
 
-/// What runs on a machine.
+/// Back end of a machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineKind {
     /// A model engine.
     Engine {
-        /// The replica.
+        /// Id of the engine replica.
         engine: EngineId,
-        /// The model it was started with.
+        /// Model with which the engine was started.
         model: ModelName,
     },
-    /// An ordinary service.
+    /// A service without a model.
     Service {
-        /// Its name.
+        /// Name of the service.
         service: String,
     },
 }
 
-/// A completion asked of an engine.
+/// Request for a completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRequest {
-    /// Names the dispatch; frames of another attempt are not this request's.
+    /// Id of the attempt. Frames of other attempts do not belong to this request.
     pub attempt: Hex,
-    /// The engine's life that the router chose; another life refuses.
+    /// Incarnation of the engine that the router chose. Another incarnation refuses the request.
     pub incarnation: EngineIncarnation,
-    /// The model wanted.
+    /// Requested model.
     pub model: ModelName,
-    /// The weights wanted; other weights refuse.
+    /// Requested weights. An engine with other weights refuses the request.
     pub weights_version: WeightsVersion,
-    /// Root of the cache namespace; blocks are shared only within it.
+    /// Root of the cache namespace. Blocks are only shared within a namespace.
     pub cache_namespace: Hex,
-    /// The whole prompt.
+    /// The complete prompt.
     pub prompt: String,
-    /// Answer tokens that were already delivered by an earlier attempt.
+    /// Number of response tokens that an earlier attempt has delivered.
     pub delivered_tokens: u32,
-    /// Length of the whole answer in tokens, the delivered ones included.
+    /// Length of the complete response in tokens, including the delivered ones.
     pub max_tokens: u32,
-    /// Higher goes first.
+    /// Priority; requests with higher values run first.
     pub priority: u8,
 }
 
-/// One frame of an answer.
+/// One frame of a response stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamFrame {
-    /// The attempt that the frame belongs to.
+    /// Attempt that the frame belongs to.
     pub attempt: Hex,
-    /// Position of the frame's token in the whole answer, from 0.
+    /// Position of the frame's token in the complete response, from 0.
     pub sequence: u32,
     /// Text of the token; empty in the last frame.
     pub text: String,
-    /// Present in the last frame only. A stream without it was cut.
+    /// Present in the last frame only. A stream without it was truncated.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub end: Option<StreamEnd>,
 }
 
-/// How an answer ended, and what it took.
+/// Token counts of a completed response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamEnd {
-    /// Tokens of the whole answer.
+    /// Tokens of the complete response.
     pub tokens: u32,
-    /// Prompt tokens.
+    /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Prompt tokens found in the cache.
     pub cached_tokens: u32,
 }
 
-/// Why an engine refused a request; nothing ran.
+/// Reason why an engine refused a request. A refused request has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRefusal {
-    /// The engine was restarted since.
+    /// The engine has restarted.
     IncarnationMismatch,
     /// The engine has another model or other weights.
     WeightsMismatch,
-    /// The engine is stopping.
+    /// The engine is shutting down.
     Draining,
     /// The engine's queue is full.
     QueueFull,
-    /// The order's token is not above the last one.
+    /// The fencing token of the order is not above that of the last accepted order.
     StaleToken,
-    /// No such stream.
+    /// There is no stream for this attempt.
     UnknownStream,
-    /// The request is not of the documented shape.
+    /// The request is not valid.
     Malformed,
 }
 
-/// Body of an engine's refusal.
+/// Body of a refusal by an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineError {
-    /// The reason.
+    /// Reason of the refusal.
     pub error: EngineRefusal,
-    /// The engine's present life.
+    /// Current incarnation of the engine.
     pub incarnation: EngineIncarnation,
 }
 
-/// One line of an engine's event stream.
+/// One line of the event stream of an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineEvent {
-    /// Consecutive over cache events; a jump means that events were lost.
+    /// Sequence number, consecutive over cache events. A gap means that events were lost.
     pub sequence: u64,
-    /// The engine's life.
+    /// Incarnation of the engine.
     pub incarnation: EngineIncarnation,
-    /// What happened.
+    /// The event.
     pub event: EngineEventKind,
 }
 
-/// What an engine publishes.
+/// Events that an engine publishes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineEventKind {
     /// Blocks were cached.
     Stored {
-        /// Their hashes.
+        /// Hashes of the blocks.
         blocks: Vec<Hex>,
     },
     /// Blocks were evicted.
     Removed {
-        /// Their hashes.
+        /// Hashes of the blocks.
         blocks: Vec<Hex>,
     },
-    /// Load; carries the sequence of the last cache event.
+    /// Load report. The event repeats the sequence number of the last cache event.
     Load(LoadReport),
 }
 
-/// An engine's load at one moment.
+/// Load of an engine at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Uncached prompt tokens still to be computed.
+    /// Uncached prompt tokens that have not been processed.
     pub queued_prefill_tokens: u64,
-    /// The part of them that belongs to requests above the lowest priority.
+    /// The part of `queued_prefill_tokens` of requests above the lowest priority.
     pub urgent_prefill_tokens: u64,
-    /// Requests that fit into the batch.
+    /// Maximum number of requests in the batch.
     pub batch_limit: u32,
-    /// Time that a step takes now, microseconds.
+    /// Current duration of a step, microseconds.
     pub step_us: u64,
-    /// Age of a block when it is evicted, milliseconds; 0 while nothing was evicted.
+    /// Age at which blocks are evicted, milliseconds; 0 if none has been evicted.
     pub eviction_age_ms: u64,
 }
 
-/// What an engine holds.
+/// Contents of the cache of an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CacheListing {
-    /// The engine's life.
+    /// Incarnation of the engine.
     pub incarnation: EngineIncarnation,
-    /// Sequence of the last event that is reflected.
+    /// Sequence number of the last cache event that the listing includes.
     pub sequence: u64,
-    /// All cached blocks.
+    /// Hashes of all cached blocks.
     pub blocks: Vec<Hex>,
 }
 
-/// An engine's state.
+/// State of an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// The replica.
+    /// Id of the engine.
     pub engine: EngineId,
-    /// Its life.
+    /// Incarnation of the engine.
     pub incarnation: EngineIncarnation,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: ZoneName,
-    /// The model loaded.
+    /// Loaded model.
     pub model: ModelName,
-    /// The weights loaded.
+    /// Version of the loaded weights.
     pub weights_version: WeightsVersion,
     /// Whether weights are being loaded.
     pub loading: bool,
-    /// Whether it is stopping.
+    /// Whether the engine is shutting down.
     pub draining: bool,
-    /// Token of the last order taken.
+    /// Fencing token of the last accepted order.
     pub last_order_token: u64,
-    /// Tokens in a cache block.
+    /// Tokens per cache block.
     pub block_tokens: u32,
-    /// Load.
+    /// Current load.
     pub load: LoadReport,
-    /// Totals since start.
+    /// Totals since the start of the engine.
     pub totals: EngineTotals,
 }
 
-/// Totals since an engine's start.
+/// Totals since the start of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineTotals {
-    /// Requests taken.
+    /// Accepted requests.
     pub requests: u64,
-    /// Requests cancelled.
+    /// Cancelled requests.
     pub cancelled: u64,
-    /// Prompt tokens.
+    /// Tokens of prompts.
     pub prompt_tokens: u64,
     /// Prompt tokens found in the cache.
     pub cached_tokens: u64,
-    /// Answer tokens.
+    /// Tokens of responses.
     pub output_tokens: u64,
-    /// Requests that arrived while the engine had asked for none.
+    /// Requests that arrived during a back-off requested by the engine.
     #[serde(default)]
     pub unwanted: u64,
-    /// Requests beyond what the limit that it names allows in the first window that holds more.
+    /// Requests above the advertised limit in the first window that exceeds it.
     #[serde(default)]
     pub over_limit: u64,
 }
 
-/// A fenced order.
+/// An order to an engine, protected by a fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// Must be above the token of every order taken before.
+    /// Fencing token, which must be above that of the last accepted order.
     pub token: u64,
-    /// Load this model.
+    /// Model to load.
     pub model: ModelName,
-    /// With these weights.
+    /// Version of the weights to load.
     pub weights_version: WeightsVersion,
 }
 
-/// Answer to an order that was taken.
+/// Response to an accepted order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReply {
-    /// The order's token.
+    /// Fencing token of the order.
     pub token: u64,
 }
 
-/// Asks the weight store for leave to read.
+/// Request for a read from the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsRequest {
-    /// Bytes wanted.
+    /// Requested number of bytes.
     pub bytes: u64,
 }
 
-/// The weight store's answer.
+/// Response of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsGrant {
-    /// When the bytes will have been delivered at the store's rate, milliseconds from now.
+    /// Time until the bytes are delivered at the rate of the store, milliseconds.
     pub ready_in_ms: u64,
 }
 
-/// Executions counted by a service stand-in.
+/// Counts of an emulated service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutionCounts {
-    /// Executions of each key.
+    /// Number of executions by idempotency key.
     pub by_key: std::collections::BTreeMap<String, u64>,
-    /// Requests that arrived while the service had asked for none.
+    /// Requests that arrived during a back-off requested by the service.
     #[serde(default)]
     pub unwanted: u64,
-    /// Requests beyond what the limit that it names allows in the first window that holds more.
+    /// Requests above the advertised limit in the first window that exceeds it.
     #[serde(default)]
     pub over_limit: u64,
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,43 +1,42 @@
-//! Moments on a clock that also counts the time for which the machine was suspended.
+//! Monotonic clock that includes the time for which the machine was suspended.
 //!
-//! The steady clock stands still while a machine is suspended. A lease that is measured by it outlives
-//! its bound by that time: a router that wakes would serve a configuration that others have left behind,
-//! and a control replica would vouch for what it knew before. Whatever bounds the age of knowledge is
-//! measured here; pauses and timeouts of one's own work may go by the steady clock.
+//! `CLOCK_MONOTONIC` stops while a machine is suspended, so a lease that is measured with it would expire
+//! late by that time. After a resume, a router would serve an outdated configuration and a control replica
+//! would confirm outdated state. Leases and other bounds on the age of data must use this clock; back-offs
+//! and timeouts of local work may use the monotonic clock.
 
 use std::{ops::Add, time::Duration};
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 use tokio::time::Instant;
 
-/// A moment, comparable within one process: that of the steady clock, moved by the time for which the
-/// machine had been suspended.
+/// A point in time, comparable within one process: the monotonic time plus the total time for which the
+/// machine was suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BootInstant(Instant);
 
 impl BootInstant {
-    /// The present moment. Where time is virtual, it follows the virtual clock.
+    /// Returns the current time. It follows the virtual clock of paused tokio runtimes.
     pub fn now() -> Self {
         Self::at(Instant::now(), suspended())
     }
 
-    /// The moment of the steady clock's `steady`, at which the machine had been suspended for
-    /// `suspended` in all.
+    /// Returns the time at `monotonic`, when the machine had been suspended for `suspended` in total.
     pub fn at(monotonic: Instant, suspended: Duration) -> Self {
         Self(monotonic + suspended)
     }
 
-    /// Time since this moment.
+    /// Returns the time since `self`.
     pub fn elapsed(self) -> Duration {
         Self::now().saturating_duration_since(self)
     }
 
-    /// Time from `earlier` to this moment; nothing if it lies behind.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     pub fn saturating_duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_duration_since(earlier.0)
     }
 
-    /// The moment that lies `time` before this one; `None` before the clock's zero.
+    /// Returns `self` minus `time`; `None` if that is out of range.
     pub fn checked_sub(self, time: Duration) -> Option<Self> {
         self.0.checked_sub(time).map(Self)
     }
@@ -53,8 +52,8 @@
 
 /// Time for which the machine was suspended since it booted.
 fn suspended() -> Duration {
-    // In this order, what passes between the two looks counts as suspended: a lease ends early by it,
-    // never late.
+    // The monotonic clock is read first, so that the time between the two reads counts as suspended. Leases
+    // may then expire slightly early, but never late.
     let monotonic = clock_gettime(ClockId::Monotonic);
     let boot = clock_gettime(ClockId::Boottime);
     duration(boot).saturating_sub(duration(monotonic))
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! A clock that goes on while the machine is suspended.
+//! Tests of the clock that includes suspended time.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     let before = BootInstant::now();
     advance(5 * SECOND).await;
     let elapsed = before.elapsed();
-    // The machine's two clocks are read one after the other, some nanoseconds apart.
+    // The two clocks of the machine are read some nanoseconds apart.
     let difference = elapsed.abs_diff(5 * SECOND);
     assert!(difference < SECOND, "{elapsed:?}");
 }
--- a/crates/core/src/execution.rs
+++ b/crates/core/src/execution.rs
@@ -1,23 +1,23 @@
-//! What a caller is told about a request that got no ordinary answer.
+//! Execution status and refusal codes in error responses to callers.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// Whether the request ran at a back end. Never claimed without proof.
+/// Whether a request ran at a back end. `NotRun` and `Completed` are only reported if they are certain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Readable, Writable)]
 #[serde(rename_all = "snake_case")]
 pub enum Execution {
-    /// Proven not to have run and never to run under this key.
+    /// The request did not run and never will under this key.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It ran to its end.
+    /// The request completed.
     Completed,
 }
 
-/// Stable code of a refusal; callers may match on it.
+/// Stable code of a refused or failed request, on which callers may match.
 #[derive(
     Clone,
     Copy,
@@ -34,54 +34,54 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCode {
-    /// The body is not valid JSON of the documented shape.
+    /// The body is not valid JSON of the documented form.
     MalformedRequest,
-    /// No bearer key, or one that no tenant holds.
+    /// The bearer key is missing or belongs to no tenant.
     Unauthorized,
-    /// The tenant has no service made from this template.
+    /// The tenant has no service based on this template.
     UnknownTemplate,
-    /// The path or method is not served here.
+    /// The path or method is not served.
     UnknownRoute,
     /// A required parameter is missing.
     MissingParameter,
-    /// A parameter that the template does not name.
+    /// The template does not declare this parameter.
     UnexpectedParameter,
-    /// A parameter longer than the template allows.
+    /// A parameter exceeds the length that the template allows.
     OversizedParameter,
-    /// The body or the rendered prompt is larger than allowed.
+    /// The body or the rendered prompt exceeds the maximum size.
     OversizedRequest,
     /// The request was not received in time.
     SlowRequest,
-    /// The route may not be repeated and the request names no key.
+    /// The route is not idempotent and the request has no idempotency key.
     MissingIdempotencyKey,
-    /// The key was used before with another body.
+    /// The idempotency key was already used with another body.
     IdempotencyKeyReused,
-    /// The first arrival of this key has not ended.
+    /// An earlier request with this idempotency key has not completed.
     InProgress,
-    /// The first arrival of this key ended without a known outcome.
+    /// An earlier request with this idempotency key has an unknown outcome.
     OutcomeUnknown,
-    /// The tenant is over its rate or concurrency limit.
+    /// The tenant exceeds its rate or concurrency limit.
     TenantLimit,
-    /// The fleet cannot answer within the deadline.
+    /// The fleet cannot respond within the deadline.
     Overloaded,
-    /// No live back end serves the model or service.
+    /// No back end is available for the model or service.
     NoBackend,
     /// The router could not confirm its configuration within its lease.
     ConfigurationUnconfirmed,
-    /// The control replicas could not record the claim.
+    /// The control group could not record the claim.
     ControlUnavailable,
-    /// A back end failed and the request may not be tried again.
+    /// A back end failed and the request cannot be retried.
     BackendFailed,
     /// The deadline passed.
     DeadlineExceeded,
-    /// The router is stopping.
+    /// The router is shutting down.
     ShuttingDown,
-    /// Back ends ended under the request, one after the other; it is sent to no other for a while.
+    /// Several back ends crashed under the request, so it is temporarily not sent to any other.
     Quarantined,
 }
 
 impl RefusalCode {
-    /// The HTTP status sent with this code.
+    /// HTTP status of responses with this code.
     pub fn http_status(self) -> u16 {
         match self {
             Self::MalformedRequest
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The code's stable text, as sent to callers.
+    /// Stable text of the code, as sent to callers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::MalformedRequest => "malformed_request",
--- a/crates/core/src/identifiers.rs
+++ b/crates/core/src/identifiers.rs
@@ -1,4 +1,4 @@
-//! Newtypes for everything that names something, so that two names cannot be swapped by mistake.
+//! Newtypes for identifiers, so that the compiler detects mixed-up arguments.
 
 use std::fmt;
 
@@ -16,7 +16,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// Borrows the identifier's text.
+            /// Returns the identifier as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -55,54 +55,54 @@
 }
 
 text_identifier!(
-    /// A tenant: the owner of keys, parameter values and limits.
+    /// Name of a tenant, which owns API keys, parameter values and limits.
     TenantName
 );
 text_identifier!(
-    /// An operator's template.
+    /// Name of a request template defined by an operator.
     TemplateName
 );
 text_identifier!(
-    /// A model served by engines.
+    /// Name of a model.
     ModelName
 );
 text_identifier!(
-    /// A failure domain inside a region.
+    /// Name of a zone, a failure domain within a region.
     ZoneName
 );
 text_identifier!(
-    /// A caller's name for a request that may not be repeated, unique within its tenant.
+    /// Key that a caller assigns to a non-idempotent request; unique within its tenant.
     IdempotencyKey
 );
 text_identifier!(
-    /// An operator's name for one change, so that a resend returns the first outcome.
+    /// Id that an operator assigns to a change, so that a resend returns the first outcome.
     OperationId
 );
 number_identifier!(
-    /// A router process, as named in its settings.
+    /// Id of a router process, from its settings.
     RouterId, u32
 );
 number_identifier!(
-    /// A back-end engine replica, stable over restarts.
+    /// Id of an engine replica, which is stable across restarts.
     EngineId, u32
 );
 number_identifier!(
-    /// One life of an engine process; a restart empties the cache and changes this value.
+    /// Identifies one incarnation of an engine process. It changes with every restart, which empties the cache.
     EngineIncarnation, u64
 );
 number_identifier!(
-    /// A model's weights as rolled out; cached blocks never outlive their version.
+    /// Version of a model's weights. Cached blocks are only valid for one version.
     WeightsVersion, u32
 );
 number_identifier!(
-    /// A position in the history of accepted configuration; it only grows.
+    /// Revision of the accepted configuration; it increases monotonically.
     Revision, u64
 );
 number_identifier!(
-    /// One request of one caller.
+    /// Id of a request.
     RequestId, u128
 );
 number_identifier!(
-    /// One dispatch of a request to a back end; answers of other attempts are dropped.
+    /// Id of one attempt to run a request at a back end. Responses to other attempts are dropped.
     AttemptId, u128
 );
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, units, prefix hashing and execution outcomes shared by every process.
+//! Identifiers, prefix hashes and refusal codes shared by all processes.
 
 pub mod execution;
 pub mod identifiers;
--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -1,27 +1,27 @@
-//! Chained prefix hashing.
+//! Chained hashes of prompt prefixes.
 //!
-//! The chain starts from a [`CacheNamespace`] made of tenant, model, weights version and adapter.
-//! Two prompts therefore share a block hash only if all four agree and every earlier byte agrees.
+//! A chain starts from a [`CacheNamespace`], which is derived from tenant, model, weights version and
+//! adapter. Two prompts therefore share a block hash only if all four and the whole prefix are equal.
 
 use speedy::{Readable, Writable};
 use xxhash_rust::xxh3::{xxh3_128, xxh3_128_with_seed};
 
 use crate::identifiers::{ModelName, TenantName, WeightsVersion};
 
-/// Bytes of prompt text that stand for one token. Assumed; a real engine's tokenizer replaces it.
+/// Assumed number of bytes per token, in place of the tokenizer of an engine.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// Identity of one cached block: all text up to and including it, within one namespace.
+/// Hash of a cached block and the whole prefix before it, within one namespace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct BlockHash(pub u128);
 
 impl BlockHash {
-    /// Low half of the hash, used where eight bytes are enough (index keys, rendezvous hashing).
+    /// Low half of the hash, for uses where eight bytes suffice, such as index keys and rendezvous hashing.
     pub fn short(self) -> u64 {
         self.0 as u64
     }
 
-    /// Hash of the block that follows this one and holds `content`.
+    /// Hash of the block that follows this one and contains `content`.
     pub fn next(self, content: &[u8]) -> Self {
         let low = self.0 as u64;
         let high = (self.0 >> 64) as u64;
@@ -33,12 +33,12 @@
     }
 }
 
-/// Root of a hash chain. Blocks of different namespaces are never shared.
+/// Root of a hash chain. Blocks are never shared between namespaces.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct CacheNamespace(pub u128);
 
 impl CacheNamespace {
-    /// Derives the namespace. Fields are length-prefixed, so no two field lists collide by joining.
+    /// Derives the namespace. Fields are length-prefixed, so that moving bytes between fields changes it.
     pub fn derive(
         tenant: &TenantName,
         model: &ModelName,
@@ -54,7 +54,7 @@
         Self(xxh3_128(&bytes))
     }
 
-    /// The hash from which the first block is chained.
+    /// Returns the hash that the first block is chained from.
     pub fn root(self) -> BlockHash {
         BlockHash(self.0)
     }
@@ -65,14 +65,14 @@
     bytes.extend_from_slice(field);
 }
 
-/// Hashes of every full block of a prompt, shallowest first.
+/// Hashes of all full blocks of a prompt, shallowest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PrefixChain {
-    /// Hash at each full block, in order of depth.
+    /// Hash of each full block, in order of depth.
     pub blocks: Vec<BlockHash>,
-    /// Length of the whole prompt in tokens, the unfinished last block included.
+    /// Length of the prompt in tokens, including an incomplete last block.
     pub total_tokens: u32,
-    /// Tokens in one block.
+    /// Tokens per block.
     pub block_tokens: u32,
 }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Tokens covered by the first `blocks` blocks.
+    /// Number of tokens in the first `blocks` blocks.
     pub fn tokens_at(&self, blocks: usize) -> u32 {
         blocks as u32 * self.block_tokens
     }
--- a/crates/core/tests/prefix.rs
+++ b/crates/core/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Isolation of prefix hashes.
+//! Tests of the isolation of prefix hashes.
 
 use quickcheck::quickcheck;
 use railtack_core::{CacheNamespace, PrefixChain, WeightsVersion};
--- a/crates/rpc/src/codec.rs
+++ b/crates/rpc/src/codec.rs
@@ -1,6 +1,7 @@
-//! Encoding of tarpc's messages with `speedy`, one length-delimited frame each.
+//! Codec that encodes tarpc messages with `speedy`, each in a length-delimited frame.
 //!
-//! tarpc's own message types know only `serde`, so their fields are carried in types of ours.
+//! The message types of tarpc only support `serde`, so their fields are copied into the frame types
+//! of this module.
 
 use std::{
     io,
@@ -14,18 +15,18 @@
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Largest frame. The largest message is a snapshot of the control state.
+/// Maximum size of a frame, bytes. The largest message is a snapshot of the control state.
 const FRAME_LIMIT: usize = 64 * 1024 * 1024;
-/// Longest deadline taken from the wire.
+/// Maximum time to the deadline of a request.
 const DEADLINE_LIMIT: Duration = Duration::from_secs(3600);
 
-/// Why a frame could not be read or written.
+/// Error in reading or writing a frame.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// The connection failed, or a frame is larger than allowed.
+    /// The connection failed, or a frame exceeds the maximum size.
     #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
-    /// A frame's content is not a message of the expected type.
+    /// The content of a frame is not a message of the expected type.
     #[error("a frame is malformed: {0}")]
     Malformed(#[from] speedy::Error),
 }
@@ -54,13 +55,13 @@
         .new_codec()
 }
 
-/// The client's side: sends requests, receives responses.
+/// Codec of the client, which sends requests and receives responses.
 pub struct ClientCodec<Req, Resp> {
     frames: LengthDelimitedCodec,
     types: PhantomData<fn(Req) -> Resp>,
 }
 
-/// The server's side: receives requests, sends responses.
+/// Codec of the server, which receives requests and sends responses.
 pub struct ServerCodec<Req, Resp> {
     frames: LengthDelimitedCodec,
     types: PhantomData<fn(Req) -> Resp>,
@@ -102,7 +103,7 @@
                 message: request.message,
             },
             ClientMessage::Cancel { request_id, .. } => ClientFrame::Cancel { id: request_id },
-            // The type is open to additions; none is sent by the version in use.
+            // `ClientMessage` is non-exhaustive. This version of tarpc sends no other message.
             _ => return Ok(()),
         };
         write_frame(&mut self.frames, &frame, buffer)
@@ -189,7 +190,8 @@
     }
 }
 
-/// The connection ends on a message that cannot be read, so there is one line for each connection.
+/// Logs a message that cannot be decoded. The connection is then closed, so this occurs at most once per
+/// connection.
 fn log_unread(message: &'static str, bytes: &[u8], error: &speedy::Error) {
     spdlog::warn!("message not read: its sender may be of another build", kv: {
         message,
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -1,4 +1,4 @@
-//! A client that dials on demand and dials again after a failure.
+//! Client connection to a control replica, which connects on demand and reconnects after a failure.
 
 use std::{
     net::SocketAddr,
@@ -18,22 +18,22 @@
 
 /// Time after which a connection with unacknowledged bytes counts as broken.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Requests that may wait on one connection.
+/// Maximum number of pending requests on one connection.
 const PENDING_REQUESTS: usize = 1024;
 
-/// Why a call got no answer. It may have been carried out unless the connection was refused.
+/// Error of a call. The call may have been executed unless the replica was unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConnectionError {
-    /// No connection could be made in time; nothing was sent.
+    /// No connection could be established in time; nothing was sent.
     #[error("no connection to {address}")]
     Unreachable {
-        /// The replica's address.
+        /// Address of the replica.
         address: SocketAddr,
     },
-    /// The call failed or its deadline passed after it may have been sent.
+    /// The call failed, or its deadline passed, after it may have been sent.
     #[error("no answer from {address}")]
     NoResponse {
-        /// The replica's address.
+        /// Address of the replica.
         address: SocketAddr,
     },
 }
@@ -46,7 +46,7 @@
     client: Mutex<Option<ControlClient>>,
 }
 
-/// A context whose deadline lies `limit` from now.
+/// Returns a call context with a deadline `limit` from now.
 pub fn call_context(limit: Duration) -> context::Context {
     let mut context = context::current();
     context.deadline = Instant::now() + limit;
@@ -54,7 +54,7 @@
 }
 
 impl ControlConnection {
-    /// A connection that is made at the first call.
+    /// Creates a connection that is established by the first call.
     pub fn new(address: SocketAddr, connect_timeout: Duration) -> Self {
         Self {
             address,
@@ -63,12 +63,12 @@
         }
     }
 
-    /// The replica's address.
+    /// Address of the replica.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Runs one call; after a failure the next call dials anew.
+    /// Runs one call. After a failure, the next call establishes a new connection.
     pub async fn call<T, F>(
         &self,
         call: impl FnOnce(ControlClient) -> F,
@@ -105,7 +105,7 @@
             .change_context(unreachable)?
             .change_context(unreachable)?;
         stream.set_nodelay(true).change_context(unreachable)?;
-        // A machine that falls silent resets nothing; unacknowledged bytes must not wait for it.
+        // A machine that fails silently sends no reset, so a timeout on unacknowledged bytes detects it.
         socket2::SockRef::from(&stream)
             .set_tcp_user_timeout(Some(USER_TIMEOUT))
             .change_context(unreachable)?;
--- a/crates/rpc/src/layout.rs
+++ b/crates/rpc/src/layout.rs
@@ -1,9 +1,9 @@
-//! How messages lie on the wire, and records on the disk, whose types have grown since the first build.
+//! Wire and disk layouts of types that have been extended since the first build.
 //!
-//! A message begins with the layout of the first build, and all that was added later follows at its end. A
-//! build that does not know it reads the beginning and passes over the rest; where the rest is absent, the
-//! sender does not know of it. So builds of any age read each other without asking first which one they talk to.
-//! What one build has landed is never moved or removed by a later one.
+//! A message starts with the layout of the first build, and later additions follow at its end. An older build
+//! reads the part that it knows and ignores the rest; a newer build uses defaults where the rest is missing.
+//! Builds of any age can therefore exchange messages without a version handshake. Later builds never move or
+//! remove fields of a released layout.
 
 mod inline_quotas;
 mod watch;
--- a/crates/rpc/src/layout/inline_quotas.rs
+++ b/crates/rpc/src/layout/inline_quotas.rs
@@ -1,7 +1,7 @@
-//! The layout of a document in which each tenant's quota follows the tenant itself.
+//! Former layout of a document, in which each tenant is followed by its quota.
 //!
-//! Some builds wrote it into the log and into snapshots. It begins like that of the first build and does not say
-//! which of both it is: that one is read first, and this one where the other leaves bytes over or ends too early.
+//! Some builds wrote it to the log and to snapshots. It carries no marker that distinguishes it from the layout
+//! of the first build. That layout is therefore tried first, and this one if bytes are left over or missing.
 
 use railtack_serving::{
     CallerLimits, Route, ServiceConfig, ServingConfiguration, TenantConfig, TenantQuota,
@@ -14,21 +14,21 @@
     serving::{ConfigurationDocument, ServingCommand},
 };
 
-/// Why stored bytes were not read.
+/// Error in reading stored bytes.
 #[derive(Debug, Error)]
 pub enum LayoutError {
-    /// They have none of the layouts that are known.
+    /// The bytes match no known layout.
     #[error("the bytes have no known layout: {0}")]
     Unknown(#[from] speedy::Error),
-    /// More follows what is known. A newer build wrote it.
+    /// Bytes follow the known layout, so a newer build wrote them.
     #[error("{unread} bytes follow the known layout")]
     Longer {
-        /// Their number.
+        /// Number of the following bytes.
         unread: usize,
     },
 }
 
-/// Reads bytes that hold exactly one value.
+/// Reads a value that must span all of the bytes.
 pub fn read_exactly<'a, T>(bytes: &'a [u8]) -> Result<T, LayoutError>
 where
     T: Readable<'a, speedy::LittleEndian>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Reads a command as the log holds it, in any layout that a build has written.
+/// Reads a proposal of the log in any released layout.
 pub fn read_proposal(bytes: &[u8]) -> Result<Proposal, LayoutError> {
     read_exactly::<Proposal>(bytes).or_else(|first| {
         read_exactly::<InlineProposal>(bytes)
@@ -56,7 +56,7 @@
     command: InlineCommand,
 }
 
-/// The commands that hold a document.
+/// Commands that contain a document.
 #[derive(Readable)]
 enum InlineCommand {
     #[speedy(tag = 4)]
--- a/crates/rpc/src/layout/watch.rs
+++ b/crates/rpc/src/layout/watch.rs
@@ -1,4 +1,4 @@
-//! Questions of routers and their answers.
+//! Layouts of [`WatchRequest`] and [`WatchReply`].
 
 use railtack_consensus::LogIndex;
 use railtack_serving::{ModelWeights, ReplicaRecord, ServingConfiguration, TenantQuota};
--- a/crates/rpc/src/level.rs
+++ b/crates/rpc/src/level.rs
@@ -1,57 +1,58 @@
-//! What the builds of control replicas can do together.
+//! Feature levels, which control the use of new commands and messages in a group of mixed builds.
 //!
-//! While machines are replaced, replicas of several builds form one group. A command that one of them cannot
-//! apply must not enter the log, so each replica says the highest level that its build can do, and the group
-//! keeps to the lowest of them until it raises its level by a command of its own.
+//! During a rolling upgrade, control replicas of several builds form one group. A command that one of them
+//! cannot apply must not enter the log. Each replica therefore reports the highest level that its build
+//! supports, and the group raises its level by a command once all members support it.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use speedy::{Readable, Writable};
 
-/// A level of features. A replica that can do one can do all below it.
+/// A feature level. A build that supports a level also supports all lower ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct FeatureLevel(pub u32);
 
 impl FeatureLevel {
-    /// The level of builds that do not say which they can do.
+    /// Level of builds that report no level.
     pub const FIRST: Self = Self(0);
-    /// Back-end replicas are recorded in batches and by their lives, an address is kept until its holder is
-    /// silent, requests under which replicas end are recorded, and the leader grants parts of quotas, retries
-    /// and permits.
+    /// Back-end replicas are registered in batches and by incarnation, an address is reserved until its holder
+    /// is silent, requests under which replicas crashed are recorded, and the leader grants quotas, shared
+    /// retries and permits.
     pub const SHARED_GRANTS: Self = Self(1);
-    /// The highest that this build can do.
+    /// Highest level that this build supports.
     pub const SUPPORTED: Self = Self::SHARED_GRANTS;
 }
 
-/// The highest level of the group that a router has been told.
+/// Highest feature level of the group that a router has received.
 #[derive(Debug, Default)]
 pub struct GroupLevel(AtomicU32);
 
 impl GroupLevel {
-    /// Takes in what an answer says. A control replica may be behind, and the level never falls.
+    /// Raises the level to that of a reply. A lower level is ignored, because the replica may lag behind and the
+    /// level of a group never falls.
     pub fn raise(&self, level: FeatureLevel) {
         self.0.fetch_max(level.0, Ordering::Relaxed);
     }
 
-    /// The level.
+    /// Returns the current level.
     pub fn get(&self) -> FeatureLevel {
         FeatureLevel(self.0.load(Ordering::Relaxed))
     }
 }
 
-/// Where answers to a replica's messages go, and what its build can do. A build that says no level writes and
-/// reads the address alone.
+/// Address and feature level of the replica that sends a message. Builds without feature levels encode the
+/// address only.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PeerInfo {
-    /// Internal address.
+    /// Internal address, to which replies are sent.
     pub address: String,
-    /// The highest level that the sender's build can do.
+    /// Highest level that the build of the sender supports.
     #[speedy(default_on_eof)]
     pub level: FeatureLevel,
 }
 
 impl PeerInfo {
-    /// A sender of this build.
+    /// Returns the info of this replica, with the level of this build.
     pub fn local(address: String) -> Self {
         Self {
             address,
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,4 +1,4 @@
-//! tarpc services over a length-delimited `speedy` transport.
+//! Messages and tarpc services of the control group, over a length-delimited `speedy` transport.
 
 pub mod codec;
 pub mod connection;
--- a/crates/rpc/src/permits.rs
+++ b/crates/rpc/src/permits.rs
@@ -1,74 +1,74 @@
-//! Messages about requests to back ends that name a limit over all routers together.
+//! Messages for permits, which enforce the advertised limits of back ends over all routers together.
 
 use railtack_serving::RequestLimit;
 use speedy::{Readable, Writable};
 
-/// When a leader gave a permit, on the clock of its term.
+/// Identifies a permit by the time of its grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PermitStamp {
-    /// Term of the leader.
+    /// Term of the leader that granted the permit.
     pub term: u64,
-    /// Time since its term began, milliseconds.
+    /// Time of the grant since the start of the term, milliseconds.
     pub at_ms: u64,
 }
 
-/// What a router heard of a back end's limit last.
+/// The limit of a back end as last received by a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct LimitReport {
-    /// The limit; `None` if an answer named none.
+    /// The limit; `None` if a response advertised none.
     pub limit: Option<RequestLimit>,
-    /// Time since the router heard it, milliseconds.
+    /// Time since the router received the response, milliseconds.
     pub age_ms: u32,
-    /// The permit of the request whose answer said it. An answer is surely newer than what the leader had heard
-    /// when it gave that permit.
+    /// The permit of the request that got the response. The response is newer than any report that the
+    /// leader had received when it granted the permit.
     pub permit: Option<PermitStamp>,
 }
 
-/// A router tells what it heard of a back end's limit, and may ask for a permit to send it one request.
+/// Reports the limit of a back end to the leader and optionally requests a permit for one request.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PermitRequest {
-    /// Names the life of the back end.
+    /// Id of the back end's incarnation.
     pub incarnation_id: String,
-    /// What the router heard.
+    /// The limit as received by the router.
     pub report: LimitReport,
-    /// Whether it wants to send a request.
+    /// Whether a permit is requested.
     pub wants_permit: bool,
 }
 
-/// Answer to [`PermitRequest`].
+/// Reply to [`PermitRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum PermitReply {
-    /// One request may be sent, within [`GRANT_TTL`](crate::serving::GRANT_TTL) from the question.
+    /// One request may be sent within [`GRANT_TTL`](crate::serving::GRANT_TTL) after the permit request.
     Granted {
-        /// The limit.
+        /// Current limit.
         limit: RequestLimit,
-        /// Names the permit.
+        /// Identifies the permit.
         stamp: PermitStamp,
     },
-    /// No permit is given: there is no room, or none was wanted.
+    /// No permit is granted, because the limit is exhausted or none was requested.
     Denied {
-        /// The limit.
+        /// Current limit.
         limit: RequestLimit,
-        /// Time until there is room, milliseconds.
+        /// Time until the limit admits a request, milliseconds.
         retry_after_ms: u32,
     },
-    /// The back end has no limit: no permit is needed.
+    /// The back end has no limit, so no permit is needed.
     Unlimited,
-    /// This replica does not lead, or cannot be sure that it does.
+    /// This replica is not the leader, or cannot confirm that it is.
     NotLeader {
         /// Internal address of the leader, if known.
         leader: Option<String>,
     },
 }
 
-/// A back end that has a limit, as all routers are told.
+/// A back end with a limit, as sent to all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct LimitedReplica {
-    /// The back end.
+    /// Key of the back end.
     pub replica: railtack_serving::ReplicaKey,
-    /// Its limit.
+    /// Current limit.
     pub limit: RequestLimit,
-    /// Time between the moment at which it was named last, as far as the leader heard, and the making of the
+    /// Time between the last response with this limit that was reported to the leader and the creation of the
     /// digest, milliseconds.
     pub advertised_age_ms: u32,
 }
--- a/crates/rpc/src/protocol.rs
+++ b/crates/rpc/src/protocol.rs
@@ -16,53 +16,53 @@
 /// Milliseconds since 1970-01-01 UTC on the sender's clock.
 pub type UnixMillis = u64;
 
-/// A change asked of the replicated state, with the time at which it was asked.
+/// A command for the replicated state, with the time of the proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Proposal {
-    /// When the proposer asked. The state's own clock follows it with bounded steps.
+    /// Time of the proposal. The clock of the replicated state follows it in bounded steps.
     pub at: UnixMillis,
-    /// The change.
+    /// The command to apply.
     pub command: Command,
 }
 
-/// A change of the replicated state.
+/// A command that changes the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Command {
-    /// An operator's change of configuration.
+    /// Changes the configuration on behalf of an operator.
     Configure {
-        /// Names the change, so that a resend returns the first outcome.
+        /// Id of the operation, so that a resend returns the first outcome.
         operation: OperationId,
-        /// What to change.
+        /// The change to apply.
         change: ConfigurationChange,
     },
-    /// Reserves a key before a request that may not be repeated is dispatched.
+    /// Claims an idempotency key before a non-idempotent request is dispatched.
     Claim(ClaimRequest),
-    /// Records how the claimed request ended.
+    /// Records the outcome of a claimed request.
     Settle {
-        /// Owner of the key.
+        /// Tenant that owns the key.
         tenant: TenantName,
-        /// The key.
+        /// Idempotency key of the request.
         key: IdempotencyKey,
-        /// The attempt that holds the claim.
+        /// Attempt that holds the claim.
         attempt: AttemptId,
-        /// How it ended.
+        /// Outcome of the request.
         outcome: ClaimOutcome,
     },
-    /// Draws a fencing token for an order to an engine and records the order.
+    /// Issues a fencing token for an order to an engine and records the order.
     Order {
-        /// The engine.
+        /// Engine that executes the order.
         engine: EngineId,
-        /// What it is to do.
+        /// The order to execute.
         order: EngineOrder,
     },
-    /// Changes what routers serve from.
+    /// Changes the serving state.
     Serving(crate::serving::ServingCommand),
-    /// Changes nothing; its outcome proves that the state was current when it was applied.
+    /// Changes nothing. Its outcome proves that the state was current when it was applied.
     Barrier,
 }
 
 impl Command {
-    /// Whether a group at a level takes this.
+    /// Whether a group at this feature level accepts the command.
     pub fn is_supported_at(&self, level: FeatureLevel) -> bool {
         match self {
             Self::Serving(command) => command.is_supported_at(level),
@@ -70,153 +70,153 @@
         }
     }
 
-    /// Whether routers must have applied this before they may confirm their configuration.
+    /// Whether routers must have applied the command before they can confirm their configuration.
     pub fn is_configuration(&self) -> bool {
         matches!(self, Self::Configure { .. })
     }
 }
 
-/// An operator's change.
+/// A configuration change by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ConfigurationChange {
-    /// Stores a document if the stored one still has the expected revision.
+    /// Stores a document if the stored one has the expected revision.
     Put {
-        /// Revision of the document that the operator saw; 0 for a new one.
+        /// Revision of the document that the operator read; 0 for a new document.
         expected: Revision,
-        /// The new content.
+        /// The document to store.
         document: Document,
     },
-    /// Takes a back end out of, or back into, service.
+    /// Drains an engine or returns it to service.
     SetDrain {
-        /// The engine.
+        /// Engine to drain or to return.
         engine: EngineId,
-        /// Whether it gets no new work.
+        /// Whether the engine gets no new requests.
         drained: bool,
     },
 }
 
-/// Asks for the right to run a keyed request.
+/// Requests the exclusive right to run a request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ClaimRequest {
-    /// Owner of the key.
+    /// Tenant that owns the key.
     pub tenant: TenantName,
-    /// The key.
+    /// Idempotency key of the request.
     pub key: IdempotencyKey,
-    /// Hash of route and body; another body under the same key is refused.
+    /// Hash of route and body. A claim with another fingerprint for the same key is refused.
     pub fingerprint: u128,
-    /// The attempt that would run it.
+    /// Attempt that will run the request.
     pub attempt: AttemptId,
 }
 
-/// How a claimed request ended.
+/// Outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ClaimOutcome {
-    /// It ran; the answer is kept for later arrivals.
+    /// The request completed. The response is stored for later requests with the same key.
     Completed(StoredResponse),
-    /// It was never sent to a back end, and never will be under this key.
+    /// The request was not sent to a back end and never will be under this key.
     NotRun {
-        /// The refusal that the caller was given.
+        /// Refusal that was returned to the caller.
         code: RefusalCode,
     },
-    /// It was sent, and no answer came.
+    /// The request was sent, but no response arrived.
     Unknown,
 }
 
-/// A back end's answer, kept under its key.
+/// Response of a back end, stored under the idempotency key of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct StoredResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// Value of the `content-type` header.
     pub content_type: String,
-    /// Body; `None` if it was too large to keep.
+    /// Response body; `None` if it was too large to store.
     pub body: Option<Vec<u8>>,
 }
 
-/// An order to an engine. An engine refuses a token that is not above the last one it took.
+/// An order to an engine. Engines refuse orders whose token is not above that of the last accepted order.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineOrder {
-    /// Load a model's weights.
+    /// Loads the weights of a model.
     Load(ModelTarget),
 }
 
-/// What the replicated state answers to a command once it is applied.
+/// Outcome of an applied command.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Outcome {
-    /// The configuration change is in force from this revision on.
+    /// The configuration change was applied.
     Accepted {
-        /// The configuration's revision, which is also the document's.
+        /// New revision of the configuration and of the document.
         revision: Revision,
     },
-    /// The document has another revision than expected; nothing changed.
+    /// The document does not have the expected revision; nothing changed.
     Conflict {
-        /// The document's present revision; 0 if there is none.
+        /// Current revision of the document; 0 if there is none.
         current: Revision,
     },
     /// The document is not valid; nothing changed.
     Rejected(DocumentError),
-    /// The operation id was used before for another change; nothing changed.
+    /// The operation id was already used for another change; nothing changed.
     OperationReused,
-    /// The answer to a claim.
+    /// Reply to a claim.
     Claim(ClaimReply),
-    /// The claim's end is recorded, or was already.
+    /// The outcome of the claimed request is recorded, now or by an earlier command.
     Settled,
-    /// Another attempt holds the claim, or it ended otherwise; nothing changed.
+    /// Another attempt holds the claim, or another outcome is recorded; nothing changed.
     NotHolder,
-    /// The order's fencing token.
+    /// The order was recorded.
     Ordered {
-        /// Larger than every token drawn before.
+        /// Fencing token of the order; larger than all earlier tokens.
         token: u64,
     },
-    /// The answer to a change of what routers serve from.
+    /// Outcome of a serving command.
     Serving(crate::serving::ServingOutcome),
     /// The barrier was applied.
     Current,
 }
 
-/// The answer to a claim.
+/// Reply to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ClaimReply {
-    /// The attempt may run, once.
+    /// The attempt may run the request once.
     Granted,
-    /// Another attempt holds the key and has not ended.
+    /// Another attempt holds the claim and has not completed.
     InProgress,
-    /// The request ended before.
+    /// An earlier request with this key has this outcome.
     Ended(ClaimOutcome),
-    /// The key was used for another request.
+    /// The key was already used for another request.
     KeyReused,
 }
 
-/// Answer to a proposal.
+/// Reply to a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ProposeReply {
-    /// The command is committed and applied.
+    /// The command was committed and applied.
     Done(Outcome),
-    /// This replica does not lead; nothing was appended.
+    /// This replica is not the leader; nothing was appended.
     NotLeader {
         /// Address of the leader, if known.
         leader: Option<String>,
     },
-    /// The command was appended, and it is not known whether it will commit. A resend is safe.
+    /// The command was appended, but may not commit. It is safe to resend it.
     Unknown,
-    /// At its level the group takes no such command, or takes it in another form; nothing was appended.
+    /// The group does not accept this form of the command at its feature level; nothing was appended.
     LevelMismatch {
-        /// What the group does together.
+        /// Feature level of the group.
         group_level: FeatureLevel,
     },
 }
 
-/// A stored document with the revision that last changed it.
+/// A stored document with the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable, Serialize)]
 pub struct Versioned<T> {
     /// Revision of the last change.
     pub revision: Revision,
-    /// Content.
+    /// The stored document.
     pub document: T,
 }
 
-/// All configuration.
+/// The complete configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable, Serialize)]
 pub struct Configuration {
     /// Revision of the last accepted change.
@@ -225,170 +225,170 @@
     pub templates: BTreeMap<TemplateName, Versioned<Template>>,
     /// Tenants by name.
     pub tenants: BTreeMap<TenantName, Versioned<Tenant>>,
-    /// Weights wanted for each model.
+    /// Target weights by model.
     pub models: BTreeMap<ModelName, Versioned<ModelTarget>>,
-    /// Engines that get no new work.
+    /// Drained engines, which get no new requests.
     pub drained: BTreeSet<EngineId>,
 }
 
-/// One accepted change, as routers receive it.
+/// An accepted configuration change, as sent to routers.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct AcceptedChange {
     /// Position in the replicated log.
     pub index: LogIndex,
-    /// The configuration's revision after the change.
+    /// Revision of the configuration after the change.
     pub revision: Revision,
-    /// What changed.
+    /// The accepted change.
     pub change: ConfigurationChange,
 }
 
-/// A router's regular question: is my configuration current, and what am I missing?
+/// Periodic request by which a router confirms and updates its configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PollRequest {
-    /// The router.
+    /// Id of the router.
     pub router: RouterId,
-    /// Log position up to which the router has applied configuration.
+    /// Log position up to which the router has applied configuration changes.
     pub applied: LogIndex,
-    /// Whether to send what is missing; asked of one replica at a time.
+    /// Whether the reply includes missing changes. The router sets it for one replica at a time.
     pub want_update: bool,
-    /// Log position of the last change of the quarantine that the router knows.
+    /// Log position of the last quarantine change that the router has applied.
     #[speedy(default_on_eof)]
     pub quarantine_known: LogIndex,
 }
 
-/// Answer to a poll.
+/// Reply to [`PollRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PollReply {
-    /// The replica.
+    /// Id of the replying replica.
     pub replica: ReplicaId,
-    /// Whether the replica votes; only voters vouch.
+    /// Whether the replica is a voter. Only voters can confirm a configuration.
     pub voter: bool,
-    /// Position of the last configuration entry in this replica's log, committed or not. No
-    /// accepted change that this replica has acknowledged lies beyond it.
+    /// Position of the last configuration entry in the log of this replica, committed or not. The replica
+    /// has not acknowledged any change after it.
     pub last_configuration_index: LogIndex,
-    /// What the router is missing.
+    /// Changes that the router lacks.
     pub update: Option<ConfigurationUpdate>,
-    /// Position of the log entry that holds the membership below.
+    /// Position of the log entry that contains the membership in `voters`.
     pub membership_index: LogIndex,
-    /// Voters in force at this replica, for counting majorities.
+    /// Current voters at this replica, from which the router computes the majority.
     pub voters: Vec<VoterAddress>,
-    /// Routers that this replica has heard from lately.
+    /// Number of routers that polled this replica recently.
     pub routers: u32,
-    /// Requests under which back ends have ended, if that changed.
+    /// Requests under which back ends crashed; `None` if they are unchanged.
     #[speedy(default_on_eof)]
     pub quarantine: Option<QuarantineUpdate>,
-    /// What the group does together.
+    /// Feature level of the group.
     #[speedy(default_on_eof)]
     pub group_level: FeatureLevel,
 }
 
-/// A voter and where to reach it.
+/// A voter with its address.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct VoterAddress {
-    /// The replica.
+    /// Id of the voter.
     pub replica: ReplicaId,
-    /// Its internal address.
+    /// Internal address.
     pub address: String,
 }
 
-/// What a router is missing.
+/// Configuration changes that a router lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ConfigurationUpdate {
-    /// The changes after the router's position.
+    /// All changes after the position of the router.
     Changes {
-        /// Position reached by applying them.
+        /// Log position after applying them.
         through: LogIndex,
-        /// The changes, in order.
+        /// The changes in log order.
         changes: Vec<AcceptedChange>,
     },
-    /// Everything, for a router that is too far behind.
+    /// The complete configuration, for a router that lags too far behind.
     Snapshot {
-        /// Position of the snapshot.
+        /// Log position of the snapshot.
         through: LogIndex,
-        /// All configuration.
+        /// The complete configuration.
         configuration: Configuration,
     },
 }
 
-/// Who a replica is; asked before it is made a member.
+/// Identity of a replica, which is checked before it becomes a member.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ReplicaIdentity {
-    /// Name of its cluster.
+    /// Name of the cluster.
     pub cluster: String,
-    /// Its number.
+    /// Id of the replica.
     pub replica: ReplicaId,
-    /// Its data folder.
+    /// Id of its data directory.
     pub disk: DiskId,
 }
 
 /// State of a replica, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct StatusReply {
-    /// Who it is.
+    /// Identity of the replica.
     pub identity: ReplicaIdentity,
-    /// Its term.
+    /// Current term.
     pub term: Term,
-    /// The leader it follows.
+    /// Current leader, if known.
     pub leader: Option<ReplicaId>,
-    /// Commit position.
+    /// Commit index.
     pub commit: LogIndex,
-    /// Log entries behind the last snapshot.
+    /// Number of log entries after the last snapshot.
     pub log_entries: u64,
-    /// The configuration's revision.
+    /// Revision of the configuration.
     pub revision: Revision,
-    /// Claims kept.
+    /// Number of stored claims.
     pub claims: u64,
-    /// Members of the log.
+    /// Members of the group.
     pub members: Vec<Member>,
-    /// Routers heard from lately, with the position up to which each has applied configuration.
+    /// Routers that polled recently.
     pub routers: Vec<RouterStatus>,
-    /// What the group does together, as far as this replica has applied it.
+    /// Feature level of the group, as applied by this replica.
     #[speedy(default_on_eof)]
     pub group_level: FeatureLevel,
-    /// What each member's build can do, as this replica has heard it.
+    /// Highest feature level that the build of each member supports, as received by this replica.
     #[speedy(default_on_eof)]
     pub member_levels: Vec<(ReplicaId, FeatureLevel)>,
 }
 
-/// A router, as a control replica knows it.
+/// State of a router, as known to a control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct RouterStatus {
-    /// The router.
+    /// Id of the router.
     pub router: RouterId,
-    /// Log position up to which it has applied configuration.
+    /// Log position up to which it has applied configuration changes.
     pub applied: LogIndex,
     /// Time since its last poll, milliseconds.
     pub silent_ms: u64,
 }
 
-/// A change of the control replicas themselves.
+/// A change of the members of the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum MembershipChange {
-    /// Adds a replica that receives entries and does not vote.
+    /// Adds a replica that receives log entries but does not vote.
     AddLearner(Member),
-    /// Makes a caught-up learner a voter.
+    /// Promotes a caught-up learner to voter.
     Promote(ReplicaId),
-    /// Removes a replica.
+    /// Removes a member.
     Remove(ReplicaId),
 }
 
-/// Answer to a membership change.
+/// Reply to [`MembershipChange`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum MembershipReply {
-    /// Appended; it holds once committed, which `status` shows.
+    /// The change was appended. `status` shows it once it is committed.
     Appended,
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader {
         /// Address of the leader, if known.
         leader: Option<String>,
     },
-    /// An earlier change is not committed yet.
+    /// An earlier membership change is not committed yet.
     ChangePending,
-    /// The learner lacks entries.
+    /// The learner has not caught up.
     LearnerBehind {
-        /// How many.
+        /// Number of log entries that it lacks.
         lag: u64,
     },
-    /// No such member, or more than one voter would change.
+    /// There is no such member, or the change affects more than one voter.
     Invalid,
 }
--- a/crates/rpc/src/service.rs
+++ b/crates/rpc/src/service.rs
@@ -1,4 +1,4 @@
-//! The control replicas' internal service.
+//! RPC service of the control replicas.
 
 use railtack_consensus::{Message, ReplicaId};
 use speedy::{Readable, Writable};
@@ -17,40 +17,40 @@
 /// Calls between routers, operators and control replicas.
 #[tarpc::service(derive = [Clone, Readable, Writable])]
 pub trait Control {
-    /// Delivers a message of the replicated log. A replica that is not a member yet learns from
-    /// `sender` where its answers go.
+    /// Delivers a message of the replicated log. A replica that is not a member yet sends its replies to
+    /// the address in `sender`.
     async fn deliver(message: Message, sender: PeerInfo);
-    /// Tells whether a router's configuration is current and sends what it lacks.
+    /// Returns the configuration changes that a router lacks and the data to confirm that it is current.
     async fn poll(request: PollRequest) -> PollReply;
-    /// Commits a change.
+    /// Commits a command.
     async fn propose(proposal: Proposal) -> ProposeReply;
-    /// The configuration as this replica has applied it.
+    /// Returns the configuration that this replica has applied.
     async fn configuration() -> Configuration;
-    /// Who this replica is.
+    /// Returns the identity of this replica.
     async fn identify() -> ReplicaIdentity;
-    /// State of this replica.
+    /// Returns the state of this replica.
     async fn status() -> StatusReply;
     /// Changes the set of control replicas.
     async fn change_membership(change: MembershipChange) -> MembershipReply;
-    /// Tells a router what changed, holding the answer until something does.
+    /// Sends changes to a router. The reply is delayed until there is a change or the wait time has passed.
     async fn watch(request: WatchRequest) -> WatchReply;
-    /// Makes the sender a member of the group.
+    /// Adds the sender to the group.
     async fn join(request: JoinRequest) -> JoinReply;
-    /// Tells how far a reader must have applied the log to know everything committed by now.
+    /// Returns the log position that a reader must have applied to include all committed entries.
     async fn read_index() -> ReadIndexReply;
-    /// Passes on signs of life of back-end replicas.
+    /// Reports heartbeats and observations of back-end replicas to the leader.
     async fn alive(notice: LivenessReport) -> LivenessReply;
-    /// Writes a snapshot now; answers with the position it covers.
+    /// Writes a snapshot and returns the log position that it covers.
     async fn snapshot() -> u64;
-    /// Tells the leader that a member's process is being stopped.
+    /// Informs the leader that a member is shutting down.
     async fn leave(replica: ReplicaId) -> JoinReply;
-    /// The requests under which back ends have ended lately, as this replica has applied them.
+    /// Returns the requests under which back ends crashed recently, as applied by this replica.
     async fn suspects() -> Vec<SuspectStatus>;
-    /// Takes a part of a tenant's quota for one request.
+    /// Requests a grant from a quota for one request.
     async fn take_quota(request: QuotaRequest) -> QuotaReply;
-    /// Asks the leader to remove a back-end replica, so that another one is taken in at its address;
-    /// true if it was silent for long enough, and is removed.
+    /// Removes a back-end replica that has been silent for long enough, so that another replica can be
+    /// registered at its address. Returns whether it was removed.
     async fn remove_if_silent(replica: String) -> bool;
-    /// Tells the leader what a back end's answer said of its limit, and takes a permit for one request.
+    /// Reports the limit of a back end to the leader and requests a permit for one request.
     async fn take_permit(request: PermitRequest) -> PermitReply;
 }
--- a/crates/rpc/src/serving.rs
+++ b/crates/rpc/src/serving.rs
@@ -1,4 +1,4 @@
-//! Messages about what routers serve from: documents, back-end replicas, weights, members.
+//! Messages about the serving state: documents, back-end replicas, weights, members.
 
 use std::time::Duration;
 
@@ -12,21 +12,22 @@
 
 pub use commands::{ConfigurationDocument, Registration, ServingCommand, ServingOutcome};
 
-/// Log positions up to which a router knows what routers serve from; 0 for nothing. The records of
-/// replicas may lag, as one answer holds only so many of them: first it is told what changed of those that
-/// it knows, so that it may serve from these, and then the others.
+/// Log positions up to which a router has received the serving state; 0 for nothing.
+///
+/// Replica records may lag behind the rest, because the number of records in one reply is limited. Changes of
+/// records that the router already has are sent first, so that it can serve from them, and then the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct WatchPosition {
-    /// Everything but the records of replicas; that a replica is gone is known too.
+    /// Position of everything except replica records; it includes the removal of replicas.
     pub state: LogIndex,
-    /// Changes of the records that it knows.
+    /// Position of changes to the records that the router has.
     pub changes: LogIndex,
-    /// The records of all replicas.
+    /// Position up to which the router has the records of all replicas.
     pub records: LogIndex,
 }
 
 impl WatchPosition {
-    /// Everything up to a position.
+    /// Returns the position of a router that has received everything up to `state`.
     pub fn at(state: LogIndex) -> Self {
         Self {
             state,
@@ -35,300 +36,299 @@
         }
     }
 
-    /// Whether what it knows of replicas is as new as everything else, though it may not know all replicas.
+    /// Whether the received records are up to date, although records of other replicas may be missing.
     pub fn is_current(self) -> bool {
         self.changes >= self.state
     }
 
-    /// Position up to which nothing at all is lacking; 0 if it cannot be said.
+    /// Position up to which everything has been received; 0 if unknown.
     pub fn complete_through(self) -> LogIndex {
         self.state.min(self.changes).min(self.records)
     }
 
-    /// Whether a router may serve from it: it is current, and some replicas are known if there are any.
+    /// Whether a router can serve from this state: it is current and contains replica records.
     pub fn can_serve(self) -> bool {
         self.is_current() && self.records > 0
     }
 
-    /// Whether the records of all replicas are known as far as everything else.
+    /// Whether the records of all replicas have been received.
     pub fn is_complete(self) -> bool {
         self.records >= self.state
     }
 }
 
-/// A router's question: what changed since, and is it current?
+/// Request of a router for the changes since a position, and for a confirmation that it is current.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchRequest {
-    /// Names the router.
+    /// Name of the router.
     pub router: String,
-    /// What the router knows.
+    /// Position that the router has reached.
     pub known: WatchPosition,
-    /// Time for which the answer may be held until something changes, milliseconds.
+    /// Maximum time for which the reply may be delayed until there is a change, milliseconds.
     pub wait_ms: u64,
-    /// Whether it is to be told of replicas that it was never told of. A router that still looks for a control
-    /// replica in its own zone asks for them there.
+    /// Whether to send records of replicas that the router does not have. A router that still searches for a
+    /// control replica in its own zone requests them only there.
     pub wants_records: bool,
-    /// Whether the router may serve from what it knows. One that may not is answered as soon as the state
-    /// here is confirmed.
+    /// Whether the router holds a lease. A router without one gets a reply as soon as the state of the control
+    /// replica is confirmed.
     pub has_lease: bool,
-    /// Whether the records may come in parts. A build that does not know of parts is told all at once.
+    /// Whether the records may be sent in several replies. Builds without support for this get all at once.
     pub accepts_partial: bool,
-    /// What the router has met lately at back-end replicas.
+    /// Recent observations of back-end replicas by the router.
     pub observations: Vec<ReplicaObservation>,
 }
 
-/// Age of a confirmation from which it renews no lease, milliseconds: another control replica is asked.
-/// It is made several times in a second where the leader is reached.
+/// Age of a confirmation from which on it does not renew a lease, milliseconds. The router then switches to
+/// another control replica. A replica that reaches the leader confirms its state several times per second.
 pub const CONFIRMATION_LIMIT_MS: u64 = 1_200;
 
-/// Answer to [`WatchRequest`].
+/// Reply to [`WatchRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchReply {
-    /// How long before this answer the state was known to hold everything committed,
-    /// milliseconds; `None` if that was never so.
+    /// Time since the state was confirmed to include everything committed, milliseconds; `None` if it never
+    /// was.
     pub confirmed_age_ms: Option<u64>,
-    /// Time for which the answer was held, milliseconds.
+    /// Time for which the reply was delayed, milliseconds.
     pub held_ms: u64,
-    /// Zone of the control replica that answers.
+    /// Zone of the control replica.
     pub zone: String,
     /// Internal addresses of the voters.
     pub members: Vec<String>,
-    /// Routers that are alive, as far as this control replica knows.
+    /// Number of live routers known to the control replica.
     pub routers: u32,
-    /// What changed; `None` if nothing did.
+    /// Changes since the position of the router; `None` if there are none.
     pub update: Option<ServingUpdate>,
-    /// What all routers together meet at the replicas; `None` if it is not known, or too old.
+    /// Observations of all routers; `None` if they are unknown or outdated.
     pub fleet: Option<FleetDigest>,
-    /// What the group does together: what needs more is asked of none of its members.
+    /// Feature level of the group. Features of higher levels must not be used.
     pub group_level: FeatureLevel,
 }
 
-/// What one router, or all routers that ask one control replica, have met at one back-end replica
-/// lately. Replicas that were not used are left out.
+/// Recent observations of one back-end replica, by one router or by all routers connected to one control
+/// replica. Replicas that were not used are omitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ReplicaObservation {
-    /// The replica.
+    /// Key of the replica.
     pub replica: ReplicaKey,
-    /// Requests that are open there.
+    /// Number of open requests.
     pub open_requests: u16,
-    /// Prompt tokens of those that have brought no event yet.
+    /// Prompt tokens of open requests that have not produced an event.
     pub pending_prefill_tokens: u32,
-    /// Time since anything came from the replica, milliseconds; the largest value stands for any
-    /// longer time.
+    /// Time since data was last received from the replica, milliseconds; longer times are capped at
+    /// the maximum.
     pub silent_ms: u16,
-    /// Routers to which it owes an answer and has sent nothing for a while, or that cannot reach
-    /// it.
+    /// Number of routers that have waited for a response for some time without any data, or that cannot
+    /// connect.
     pub stalled_routers: u16,
 }
 
-/// What all routers together meet at the back-end replicas.
+/// Combined observations of the back-end replicas by all routers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct FleetDigest {
-    /// How long before this message it was made, milliseconds.
+    /// Age of the digest when the message was sent, milliseconds.
     pub age_ms: u32,
-    /// Replicas that are in use or dark.
+    /// Replicas that are in use or unresponsive.
     pub replicas: Vec<ReplicaCondition>,
-    /// Replicas that name a limit on requests; 12 bytes each, and none for all others.
+    /// Replicas that advertise a request limit.
     #[speedy(default_on_eof)]
     pub limited: Vec<LimitedReplica>,
 }
 
-/// One replica, as all routers together see it.
+/// Combined observations of one replica by all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ReplicaCondition {
-    /// The replica.
+    /// Key of the replica.
     pub replica: ReplicaKey,
-    /// Requests that are open there.
+    /// Number of open requests.
     pub open_requests: u16,
-    /// Prompt tokens of those that have brought no event yet.
+    /// Prompt tokens of open requests that have not produced an event.
     pub pending_prefill_tokens: u32,
-    /// Time between the last sign of it that any router had and the making of the digest,
-    /// milliseconds; the largest value stands for any longer time.
+    /// Time between the last data that any router received from the replica and the creation of the
+    /// digest, milliseconds; longer times are capped at the maximum.
     pub silent_ms: u16,
-    /// Whether nobody hears anything from it though several routers wait: no work is to be sent.
+    /// Whether several routers wait for the replica and none receives anything. It gets no requests then.
     pub is_unresponsive: bool,
 }
 
-/// What changed after a log position.
+/// Changes of the serving state after a position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ServingUpdate {
-    /// Log positions that the router reaches by applying this.
+    /// Position of the router after it has applied the update.
     pub known: WatchPosition,
     /// The configuration, if it changed.
     pub configuration: Option<ServingConfiguration>,
-    /// Whether `replicas` holds all replicas, not only those that changed.
+    /// Whether `replicas` contains all replicas instead of changed ones only.
     pub complete: bool,
-    /// Replicas that are new or changed.
+    /// New and changed replicas.
     pub replicas: Vec<ReplicaRecord>,
-    /// Replicas that are gone.
+    /// Incarnation ids of replicas that are no longer registered.
     pub removed: Vec<String>,
-    /// Weights that were named, for all models.
+    /// Target weights of all models.
     pub weights: Vec<ModelWeights>,
-    /// Requests under which replicas have ended, if that changed.
+    /// Requests under which replicas crashed, if they changed.
     pub quarantine: Option<QuarantineUpdate>,
 }
 
-/// Requests under which replicas have ended, as routers need to know them; complete.
+/// All requests under which replicas crashed, as far as routers need them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct QuarantineUpdate {
-    /// Log position of the last change of what follows.
+    /// Log position of the last change.
     pub changed_at: LogIndex,
-    /// Requests that are sent to no replica.
+    /// Requests that must not be sent to any replica.
     pub quarantined: Vec<ContentKey>,
-    /// Requests of which a good end is to be told.
+    /// Suspected requests, whose success must be reported.
     pub suspected: Vec<ContentKey>,
 }
 
-/// A request under which back ends have ended, for operators.
+/// A request under which back ends crashed, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct SuspectStatus {
-    /// The request.
+    /// Key of the request.
     pub content: ContentKey,
-    /// Back ends that ended under it.
+    /// Number of back ends that crashed under it.
     pub crashes: u32,
-    /// Whether it is sent to no back end.
+    /// Whether it is quarantined, so that no back end gets it.
     pub is_quarantined: bool,
     /// Log position of its last change.
     pub changed_at: LogIndex,
 }
 
-/// Ends of replicas that show that a request is to blame. One or two also happen to a request that shares
-/// its replica with the one to blame, or with an accident, and is retried once.
+/// Number of crashes after which a request is quarantined. A harmless request can see one or two, if it is
+/// retried once and runs beside the request that causes the crashes or beside an unrelated fault.
 pub const CRASHES_TO_QUARANTINE: u32 = 3;
 
-/// Time for which a request stays quarantined after the last end of a replica under it, and for which
-/// others are suspected: long enough that one which comes each minute is caught, and short enough
-/// that one which a new version of the replicas can run is served again the same hour. Those that
-/// merely were at the same ends must be forgotten no later than the one that explains them.
+/// Time for which a request stays quarantined after the last crash under it, and for which other requests
+/// stay suspected. It is long enough to catch a request that is sent every minute, and short enough that a
+/// request which a fixed version of the replicas can run is served again within the hour. Requests that only
+/// ran beside the cause of a crash must not stay suspected for longer than the cause is quarantined.
 pub const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
 
-/// A control replica asks to become a member of the group.
+/// Request of a control replica to become a member of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct JoinRequest {
-    /// The replica.
+    /// Id of the replica.
     pub replica: ReplicaId,
-    /// Its data folder.
+    /// Id of its data directory.
     pub disk: DiskId,
     /// Its internal address.
     pub address: String,
-    /// The highest level that its build can do.
+    /// Highest feature level that its build supports.
     #[speedy(default_on_eof)]
     pub level: FeatureLevel,
 }
 
-/// Answer to [`JoinRequest`].
+/// Reply to [`JoinRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum JoinReply {
-    /// The replica is, or is becoming, a member.
+    /// The replica is a member or is being added.
     Accepted,
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader {
         /// Internal address of the leader, if known.
         leader: Option<String>,
     },
 }
 
-/// Answer to the question how far a reader must have applied the log.
+/// Reply to a read index request.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ReadIndexReply {
-    /// Everything that was committed when the question arrived lies up to here.
+    /// A reader that has applied the log up to `index` has everything that was committed when the request
+    /// arrived.
     Confirmed {
         /// Log position.
         index: LogIndex,
     },
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader {
         /// Internal address of the leader, if known.
         leader: Option<String>,
     },
 }
 
-/// What a router asks a part of.
+/// Quota from which a router requests a grant.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum QuotaSubject {
     /// A tenant's quota, before a request is sent.
     Tenant {
-        /// The tenant.
+        /// Name of the tenant.
         name: String,
     },
-    /// The retries of a service that the leader lends, once the router's own are used up.
+    /// The shared retries of a service, after the local retry budget of the router is exhausted.
     Retries {
-        /// The service.
+        /// Name of the service.
         service: String,
     },
 }
 
-/// A router's question for a part of a quota.
+/// Request of a router for a grant from a quota.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct QuotaRequest {
-    /// Of what.
+    /// Quota from which the grant is requested.
     pub subject: QuotaSubject,
-    /// Tokens that the caller states; `None` if it states none.
+    /// Tokens that the caller declares; `None` if it declares none.
     pub declared_tokens: Option<u64>,
-    /// Longest time for which the request may wait for its part, milliseconds.
+    /// Maximum time for which the request may wait for its grant, milliseconds.
     pub longest_wait_ms: u32,
 }
 
-/// Answer to [`QuotaRequest`].
+/// Reply to [`QuotaRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum QuotaReply {
-    /// The request may be sent once `wait_ms` have passed. The answer holds for
-    /// [`GRANT_TTL`] from the question.
+    /// The request may be sent after `wait_ms`. The grant expires [`GRANT_TTL`] after the quota request.
     Granted {
-        /// Time until the part is there, milliseconds.
+        /// Time until the request may be sent, milliseconds.
         wait_ms: u32,
     },
-    /// The quota is used up.
+    /// The quota is exhausted.
     Refused {
-        /// When the caller should come back, milliseconds.
+        /// Time after which the caller may retry, milliseconds.
         retry_after_ms: u32,
-        /// Quota, units a second.
+        /// Rate of the quota, units per second.
         rate_per_s: u64,
-        /// What the bucket held, in units; below zero while others wait for their parts.
+        /// Level of the bucket, units; negative while granted requests wait.
         level: i64,
         /// Term of the leader that refused.
         term: u64,
     },
-    /// This replica does not lead, or cannot be sure that it does.
+    /// This replica is not the leader, or cannot confirm that it is.
     NotLeader {
         /// Internal address of the leader, if known.
         leader: Option<String>,
     },
 }
 
-/// Time from a router's question in which a granted part of a quota may be used: room for a
-/// connection to be made and for a slow answer. What is granted and used later counts against the
-/// room above the quota, rate times this.
+/// Time after its request in which a router may use a grant. It allows for connection setup and a slow
+/// reply. Late use of grants reduces the tolerance of a quota by its rate times this duration.
 pub const GRANT_TTL: Duration = Duration::from_millis(300);
 
-/// A sign of life of a back-end replica.
+/// Latest heartbeat of a back-end replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ReplicaHeartbeat {
-    /// The replica.
+    /// Key of the replica.
     pub replica: ReplicaKey,
-    /// How long before this message it came, milliseconds; the largest value stands for any longer time.
+    /// Age of the heartbeat when the message was sent, milliseconds; longer times are capped at the maximum.
     pub age_ms: u16,
 }
 
-/// Signs of life that a control replica took for the leader.
+/// Heartbeats and observations that a control replica received, reported to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct LivenessReport {
-    /// Identities of the back-end replicas, for a leader whose build reads these alone; empty once the
-    /// group is above the first level.
+    /// Incarnation ids of the back-end replicas, for a leader of a build that reads only these; empty once
+    /// the group is above the first feature level.
     pub identities: Vec<String>,
-    /// Names of the routers.
+    /// Names of the connected routers.
     pub routers: Vec<String>,
-    /// Internal address of the control replica that tells this.
+    /// Internal address of the reporting control replica.
     pub sender: String,
-    /// What the routers that ask it have met, added up by replica.
+    /// Observations of its routers, combined by back-end replica.
     pub observations: Vec<ReplicaObservation>,
-    /// Back-end replicas heard from since the last notice that was answered.
+    /// Heartbeats received since the last report that got a reply.
     #[speedy(default_on_eof)]
     pub replicas: Vec<ReplicaHeartbeat>,
 }
 
 impl LivenessReport {
-    /// The signs of life: of a sender whose build tells identities alone, each as old as the notice.
+    /// Returns the heartbeats. If the build of the sender reports only identities, each has the age of the report.
     pub fn heartbeats(&self) -> Vec<ReplicaHeartbeat> {
         if !self.replicas.is_empty() {
             return self.replicas.clone();
@@ -342,11 +342,11 @@
     }
 }
 
-/// Answer to [`LivenessReport`].
+/// Reply to [`LivenessReport`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct LivenessReply {
-    /// Routers that the leader knows to be alive.
+    /// Number of live routers known to the leader.
     pub routers: u32,
-    /// What all routers together meet at the replicas.
+    /// Combined observations of all routers; `None` if they are unknown or outdated.
     pub fleet: Option<FleetDigest>,
 }
--- a/crates/rpc/src/serving/commands.rs
+++ b/crates/rpc/src/serving/commands.rs
@@ -1,4 +1,4 @@
-//! Changes of what routers serve from, as the log holds them, and what became of them.
+//! Commands that change the serving state, and their outcomes.
 
 use railtack_consensus::LogIndex;
 use railtack_serving::{
@@ -10,87 +10,88 @@
 use super::QuarantineUpdate;
 use crate::level::FeatureLevel;
 
-/// A whole configuration document as an operator sent it, with what it means.
+/// A configuration document as sent by an operator, with the resolved configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ConfigurationDocument {
-    /// The operator's version; the highest one prevails.
+    /// Revision set by the operator; the document with the highest revision is used.
     pub revision: u64,
-    /// The bytes that were sent, read back unchanged.
+    /// The document as received, which is returned unchanged when it is read.
     pub content: Vec<u8>,
-    /// What routers serve from.
+    /// The resolved configuration.
     pub configuration: ServingConfiguration,
 }
 
-/// A change of what routers serve from.
+/// A command that changes the serving state.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ServingCommand {
-    /// Takes a whole document if its version is above the one held.
+    /// Stores a document if its revision is above that of the stored one.
     PutDocument(ConfigurationDocument),
-    /// Records what a back-end replica says of itself.
+    /// Registers a back-end replica, or updates its record.
     Register(ReplicaRecord),
-    /// Removes a replica that has left; it never comes back in the same life.
+    /// Removes a replica that has left. The same incarnation cannot register again.
     Deregister {
-        /// The replica.
+        /// Incarnation id or name of the replica.
         replica: String,
     },
-    /// Removes a replica that was silent for too long; its next heartbeat brings it back.
+    /// Removes a replica that was silent for too long. Its next heartbeat registers it again.
     Expire {
-        /// The replica.
+        /// Incarnation id of the replica.
         replica: String,
     },
-    /// Names the weights that a model's replicas are to hold.
+    /// Sets the target weights for the replicas of a model.
     SetTargetWeights(ModelWeights),
-    /// Makes a control replica the only one that gives orders to back ends.
+    /// Acquires the order lock, whose holder alone gives orders to back ends.
     AcquireOrderLock {
-        /// Names the machine of the control replica.
+        /// Name of the control replica's machine.
         holder: String,
     },
-    /// Records that an order may be under way at a replica.
+    /// Records that a replica may be executing an order.
     BeginOrder {
-        /// Fencing token of the control replica that gives it.
+        /// Fencing token of the control replica that gives the order.
         token: u64,
-        /// The back-end replica.
+        /// Incarnation id of the back-end replica.
         replica: String,
-        /// The order.
+        /// The order that is given.
         order: PendingOrder,
     },
-    /// Records that a replica ended, with the requests that ran there.
+    /// Records that a replica crashed, with the requests that it was running.
     RecordCrash {
-        /// The replica.
+        /// Key of the replica.
         replica: ReplicaKey,
-        /// The requests.
+        /// Keys of the requests.
         contents: Vec<ContentKey>,
-        /// The router that tells it; `None` if it hears from no other replica either, so that its own
-        /// path may be what is broken. With a second witness the replica is removed for all routers,
+        /// The router that reports the crash; `None` if it receives nothing from other replicas either,
+        /// so that its own network may be at fault. After the second reporter, the replica is removed
         /// until its next heartbeat.
         reporter: Option<String>,
     },
-    /// Clears requests under which replicas had ended: they have run to a good end since.
+    /// Removes requests from the suspects that have succeeded since.
     ClearSuspects {
-        /// The requests.
+        /// Keys of the requests.
         contents: Vec<ContentKey>,
     },
-    /// Forgets a request under which replicas had ended, or releases it on parole.
+    /// Removes a request from the suspects, or releases it from quarantine on probation.
     ReleaseContent {
-        /// The request.
+        /// Key of the request.
         content: ContentKey,
-        /// Its last change that the sender knows; nothing happens if it has changed since.
+        /// Log position of its last change known to the sender. The command has no effect if the request has
+        /// changed since.
         changed_at: LogIndex,
     },
-    /// Records what several back-end replicas say of themselves, in one entry of the log.
+    /// Registers several back-end replicas in one log entry.
     RegisterAll(Vec<ReplicaRecord>),
-    /// Raises what the group does together. Proposed only once all members have said that they can.
+    /// Raises the feature level of the group. It is only proposed once all members support the level.
     RaiseLevel {
-        /// The level.
+        /// New feature level.
         level: FeatureLevel,
-        /// The document held, by its version; nothing happens if another one is held by now.
+        /// Revision of the stored document. The command has no effect if another document is stored.
         revision: u64,
-        /// The quotas of that document, which a group at the first level does not hold.
+        /// Quotas of that document by tenant, which a group at the first level has not stored.
         quotas: Vec<(String, TenantQuota)>,
     },
-    /// Takes a whole document, like [`Self::PutDocument`], with the quotas of its tenants.
+    /// Stores a document like [`Self::PutDocument`], with the quotas of its tenants.
     PutDocumentWithQuotas {
-        /// The document.
+        /// The document to store.
         document: ConfigurationDocument,
         /// Quotas by tenant.
         quotas: Vec<(String, TenantQuota)>,
@@ -98,7 +99,7 @@
 }
 
 impl ServingCommand {
-    /// Takes a whole document, in a form that all members of a group at `level` can apply.
+    /// Returns the command that stores a document in a group at `level`.
     pub fn put_document(document: ConfigurationDocument, level: FeatureLevel) -> Self {
         if level < FeatureLevel::SHARED_GRANTS {
             return Self::PutDocument(document);
@@ -107,15 +108,15 @@
         Self::PutDocumentWithQuotas { document, quotas }
     }
 
-    /// Whether a group at a level takes this. A document without its quotas, made while the group did not hold
-    /// any, would take them back once it does.
+    /// Whether a group at this feature level accepts the command. At a level with quotas, a document without
+    /// quotas is refused, because it would remove them.
     pub fn is_supported_at(&self, level: FeatureLevel) -> bool {
         let lacks_quotas = matches!(self, Self::PutDocument(_));
         let is_outdated = lacks_quotas && level >= FeatureLevel::SHARED_GRANTS;
         self.required_level() <= level && !is_outdated
     }
 
-    /// The level of a group that may hold this in its log.
+    /// Lowest feature level of a group whose log may contain the command.
     pub fn required_level(&self) -> FeatureLevel {
         match self {
             Self::PutDocument(_)
@@ -125,7 +126,7 @@
             | Self::SetTargetWeights(_)
             | Self::AcquireOrderLock { .. }
             | Self::BeginOrder { .. } => FeatureLevel::FIRST,
-            // All members can apply it once it is proposed; it is what makes the others possible.
+            // It is proposed at the first level, once all members can apply it, and enables the other commands.
             Self::RaiseLevel { .. } => FeatureLevel::FIRST,
             Self::RecordCrash { .. }
             | Self::ClearSuspects { .. }
@@ -136,45 +137,45 @@
     }
 }
 
-/// What a change did.
+/// Outcome of a serving command.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum ServingOutcome {
-    /// It is in force.
+    /// The command was applied.
     Done,
-    /// A version at least as high is held; nothing changed, and the sender needs nothing more.
+    /// The stored revision or version is the same or higher; nothing changed, and no retry is needed.
     Superseded,
-    /// The replica is not known, or has left; nothing changed.
+    /// The replica is not registered, or has left; nothing changed.
     UnknownReplica,
-    /// The control replica holds the right to give orders.
+    /// The control replica holds the order lock.
     OrderLockAcquired {
-        /// Fencing token, larger than every token before.
+        /// Fencing token; larger than all earlier tokens.
         token: u64,
-        /// Whether another control replica held the right before.
+        /// Whether another control replica held the lock before.
         taken_over: bool,
     },
-    /// Another control replica holds the right to give orders; nothing changed.
+    /// Another control replica holds the order lock; nothing changed.
     NotHolder,
-    /// Another replica has the address; nothing changed.
+    /// Another replica is registered with the address; nothing changed.
     AddressHeld {
-        /// That replica.
+        /// Incarnation id of that replica.
         holder: String,
     },
-    /// The end is recorded; this is what all routers are told since.
+    /// The crash was recorded. The update is what all routers receive.
     CrashRecorded(QuarantineUpdate),
-    /// What became of each record of [`ServingCommand::RegisterAll`], in its order.
+    /// Outcome for each record of [`ServingCommand::RegisterAll`], in the same order.
     Registered(Vec<Registration>),
 }
 
-/// What became of the record of one back-end replica.
+/// Outcome of the registration of one back-end replica.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Registration {
-    /// It is recorded.
+    /// The replica is registered.
     Recorded,
-    /// The replica has left; nothing changed.
+    /// This incarnation has left; nothing changed.
     Departed,
     /// Another replica has the address; nothing changed.
     AddressHeld {
-        /// That replica.
+        /// Incarnation id of that replica.
         holder: String,
     },
 }
--- a/crates/rpc/tests/codec.rs
+++ b/crates/rpc/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec takes whatever bytes arrive without a panic.
+//! Tests that the codec does not panic on malformed input.
 
 use bytes::{BufMut, BytesMut};
 use quickcheck::quickcheck;
--- a/crates/rpc/tests/silent_connections.rs
+++ b/crates/rpc/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! A connection that falls silent for good, without a reset, while new ones work.
+//! Tests that a connection on which a call got no response is not reused.
 
 use std::{
     sync::{
@@ -13,7 +13,7 @@
 
 const LIMIT: Duration = Duration::from_millis(100);
 
-/// A peer that accepts connections and never answers on any; counts them.
+/// Starts a peer that accepts and counts connections, but never responds.
 async fn silent_peer() -> (std::net::SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
--- a/crates/serving/src/availability.rs
+++ b/crates/serving/src/availability.rs
@@ -58,12 +58,12 @@
     limit: Option<AdvertisedLimit>,
     /// Earliest time at which the limit admits a request from this router.
     limited_until: MonotonicTime,
-    /// The limit that `room_at` follows from.
+    /// The limit that `limited_until` follows from.
     exhausted_limit: Option<RequestLimit>,
 }
 
 impl AdvertisedState {
-    /// Applies the notice of a response.
+    /// Applies the signals of a response.
     pub fn record(&mut self, signals: BackEndSignals, now: MonotonicTime) -> SignalChanges {
         if let Some(time) = signals.back_off {
             let until = now.saturating_add(time);
@@ -110,7 +110,7 @@
         self.limit
     }
 
-    /// Records that `limit` admits no request from this router before `room_at`.
+    /// Records that `limit` admits no request from this router before `limited_until`.
     pub fn set_limited_until(&mut self, limit: RequestLimit, limited_until: MonotonicTime) {
         self.limited_until = self.limited_until.max(limited_until);
         self.exhausted_limit = Some(limit);
@@ -140,7 +140,7 @@
 }
 
 impl Availability {
-    /// Applies the notice of a response from a back end.
+    /// Applies the signals of a response from a back end.
     pub fn record(
         &mut self,
         incarnation_id: &str,
@@ -188,7 +188,7 @@
         })
     }
 
-    /// Records that `limit` admits no request from this router before `room_at`.
+    /// Records that `limit` admits no request from this router before `limited_until`.
     pub fn set_limited_until(
         &mut self,
         incarnation_id: &str,
--- a/crates/serving/tests/availability.rs
+++ b/crates/serving/tests/availability.rs
@@ -125,7 +125,7 @@
 }
 
 quickcheck! {
-    /// For any sequence of notices, each replica is unavailable exactly until the end of its latest
+    /// For any sequence of signals, each replica is unavailable exactly until the end of its latest
     /// back-off, also after expired state was removed.
     fn each_replica_is_unavailable_until_its_latest_back_off_ends(signals: Vec<(u8, u16, u16)>) -> bool {
         let start = MonotonicTime::from_secs(7);
