--- a/crates/rpc/src/codec.rs
+++ b/crates/rpc/src/codec.rs
@@ -193,7 +193,7 @@
 /// Logs a message that cannot be decoded. The connection is then closed, so this occurs at most once per
 /// connection.
 fn log_unread(message: &'static str, bytes: &[u8], error: &speedy::Error) {
-    spdlog::warn!("message not read: its sender may be of another build", kv: {
+    spdlog::warn!("cannot decode message; the peer may run another build", kv: {
         message,
         bytes = bytes.len(),
         cause = error.to_string(),
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -31,7 +31,7 @@
         address: SocketAddr,
     },
     /// The call failed, or its deadline passed, after it may have been sent.
-    #[error("no answer from {address}")]
+    #[error("no response from {address}")]
     NoResponse {
         /// Address of the replica.
         address: SocketAddr,
--- a/crates/serving/tests/availability.rs
+++ b/crates/serving/tests/availability.rs
@@ -61,11 +61,11 @@
     let mut availability = Availability::default();
     assert!(
         availability.record(REPLICA, leaving, start).is_leaving,
-        "first notice"
+        "first signal"
     );
     assert!(
         !availability.record(REPLICA, leaving, start).is_leaving,
-        "repeated notice"
+        "repeated signal"
     );
     availability.record(REPLICA, BackEndSignals::default(), start);
     let late = start + Duration::from_secs(60);
