--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -27,7 +27,7 @@
 pub struct EngineView {
     /// Id of the engine.
     pub id: EngineId,
-    /// Incarnation of the engine; all other state is reset when it changes.
+    /// Incarnation of the engine. All state except `listed` is reset when it changes.
     pub incarnation: EngineIncarnation,
     /// Zone of the engine.
     pub zone: ZoneName,
--- a/crates/rpc/src/serving.rs
+++ b/crates/rpc/src/serving.rs
@@ -78,8 +78,8 @@
     pub observations: Vec<ReplicaObservation>,
 }
 
-/// Age of a confirmation from which on it does not renew a lease, milliseconds. The router then switches to
-/// another control replica. A replica that reaches the leader confirms its state several times per second.
+/// Age from which a confirmation no longer renews a lease, milliseconds. The router then switches to another
+/// control replica. A replica that reaches the leader confirms its state several times per second.
 pub const CONFIRMATION_LIMIT_MS: u64 = 1_200;
 
 /// Reply to [`WatchRequest`].
--- a/crates/serving/src/quota.rs
+++ b/crates/serving/src/quota.rs
@@ -86,7 +86,7 @@
 }
 
 impl QuotaBounds {
-    /// Returns the largest bucket that keeps the bound in every window.
+    /// Returns a bucket that keeps the bound in every window.
     ///
     /// Grants that are used late, and two concurrent leaders, can put more usage into a window than
     /// the bucket granted in it. The tolerance covers this first; if it is too small, the burst is
