--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,43 +1,43 @@
-//! What a leader knows of each other member.
+//! Replication progress of each member, as tracked by the leader.
 
 use crate::{LogIndex, Millis};
 
-/// Something sent to a member whose answer is not there yet.
+/// An append or snapshot that a member has not acknowledged yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Awaited {
-    /// Last position that the answer would confirm.
-    pub through: LogIndex,
-    /// When it was sent.
+pub struct InflightAppend {
+    /// Index of the last entry that the reply acknowledges.
+    pub through_index: LogIndex,
+    /// Time of sending.
     pub sent_at: Millis,
 }
 
 /// Replication progress of one member.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// Next entry to send.
-    pub next: LogIndex,
-    /// Last entry known to be synced there.
-    pub matched: LogIndex,
-    /// Entries or a snapshot that were sent and not answered yet. Meanwhile heartbeats carry
-    /// nothing, so that a slow member is not sent its backlog again and again.
-    pub awaited: Option<Awaited>,
-    /// When the member last answered.
-    pub last_heard: Millis,
-    /// Latest moment at which something that the member has answered in this term was sent.
-    pub confirmed_at: Option<Millis>,
-    /// When a snapshot was last sent; it is not sent again at every heartbeat.
+    /// Index of the next entry to send.
+    pub next_index: LogIndex,
+    /// Index of the last entry that the member is known to have synced.
+    pub match_index: LogIndex,
+    /// Append or snapshot that is not acknowledged yet. Meanwhile heartbeats carry no entries, so that
+    /// a slow member is not sent its backlog repeatedly.
+    pub inflight: Option<InflightAppend>,
+    /// Time of the member's last reply.
+    pub last_reply_at: Millis,
+    /// Latest `sent_at` that the member has echoed in this term.
+    pub acked_sent_at: Option<Millis>,
+    /// Time at which a snapshot was last sent; limits how often it is resent.
     pub snapshot_sent_at: Option<Millis>,
 }
 
 impl Progress {
-    /// Progress of a member of which nothing is known yet.
-    pub fn new(next: LogIndex, now: Millis) -> Self {
+    /// Initial progress of a member whose log is not known yet.
+    pub fn new(next_index: LogIndex, now: Millis) -> Self {
         Self {
-            next,
-            matched: 0,
-            awaited: None,
-            last_heard: now,
-            confirmed_at: None,
+            next_index,
+            match_index: 0,
+            inflight: None,
+            last_reply_at: now,
+            acked_sent_at: None,
             snapshot_sent_at: None,
         }
     }
--- a/crates/lab/tests/lent_retries.rs
+++ b/crates/lab/tests/lent_retries.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use railtack_control::serving::{
-    ledger::{LedgerAnswer, QuotaLedger, Withdrawal},
+    ledger::{LedgerReply, QuotaLedger, Withdrawal},
     quota::grant_times,
 };
 use railtack_proxy::budget::{BudgetRule, RetryBudget};
@@ -66,7 +66,11 @@
     fn first(bounds: Bounds, now: Instant) -> Self {
         Self {
             bounds,
-            ledger: QuotaLedger::first(shared_retry_bounds(&bounds), grant_times(), now),
+            ledger: QuotaLedger::with_full_buckets(
+                shared_retry_bounds(&bounds),
+                grant_times(),
+                now,
+            ),
         }
     }
 
@@ -83,14 +87,14 @@
             return false;
         };
         let withdrawal = Withdrawal {
-            holder: "portal",
+            account: "portal",
             quota,
             cost: quota.cost(None),
-            longest_wait: Duration::ZERO,
+            max_wait: Duration::ZERO,
         };
         matches!(
             self.ledger.withdraw(withdrawal, now),
-            LedgerAnswer::Granted { .. }
+            LedgerReply::Granted { .. }
         )
     }
 }
@@ -138,13 +142,13 @@
             lender = Lender::later(bounds, now);
         }
         let budget = &mut budgets[random.random_range(0..ROUTERS)];
-        budget.earn(ROUTERS as u32, now);
+        budget.deposit(ROUTERS as u32, now);
         retries.requests.push(now);
         if !random.random_bool(failures(second)) {
             continue;
         }
         retries.wanted += 1;
-        if budget.spend(ROUTERS as u32, now) || lends && lender.lend(now) {
+        if budget.withdraw(ROUTERS as u32, now) || lends && lender.lend(now) {
             retries.sent.push(now);
         }
     }
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,12 +1,12 @@
-//! What the router knows of the limits that engines and back ends name, and how it reaches the leader.
+//! Rate limits announced by engines and back ends, and the permits that the control leader grants.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use hyper::HeaderMap;
 use railtack_backend_api::REQUEST_LIMIT_HEADER;
 use railtack_proxy::{
-    backend::stated_limit,
-    permits::{self, KnownLimit, LimitedRouter, Permission, Permit},
+    backend::parse_limit_header,
+    permits::{self, KnownLimit, Permit, PermitClient, PermitDecision},
 };
 use railtack_rpc::permits::{PermitReply, PermitRequest};
 use railtack_serving::{
@@ -18,14 +18,15 @@
     state::{RouterState, lock},
 };
 
-/// Time for one question to the leader: other engines and back ends may be asked after it.
-const ASKED_WITHIN: Duration = Duration::from_millis(800);
+/// Timeout of a permit request, which leaves time to try other engines and back ends.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl RouterState {
-    /// Looks at what an engine or a back end of a service announced, by the name of its life or its address.
-    fn with_announced<T>(&self, life: &str, look: impl FnOnce(&mut AdvertisedState) -> T) -> T {
+    /// Calls `apply` with the announced state of an engine, given its incarnation name, or of a service's
+    /// back end, given its address.
+    fn with_announced<T>(&self, life: &str, apply: impl FnOnce(&mut AdvertisedState) -> T) -> T {
         if life.parse::<SocketAddr>().is_ok() {
-            return look(lock(&self.back_ends_available).of(life));
+            return apply(lock(&self.back_end_availability).of(life));
         }
         let mut scheduler = lock(&self.scheduler);
         let views = scheduler.engines.views();
@@ -37,71 +38,71 @@
             scheduler.engines.slot(id)
         });
         match slot {
-            Some(slot) => look(&mut scheduler.engines.view_mut(slot).advertised),
-            // A former life: nothing is kept of it.
-            None => look(&mut AdvertisedState::default()),
+            Some(slot) => apply(&mut scheduler.engines.view_mut(slot).advertised),
+            // A former incarnation, which has no state.
+            None => apply(&mut AdvertisedState::default()),
         }
     }
 }
 
-impl LimitedRouter for RouterState {
+impl PermitClient for RouterState {
     fn uptime(&self) -> MonotonicTime {
         RouterState::uptime(self)
     }
 
     fn known_limit(&self, life: &str) -> Option<KnownLimit> {
-        let own = match life.parse::<SocketAddr>() {
-            Ok(_) => lock(&self.back_ends_available).limit(life),
+        let announced = match life.parse::<SocketAddr>() {
+            Ok(_) => lock(&self.back_end_availability).limit(life),
             Err(_) => self.with_announced(life, |announced| announced.limit()),
         }?;
         Some(KnownLimit {
-            limit: own.limit,
-            age: self.uptime().saturating_sub(own.advertised_at),
-            own: Some(own),
+            limit: announced.limit,
+            age: self.uptime().saturating_sub(announced.advertised_at),
+            advertised_here: Some(announced),
         })
     }
 
-    fn unanswered_until(&self) -> MonotonicTime {
-        *lock(&self.permits_unanswered_until)
+    fn permit_requests_suspended_until(&self) -> MonotonicTime {
+        *lock(&self.permit_requests_paused_until)
     }
 
-    fn note_unanswered(&self, until: MonotonicTime) {
-        *lock(&self.permits_unanswered_until) = until;
+    fn suspend_permit_requests(&self, until: MonotonicTime) {
+        *lock(&self.permit_requests_paused_until) = until;
     }
 
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
-        self.metrics.permits_withheld.inc();
+    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
+        self.metrics.permits_denied.inc();
         self.with_announced(life, |announced| {
             announced.set_limited_until(limit, room_at)
         });
     }
 
-    fn note_over(&self, life: &str, named_at: MonotonicTime) {
+    fn clear_limit(&self, life: &str, named_at: MonotonicTime) {
         self.with_announced(life, |announced| announced.clear_limit(named_at));
     }
 
-    async fn ask_leader(&self, question: PermitRequest, limit: Duration) -> Option<PermitReply> {
-        self.control.take_permit(question, limit).await
+    async fn ask_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
+        self.control.request_permit(request, timeout).await
     }
 }
 
-/// Takes a permit for one request, if the engine or back end has a limit.
-pub async fn permission(state: &RouterState, life: &str) -> Permission {
-    permits::take(state, life, ASKED_WITHIN).await
+/// Acquires a permit for one request, if the engine or back end has a rate limit.
+pub async fn acquire_permit(state: &RouterState, life: &str) -> PermitDecision {
+    permits::acquire(state, life, PERMIT_TIMEOUT).await
 }
 
-/// Takes in what an answer says of the limit of the engine or back end that gave it.
-pub fn note_answer(
+/// Records the rate limit that the response headers of an engine or back end announce.
+pub fn record_response(
     state: &Arc<RouterState>,
     life: &str,
     permit: Option<Permit>,
     headers: &HeaderMap,
 ) {
-    let stated = stated_limit(headers, REQUEST_LIMIT_HEADER);
+    let stated = parse_limit_header(headers, REQUEST_LIMIT_HEADER);
     let news = match stated {
         LimitHeader::Absent => SignalChanges::default(),
         LimitHeader::Invalid(error) => {
-            state.metrics.limits_unread.inc();
+            state.metrics.unreadable_limits.inc();
             spdlog::info!("limit not read", kv: {
                 replica = life.to_owned(),
                 cause = error.to_string(),
@@ -114,16 +115,16 @@
                 ..BackEndSignals::default()
             };
             let now = state.uptime();
-            log_news(
+            log_new_limit(
                 life,
-                state.with_announced(life, |said| said.record(notice, now)),
+                state.with_announced(life, |announced| announced.record(notice, now)),
             )
         }
     };
-    permits::note_answer(state, life, permit, stated, news.limit.is_some());
+    permits::handle_response(state, life, permit, stated, news.limit.is_some());
 }
 
-fn log_news(life: &str, news: SignalChanges) -> SignalChanges {
+fn log_new_limit(life: &str, news: SignalChanges) -> SignalChanges {
     if let Some(limit) = news.limit {
         spdlog::info!("back end names a limit", kv: {
             replica = life.to_owned(),
