--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -15,7 +15,7 @@
 /// Engines drawn at random, so that load can move away from the affinity engines.
 const RANDOM_ENGINES: usize = 2;
 /// Maximum number of candidates.
-pub const CANDIDATE_LIMIT: usize = 16;
+pub const MAX_CANDIDATES: usize = 16;
 
 /// An engine to consider.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 }
 
 /// Candidates of one decision.
-pub type Candidates = SmallVec<[Candidate; CANDIDATE_LIMIT]>;
+pub type Candidates = SmallVec<[Candidate; MAX_CANDIDATES]>;
 
 /// Collects the engines of `group` that have cached the prefix, that rendezvous hashing selects, and
 /// that are drawn at random. `belongs` returns whether an engine is in the group.
@@ -46,7 +46,7 @@
     seed: u64,
 ) -> Candidates {
     let mut candidates = Candidates::new();
-    for (engine, held_blocks) in &overlaps.held {
+    for (engine, held_blocks) in &overlaps.holders {
         if belongs(*engine) {
             add(&mut candidates, *engine, *held_blocks, 0);
         }
@@ -118,7 +118,7 @@
 }
 
 fn add(candidates: &mut Candidates, engine: EngineSlot, held_blocks: u32, affinity_blocks: u32) {
-    let has_room = candidates.len() < CANDIDATE_LIMIT;
+    let has_room = candidates.len() < MAX_CANDIDATES;
     let known = candidates
         .iter_mut()
         .find(|candidate| candidate.engine == engine);
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -120,7 +120,7 @@
         view.available = description.available;
         view.key = description.key;
         if !same_weights {
-            self.regroup();
+            self.rebuild_groups();
         }
         let is_valid = same_incarnation && same_weights;
         (
@@ -208,11 +208,11 @@
         let slot = EngineSlot(self.views.len() as u16);
         self.slots.insert(description.id, slot);
         self.views.push(EngineView::new(description));
-        self.regroup();
+        self.rebuild_groups();
         slot
     }
 
-    fn regroup(&mut self) {
+    fn rebuild_groups(&mut self) {
         self.groups.clear();
         for (position, view) in self.views.iter().enumerate() {
             self.groups
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -12,7 +12,7 @@
 use crate::engines::EngineSlot;
 
 /// Maximum number of engines whose depth is determined in one lookup.
-pub const HOLDER_LIMIT: usize = 8;
+pub const MAX_HOLDERS: usize = 8;
 
 type Holders = SmallVec<[EngineSlot; 4]>;
 
@@ -20,13 +20,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OverlapScores {
     /// Engine and number of cached leading blocks.
-    pub held: SmallVec<[(EngineSlot, u32); HOLDER_LIMIT]>,
+    pub holders: SmallVec<[(EngineSlot, u32); MAX_HOLDERS]>,
 }
 
 impl OverlapScores {
     /// Number of leading blocks that an engine has cached.
     pub fn blocks(&self, engine: EngineSlot) -> u32 {
-        let known = self.held.iter().find(|(slot, _)| *slot == engine);
+        let known = self.holders.iter().find(|(slot, _)| *slot == engine);
         known.map_or(0, |(_, blocks)| *blocks)
     }
 }
@@ -38,7 +38,7 @@
     /// match cached blocks by the whole hash within the tenant's namespace.
     holders: HashMap<u64, Holders, Xxh3Builder>,
     capacity: usize,
-    refused: u64,
+    rejected: u64,
 }
 
 impl PrefixIndex {
@@ -47,7 +47,7 @@
         Self {
             holders: HashMap::default(),
             capacity,
-            refused: 0,
+            rejected: 0,
         }
     }
 
@@ -55,7 +55,7 @@
     pub fn insert(&mut self, engine: EngineSlot, blocks: impl IntoIterator<Item = BlockHash>) {
         for block in blocks {
             if self.holders.len() >= self.capacity && !self.holders.contains_key(&block.short()) {
-                self.refused += 1;
+                self.rejected += 1;
                 continue;
             }
             let holders = self.holders.entry(block.short()).or_default();
@@ -90,14 +90,14 @@
     pub fn overlaps(&self, chain: &PrefixChain) -> OverlapScores {
         let mut scores = OverlapScores::default();
         let blocks = &chain.blocks;
-        let deepest = deepest_where(blocks.len(), |position| self.is_held(blocks[position]));
+        let deepest = leading_matches(blocks.len(), |position| self.is_cached(blocks[position]));
         if deepest == 0 {
             return scores;
         }
         self.add_holders(blocks, deepest - 1, &mut scores);
         self.add_holders(blocks, 0, &mut scores);
         scores
-            .held
+            .holders
             .sort_by_key(|(_, depth)| std::cmp::Reverse(*depth));
         scores
     }
@@ -113,8 +113,8 @@
     }
 
     /// Number of blocks that were not added because the index was full.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 
     fn add_holders(&self, blocks: &[BlockHash], position: usize, scores: &mut OverlapScores) {
@@ -122,16 +122,16 @@
             return;
         };
         for &engine in holders {
-            let is_known = scores.held.iter().any(|(known, _)| *known == engine);
-            if is_known || scores.held.len() >= HOLDER_LIMIT {
+            let is_known = scores.holders.iter().any(|(known, _)| *known == engine);
+            if is_known || scores.holders.len() >= MAX_HOLDERS {
                 continue;
             }
-            let depth = deepest_where(blocks.len(), |index| self.holds(engine, blocks[index]));
-            scores.held.push((engine, depth as u32));
+            let depth = leading_matches(blocks.len(), |index| self.holds(engine, blocks[index]));
+            scores.holders.push((engine, depth as u32));
         }
     }
 
-    fn is_held(&self, block: BlockHash) -> bool {
+    fn is_cached(&self, block: BlockHash) -> bool {
         self.holders.contains_key(&block.short())
     }
 
@@ -143,7 +143,7 @@
 }
 
 /// Number of leading positions that satisfy a monotone condition, by binary search.
-fn deepest_where(length: usize, holds: impl Fn(usize) -> bool) -> usize {
+fn leading_matches(length: usize, holds: impl Fn(usize) -> bool) -> usize {
     let mut low = 0;
     let mut high = length;
     while low < high {
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Micros,
-    candidates::{self, CANDIDATE_LIMIT, Candidate},
+    candidates::{self, Candidate, MAX_CANDIDATES},
     engines::{EngineSlot, EngineTable, Member, ModelKey},
     index::PrefixIndex,
     scoring::{self, CandidateScore, ScoreWeights},
@@ -58,7 +58,7 @@
     /// Score of the chosen engine.
     pub chosen: CandidateScore,
     /// Scores of all candidates.
-    pub considered: SmallVec<[CandidateScore; CANDIDATE_LIMIT]>,
+    pub considered: SmallVec<[CandidateScore; MAX_CANDIDATES]>,
 }
 
 /// Chooses engines based on the router's view of their state and caches.
@@ -99,7 +99,7 @@
             // No candidate is available: consider any other engine of the group.
             candidates.extend(self.any_available(&request, group, now));
         }
-        let considered: SmallVec<[CandidateScore; CANDIDATE_LIMIT]> = candidates
+        let considered: SmallVec<[CandidateScore; MAX_CANDIDATES]> = candidates
             .iter()
             .map(|candidate| self.score(&request, *candidate))
             .collect();
@@ -160,12 +160,12 @@
         request: &RoutingRequest<'_>,
         group: &[Member],
         now: Micros,
-    ) -> SmallVec<[Candidate; CANDIDATE_LIMIT]> {
+    ) -> SmallVec<[Candidate; MAX_CANDIDATES]> {
         group
             .iter()
             .map(|member| member.slot)
             .filter(|engine| self.may_serve(request, *engine, now))
-            .take(CANDIDATE_LIMIT)
+            .take(MAX_CANDIDATES)
             .map(|engine| Candidate {
                 engine,
                 held_blocks: 0,
--- a/crates/routing/src/scoring.rs
+++ b/crates/routing/src/scoring.rs
@@ -10,7 +10,7 @@
 };
 
 /// Maximum number of batch slots that an interactive request is expected to wait for.
-const INTERACTIVE_SLOTS_LIMIT: u32 = 3;
+const MAX_INTERACTIVE_SLOTS: u32 = 3;
 
 /// Cost estimates of the engines, and the weights of latency and compute in the score.
 #[derive(Clone, Debug, PartialEq)]
@@ -126,7 +126,7 @@
     let slots = match priority {
         // Waiting batch requests are overtaken, but a queue indicates long steps, so a part of it
         // counts.
-        Priority::Interactive => excess.min(INTERACTIVE_SLOTS_LIMIT),
+        Priority::Interactive => excess.min(MAX_INTERACTIVE_SLOTS),
         Priority::Batch => excess,
     };
     let step_us = load.step_us as f64;
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -226,13 +226,13 @@
     let scores = index.overlaps(chain);
     let deepest = holdings.values().copied().max().unwrap_or(0);
     let found = scores
-        .held
+        .holders
         .iter()
         .map(|(_, depth)| *depth as usize)
         .max()
         .unwrap_or(0);
     let exact = scores
-        .held
+        .holders
         .iter()
         .all(|(engine, depth)| holdings.get(&engine.0) == Some(&(*depth as usize)));
     found == deepest && exact
--- a/crates/rpc/src/codec.rs
+++ b/crates/rpc/src/codec.rs
@@ -16,9 +16,9 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 /// Maximum size of a frame, bytes. The largest message is a snapshot of the control state.
-const FRAME_LIMIT: usize = 64 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 /// Maximum time to the deadline of a request.
-const DEADLINE_LIMIT: Duration = Duration::from_secs(3600);
+const MAX_REMAINING: Duration = Duration::from_secs(3600);
 
 /// Error in reading or writing a frame.
 #[derive(Debug, Error)]
@@ -51,7 +51,7 @@
 
 fn frames() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_LIMIT)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
@@ -122,7 +122,7 @@
             return Ok(None);
         };
         let frame = ServerFrame::<Resp>::read_from_buffer(&bytes).inspect_err(|error| {
-            log_unread("answer", &bytes, error);
+            log_undecodable("answer", &bytes, error);
         })?;
         let message = frame
             .message
@@ -165,7 +165,7 @@
             return Ok(None);
         };
         let frame = ClientFrame::<Req>::read_from_buffer(&bytes).inspect_err(|error| {
-            log_unread("request", &bytes, error);
+            log_undecodable("request", &bytes, error);
         })?;
         let message = match frame {
             ClientFrame::Request {
@@ -192,7 +192,7 @@
 
 /// Logs a message that cannot be decoded. The connection is then closed, so this occurs at most once per
 /// connection.
-fn log_unread(message: &'static str, bytes: &[u8], error: &speedy::Error) {
+fn log_undecodable(message: &'static str, bytes: &[u8], error: &speedy::Error) {
     spdlog::warn!("cannot decode message; the peer may run another build", kv: {
         message,
         bytes = bytes.len(),
@@ -212,9 +212,9 @@
 
 fn remaining_us(deadline: Instant) -> u64 {
     let remaining = deadline.saturating_duration_since(Instant::now());
-    remaining.min(DEADLINE_LIMIT).as_micros() as u64
+    remaining.min(MAX_REMAINING).as_micros() as u64
 }
 
 fn deadline(remaining_us: u64) -> Instant {
-    Instant::now() + Duration::from_micros(remaining_us).min(DEADLINE_LIMIT)
+    Instant::now() + Duration::from_micros(remaining_us).min(MAX_REMAINING)
 }
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -19,7 +19,7 @@
 /// Time after which a connection with unacknowledged bytes counts as broken.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of pending requests on one connection.
-const PENDING_REQUESTS: usize = 1024;
+const MAX_PENDING_REQUESTS: usize = 1024;
 
 /// Error of a call. The call may have been executed unless the replica was unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -111,8 +111,8 @@
             .change_context(unreachable)?;
         let codec = ClientCodec::<ControlRequest, ControlResponse>::default();
         let mut config = client::Config::default();
-        config.max_in_flight_requests = PENDING_REQUESTS;
-        config.pending_request_buffer = PENDING_REQUESTS;
+        config.max_in_flight_requests = MAX_PENDING_REQUESTS;
+        config.pending_request_buffer = MAX_PENDING_REQUESTS;
         Ok(ControlClient::new(config, Framed::new(stream, codec)).spawn())
     }
 }
--- a/crates/serving/src/limit.rs
+++ b/crates/serving/src/limit.rs
@@ -13,7 +13,7 @@
 /// A limit on requests per second, over all routers together; 0 allows no request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct RequestLimit {
-    per_1000_s: u32,
+    thousandths_per_s: u32,
 }
 
 /// Error in the limit header of a response.
@@ -24,10 +24,10 @@
     Repeated,
     /// The value is not text.
     #[error("not text")]
-    NoText,
+    NotText,
     /// The value is not a decimal number.
     #[error("not a decimal number")]
-    NoNumber,
+    NotDecimal,
     /// The value is infinite or not a number.
     #[error("not finite")]
     NotFinite,
@@ -54,8 +54,8 @@
 impl RequestLimit {
     /// Parses a decimal number of requests per second.
     pub fn parse(value: &[u8]) -> Result<Self, LimitError> {
-        let text = std::str::from_utf8(value).map_err(|_| LimitError::NoText)?;
-        let per_s: f64 = text.trim().parse().map_err(|_| LimitError::NoNumber)?;
+        let text = std::str::from_utf8(value).map_err(|_| LimitError::NotText)?;
+        let per_s: f64 = text.trim().parse().map_err(|_| LimitError::NotDecimal)?;
         Self::per_s(per_s)
     }
 
@@ -71,13 +71,13 @@
             return Err(LimitError::TooLarge);
         }
         // The maximum times the resolution fits into 32 bits.
-        let per_1000_s = (per_s * UNITS_PER_REQUEST) as u32;
-        Ok(Self { per_1000_s })
+        let thousandths_per_s = (per_s * UNITS_PER_REQUEST) as u32;
+        Ok(Self { thousandths_per_s })
     }
 
     /// The limit in requests per second.
     pub fn requests_per_s(self) -> f64 {
-        f64::from(self.per_1000_s) / UNITS_PER_REQUEST
+        f64::from(self.thousandths_per_s) / UNITS_PER_REQUEST
     }
 }
 
--- a/crates/serving/tests/limit.rs
+++ b/crates/serving/tests/limit.rs
@@ -20,17 +20,17 @@
 #[test]
 fn invalid_values_yield_their_error() {
     for (value, error) in [
-        (&b""[..], LimitError::NoNumber),
-        (b"few", LimitError::NoNumber),
-        (b"1,2", LimitError::NoNumber),
-        (b"1.2/s", LimitError::NoNumber),
-        (b"10^300", LimitError::NoNumber),
+        (&b""[..], LimitError::NotDecimal),
+        (b"few", LimitError::NotDecimal),
+        (b"1,2", LimitError::NotDecimal),
+        (b"1.2/s", LimitError::NotDecimal),
+        (b"10^300", LimitError::NotDecimal),
         (b"1e300", LimitError::TooLarge),
         (b"1e999", LimitError::NotFinite),
         (b"inf", LimitError::NotFinite),
         (b"NaN", LimitError::NotFinite),
         (b"-1", LimitError::Negative),
-        (b"\xff\xfe", LimitError::NoText),
+        (b"\xff\xfe", LimitError::NotText),
     ] {
         assert_eq!(RequestLimit::parse(value), Err(error), "{value:?}");
     }
