--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -30,25 +30,25 @@
     /// The token bucket of the tenant is empty.
     #[error("the tenant's rate is used up")]
     RateLimit {
-        /// Pause, microseconds.
+        /// Time after which the caller may retry, microseconds.
         retry_after_us: Micros,
     },
     /// The tenant has too many requests open.
     #[error("the tenant has too many requests open")]
     ConcurrencyLimit {
-        /// Pause, microseconds.
+        /// Time after which the caller may retry, microseconds.
         retry_after_us: Micros,
     },
     /// The fleet is under load and the tenant exceeds its fair share.
     #[error("the fleet is loaded and the tenant is above its fair share")]
     FairShare {
-        /// Pause, microseconds.
+        /// Time after which the caller may retry, microseconds.
         retry_after_us: Micros,
     },
     /// The estimated time to first token exceeds the limit or the deadline.
     #[error("the answer would begin too late")]
     TooLate {
-        /// Pause, microseconds.
+        /// Time after which the caller may retry, microseconds.
         retry_after_us: Micros,
     },
 }
--- a/crates/serving/src/retries.rs
+++ b/crates/serving/src/retries.rs
@@ -10,7 +10,7 @@
 
 use crate::{Bounds, QuotaBounds, QuotaUnit, TenantQuota};
 
-/// Share of the slack that routers use without a grant; it is also available to a partitioned router.
+/// Share of the slack that all routers together may use without a grant; a partitioned router keeps its part of it.
 pub const LOCAL_SLACK_SHARE: f64 = 0.25;
 /// Share of the slack that the leader grants in one window.
 pub const SHARED_SLACK_SHARE: f64 = 0.5;
