--- a/crates/rpc/src/codec.rs
+++ b/crates/rpc/src/codec.rs
@@ -1,6 +1,7 @@
-//! Encoding of tarpc's messages with `speedy`, one length-delimited frame each.
+//! Codec that encodes tarpc messages with `speedy`, each in a length-delimited frame.
 //!
-//! tarpc's own message types know only `serde`, so their fields are carried in types of ours.
+//! The message types of tarpc only support `serde`, so their fields are copied into the frame types
+//! of this module.
 
 use std::{
     io,
@@ -14,18 +15,18 @@
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Largest frame. The largest message is a snapshot of the control state.
-const FRAME_LIMIT: usize = 64 * 1024 * 1024;
-/// Longest deadline taken from the wire.
-const DEADLINE_LIMIT: Duration = Duration::from_secs(3600);
+/// Maximum size of a frame, bytes. The largest message is a snapshot of the control state.
+const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum time to the deadline of a request.
+const MAX_REMAINING: Duration = Duration::from_secs(3600);
 
-/// Why a frame could not be read or written.
+/// Error in reading or writing a frame.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// The connection failed, or a frame is larger than allowed.
+    /// The connection failed, or a frame exceeds the maximum size.
     #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
-    /// A frame's content is not a message of the expected type.
+    /// The content of a frame is not a message of the expected type.
     #[error("a frame is malformed: {0}")]
     Malformed(#[from] speedy::Error),
 }
@@ -50,17 +51,17 @@
 
 fn frames() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_LIMIT)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
-/// The client's side: sends requests, receives responses.
+/// Codec of the client, which sends requests and receives responses.
 pub struct ClientCodec<Req, Resp> {
     frames: LengthDelimitedCodec,
     types: PhantomData<fn(Req) -> Resp>,
 }
 
-/// The server's side: receives requests, sends responses.
+/// Codec of the server, which receives requests and sends responses.
 pub struct ServerCodec<Req, Resp> {
     frames: LengthDelimitedCodec,
     types: PhantomData<fn(Req) -> Resp>,
@@ -102,7 +103,7 @@
                 message: request.message,
             },
             ClientMessage::Cancel { request_id, .. } => ClientFrame::Cancel { id: request_id },
-            // The type is open to additions; none is sent by the version in use.
+            // `ClientMessage` is non-exhaustive. This version of tarpc sends no other message.
             _ => return Ok(()),
         };
         write_frame(&mut self.frames, &frame, buffer)
@@ -121,7 +122,7 @@
             return Ok(None);
         };
         let frame = ServerFrame::<Resp>::read_from_buffer(&bytes).inspect_err(|error| {
-            log_unread("answer", &bytes, error);
+            log_undecodable("answer", &bytes, error);
         })?;
         let message = frame
             .message
@@ -164,7 +165,7 @@
             return Ok(None);
         };
         let frame = ClientFrame::<Req>::read_from_buffer(&bytes).inspect_err(|error| {
-            log_unread("request", &bytes, error);
+            log_undecodable("request", &bytes, error);
         })?;
         let message = match frame {
             ClientFrame::Request {
@@ -189,9 +190,10 @@
     }
 }
 
-/// The connection ends on a message that cannot be read, so there is one line for each connection.
-fn log_unread(message: &'static str, bytes: &[u8], error: &speedy::Error) {
-    spdlog::warn!("message not read: its sender may be of another build", kv: {
+/// Logs a message that cannot be decoded. The connection is then closed, so this occurs at most once per
+/// connection.
+fn log_undecodable(message: &'static str, bytes: &[u8], error: &speedy::Error) {
+    spdlog::warn!("cannot decode message; the peer may run another build", kv: {
         message,
         bytes = bytes.len(),
         cause = error.to_string(),
@@ -210,9 +212,9 @@
 
 fn remaining_us(deadline: Instant) -> u64 {
     let remaining = deadline.saturating_duration_since(Instant::now());
-    remaining.min(DEADLINE_LIMIT).as_micros() as u64
+    remaining.min(MAX_REMAINING).as_micros() as u64
 }
 
 fn deadline(remaining_us: u64) -> Instant {
-    Instant::now() + Duration::from_micros(remaining_us).min(DEADLINE_LIMIT)
+    Instant::now() + Duration::from_micros(remaining_us).min(MAX_REMAINING)
 }
