--- a/crates/control/tests/previous_builds.rs
+++ b/crates/control/tests/previous_builds.rs
@@ -1,13 +1,7 @@
-//! Replacing the machines of a former build, one after the other.
+//! Compatibility with the messages and data folders of previous builds during a rolling upgrade.
 //!
-//! What was seen: once three of five control replicas ran the new build, no change was accepted any more, routers
-//! lost their leases, and what had been accepted could not be read back, also after all machines ran the new build.
-//! How: a new replica that opened the folder of the former one, was sent its log, or was elected, could not read the
-//! commands and the state in it, and gave up its term; routers of either build could not read the answers of the other.
-//! Cause: types were given new fields in the middle of their bytes, and new meanings to commands that were there, so
-//! that neither a record nor a message could be read by another build; nothing said which build wrote it.
-//! Proof: bytes that the former build itself wrote (`data/production`, with the program that wrote them) are read
-//! here; the whole is played by hand with the programs of both builds.
+//! The bytes in `data/production` were written by such a build. A build that cannot read them loses
+//! the log and the state of the group, and replicas of both builds cannot exchange messages.
 
 use std::{
     fs,
@@ -29,7 +23,8 @@
 }
 
 fn message(name: &str) -> Vec<u8> {
-    fs::read(data().join("production/messages").join(name)).expect("a message of the former build")
+    fs::read(data().join("production/messages").join(name))
+        .expect("a message of the previous build")
 }
 
 fn request(name: &str) -> ControlRequest {
@@ -61,11 +56,11 @@
 
 fn copy_of_folder(build: &str, name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    // It is there only if an earlier run was ended.
+    // The folder exists only if an earlier run was aborted.
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
-    for file in
-        fs::read_dir(data().join(build).join("data")).expect("the folder of the former build")
+    for file in fs::read_dir(data().join(build).join("data"))
+        .expect("the data folder of the previous build")
     {
         let file = file.expect("a file");
         fs::copy(file.path(), folder.join(file.file_name())).expect("a copy");
@@ -85,7 +80,7 @@
 
 #[test]
 fn a_data_folder_of_a_previous_build_is_opened() {
-    let media = FileMedia::open(copy_of_folder("production", "former-folder")).expect("a folder");
+    let media = FileMedia::open(copy_of_folder("production", "previous-folder")).expect("a folder");
     let mut replica = Replica::open(&media, options(), 0).expect("opened");
     elect_as_leader(&mut replica);
     let serving = replica.state().serving();
@@ -104,14 +99,14 @@
 #[test]
 fn messages_of_a_previous_build_are_decoded() {
     let ControlRequest::Watch { request: watch } = request("watch-request") else {
-        panic!("no question");
+        panic!("not a watch request");
     };
     assert_eq!((watch.router.as_str(), watch.known.state), ("router-1", 7));
     assert!(watch.known.is_complete() && watch.known.is_current());
     assert_eq!((watch.wait_ms, watch.observations.len()), (500, 1));
 
     let ControlResponse::Watch(reply) = response("watch-reply") else {
-        panic!("no answer");
+        panic!("not a reply to `watch`");
     };
     assert_eq!((reply.confirmed_age_ms, reply.routers), (Some(35), 2));
     let update = reply.update.expect("an update");
@@ -124,13 +119,13 @@
     assert_eq!(reply.fleet.expect("a digest").replicas[0].open_requests, 5);
 
     let ControlRequest::Alive { notice } = request("alive-notice") else {
-        panic!("no notice");
+        panic!("not a liveness report");
     };
     assert_eq!(notice.sender, "127.0.0.1:2");
     assert_eq!((notice.routers.len(), notice.observations.len()), (1, 1));
 
     let ControlResponse::Alive(reply) = response("alive-reply") else {
-        panic!("no answer");
+        panic!("not a reply to `alive`");
     };
     assert_eq!(
         (reply.routers, reply.fleet.map(|fleet| fleet.age_ms)),
@@ -138,7 +133,7 @@
     );
 
     let ControlRequest::Poll { request: poll } = request("poll-request") else {
-        panic!("no poll");
+        panic!("not a poll request");
     };
     assert_eq!(
         (poll.applied, poll.want_update, poll.quarantine_known),
@@ -146,7 +141,7 @@
     );
 
     let ControlResponse::Poll(reply) = response("poll-reply") else {
-        panic!("no answer");
+        panic!("not a reply to `poll`");
     };
     assert_eq!(
         (
@@ -179,7 +174,7 @@
     ));
 }
 
-/// That build passes over what follows the message that it knows.
+/// Previous builds ignore bytes after the message that they know.
 #[test]
 fn encoded_messages_begin_with_the_previous_layout() {
     let requests = [
@@ -199,14 +194,14 @@
         let written = response(name).write_to_vec().expect("encoded");
         assert!(written.starts_with(&message(name)), "{name}");
     }
-    // What enters the log or a snapshot has nothing behind it either.
+    // Log entries and snapshots must not have trailing bytes.
     let proposed = request("propose-request").write_to_vec().expect("encoded");
     assert_eq!(proposed, message("propose-request"));
 }
 
 #[test]
 fn a_state_of_a_previous_build_is_written_unchanged() {
-    let media = FileMedia::open(copy_of_folder("production", "former-state")).expect("a folder");
+    let media = FileMedia::open(copy_of_folder("production", "previous-state")).expect("a folder");
     let replica = Replica::open(&media, options(), 0).expect("opened");
     let bytes = &replica.raft().log().snapshot().state;
     let state = ControlState::read_from_buffer(bytes).expect("a state");
@@ -214,7 +209,7 @@
     assert_eq!(&state.write_to_vec().expect("encoded"), bytes);
 }
 
-/// Builds after it wrote each tenant's quota behind the tenant, without saying so.
+/// Some builds stored the quota of each tenant inline, without a version of the layout.
 #[test]
 fn a_data_folder_with_inline_quotas_is_opened() {
     let folder = copy_of_folder("inline_quotas", "inline-quotas");
@@ -238,7 +233,7 @@
     assert!(serving.has_departed("r-1"));
 }
 
-/// A build that is older than the disk must not take what it cannot read for nothing.
+/// A build older than the data must not ignore what it cannot read.
 #[test]
 fn trailing_bytes_after_a_known_layout_are_rejected() {
     let mut bytes = message("propose-request");
--- a/crates/control/tests/serving_state.rs
+++ b/crates/control/tests/serving_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state that routers serve from.
+//! Tests of the replicated state that routers serve from.
 
 use railtack_control::serving_state::ServingState;
 use railtack_rpc::serving::{ConfigurationDocument, ServingCommand, ServingOutcome, WatchPosition};
@@ -83,7 +83,7 @@
     assert!(state.replicas().is_empty());
 }
 
-/// Found by a hunt: a live replica that was counted as silent was never taken in again.
+/// An expired replica that is alive must be able to register again.
 #[test]
 fn an_expired_replica_returns_with_its_next_heartbeat() {
     let mut state = ServingState::default();
@@ -97,12 +97,11 @@
         state.apply(3, register("r", "h:1", 1)),
         ServingOutcome::Done
     );
-    let update = state.update_after(WatchPosition::at(1)).expect("news");
+    let update = state.update_after(WatchPosition::at(1)).expect("an update");
     assert_eq!(update.replicas.len(), 1);
 }
 
-/// Which of two that claim one address is alive is not decided by who comes last: a heartbeat of the
-/// former life may have been held back.
+/// A delayed heartbeat of a previous replica must not take over an address.
 #[test]
 fn an_address_belongs_to_one_replica_until_it_is_removed() {
     let mut state = ServingState::default();
@@ -124,7 +123,7 @@
     let late = state.apply(5, register("old", "h:1", 1));
     assert_eq!(late, ServingOutcome::UnknownReplica);
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["new"]);
-    let update = state.update_after(WatchPosition::at(1)).expect("news");
+    let update = state.update_after(WatchPosition::at(1)).expect("an update");
     assert_eq!(update.removed, ["old"]);
 }
 
@@ -158,24 +157,24 @@
     let mut state = ServingState::default();
     state.apply(1, register("r", "h:1", 1));
     state.apply(2, register("other", "h:2", 1));
-    // A router that hears from nobody does not know whether it is the replica.
+    // A report without a reporter does not count: the router receives nothing from any replica.
     state.apply(3, crash_report("r", None));
-    // One that hears from others does, unless its path to this one is broken; a second one shows.
+    // A single reporter does not suffice, since its path to the replica may have failed.
     state.apply(3, crash_report("r", Some("router-1")));
     state.apply(3, crash_report("r", Some("router-1")));
     assert_eq!(state.replicas().size(), 2);
     state.apply(4, crash_report("r", Some("router-2")));
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["other"]);
-    let update = state.update_after(WatchPosition::at(3)).expect("news");
+    let update = state.update_after(WatchPosition::at(3)).expect("an update");
     assert_eq!(update.removed, ["r"]);
-    // Its next life may take the address at once.
+    // Another replica may register at the address at once.
     assert_eq!(
         state.apply(5, register("next", "h:1", 1)),
         ServingOutcome::Done
     );
 }
 
-/// Found while reading the code: a path on which connections are refused though the replica lives.
+/// A failed path must not remove a live replica again and again.
 #[test]
 fn a_replica_that_returns_is_not_removed_by_further_reports() {
     let mut state = ServingState::default();
@@ -194,8 +193,7 @@
     }
 }
 
-/// A control replica that does not learn in time what became of a batch has it recorded again; between the
-/// two a replica of the batch may have ended.
+/// A batch whose outcome is unknown is recorded again; a replica may have crashed in between.
 #[test]
 fn a_repeated_batch_does_not_restore_a_crashed_replica() {
     let received_at = |position| {
@@ -212,7 +210,7 @@
     state.apply(5, received_at(1));
     assert!(state.replicas().is_empty());
     assert_eq!(state.quarantine().suspects().len(), 1);
-    // A heartbeat that came after its removal shows that it lives.
+    // A heartbeat received after the removal shows that the replica is alive.
     state.apply(6, received_at(5));
     assert_eq!(state.replicas().keys().collect::<Vec<_>>(), ["r"]);
     assert!(state.quarantine().suspects().is_empty());
@@ -239,7 +237,7 @@
     };
     assert_eq!(state.apply(3, begin_order(token, 3)), ServingOutcome::Done);
     assert_eq!(state.replicas()["r"].order, Some(pending_order(3)));
-    // A heartbeat that was sent before the load had ended changes nothing.
+    // A heartbeat sent before the load has finished changes nothing.
     state.apply(4, register("r", "h:1", 1));
     assert_eq!(state.replicas()["r"].order, Some(pending_order(3)));
     state.apply(5, register("r", "h:1", 3));
@@ -274,11 +272,11 @@
     state.apply(3, register("b", "h:2", 1));
     let first = state
         .update_after(WatchPosition::at(0))
-        .expect("everything");
+        .expect("a full update");
     assert!(first.complete && first.configuration.is_some() && first.replicas.len() == 2);
     let next = state
         .update_after(WatchPosition::at(2))
-        .expect("one replica");
+        .expect("an update with one replica");
     assert!(!next.complete && next.configuration.is_none());
     assert_eq!(next.replicas.len(), 1);
     assert_eq!(state.update_after(WatchPosition::at(3)), None);
@@ -290,13 +288,13 @@
     assert_eq!(
         state
             .update_after(WatchPosition::at(3))
-            .expect("weights")
+            .expect("an update of the weights")
             .weights,
         [target]
     );
 }
 
-/// Found by the sweep: a copy of all records at each registration took the memory of control.
+/// A deep copy of all records per registration would exhaust the memory.
 #[test]
 fn clones_share_unchanged_records() {
     let mut state = ServingState::default();
@@ -324,8 +322,7 @@
     assert_eq!(read, state);
 }
 
-/// A heartbeat that reaches several control replicas is recorded more than once; a record that says
-/// nothing new must not be told to every router again.
+/// A heartbeat recorded by several control replicas must not cause an update for each.
 #[test]
 fn an_unchanged_record_does_not_advance_the_position() {
     let mut state = ServingState::default();
@@ -348,7 +345,7 @@
         holder: "c".to_owned(),
     };
     let ServingOutcome::OrderLockAcquired { token, .. } = state.apply(2, acquired) else {
-        panic!("the right was not acquired");
+        panic!("the order lock was not acquired");
     };
     let begin_order = || ServingCommand::BeginOrder {
         token,
--- a/crates/rpc/tests/silent_connections.rs
+++ b/crates/rpc/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! A connection that falls silent for good, without a reset, while new ones work.
+//! Tests that a connection on which a call got no response is not reused.
 
 use std::{
     sync::{
@@ -13,7 +13,7 @@
 
 const LIMIT: Duration = Duration::from_millis(100);
 
-/// A peer that accepts connections and never answers on any; counts them.
+/// Starts a peer that accepts and counts connections, but never responds.
 async fn silent_peer() -> (std::net::SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
@@ -30,14 +30,14 @@
 }
 
 #[tokio::test]
-async fn a_call_after_one_without_an_answer_goes_over_a_new_connection() {
+async fn a_call_without_response_is_followed_by_a_new_connection() {
     let (address, accepted) = silent_peer().await;
     let connection = ControlConnection::new(address, LIMIT);
     for call in 1..=3 {
-        let answer = connection
+        let response = connection
             .call(|client| async move { client.identify(call_context(LIMIT)).await })
             .await;
-        assert!(answer.is_err());
+        assert!(response.is_err());
         assert_eq!(accepted.load(Ordering::SeqCst), call);
     }
 }
