--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' side of a router: metrics, health, explanations.
+//! Admin endpoints of the router: metrics, health, scheduling decisions and configuration status.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 use crate::state::{RouterState, lock};
 
-/// Answers one request on the operators' listener.
+/// Handles one request on the admin listener.
 pub fn handle(
     state: &RouterState,
     registry: &Arc<Registry>,
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -1,34 +1,34 @@
-//! Requests of callers, in the published completion shapes with the template added.
+//! Request bodies of the completion APIs, extended by the template.
 
 use std::collections::BTreeMap;
 
 use railtack_core::TemplateName;
 use serde::Deserialize;
 
-/// Length of an answer when the caller names none, tokens.
+/// Default maximum length of a response, tokens.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// Body of `POST /v1/completions`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CompletionBody {
-    /// The template.
+    /// Template of the requested service.
     pub template: TemplateName,
     /// Values of the template's request parameters.
     #[serde(default)]
     pub parameters: BTreeMap<String, String>,
-    /// The question, which follows the template's segments.
+    /// Text appended to the template's segments.
     pub prompt: String,
-    /// Longest answer, tokens.
+    /// Maximum length of the response, tokens.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Whether to stream the answer.
+    /// Whether to stream the response as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Time in which the caller wants the answer, milliseconds.
+    /// Time after which the request fails, milliseconds.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Accepted for compatibility; the template names the model.
+    /// Ignored; accepted for compatibility. The template selects the model.
     #[serde(default)]
     pub model: Option<String>,
 }
@@ -37,49 +37,49 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChatBody {
-    /// The template.
+    /// Template of the requested service.
     pub template: TemplateName,
     /// Values of the template's request parameters.
     #[serde(default)]
     pub parameters: BTreeMap<String, String>,
-    /// The conversation, oldest first.
+    /// Messages of the conversation, oldest first.
     pub messages: Vec<ChatMessage>,
-    /// Longest answer, tokens.
+    /// Maximum length of the response, tokens.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Whether to stream the answer.
+    /// Whether to stream the response as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Time in which the caller wants the answer, milliseconds.
+    /// Time after which the request fails, milliseconds.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Accepted for compatibility; the template names the model.
+    /// Ignored; accepted for compatibility. The template selects the model.
     #[serde(default)]
     pub model: Option<String>,
 }
 
-/// One turn of a conversation.
+/// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChatMessage {
-    /// Who speaks.
+    /// Role of the author, such as `user` or `assistant`.
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     pub content: String,
 }
 
 impl From<ChatBody> for CompletionBody {
-    /// Earlier turns stand before later ones, so a longer conversation shares the prefix of a
-    /// shorter one.
+    /// Concatenates the messages in order, so that a conversation shares its prefix with its earlier
+    /// states.
     fn from(chat: ChatBody) -> Self {
-        let turns = chat
+        let messages = chat
             .messages
             .iter()
             .map(|message| format!("<{}>{}\n", message.role, message.content));
         Self {
             template: chat.template,
             parameters: chat.parameters,
-            prompt: turns.collect(),
+            prompt: messages.collect(),
             max_tokens: chat.max_tokens,
             stream: chat.stream,
             deadline_ms: chat.deadline_ms,
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -17,7 +17,7 @@
     )
 }
 
-/// Runs the program with the given arguments, the first of which is its name.
+/// Runs the daemon with the given arguments, including the program name.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     railtack_telemetry::initialize();
     let outcome = start(arguments);
--- a/crates/router/src/completions.rs
+++ b/crates/router/src/completions.rs
@@ -1,4 +1,4 @@
-//! Model requests: from the caller's body to a running dispatch.
+//! Admission of model requests: authenticates a request, renders its prompt and starts its dispatch.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -30,14 +30,14 @@
     state::{RouterState, lock},
 };
 
-/// Steps of an answer that may wait for a slow caller before the engine's stream waits too.
+/// Response events buffered for a slow caller before the engine's stream is paused.
 const RESPONSE_BUFFER: usize = 64;
-/// Pause told to a caller whose model no engine runs, milliseconds.
+/// Retry delay returned if no engine runs the model, milliseconds.
 const NO_ENGINE_RETRY_MS: u64 = 1_000;
-/// Smallest pause told to a refused caller, milliseconds.
+/// Minimum retry delay returned if admission refuses a request, milliseconds.
 const MIN_RETRY_MS: u64 = 100;
 
-/// Runs one model request.
+/// Handles one model request.
 pub async fn complete(
     state: Arc<RouterState>,
     bearer: Option<String>,
@@ -135,7 +135,8 @@
     })
 }
 
-/// The weights that a tenant's requests use; the same at every router while replicas change over.
+/// Returns the weights version for a tenant's requests. During a rollout, all routers choose the same
+/// version for a tenant.
 fn serving_version(
     state: &RouterState,
     model: &ModelName,
@@ -148,7 +149,7 @@
         .serving_version(model, target, position)
 }
 
-/// Chooses an engine and asks whether the request may run there in time.
+/// Chooses an engine and admits the request if it can start there before its deadline.
 fn admit(state: &RouterState, service: &ResolvedService<'_>, mut job: Job) -> Result<Job, Refusal> {
     if let Some(refusal) = quarantine::refusal(state, job.content_key) {
         return Err(refusal);
@@ -189,10 +190,10 @@
     decision.ok_or_else(|| no_engine_refusal(state, &job.model_key))
 }
 
-/// What the caller of a request is told that no engine takes now.
+/// Returns the refusal for a request that no engine accepts.
 pub fn no_engine_refusal(state: &RouterState, key: &ModelKey) -> Refusal {
-    let opens_in = lock(&state.scheduler).opens_in(key, state.now_us());
-    let retry_after_ms = opens_in.map_or(NO_ENGINE_RETRY_MS, |wait| wait.div_ceil(1_000));
+    let available_in = lock(&state.scheduler).opens_in(key, state.now_us());
+    let retry_after_ms = available_in.map_or(NO_ENGINE_RETRY_MS, |delay| delay.div_ceil(1_000));
     let detail = format!("no engine runs {} {}", key.model, key.weights_version);
     Refusal::not_run(RefusalCode::NoBackend, detail).retry_after_ms(retry_after_ms)
 }
--- a/crates/router/src/control_link.rs
+++ b/crates/router/src/control_link.rs
@@ -1,4 +1,4 @@
-//! Talking to the control replicas: polls for configuration, proposals for claims.
+//! RPC client of the control replicas: polls for configuration, proposals and permit requests.
 
 use std::{
     collections::BTreeMap,
@@ -22,17 +22,17 @@
     state::{RouterState, lock},
 };
 
-/// Time for connecting to a replica.
+/// Timeout for connecting to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for one poll.
+/// Timeout of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause before asking again when a replica has told of an entry that was not sent yet.
+/// Delay before the next poll while reported entries are not applied yet.
 const CATCH_UP_DELAY: Duration = Duration::from_millis(20);
-/// Time for one proposal to one replica.
+/// Timeout of one proposal to one replica.
 const PROPOSE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Control replicas that are asked for one permit: one that does not lead, and the leader that it names.
+/// Maximum number of replicas tried for one permit request, including redirects to the leader.
 const PERMIT_ATTEMPTS: usize = 3;
-/// Pause before the next replica is tried.
+/// Delay before a proposal is sent to the next replica.
 const PROPOSE_RETRY_DELAY: Duration = Duration::from_millis(30);
 
 type Connections = BTreeMap<ReplicaId, Arc<ControlConnection>>;
@@ -45,7 +45,7 @@
 }
 
 impl ControlLink {
-    /// Connections to the replicas that the settings name.
+    /// Creates connections to the configured replicas.
     pub fn new(replicas: &[ControlAddress]) -> Self {
         let connections = replicas.iter().map(|known| {
             let connection = ControlConnection::new(known.address, CONNECT_TIMEOUT);
@@ -58,13 +58,13 @@
         }
     }
 
-    /// Whether the group grants permits and records ends. A member of a build that does not would close the
-    /// connection on a question that it cannot read.
+    /// Whether the group's feature level includes permits and crash reports. A replica of an older
+    /// build would close the connection on such a request.
     pub fn supports_shared_grants(&self) -> bool {
         self.group_level.get() >= FeatureLevel::SHARED_GRANTS
     }
 
-    /// Follows a change of the voters.
+    /// Updates the connections to a changed set of voters.
     fn set_voters(&self, voters: &[VoterAddress]) {
         let mut connections = lock(&self.connections);
         connections.retain(|replica, _| voters.iter().any(|voter| voter.replica == *replica));
@@ -90,51 +90,51 @@
             .collect()
     }
 
-    /// Commits a command, asking replica after replica until `limit` has passed.
+    /// Commits a command, trying the leader or each replica in turn until `timeout` has passed.
     ///
-    /// The same command may reach the log twice; every command is safe to repeat.
-    pub async fn propose(&self, command: Command, limit: Duration) -> ProposalOutcome {
-        let deadline = Instant::now() + limit;
-        let mut run = ProposalAttempts::default();
+    /// A command may be committed more than once; all commands are idempotent.
+    pub async fn propose(&self, command: Command, timeout: Duration) -> ProposalOutcome {
+        let deadline = Instant::now() + timeout;
+        let mut attempts = ProposalAttempts::default();
         let mut position = 0;
         while Instant::now() < deadline {
             let Some(connection) = self.proposal_target(position) else {
                 break;
             };
             position += 1;
-            let answer = send_proposal(&connection, &command).await;
-            self.update_leader(&connection, &answer);
-            if let Some(proposed) = run.record(answer) {
-                return proposed;
+            let response = send_proposal(&connection, &command).await;
+            self.update_leader(&connection, &response);
+            if let Some(outcome) = attempts.record(response) {
+                return outcome;
             }
             sleep(PROPOSE_RETRY_DELAY).await;
         }
-        run.outcome_at_deadline()
+        attempts.outcome_at_deadline()
     }
 
-    /// Tells the leader what is known of a limit, and may take a permit; `None` without an answer. Whoever does
-    /// not lead may name the leader, who is asked in the same time.
+    /// Reports a rate limit to the leader and requests a permit if `request` asks for one. Follows
+    /// redirects to the leader within `timeout`. Returns `None` if no leader replied.
     pub async fn request_permit(
         &self,
         request: PermitRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<PermitReply> {
         if !self.supports_shared_grants() {
             return None;
         }
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         for position in 0..PERMIT_ATTEMPTS {
             let connection = self.proposal_target(position)?;
             let remaining = deadline.saturating_duration_since(Instant::now());
             let permit_request = request.clone();
-            let answer = connection
+            let reply = connection
                 .call(|client| async move {
                     client
                         .take_permit(call_deadline(remaining), permit_request)
                         .await
                 })
                 .await;
-            let leader = match answer {
+            let leader = match reply {
                 Ok(PermitReply::NotLeader { leader }) => {
                     leader.and_then(|address| address.parse().ok())
                 }
@@ -156,8 +156,8 @@
         None
     }
 
-    fn update_leader(&self, connection: &ControlConnection, answer: &ReplicaResponse) {
-        let leader = match answer {
+    fn update_leader(&self, connection: &ControlConnection, response: &ReplicaResponse) {
+        let leader = match response {
             ReplicaResponse::Reply(ProposeReply::Done(_)) => Some(connection.address()),
             ReplicaResponse::Reply(ProposeReply::NotLeader { leader }) => leader
                 .as_deref()
@@ -167,7 +167,7 @@
         *lock(&self.leader) = leader;
     }
 
-    /// The leader if known, otherwise one replica after another.
+    /// Returns the connection to the leader if it is known, otherwise to each replica in turn.
     fn proposal_target(&self, position: usize) -> Option<Arc<ControlConnection>> {
         let connections = self.connections();
         let leader = *lock(&self.leader);
@@ -181,19 +181,19 @@
 }
 
 async fn send_proposal(connection: &ControlConnection, command: &Command) -> ReplicaResponse {
-    // The replica that takes the proposal puts the time in.
+    // The replica that accepts the proposal sets the time.
     let proposal = Proposal {
         at: 0,
         command: command.clone(),
     };
-    let answer = connection
+    let reply = connection
         .call(|client| async move {
             client
                 .propose(call_deadline(PROPOSE_TIMEOUT), proposal)
                 .await
         })
         .await;
-    match answer {
+    match reply {
         Ok(reply) => ReplicaResponse::Reply(reply),
         Err(report) => match report.current_context() {
             railtack_rpc::ConnectionError::Unreachable { .. } => ReplicaResponse::Unreachable,
@@ -202,10 +202,11 @@
     }
 }
 
-/// Polls all replicas at every interval for as long as the router runs.
+/// Polls all replicas at the configured interval, indefinitely.
 ///
-/// The first round starts at once, so that a restarted router serves as soon as a majority has
-/// answered. Routers restarted together spread over the replicas by their number.
+/// The first round starts immediately, so that a restarted router serves as soon as a majority has
+/// replied. One replica per round is asked for updates; the router id selects the first, which
+/// spreads routers that restart together over the replicas.
 pub async fn poll_replicas(state: Arc<RouterState>) {
     let interval = Duration::from_millis(state.settings.lease.confirm_interval_ms);
     let mut round = state.settings.router_id.0 as usize;
@@ -216,7 +217,7 @@
     }
 }
 
-/// One round; true if a replica has told of an entry that is not applied here yet.
+/// Runs one round of polls. Returns true if the router is behind or its lease is not valid.
 async fn poll_all(state: &Arc<RouterState>, round: usize) -> bool {
     let connections = state.control.connections();
     let count = connections.len().max(1);
@@ -262,7 +263,7 @@
 
 fn apply_reply(state: &RouterState, reply: PollReply, sent_at: u64) {
     if let Some(update) = &reply.update {
-        // Updates of several replicas may cross; `with_update` ignores older ones.
+        // Updates of different replicas may arrive out of order; `with_update` ignores older ones.
         state
             .resolved
             .rcu(|known| match known.with_update(update.clone()) {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -23,7 +23,7 @@
     completions,
     decisions::{CandidateRecord, DecisionRecord},
     limits,
-    quarantine::{self, BackEndLife, engine_life},
+    quarantine::{self, BackEndIncarnation, engine_incarnation_id},
     relay::{EndMarker, Relay},
     request_log::RequestLog,
     responses::ResponseEvent,
@@ -167,16 +167,16 @@
     /// Acquires a permit if the chosen engine has a rate limit. Returns `None` if the permit was
     /// denied, `Some(None)` if no permit is needed.
     async fn acquire_permit(&self, decision: &Decision) -> Option<Option<Permit>> {
-        let life = {
+        let incarnation_id = {
             let scheduler = lock(&self.state.scheduler);
             let view = scheduler.engines.view(decision.chosen.engine);
             let is_limited = view.announced.limit().is_some();
-            is_limited.then(|| engine_life(view.id, view.incarnation))
+            is_limited.then(|| engine_incarnation_id(view.id, view.incarnation))
         };
-        let Some(life) = life else {
+        let Some(incarnation_id) = incarnation_id else {
             return Some(None);
         };
-        match limits::acquire_permit(self.state, &life).await {
+        match limits::acquire_permit(self.state, &incarnation_id).await {
             Permission::Given(permit) => Some(permit),
             Permission::Withheld => None,
         }
@@ -221,8 +221,8 @@
                 quarantine::record_success(self.state, self.job.content_key)
             }
             AttemptOutcome::Lost => {
-                let life = self.life_of(attempt);
-                quarantine::record_broken_connection(self.state, life, self.job.content_key);
+                let incarnation = self.incarnation_of(attempt);
+                quarantine::record_broken_connection(self.state, incarnation, self.job.content_key);
             }
             _ => {}
         }
@@ -249,10 +249,10 @@
         Some((request, address))
     }
 
-    fn life_of(&self, attempt: &Attempt) -> BackEndLife {
+    fn incarnation_of(&self, attempt: &Attempt) -> BackEndIncarnation {
         let id = lock(&self.state.scheduler).engines.view(attempt.engine).id;
-        BackEndLife {
-            name: engine_life(id, attempt.incarnation),
+        BackEndIncarnation {
+            id: engine_incarnation_id(id, attempt.incarnation),
             address: attempt.address,
         }
     }
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -176,10 +176,15 @@
         AttemptOutcome::Refused
     }
 
-    /// Records the rate limit that the response headers announce.
+    /// Records the rate limit that the response headers advertise.
     fn record_limit(&self, attempt: &Attempt, response: &Response<Incoming>) {
-        let life = self.life_of(attempt);
-        limits::record_response(self.state, &life.name, attempt.permit, response.headers());
+        let incarnation = self.incarnation_of(attempt);
+        limits::record_response(
+            self.state,
+            &incarnation.id,
+            attempt.permit,
+            response.headers(),
+        );
     }
 
     /// Records the engine's `Retry-After` delay.
--- a/crates/router/src/engine_link.rs
+++ b/crates/router/src/engine_link.rs
@@ -1,4 +1,4 @@
-//! Following the platform's list of machines, and the engines' states and cache events.
+//! Tracks the platform's machine list, and the status and cache events of engines.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -21,22 +21,23 @@
 
 use crate::state::{RouterState, ServiceBackends, lock};
 
-/// Silence after which an engine counts as lost; its state is asked for twice a second.
+/// Time without a status or event after which an engine counts as lost. Must exceed the polling
+/// interval [`LIST_INTERVAL`] by a wide margin.
 const ENGINE_SILENCE_TIMEOUT_US: u64 = 2_500_000;
-/// Time between looks at whether an engine is silent.
+/// Interval at which an engine is checked for silence.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two looks at the platform's list.
+/// Polling interval of the machine list and of each engine's status.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for one call.
+/// Timeout of one request to the platform or an engine.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before an engine is tried again.
+/// Delay before reconnecting to an engine.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
-/// Silence after which an event stream counts as broken. Engines report load several times a
-/// second.
+/// Time without an event after which an event stream counts as broken. Engines report their load
+/// several times per second.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Follows the list for as long as the router runs.
+/// Polls the machine list indefinitely.
 pub async fn watch_machine_list(state: Arc<RouterState>) {
     let watched = Arc::new(Mutex::new(HashSet::new()));
     loop {
@@ -44,7 +45,7 @@
             .client
             .get_json::<MachineList>(state.settings.platform, "/machines", CALL_TIMEOUT)
             .await;
-        // A list that cannot be had changes nothing: engines are also heard directly.
+        // On failure the last list stays in use; the engines' status is polled separately.
         if let Ok(list) = list {
             apply_list(&state, &list, &watched);
             state.machine_list_received.store(true, Ordering::Relaxed);
@@ -93,7 +94,7 @@
     }
 }
 
-/// Takes engines that are leaving, or no longer listed, out of service.
+/// Updates which engines are listed. Engines that are leaving count as not listed.
 fn update_listed(state: &RouterState, list: &MachineList, leaving: &HashSet<EngineId>) {
     let listed: HashSet<EngineId> = list
         .machines
@@ -123,7 +124,7 @@
     }
 }
 
-/// Follows one engine until it is no longer listed at this address.
+/// Tracks an engine's status and events until the engine has another address.
 async fn watch_engine(
     state: Arc<RouterState>,
     engine: EngineId,
@@ -140,7 +141,7 @@
     lock(&watched).remove(&(engine, address));
 }
 
-/// Looks at the engine's own word regularly: a draining engine says so before the list does.
+/// Polls an engine's status. A draining engine reports this before the machine list does.
 async fn poll_status(state: Arc<RouterState>, engine: EngineId, address: SocketAddr) {
     while is_current(&state, engine, address) {
         sleep(LIST_INTERVAL).await;
@@ -161,7 +162,7 @@
     }
 }
 
-/// Fetches an engine's state and takes it in.
+/// Fetches and applies an engine's status. Returns `None` if the request failed.
 pub async fn refresh_status(state: &RouterState, address: SocketAddr) -> Option<EngineSlot> {
     let status = state
         .client
@@ -200,8 +201,8 @@
     slot
 }
 
-/// Reads an engine's events until the stream breaks. Begins with a full listing, because nothing
-/// is known of what happened before.
+/// Applies an engine's events until the stream breaks. Starts with a full cache listing, because
+/// earlier events were missed.
 async fn read_events(state: &RouterState, address: SocketAddr, slot: EngineSlot) {
     let Some((incarnation, mut sequence)) = resync(state, address, slot).await else {
         return;
@@ -223,7 +224,7 @@
         }
         let is_cache_event = !matches!(event.event, EngineEventKind::Load(_));
         if is_cache_event && event.sequence <= sequence {
-            // Late: the last listing reflects it.
+            // The last listing already includes this event.
             continue;
         }
         if is_cache_event && event.sequence != sequence + 1 {
@@ -242,7 +243,8 @@
     }
 }
 
-/// Replaces the view of an engine's cache by the engine's own listing.
+/// Replaces the view of an engine's cache by the engine's full listing. Returns the engine's
+/// incarnation and the sequence number of the last event in the listing.
 async fn resync(
     state: &RouterState,
     address: SocketAddr,
@@ -284,7 +286,7 @@
     blocks.iter().map(|block| BlockHash(block.0))
 }
 
-/// Ends when nothing was heard of an engine for too long.
+/// Returns once no status or event of the engine was received for too long.
 pub async fn wait_until_silent(state: &RouterState, engine: EngineSlot) {
     loop {
         sleep(SILENCE_CHECK_INTERVAL).await;
--- a/crates/router/src/idempotency.rs
+++ b/crates/router/src/idempotency.rs
@@ -1,14 +1,15 @@
-//! Requests that may not be repeated: claimed in the replicated state before they are sent.
+//! At-most-once execution of requests with an idempotency key. The key is claimed in the replicated
+//! state before the request is sent to a back end.
 //!
-//! | what happened | what the claim says | what the caller is told |
+//! | event | state of the claim | response to the caller |
 //! |---|---|---|
-//! | the claim was not granted | another attempt's | that attempt's outcome, or "in progress" |
-//! | nobody knows whether the claim was recorded | ours or none | "unknown"; nothing is sent |
-//! | the back end could not be reached | closed as not run | "not run", once that is recorded |
-//! | the back end answered | completed, with the answer | the answer |
-//! | the connection broke after sending | unknown | "unknown" |
+//! | claim not granted | held by another attempt | outcome of that attempt, or "in progress" |
+//! | claim may not be committed | ours or none | "unknown"; the request is not sent |
+//! | back end unreachable | settled as not run | "not run", once the settlement is committed |
+//! | back end responded | completed, with the response | the back end's response |
+//! | connection broke after sending | settled as unknown | "unknown" |
 //!
-//! Pure: the daemon and the simulator carry out its steps and feed it what came of them.
+//! Performs no I/O. The daemon and the simulator execute the steps and pass in their results.
 
 use std::time::Duration;
 
@@ -20,29 +21,29 @@
 
 use crate::{proposal::ProposalOutcome, refusal::Refusal};
 
-/// Time for recording a claim, or its end, before the caller is told that it could not be.
+/// Timeout for committing a claim or its settlement while the caller waits.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for recording how a claim ended in the background.
+/// Timeout for committing a settlement in the background.
 pub const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// When a caller may ask again for the outcome of a request in progress, milliseconds.
+/// Retry delay returned for a request in progress, milliseconds.
 const IN_PROGRESS_RETRY_MS: u64 = 500;
-/// When a caller may ask again after a failure, milliseconds.
+/// Retry delay returned after a failure, milliseconds.
 const FAILURE_RETRY_MS: u64 = 1_000;
-/// Largest answer that is kept for later arrivals, bytes.
+/// Maximum body size of a response that is stored for repeated requests, bytes.
 const MAX_STORED_BODY_BYTES: usize = 64 * 1024;
 
-/// What to do next.
+/// Next step of an idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IdempotentStep {
     /// Commit the command within [`CLAIM_TIMEOUT`], then call [`IdempotentRequest::on_proposal`].
     Propose(Command),
     /// Send the request to a back end, once, then call [`IdempotentRequest::on_response`].
     Send,
-    /// Answer the caller.
+    /// Respond to the caller.
     Respond {
-        /// The answer.
+        /// Response or refusal.
         response: Result<StoredAnswer, Refusal>,
-        /// To be committed in the background within [`SETTLE_TIMEOUT`].
+        /// Command to commit in the background within [`SETTLE_TIMEOUT`].
         settlement: Option<Command>,
     },
 }
@@ -52,13 +53,13 @@
     Claiming,
     Sending,
     Settling {
-        answer: Result<StoredAnswer, Refusal>,
+        response: Result<StoredAnswer, Refusal>,
         outcome: ClaimOutcome,
     },
-    Answered,
+    Done,
 }
 
-/// One arrival of a key.
+/// State machine of one request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdempotentRequest {
     claim: ClaimRequest,
@@ -66,7 +67,7 @@
 }
 
 impl IdempotentRequest {
-    /// Begins with the claim. `attempt` must be new, `fingerprint` is the request's hash.
+    /// Starts with the claim. `attempt` must be unique; `fingerprint` is a hash of the request.
     pub fn begin(
         tenant: TenantName,
         key: IdempotencyKey,
@@ -87,21 +88,21 @@
         (run, step)
     }
 
-    /// Takes in what came of the last proposal.
+    /// Handles the outcome of the last proposal.
     pub fn on_proposal(&mut self, outcome: ProposalOutcome) -> IdempotentStep {
-        let stage = std::mem::replace(&mut self.stage, Stage::Answered);
+        let stage = std::mem::replace(&mut self.stage, Stage::Done);
         match (stage, outcome) {
-            (Stage::Claiming, ProposalOutcome::Done(Outcome::Claim(answer))) => {
-                self.claimed(answer)
+            (Stage::Claiming, ProposalOutcome::Done(Outcome::Claim(reply))) => {
+                self.on_claim_reply(reply)
             }
-            (Stage::Settling { answer, .. }, ProposalOutcome::Done(Outcome::Settled)) => {
+            (Stage::Settling { response, .. }, ProposalOutcome::Done(Outcome::Settled)) => {
                 IdempotentStep::Respond {
-                    response: answer,
+                    response,
                     settlement: None,
                 }
             }
-            (Stage::Settling { answer, outcome }, _) => self.unsettled(answer, outcome),
-            // Even if our claim was not recorded, another arrival of the key may have run.
+            (Stage::Settling { response, outcome }, _) => self.respond_unsettled(response, outcome),
+            // Even if this claim was not committed, another request with the key may have run.
             _ => refuse(
                 Refusal::unknown(
                     RefusalCode::ControlUnavailable,
@@ -112,12 +113,13 @@
         }
     }
 
-    /// Takes in what came of sending; `NotSent` must be proven.
+    /// Handles the back end's response. `NotSent` means that the back end has certainly not received
+    /// the request.
     pub fn on_response(&mut self, response: Result<StoredAnswer, SendError>) -> IdempotentStep {
         match response {
-            Ok(answer) => {
-                let outcome = ClaimOutcome::Completed(without_large_body(&answer));
-                self.settle(Ok(answer), outcome)
+            Ok(response) => {
+                let outcome = ClaimOutcome::Completed(without_large_body(&response));
+                self.settle(Ok(response), outcome)
             }
             Err(SendError::NotSent) => {
                 let refusal = Refusal::not_run(
@@ -129,7 +131,7 @@
                 self.settle(Err(refusal), outcome)
             }
             Err(SendError::MaybeSent) => {
-                self.stage = Stage::Answered;
+                self.stage = Stage::Done;
                 IdempotentStep::Respond {
                     response: Err(Refusal::unknown(
                         RefusalCode::OutcomeUnknown,
@@ -141,8 +143,8 @@
         }
     }
 
-    fn claimed(&mut self, answer: ClaimAnswer) -> IdempotentStep {
-        match answer {
+    fn on_claim_reply(&mut self, reply: ClaimAnswer) -> IdempotentStep {
+        match reply {
             ClaimAnswer::Granted => {
                 self.stage = Stage::Sending;
                 IdempotentStep::Send
@@ -175,27 +177,28 @@
 
     fn settle(
         &mut self,
-        answer: Result<StoredAnswer, Refusal>,
+        response: Result<StoredAnswer, Refusal>,
         outcome: ClaimOutcome,
     ) -> IdempotentStep {
         let command = self.settlement(outcome.clone());
-        self.stage = Stage::Settling { answer, outcome };
+        self.stage = Stage::Settling { response, outcome };
         IdempotentStep::Propose(command)
     }
 
-    /// Without the record a second arrival could not be told from one that may run, so "not run"
-    /// becomes "unknown"; an answer is an answer all the same.
-    fn unsettled(
+    /// Responds although the settlement was not committed. A refusal's execution becomes "unknown",
+    /// because a later request with the key would find an open claim that may still run. A response
+    /// of the back end is returned unchanged.
+    fn respond_unsettled(
         &self,
-        answer: Result<StoredAnswer, Refusal>,
+        response: Result<StoredAnswer, Refusal>,
         outcome: ClaimOutcome,
     ) -> IdempotentStep {
-        let answer = answer.map_err(|refusal| Refusal {
+        let response = response.map_err(|refusal| Refusal {
             execution: railtack_core::Execution::Unknown,
             ..refusal
         });
         IdempotentStep::Respond {
-            response: answer,
+            response,
             settlement: Some(self.settlement(outcome)),
         }
     }
@@ -217,13 +220,13 @@
     }
 }
 
-fn without_large_body(answer: &StoredAnswer) -> StoredAnswer {
-    let body = answer
+fn without_large_body(response: &StoredAnswer) -> StoredAnswer {
+    let body = response
         .body
         .clone()
         .filter(|content| content.len() <= MAX_STORED_BODY_BYTES);
     StoredAnswer {
         body,
-        ..answer.clone()
+        ..response.clone()
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,9 +1,9 @@
-//! The data-plane daemon: callers' HTTP, dispatch and stream relay.
+//! The `railtack-router` daemon: HTTP front end, request dispatch and stream relay.
 //!
-//! A request passes these modules in order: [`server`] accepts it, [`api`] and [`prompt`] check and
-//! render it, [`completions`] or [`services`] admit it, [`dispatch`] or [`idempotency`] run it, and
-//! [`responses`] writes what the caller sees. [`control_link`] and [`engine_link`] keep the router's
-//! view of configuration and engines current.
+//! [`server`] receives a request, [`api`] defines its body and [`prompt`] renders its prompt.
+//! [`completions`] or [`services`] admits it, [`dispatch`] or [`idempotency`] runs it, and
+//! [`responses`] writes the response. [`control_link`] and [`engine_link`] update the router's view of
+//! the configuration and the engines.
 
 pub mod admin;
 pub mod api;
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits announced by engines and back ends, and the permits that the control leader grants.
+//! Rate limits advertised by engines and back ends, and the permits that the control leader grants.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
 use railtack_serving::{Announced, BackEndNotice, Moment, News, RequestLimit, StatedLimit};
 
 use crate::{
-    quarantine::engine_life,
+    quarantine::engine_incarnation_id,
     state::{RouterState, lock},
 };
 
@@ -20,17 +20,21 @@
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl RouterState {
-    /// Calls `apply` with the announced state of an engine, given its incarnation name, or of a service's
+    /// Calls `apply` with the advertised state of an engine, given its incarnation id, or of a service's
     /// back end, given its address.
-    fn with_announced<T>(&self, life: &str, apply: impl FnOnce(&mut Announced) -> T) -> T {
-        if life.parse::<SocketAddr>().is_ok() {
-            return apply(lock(&self.back_end_availability).of(life));
+    fn with_advertised<T>(
+        &self,
+        incarnation_id: &str,
+        apply: impl FnOnce(&mut Announced) -> T,
+    ) -> T {
+        if incarnation_id.parse::<SocketAddr>().is_ok() {
+            return apply(lock(&self.back_end_availability).of(incarnation_id));
         }
         let mut scheduler = lock(&self.scheduler);
         let views = scheduler.engines.views();
         let position = views
             .iter()
-            .position(|view| engine_life(view.id, view.incarnation) == life);
+            .position(|view| engine_incarnation_id(view.id, view.incarnation) == incarnation_id);
         let slot = position.and_then(|position| {
             let id = scheduler.engines.views()[position].id;
             scheduler.engines.slot(id)
@@ -48,15 +52,15 @@
         RouterState::uptime(self)
     }
 
-    fn known_limit(&self, life: &str) -> Option<KnownLimit> {
-        let announced = match life.parse::<SocketAddr>() {
-            Ok(_) => lock(&self.back_end_availability).limit(life),
-            Err(_) => self.with_announced(life, |announced| announced.limit()),
+    fn known_limit(&self, incarnation_id: &str) -> Option<KnownLimit> {
+        let advertised = match incarnation_id.parse::<SocketAddr>() {
+            Ok(_) => lock(&self.back_end_availability).limit(incarnation_id),
+            Err(_) => self.with_advertised(incarnation_id, |state| state.limit()),
         }?;
         Some(KnownLimit {
-            limit: announced.limit,
-            age: self.uptime().saturating_sub(announced.named_at),
-            own: Some(announced),
+            limit: advertised.limit,
+            age: self.uptime().saturating_sub(advertised.named_at),
+            own: Some(advertised),
         })
     }
 
@@ -68,13 +72,13 @@
         *lock(&self.permit_requests_paused_until) = until;
     }
 
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment) {
+    fn note_withheld(&self, incarnation_id: &str, limit: RequestLimit, room_at: Moment) {
         self.metrics.permits_denied.inc();
-        self.with_announced(life, |announced| announced.has_room_at(limit, room_at));
+        self.with_advertised(incarnation_id, |state| state.has_room_at(limit, room_at));
     }
 
-    fn note_over(&self, life: &str, named_at: Moment) {
-        self.with_announced(life, |announced| announced.limit_is_over(named_at));
+    fn note_over(&self, incarnation_id: &str, named_at: Moment) {
+        self.with_advertised(incarnation_id, |state| state.limit_is_over(named_at));
     }
 
     async fn ask_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
@@ -83,14 +87,14 @@
 }
 
 /// Acquires a permit for one request, if the engine or back end has a rate limit.
-pub async fn acquire_permit(state: &RouterState, life: &str) -> Permission {
-    permits::take(state, life, PERMIT_TIMEOUT).await
+pub async fn acquire_permit(state: &RouterState, incarnation_id: &str) -> Permission {
+    permits::take(state, incarnation_id, PERMIT_TIMEOUT).await
 }
 
-/// Records the rate limit that the response headers of an engine or back end announce.
+/// Records the rate limit that the response headers of an engine or back end advertise.
 pub fn record_response(
     state: &Arc<RouterState>,
-    life: &str,
+    incarnation_id: &str,
     permit: Option<Permit>,
     headers: &HeaderMap,
 ) {
@@ -98,9 +102,9 @@
     let news = match stated {
         StatedLimit::NotNamed => News::default(),
         StatedLimit::Unreadable(error) => {
-            state.metrics.unreadable_limits.inc();
+            state.metrics.invalid_limits.inc();
             spdlog::info!("limit not read", kv: {
-                replica = life.to_owned(),
+                replica = incarnation_id.to_owned(),
                 cause = error.to_string(),
             });
             return;
@@ -112,18 +116,18 @@
             };
             let now = state.uptime();
             log_new_limit(
-                life,
-                state.with_announced(life, |announced| announced.note(notice, now)),
+                incarnation_id,
+                state.with_advertised(incarnation_id, |state| state.note(notice, now)),
             )
         }
     };
-    permits::note_answer(state, life, permit, stated, news.limit.is_some());
+    permits::note_answer(state, incarnation_id, permit, stated, news.limit.is_some());
 }
 
-fn log_new_limit(life: &str, news: News) -> News {
+fn log_new_limit(incarnation_id: &str, news: News) -> News {
     if let Some(limit) = news.limit {
         spdlog::info!("back end names a limit", kv: {
-            replica = life.to_owned(),
+            replica = incarnation_id.to_owned(),
             per_s = limit.requests_per_s(),
         });
     }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! `railtack-router`: serves callers.
+//! Entry point of `railtack-router`.
 
 use std::process::ExitCode;
 
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of a router.
+//! Prometheus metrics of the router.
 
 use std::sync::atomic::AtomicU64;
 
@@ -14,19 +14,19 @@
 };
 use railtack_core::RefusalCode;
 
-/// Labels of a refusal.
+/// Labels of the refusal counter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RefusalLabels {
-    /// Stable code.
+    /// Stable error code.
     pub code: String,
 }
 
-/// Counters, gauges and histograms.
+/// Metrics of the router.
 #[derive(Clone, Debug)]
 pub struct RouterMetrics {
     /// Requests received.
     pub requests: Counter,
-    /// Answers ended whole.
+    /// Complete responses.
     pub completed: Counter,
     /// Refusals by code.
     pub refusals: Family<RefusalLabels, Counter>,
@@ -36,29 +36,29 @@
     pub resumed: Counter,
     /// Streams continued on another engine.
     pub continued: Counter,
-    /// Frames dropped because they were late, repeated or another attempt's.
+    /// Dropped frames: late, duplicate or of another attempt.
     pub dropped_frames: Counter,
-    /// Prompt tokens of ended answers.
+    /// Prompt tokens of complete responses.
     pub prompt_tokens: Counter,
-    /// Prompt tokens that the engines found in their caches.
+    /// Prompt tokens of complete responses that engines had cached.
     pub cached_tokens: Counter,
     /// Time to first token, seconds.
     pub first_token: Histogram,
-    /// Gaps in engines' event streams.
+    /// Gaps in the sequence numbers of engines' event streams.
     pub event_gaps: Counter,
-    /// Configuration position applied.
+    /// Index of the last applied configuration entry.
     pub applied: Gauge<u64, AtomicU64>,
-    /// Back ends that ended while they had requests of this router.
-    pub back_end_failures: Counter,
-    /// Requests that were not sent to an engine or back end because its limit had no room.
+    /// Crashes of back ends that were running requests of this router.
+    pub back_end_crashes: Counter,
+    /// Permits denied because the rate limit of an engine or back end was exhausted.
     pub permits_denied: Counter,
-    /// Answers whose limit could not be read.
-    pub unreadable_limits: Counter,
-    /// Requests that are sent nowhere because back ends ended under them.
+    /// Responses with an invalid rate limit header.
+    pub invalid_limits: Counter,
+    /// Quarantined requests.
     pub quarantined: Gauge,
-    /// Open requests.
+    /// Model requests in progress.
     pub open_requests: Gauge,
-    /// Blocks in the view of the caches.
+    /// Blocks in the prefix index.
     pub indexed_blocks: Gauge<u64, AtomicU64>,
 }
 
@@ -77,9 +77,9 @@
             first_token: Histogram::new(exponential_buckets(0.001, 2.0, 16)),
             event_gaps: Counter::default(),
             applied: Gauge::default(),
-            back_end_failures: Counter::default(),
+            back_end_crashes: Counter::default(),
             permits_denied: Counter::default(),
-            unreadable_limits: Counter::default(),
+            invalid_limits: Counter::default(),
             quarantined: Gauge::default(),
             open_requests: Gauge::default(),
             indexed_blocks: Gauge::default(),
@@ -88,7 +88,7 @@
 }
 
 impl RouterMetrics {
-    /// Counts a refusal.
+    /// Increments the counter of a refusal code.
     pub fn record_refusal(&self, code: RefusalCode) {
         let labels = RefusalLabels {
             code: code.as_str().to_owned(),
@@ -96,7 +96,7 @@
         self.refusals.get_or_create(&labels).inc();
     }
 
-    /// Makes everything visible.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "router_requests",
@@ -153,7 +153,7 @@
         registry.register(
             "router_back_end_ends",
             "Back ends that ended while they had requests of this router",
-            self.back_end_failures.clone(),
+            self.back_end_crashes.clone(),
         );
         registry.register(
             "router_permits_withheld",
@@ -163,7 +163,7 @@
         registry.register(
             "router_limits_unread",
             "Answers whose limit on requests could not be read",
-            self.unreadable_limits.clone(),
+            self.invalid_limits.clone(),
         );
         registry.register(
             "router_quarantined",
--- a/crates/router/src/prompt.rs
+++ b/crates/router/src/prompt.rs
@@ -1,4 +1,4 @@
-//! From template, tenant values and request parameters to the prompt.
+//! Rendering of prompts from a template, the tenant's values and the request's parameters.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 /// A rendered prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// The whole text.
+    /// Segments followed by the caller's prompt.
     pub text: String,
-    /// Where each segment ends, bytes; the question follows the last.
+    /// End of each segment in `text`, bytes.
     pub segment_ends: Vec<usize>,
 }
 
 impl Prompt {
-    /// Segment ends in whole blocks of `block_bytes`.
+    /// Returns the segment ends in blocks of `block_bytes`, rounded down and without duplicates.
     pub fn boundaries(&self, block_bytes: usize) -> Vec<u32> {
         let mut blocks: Vec<u32> = self
             .segment_ends
@@ -29,7 +29,7 @@
     }
 }
 
-/// Checks the request's parameters against the template and renders the prompt.
+/// Validates the request's parameters against the template and renders the prompt.
 pub fn build(
     template: &Template,
     service: &Service,
--- a/crates/router/src/proposal.rs
+++ b/crates/router/src/proposal.rs
@@ -34,8 +34,8 @@
 
 impl ProposalAttempts {
     /// Records the response of a replica. Returns the outcome once it is known.
-    pub fn record(&mut self, answer: ReplicaResponse) -> Option<ProposalOutcome> {
-        match answer {
+    pub fn record(&mut self, response: ReplicaResponse) -> Option<ProposalOutcome> {
+        match response {
             ReplicaResponse::Reply(ProposeReply::Done(outcome)) => {
                 Some(ProposalOutcome::Done(outcome))
             }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -24,24 +24,24 @@
 
 /// One incarnation of an engine or back end.
 #[derive(Clone, Debug)]
-pub struct BackEndLife {
-    /// Unique name of the incarnation.
-    pub name: String,
+pub struct BackEndIncarnation {
+    /// Unique id of the incarnation.
+    pub id: String,
     /// Listen address.
     pub address: SocketAddr,
 }
 
-/// Returns the unique name of an engine's incarnation.
-pub fn engine_life(engine: EngineId, incarnation: EngineIncarnation) -> String {
+/// Returns the unique id of an engine's incarnation.
+pub fn engine_incarnation_id(engine: EngineId, incarnation: EngineIncarnation) -> String {
     format!("{engine}@{}", incarnation.0)
 }
 
 /// Returns the refusal for a quarantined request; `None` if it is not quarantined.
 pub fn refusal(state: &RouterState, content: ContentKey) -> Option<Refusal> {
-    let pause = lock(&state.quarantine).pause(content, Instant::now())?;
+    let delay = lock(&state.quarantine).pause(content, Instant::now())?;
     let detail = "back ends ended under this request, one after the other";
     let refusal = Refusal::not_run(RefusalCode::Quarantined, detail);
-    Some(refusal.retry_after_ms(pause.as_millis() as u64))
+    Some(refusal.retry_after_ms(delay.as_millis() as u64))
 }
 
 /// Applies an update of the control group's quarantine list.
@@ -62,7 +62,7 @@
 /// Records that a back end completed a request, and reports this to the control group if the request
 /// is suspected.
 pub fn record_success(state: &Arc<RouterState>, content: ContentKey) {
-    lock(&state.observed_failures).outlived(content, Instant::now());
+    lock(&state.crash_tracker).outlived(content, Instant::now());
     if lock(&state.quarantine).take_good_end(content) {
         let state = Arc::clone(state);
         let contents = vec![content];
@@ -74,35 +74,39 @@
 
 /// Records a broken connection to a back end that was running a request. Checks in the background
 /// whether the back end has exited, i.e. whether its port refuses connections.
-pub fn record_broken_connection(state: &Arc<RouterState>, life: BackEndLife, content: ContentKey) {
-    if lock(&state.observed_failures).broke(&life.name, content, Instant::now()) {
+pub fn record_broken_connection(
+    state: &Arc<RouterState>,
+    incarnation: BackEndIncarnation,
+    content: ContentKey,
+) {
+    if lock(&state.crash_tracker).broke(&incarnation.id, content, Instant::now()) {
         let state = Arc::clone(state);
-        tokio::spawn(async move { check_ended(&state, &life).await });
+        tokio::spawn(async move { check_crashed(&state, &incarnation).await });
     }
 }
 
-async fn check_ended(state: &RouterState, life: &BackEndLife) {
-    let has_ended = is_port_closed(life.address, PORT_CHECK_TIMEOUT).await;
+async fn check_crashed(state: &RouterState, incarnation: &BackEndIncarnation) {
+    let has_ended = is_port_closed(incarnation.address, PORT_CHECK_TIMEOUT).await;
     spdlog::info!("replica looked at after a connection broke", kv: {
-        replica = life.name.clone(),
-        address = life.address.to_string(),
+        replica = incarnation.id.clone(),
+        address = incarnation.address.to_string(),
         has_ended,
     });
     if has_ended {
-        state.metrics.back_end_failures.inc();
+        state.metrics.back_end_crashes.inc();
         sleep(GATHERING).await;
-        report_failure(state, life).await;
+        report_crash(state, incarnation).await;
     }
-    lock(&state.observed_failures).forget(&life.name);
+    lock(&state.crash_tracker).forget(&incarnation.id);
 }
 
-async fn report_failure(state: &RouterState, life: &BackEndLife) {
+async fn report_crash(state: &RouterState, incarnation: &BackEndIncarnation) {
     loop {
-        let contents = lock(&state.observed_failures).next_report(&life.name);
+        let contents = lock(&state.crash_tracker).next_report(&incarnation.id);
         if contents.is_empty() {
             return;
         }
-        let replica = ReplicaKey::of(&life.name);
+        let replica = ReplicaKey::of(&incarnation.id);
         let command = ServingCommand::RecordEnd {
             replica,
             contents,
--- a/crates/router/src/refusal.rs
+++ b/crates/router/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: final, at once, and true about whether the request ran.
+//! Error responses of the router, which state whether the request was executed.
 
 use hyper::{
     Response,
@@ -8,20 +8,20 @@
 use railtack_http::{Body, body};
 use serde::Serialize;
 
-/// What a caller is told instead of an answer.
+/// Error returned to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Stable code.
+    /// Stable error code.
     pub code: RefusalCode,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub execution: Execution,
-    /// What was wrong, naming the part of the request.
+    /// Message that identifies the cause.
     pub detail: String,
-    /// When to ask again, milliseconds.
+    /// Delay after which to retry, milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// The body of a refusal.
+/// JSON body of a refusal.
 #[derive(Debug, Serialize)]
 pub struct RefusalBody<'a> {
     error: RefusalFields<'a>,
@@ -37,7 +37,7 @@
 }
 
 impl Refusal {
-    /// A request that did not run and will not.
+    /// Creates the refusal of a request that was not and will not be executed.
     pub fn not_run(code: RefusalCode, detail: impl Into<String>) -> Self {
         Self {
             code,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A request that may have run.
+    /// Creates the refusal of a request that may have been executed.
     pub fn unknown(code: RefusalCode, detail: impl Into<String>) -> Self {
         Self {
             execution: Execution::Unknown,
@@ -55,13 +55,13 @@
         }
     }
 
-    /// Tells the caller when to ask again.
-    pub fn retry_after_ms(mut self, pause: u64) -> Self {
-        self.retry_after_ms = Some(pause);
+    /// Sets the delay after which to retry, milliseconds.
+    pub fn retry_after_ms(mut self, delay: u64) -> Self {
+        self.retry_after_ms = Some(delay);
         self
     }
 
-    /// The JSON body.
+    /// Returns the JSON body.
     pub fn body(&self) -> RefusalBody<'_> {
         RefusalBody {
             error: RefusalFields {
@@ -73,11 +73,11 @@
         }
     }
 
-    /// The HTTP response.
+    /// Returns the HTTP response, with a `Retry-After` header if a delay is set.
     pub fn response(&self) -> Response<Body> {
         let mut response = body::json(self.code.http_status(), &self.body());
-        if let Some(pause) = self.retry_after_ms {
-            let seconds = pause.div_ceil(1_000).max(1);
+        if let Some(delay) = self.retry_after_ms {
+            let seconds = delay.div_ceil(1_000).max(1);
             response
                 .headers_mut()
                 .insert(RETRY_AFTER, HeaderValue::from(seconds));
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,34 +1,34 @@
-//! Which frames of an answer reach the caller: each token once, in order, up to the explicit end.
+//! Relay of response frames: delivers each token exactly once and in order, up to the end frame.
 //!
-//! Pure: the daemon and the simulator feed it frames and closed connections.
+//! Performs no I/O. The daemon and the simulator pass in frames and closed connections.
 
 use railtack_backend_api::{StreamEnd, StreamFrame};
 use railtack_core::AttemptId;
 
-/// Whether an answer ends only by an explicit mark.
+/// Whether a complete response needs an end frame.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndMarker {
-    /// A stream without the mark was cut.
+    /// A stream without an end frame was truncated.
     #[default]
     Required,
-    /// A closed connection counts as an end. Only in a deliberately broken build.
+    /// A closed connection completes the response. Used only by mutation tests of the simulator.
     Ignored,
 }
 
-/// What to do with a frame.
+/// Action for a received frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FrameAction {
-    /// Hand the text to the caller.
+    /// Send the text to the caller.
     Deliver(String),
-    /// Late, repeated or of another attempt: drop it.
+    /// Drop a late or duplicate frame, or one of another attempt.
     Drop,
-    /// Frames are missing before it: ask again from where the caller is.
+    /// Earlier frames are missing: resume the stream at the first undelivered token.
     Gap,
-    /// The answer is whole.
+    /// The response is complete.
     Complete(StreamEnd),
 }
 
-/// Progress of one answer over all its attempts.
+/// Progress of one response over all attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Relay {
     delivered: u32,
@@ -38,7 +38,7 @@
 }
 
 impl Relay {
-    /// An answer of `max_tokens` tokens of which nothing was delivered.
+    /// Creates the relay of a response of at most `max_tokens` tokens.
     pub fn new(max_tokens: u32, end_marker: EndMarker) -> Self {
         Self {
             delivered: 0,
@@ -48,17 +48,17 @@
         }
     }
 
-    /// Begins an attempt; frames of earlier attempts are dropped from now on.
+    /// Starts an attempt. Frames of earlier attempts are dropped from now on.
     pub fn begin(&mut self, attempt: AttemptId) {
         self.attempt = attempt;
     }
 
-    /// Tokens handed to the caller.
+    /// Number of tokens delivered to the caller.
     pub fn delivered(&self) -> u32 {
         self.delivered
     }
 
-    /// Takes a frame. Invariant: `delivered` tokens went out, in order, without a hole.
+    /// Handles a frame. Invariant: exactly the first `delivered` tokens were delivered, in order.
     pub fn accept(&mut self, frame: StreamFrame) -> FrameAction {
         if frame.attempt.0 != self.attempt.0 || frame.sequence < self.delivered {
             return FrameAction::Drop;
@@ -73,13 +73,13 @@
         FrameAction::Deliver(frame.text)
     }
 
-    /// Whether the answer is whole although its connection closed without an end mark: every
-    /// token that it may have was delivered. Asking for more would make it too long.
+    /// Whether the response is complete although the connection closed without an end frame. This is
+    /// so once `max_tokens` tokens were delivered; a further attempt would exceed them.
     pub fn is_complete_on_close(&self) -> bool {
         self.delivered >= self.max_tokens || self.end_marker == EndMarker::Ignored
     }
 
-    /// The end of an answer whose engine could not tell it any more.
+    /// Returns the end of a response that completed without an end frame.
     pub fn implied_end(&self, prompt_tokens: u32) -> StreamEnd {
         StreamEnd {
             tokens: self.delivered,
--- a/crates/router/src/request_log.rs
+++ b/crates/router/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What is logged of a model request; the same fields as the data plane for opaque requests uses.
+//! Log lines of model requests, with the same fields as those of opaque requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,7 +6,8 @@
 
 use crate::{attempts::AttemptOutcome, dispatch::Job, refusal::Refusal};
 
-/// Collects what decided a request and logs it when it ends, also if the caller goes away.
+/// Collects the fields of a request's log line and logs it when dropped, so that a request whose
+/// caller disconnects is logged too.
 pub struct RequestLog {
     job: Arc<Job>,
     replica: String,
@@ -17,7 +18,7 @@
 }
 
 impl RequestLog {
-    /// Begins the account of an admitted request.
+    /// Creates the log of an admitted request.
     pub fn new(job: Arc<Job>) -> Self {
         Self {
             job,
@@ -29,7 +30,8 @@
         }
     }
 
-    /// Notes a choice of engine; the line at the end tells of the last one only.
+    /// Records the choice of an engine. Repeated choices are logged at once, since the final line
+    /// contains only the last one.
     pub fn record_choice(&mut self, engine: EngineId, held_tokens: u32) {
         self.replica = engine.to_string();
         self.kept_tokens = held_tokens;
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Notes how an attempt ended.
+    /// Logs an attempt that did not complete.
     pub fn record_attempt(&self, end: &AttemptOutcome) {
         if matches!(end, AttemptOutcome::Completed(_)) {
             return;
@@ -57,17 +59,17 @@
         });
     }
 
-    /// Notes the first token.
+    /// Records the time to the first token.
     pub fn record_first_byte(&mut self) {
         self.first_byte = Some(self.job.received.elapsed());
     }
 
-    /// Notes that the answer is whole.
+    /// Records that the response is complete.
     pub fn record_completion(&mut self) {
         "streamed".clone_into(&mut self.outcome);
     }
 
-    /// Notes that the request failed.
+    /// Records that the request failed.
     pub fn record_failure(&mut self, refusal: &Refusal) {
         self.outcome = refusal.code.as_str().to_owned();
     }
@@ -93,7 +95,7 @@
     }
 }
 
-/// Logs a model request that was refused before it was sent anywhere.
+/// Logs a model request that was refused before its first attempt.
 pub fn log_refusal(request_id: RequestId, template: &str, refusal: &Refusal) {
     spdlog::info!("request", kv: {
         request = format_id(request_id),
--- a/crates/router/src/responses.rs
+++ b/crates/router/src/responses.rs
@@ -1,4 +1,4 @@
-//! What callers see: whole answers, server-sent events, and explicit ends.
+//! Responses to callers, as one JSON body or as server-sent events.
 
 use bytes::Bytes;
 use futures::SinkExt;
@@ -11,12 +11,12 @@
 
 use crate::refusal::Refusal;
 
-/// Header that names the request, for `railtackctl explain`.
+/// Response header with the request id, as used by `railtackctl explain`.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Last event of a whole answer. A stream without it was cut.
+/// Last event of a complete stream. A stream without it was truncated.
 const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// The published shape in which a caller asked.
+/// API that the caller used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiKind {
     /// `/v1/completions`.
@@ -25,18 +25,18 @@
     Chat,
 }
 
-/// One step of an answer, in order. The last is `Ended` or `Failed`.
+/// Event of a response. The last event is `Ended` or `Failed`.
 #[derive(Clone, Debug)]
 pub enum ResponseEvent {
     /// Text of one token.
     Token(String),
-    /// The answer is whole.
+    /// The response is complete.
     Ended(StreamEnd),
-    /// There will be no more.
+    /// The response failed and is incomplete.
     Failed(Refusal),
 }
 
-/// The steps of an answer as they come.
+/// Receiver of a response's events.
 pub type ResponseEvents = mpsc::Receiver<ResponseEvent>;
 
 #[derive(Serialize)]
@@ -93,19 +93,19 @@
     }
 }
 
-/// How the answer to one request is written.
+/// Writes the response to one request.
 #[derive(Clone, Debug)]
 pub struct ResponseWriter {
-    /// The request.
+    /// Id returned in the header and the body.
     pub request_id: RequestId,
-    /// The published shape.
+    /// API whose format is written.
     pub api: ApiKind,
-    /// The model's name.
+    /// Model name returned in the body.
     pub model: String,
 }
 
 impl ResponseWriter {
-    /// Waits for the first event, so that a refusal still has its own status, then answers.
+    /// Waits for the first event, so that a failure is returned with its HTTP status, then responds.
     pub async fn respond(self, mut events: ResponseEvents, stream: bool) -> Response<Body> {
         let request_id = self.request_id;
         let response = match events.recv().await {
@@ -123,7 +123,7 @@
             let mut next = Some(first);
             while let Some(event) = next {
                 let is_last = !matches!(event, ResponseEvent::Token(_));
-                // A failed send means that the caller is gone; dropping `events` stops the work.
+                // A failed send means that the caller disconnected; dropping `events` cancels the job.
                 if sender.send(self.event_bytes(&event)).await.is_err() || is_last {
                     return;
                 }
@@ -206,7 +206,7 @@
     }
 }
 
-/// Names the request in the response's head.
+/// Adds the request id header to a response.
 pub fn with_request_id(mut response: Response<Body>, request_id: RequestId) -> Response<Body> {
     if let Ok(value) = HeaderValue::from_str(&format!("{:032x}", request_id.0)) {
         response.headers_mut().insert(REQUEST_ID_HEADER, value);
@@ -214,7 +214,7 @@
     response
 }
 
-/// The task that ran the request ended without saying how.
+/// Refusal for a job that stopped without a final event.
 fn aborted() -> Refusal {
     let code = railtack_core::RefusalCode::BackendFailed;
     Refusal::unknown(code, "the request was abandoned")
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -1,4 +1,4 @@
-//! The daemon: listeners, routes and the planned stop.
+//! HTTP server of the router: listeners, request routing and graceful shutdown.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -28,7 +28,7 @@
     state::RouterState,
 };
 
-/// Prefix of the paths of ordinary services: `/services/TEMPLATE/PATH`.
+/// Path prefix of HTTP services: `/services/TEMPLATE/PATH`.
 const SERVICES_PREFIX: &str = "/services/";
 
 /// A router with open listeners.
@@ -39,7 +39,7 @@
 }
 
 impl Router {
-    /// Opens the listeners.
+    /// Binds the listeners.
     pub async fn bind(settings: RouterSettings) -> Result<Self, Report<RouterError>> {
         let listener = listen(settings.listen).await?;
         let admin_listener = listen(settings.admin_listen).await?;
@@ -51,17 +51,17 @@
         })
     }
 
-    /// Where callers connect.
+    /// Bound address for callers.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.local_addr().ok()
     }
 
-    /// Where operators connect.
+    /// Bound address for operators.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin_listener.local_addr().ok()
     }
 
-    /// Serves until `shutdown`, then lets open requests end; true if all did.
+    /// Serves until `shutdown`, then drains open requests. Returns true if all of them completed.
     pub async fn run(self, shutdown: CancellationToken) -> bool {
         let state = self.state;
         let limits = &state.settings.limits;
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -1,4 +1,4 @@
-//! Ordinary services: register lookups, notice renderers, terminal answers.
+//! Forwarding of requests to HTTP services.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,55 +25,56 @@
     state::{RouterState, lock},
 };
 
-/// Header that names a request which may not be repeated.
+/// Header with the caller's idempotency key.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// Header that tells a service whose request it is.
+/// Header with the name of the tenant, sent to the service.
 const TENANT_HEADER: &str = "x-railtack-tenant";
-/// Longest key, bytes.
+/// Maximum length of an idempotency key, bytes.
 const MAX_KEY_BYTES: usize = 255;
-/// Attempts at a request that may be repeated.
+/// Maximum attempts of a repeatable request.
 const MAX_REPEATABLE_ATTEMPTS: u32 = 3;
-/// Pause told to a caller whose service has no back end that could be reached, milliseconds.
+/// Retry delay returned if no back end of the service is available, milliseconds.
 const NO_BACK_END_RETRY_MS: u64 = 1_000;
-/// Time for connecting to a back end.
+/// Timeout for connecting to a back end.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest exchange with a service. Well below the age at which an unsettled claim counts as lost.
+/// Maximum time of an exchange with a service. Must stay well below the age at which an unsettled
+/// claim counts as lost.
 const MAX_EXCHANGE_TIME: Duration = Duration::from_secs(300);
-/// Largest answer of a service, bytes.
+/// Maximum body size of a service's response, bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A request to an ordinary service, read as a whole.
+/// A fully received request to an HTTP service.
 #[derive(Clone, Debug)]
 pub struct ServiceRequest {
-    /// Bearer key.
+    /// Bearer key of the tenant.
     pub bearer: Option<String>,
-    /// The template that names the service.
+    /// Template that targets the service.
     pub template: TemplateName,
-    /// Method.
+    /// HTTP method, forwarded unchanged.
     pub method: Method,
-    /// Path at the service, with the query.
+    /// Path at the service, including the query.
     pub path: String,
-    /// Content type.
+    /// `Content-Type` header, forwarded unchanged.
     pub content_type: Option<HeaderValue>,
-    /// The caller's name for the request.
+    /// Idempotency key.
     pub key: Option<String>,
-    /// Body.
+    /// Request body.
     pub content: Bytes,
 }
 
-/// What is sent to the back end.
+/// A request as it is forwarded to a back end.
 struct ForwardedRequest<'a> {
     request: &'a ServiceRequest,
     tenant: TenantName,
     service: String,
-    limit: Duration,
-    content: ContentKey,
+    exchange_timeout: Duration,
+    content_key: ContentKey,
 }
 
-/// Runs one request.
+/// Handles one request.
 pub async fn serve(state: Arc<RouterState>, request: ServiceRequest) -> Response<Body> {
-    match run(&state, &request).await {
-        Ok(answer) => to_response(answer),
+    match handle(&state, &request).await {
+        Ok(response) => to_response(response),
         Err(refusal) => {
             state.metrics.record_refusal(refusal.code);
             refusal.response()
@@ -81,9 +82,13 @@
     }
 }
 
-async fn run(state: &Arc<RouterState>, request: &ServiceRequest) -> Result<StoredAnswer, Refusal> {
+async fn handle(
+    state: &Arc<RouterState>,
+    request: &ServiceRequest,
+) -> Result<StoredAnswer, Refusal> {
     let key = validate_key(request)?;
-    // Before anything is known of the key, "not run" would be a guess about its other arrivals.
+    // Until the key's claim is known, another request with the key may have run, so refusals of
+    // keyed requests report the execution as unknown.
     state
         .require_serving()
         .map_err(|refusal| with_unknown_execution(refusal, key.as_ref()))?;
@@ -99,22 +104,22 @@
         );
         return Err(with_unknown_execution(refusal, key.as_ref()));
     };
-    let content = ContentKey::of(RequestContent {
+    let content_key = ContentKey::of(RequestContent {
         method: request.method.as_str(),
         host: name,
         target: &request.path,
         tenant: tenant.name.as_str(),
         body: &request.content,
     });
-    if let Some(refusal) = quarantine::refusal(state, content) {
+    if let Some(refusal) = quarantine::refusal(state, content_key) {
         return Err(with_unknown_execution(refusal, key.as_ref()));
     }
     let forwarded = ForwardedRequest {
         request,
-        content,
+        content_key,
         tenant: tenant.name.clone(),
         service: name.clone(),
-        limit: Duration::from_millis(state.settings.limits.default_deadline_ms)
+        exchange_timeout: Duration::from_millis(state.settings.limits.default_deadline_ms)
             .min(MAX_EXCHANGE_TIME),
     };
     match (service.template.repeatable, key) {
@@ -138,7 +143,8 @@
     Ok(Some(IdempotencyKey(key.clone())))
 }
 
-/// A refusal of a request with a key, before anything is known of the key's other arrivals.
+/// Sets the execution of a refusal to unknown if the request has a key, because another request with
+/// the key may have run.
 pub fn with_unknown_execution<K>(refusal: Refusal, key: Option<&K>) -> Refusal {
     match key {
         Some(_) => Refusal {
@@ -155,14 +161,14 @@
 ) -> Result<StoredAnswer, Refusal> {
     let mut may_have_run = false;
     for _ in 0..MAX_REPEATABLE_ATTEMPTS {
-        if may_have_run && quarantine::refusal(state, forwarded.content).is_some() {
+        if may_have_run && quarantine::refusal(state, forwarded.content_key).is_some() {
             break;
         }
         let Some(chosen) = acquire_backend(state, &forwarded.service).await else {
             break;
         };
         match forward(state, chosen, forwarded).await {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(SendError::NotSent) => {}
             Err(SendError::MaybeSent) => may_have_run = true,
         }
@@ -179,27 +185,27 @@
     forwarded: &ForwardedRequest<'_>,
     key: IdempotencyKey,
 ) -> Result<StoredAnswer, Refusal> {
-    let (run, first) = IdempotentRequest::begin(
+    let (idempotent, first_step) = IdempotentRequest::begin(
         forwarded.tenant.clone(),
         key,
         fingerprint(forwarded),
         AttemptId(rand::random()),
     );
-    // A caller that goes away must not leave the claim open: the rest runs to its end regardless.
+    // Runs in a task of its own, so that the claim is settled even if the caller disconnects.
     let state = Arc::clone(state);
     let request = forwarded.request.clone();
     let tenant = forwarded.tenant.clone();
     let service = forwarded.service.clone();
-    let (limit, content) = (forwarded.limit, forwarded.content);
+    let (exchange_timeout, content_key) = (forwarded.exchange_timeout, forwarded.content_key);
     let task = tokio::spawn(async move {
         let forwarded = ForwardedRequest {
             request: &request,
             tenant,
             service,
-            limit,
-            content,
+            exchange_timeout,
+            content_key,
         };
-        run_steps(state, &forwarded, run, first).await
+        run_steps(state, &forwarded, idempotent, first_step).await
     });
     task.await.unwrap_or_else(|_| {
         Err(Refusal::unknown(
@@ -209,23 +215,23 @@
     })
 }
 
-/// Carries out the steps of one arrival of a key.
+/// Executes the steps of an idempotent request.
 async fn run_steps(
     state: Arc<RouterState>,
     forwarded: &ForwardedRequest<'_>,
-    mut run: IdempotentRequest,
-    first: IdempotentStep,
+    mut idempotent: IdempotentRequest,
+    first_step: IdempotentStep,
 ) -> Result<StoredAnswer, Refusal> {
-    let mut step = first;
+    let mut step = first_step;
     loop {
         step = match step {
-            IdempotentStep::Propose(command) => run.on_proposal(
+            IdempotentStep::Propose(command) => idempotent.on_proposal(
                 state
                     .control
                     .propose(command, idempotency::CLAIM_TIMEOUT)
                     .await,
             ),
-            IdempotentStep::Send => run.on_response(send_once(&state, forwarded).await),
+            IdempotentStep::Send => idempotent.on_response(send_once(&state, forwarded).await),
             IdempotentStep::Respond {
                 response,
                 settlement,
@@ -260,24 +266,24 @@
     let request = build_request(forwarded)?;
     let exchange = async {
         let response = send_on_new_connection(address, request, CONNECT_TIMEOUT).await?;
-        if let Some(time) = retry_after(response.status(), response.headers()) {
-            record_back_off(state, address, time);
+        if let Some(delay) = retry_after(response.status(), response.headers()) {
+            record_back_off(state, address, delay);
         }
         limits::record_response(state, &address.to_string(), permit, response.headers());
-        read_response(response, forwarded.limit).await
+        read_response(response, forwarded.exchange_timeout).await
     };
-    let Ok(answered) = timeout(forwarded.limit, exchange).await else {
+    let Ok(result) = timeout(forwarded.exchange_timeout, exchange).await else {
         return Err(SendError::MaybeSent);
     };
-    match &answered {
-        Ok(_) => quarantine::record_success(state, forwarded.content),
+    match &result {
+        Ok(_) => quarantine::record_success(state, forwarded.content_key),
         Err(SendError::MaybeSent) => {
-            let life = state.back_end_life(address);
-            quarantine::record_broken_connection(state, life, forwarded.content);
+            let incarnation = state.back_end_incarnation(address);
+            quarantine::record_broken_connection(state, incarnation, forwarded.content_key);
         }
         Err(SendError::NotSent) => {}
     }
-    answered
+    result
 }
 
 fn build_request(forwarded: &ForwardedRequest<'_>) -> Result<Request<Full<Bytes>>, SendError> {
@@ -299,7 +305,7 @@
 
 async fn read_response(
     response: Response<Incoming>,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<StoredAnswer, SendError> {
     let status = response.status().as_u16();
     let content_type = response
@@ -308,7 +314,7 @@
         .and_then(|value| value.to_str().ok())
         .unwrap_or("application/octet-stream")
         .to_owned();
-    let content = read_body(response.into_body(), MAX_RESPONSE_BYTES, limit)
+    let content = read_body(response.into_body(), MAX_RESPONSE_BYTES, time_limit)
         .await
         .map_err(|_| SendError::MaybeSent)?;
     Ok(StoredAnswer {
@@ -318,29 +324,29 @@
     })
 }
 
-fn to_response(answer: StoredAnswer) -> Response<Body> {
-    let mut response = Response::new(body::full(answer.body.unwrap_or_default()));
-    if let Ok(status) = hyper::StatusCode::from_u16(answer.status) {
+fn to_response(stored: StoredAnswer) -> Response<Body> {
+    let mut response = Response::new(body::full(stored.body.unwrap_or_default()));
+    if let Ok(status) = hyper::StatusCode::from_u16(stored.status) {
         *response.status_mut() = status;
     }
-    if let Ok(content_type) = HeaderValue::from_str(&answer.content_type) {
+    if let Ok(content_type) = HeaderValue::from_str(&stored.content_type) {
         response.headers_mut().insert(CONTENT_TYPE, content_type);
     }
     response
 }
 
-/// A back end that was chosen, with the permit to send it one call if it has a limit.
+/// A chosen back end, with the permit for one request if it has a rate limit.
 #[derive(Clone, Copy)]
 struct AcquiredBackend {
     address: SocketAddr,
     permit: Option<Permit>,
 }
 
-/// The next back end that takes calls, and whose limit has room if it has one.
+/// Returns the next available back end, with a permit if it has a rate limit.
 async fn acquire_backend(state: &RouterState, service: &str) -> Option<AcquiredBackend> {
     loop {
         let address = next_backend(state, service)?;
-        // One that has no room is left out next time.
+        // A denial was recorded, so this back end is skipped next time.
         if let Permission::Given(permit) = limits::acquire_permit(state, &address.to_string()).await
         {
             return Some(AcquiredBackend { address, permit });
@@ -364,29 +370,30 @@
     None
 }
 
-/// Notes that a back end asked for no calls for a time.
-fn record_back_off(state: &RouterState, address: SocketAddr, time: Duration) {
+/// Records a back end's `Retry-After` delay.
+fn record_back_off(state: &RouterState, address: SocketAddr, delay: Duration) {
     spdlog::info!("back end asked for rest", kv: {
         address = address.to_string(),
-        back_off_ms = time.as_millis() as u64,
+        back_off_ms = delay.as_millis() as u64,
     });
     let notice = BackEndNotice {
-        back_off: Some(time),
+        back_off: Some(delay),
         ..BackEndNotice::default()
     };
     let mut available = lock(&state.back_end_availability);
     available.note(&address.to_string(), notice, state.uptime());
 }
 
-/// Milliseconds until the first back end of a service takes calls again, if all asked for rest.
+/// Returns the time until the first back end of a service is available, milliseconds; `None` if one
+/// is available already or all are leaving.
 fn available_in_ms(state: &RouterState, service: &str) -> Option<u64> {
     let now = state.uptime();
     let available = lock(&state.back_end_availability);
     let services = lock(&state.services);
     let live = services.get(service)?.live.iter();
-    let waits = live.filter_map(|address| available.opens_in(&address.to_string(), now));
-    let wait = waits.min()?.as_millis() as u64;
-    (wait > 0).then_some(wait)
+    let delays = live.filter_map(|address| available.opens_in(&address.to_string(), now));
+    let delay = delays.min()?.as_millis() as u64;
+    (delay > 0).then_some(delay)
 }
 
 fn no_backend_refusal(state: &RouterState, service: &str) -> Refusal {
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -22,7 +22,7 @@
 
 use crate::{
     control_link::ControlLink, decisions::DecisionLog, lease::Lease, metrics::RouterMetrics,
-    quarantine::BackEndLife, refusal::Refusal, resolved::ResolvedConfiguration,
+    quarantine::BackEndIncarnation, refusal::Refusal, resolved::ResolvedConfiguration,
 };
 
 /// Timeout for connecting to an engine.
@@ -47,11 +47,11 @@
     pub lease: Mutex<Lease>,
     /// Engine views, prefix index and engine selection.
     pub scheduler: Mutex<Scheduler>,
-    /// Addresses of the listed engines.
+    /// Latest address of every engine listed so far.
     pub engine_addresses: Mutex<HashMap<EngineId, SocketAddr>>,
     /// Back ends of HTTP services, by service name.
     pub services: Mutex<HashMap<String, ServiceBackends>>,
-    /// Availability announced by the back ends of HTTP services, by address. Separate from `services`,
+    /// Availability advertised by the back ends of HTTP services, by address. Separate from `services`,
     /// which is rebuilt with each machine list.
     pub back_end_availability: Mutex<Availability>,
     /// Tenant limits and fair shares.
@@ -63,7 +63,7 @@
     /// Requests that the control group has quarantined.
     pub quarantine: Mutex<QuarantineKnowledge>,
     /// Crashes and broken connections observed under this router's requests.
-    pub observed_failures: Mutex<EndsMet>,
+    pub crash_tracker: Mutex<EndsMet>,
     /// Metrics of this process.
     pub metrics: RouterMetrics,
     /// HTTP client for engines and the platform.
@@ -107,7 +107,7 @@
             retry_budgets: Mutex::default(),
             decisions: Mutex::default(),
             quarantine: Mutex::default(),
-            observed_failures: Mutex::default(),
+            crash_tracker: Mutex::default(),
             metrics: RouterMetrics::default(),
             client: HttpClient::new(ENGINE_CONNECT_TIMEOUT),
             control: ControlLink::new(&settings.control),
@@ -171,10 +171,10 @@
     /// Returns the incarnation of a service's back end. Such back ends report no incarnation, so each
     /// crash that this router observes starts a new one. Two routers that observe the same crash count
     /// it twice.
-    pub fn back_end_life(&self, address: SocketAddr) -> BackEndLife {
-        let ends = self.metrics.back_end_failures.get();
-        BackEndLife {
-            name: format!("{address}#{}#{ends}", self.settings.router_id.0),
+    pub fn back_end_incarnation(&self, address: SocketAddr) -> BackEndIncarnation {
+        let crashes = self.metrics.back_end_crashes.get();
+        BackEndIncarnation {
+            id: format!("{address}#{}#{crashes}", self.settings.router_id.0),
             address,
         }
     }
