--- a/crates/router/src/control_link.rs
+++ b/crates/router/src/control_link.rs
@@ -143,7 +143,7 @@
                     return Some(reply);
                 }
                 Err(report) => {
-                    spdlog::info!("question to the leader unanswered", kv: {
+                    spdlog::info!("request to the leader failed", kv: {
                         subject = "permit",
                         address = connection.address().to_string(),
                         cause = report.to_string(),
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -199,7 +199,7 @@
         if view.incarnation == attempt.incarnation {
             view.announced.note(notice, now);
         }
-        spdlog::info!("engine asked for rest", kv: {
+        spdlog::info!("engine requested back-off", kv: {
             engine = view.id.to_string(),
             back_off_ms = delay.as_millis() as u64,
         });
--- a/crates/router/src/errors.rs
+++ b/crates/router/src/errors.rs
@@ -1,22 +1,22 @@
-//! Why a router cannot start.
+//! Startup errors of the router.
 
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// A failure to start.
+/// Error that prevents the router from starting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RouterError {
-    /// The settings were refused.
-    #[error("the settings were refused")]
+    /// The settings are invalid.
+    #[error("invalid settings")]
     Settings,
-    /// A listener cannot be opened.
+    /// A listener cannot be bound.
     #[error("cannot listen on {address}")]
     Listen {
-        /// The address.
+        /// Configured listen address.
         address: SocketAddr,
     },
-    /// The runtime cannot be started.
-    #[error("the runtime cannot be started")]
+    /// The async runtime cannot be started.
+    #[error("cannot start the async runtime")]
     Runtime,
 }
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -103,7 +103,7 @@
         StatedLimit::NotNamed => News::default(),
         StatedLimit::Unreadable(error) => {
             state.metrics.invalid_limits.inc();
-            spdlog::info!("limit not read", kv: {
+            spdlog::info!("rate limit header invalid", kv: {
                 replica = incarnation_id.to_owned(),
                 cause = error.to_string(),
             });
@@ -126,7 +126,7 @@
 
 fn log_new_limit(incarnation_id: &str, news: News) -> News {
     if let Some(limit) = news.limit {
-        spdlog::info!("back end names a limit", kv: {
+        spdlog::info!("rate limit advertised", kv: {
             replica = incarnation_id.to_owned(),
             per_s = limit.requests_per_s(),
         });
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -119,7 +119,7 @@
 
 async fn propose(state: &RouterState, command: ServingCommand) {
     if !state.control.supports_shared_grants() {
-        spdlog::info!("report kept back: the group does not record it yet");
+        spdlog::info!("report skipped: not supported at the group's feature level");
         return;
     }
     let proposed = state
@@ -131,6 +131,6 @@
             apply_update(state, &update)
         }
         ProposalOutcome::Done(_) => {}
-        other => spdlog::warn!("report given up", kv: { outcome = format!("{other:?}") }),
+        other => spdlog::warn!("report failed", kv: { outcome = format!("{other:?}") }),
     }
 }
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -372,7 +372,7 @@
 
 /// Records a back end's `Retry-After` delay.
 fn record_back_off(state: &RouterState, address: SocketAddr, delay: Duration) {
-    spdlog::info!("back end asked for rest", kv: {
+    spdlog::info!("back end requested back-off", kv: {
         address = address.to_string(),
         back_off_ms = delay.as_millis() as u64,
     });
