--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -7,23 +7,23 @@
 
 use crate::load::{Validate, Violation, require_range};
 
-/// Settings of one control replica. Every duration is in milliseconds.
+/// Settings of one control replica. All durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// Unique number of this replica; a replacement takes a number never used before.
+    /// Unique id of this replica. Ids must not be reused: a replacement needs a new one.
     pub replica_id: u32,
-    /// Name of the cluster; replicas of different clusters refuse each other.
+    /// Name of the cluster. Replicas of different clusters refuse each other's connections.
     pub cluster: String,
-    /// The zone it runs in.
+    /// Zone of this replica.
     pub zone: ZoneName,
-    /// Internal address, for replicas, routers and operators.
+    /// Internal listen address for replicas, routers and operators.
     pub listen: SocketAddr,
-    /// Address of `/metrics`, `/healthz` and `/readyz`; port 0 takes a free one.
+    /// Listen address of `/metrics`, `/healthz` and `/readyz`; port 0 selects a free port.
     pub metrics_listen: SocketAddr,
-    /// The data folder.
+    /// Data directory.
     pub data: PathBuf,
-    /// Address of the platform's list of machines.
+    /// Address of the platform's machine list.
     pub platform: SocketAddr,
     /// Timing and limits of the replicated log.
     #[serde(default)]
@@ -34,13 +34,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ConsensusSettings {
-    /// Shortest election timeout.
+    /// Minimum election timeout; at least three heartbeats.
     pub election_timeout_ms: u64,
-    /// Time between heartbeats.
+    /// Heartbeat interval.
     pub heartbeat_ms: u64,
-    /// Entries after which a snapshot replaces the log.
+    /// Number of log entries after which a snapshot is taken.
     pub snapshot_entries: u64,
-    /// How long the outcome of a request that may not be repeated is kept.
+    /// Time for which the outcome of a request with an idempotency key is retained.
     pub claim_retention_ms: u64,
 }
 
--- a/crates/settings/src/daemon.rs
+++ b/crates/settings/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The command line that every daemon has: `--settings FILE`, `--set KEY=VALUE`, `--check`.
+//! Command line shared by all daemons: `--settings FILE`, `--set KEY=VALUE` and `--check`.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,7 @@
     overrides,
 };
 
-/// A daemon's command line; the caller may add to it.
+/// Returns the common command line of a daemon, which the caller may extend.
 pub fn command(name: &'static str, about: &'static str, version: &'static str) -> Command {
     Command::new(name)
         .about(about)
@@ -33,7 +33,7 @@
         )
 }
 
-/// The settings that a command line names.
+/// Loads the settings file given on the command line, with the overrides applied.
 pub fn settings<T>(matches: &ArgMatches) -> Result<T, Report<SettingsError>>
 where
     T: DeserializeOwned + Validate,
@@ -42,10 +42,10 @@
         .get_one::<PathBuf>("settings")
         .cloned()
         .unwrap_or_default();
-    load_settings(&file, &overrides::given(matches))
+    load_settings(&file, &overrides::from_matches(matches))
 }
 
-/// Whether the settings are only to be checked.
+/// Whether `--check` was given: validate the settings and exit.
 pub fn is_check(matches: &ArgMatches) -> bool {
     matches.get_flag("check")
 }
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -1,6 +1,5 @@
-//! Settings of a process on a deployment that places it: where it listens, whom it may ask first,
-//! and the bounds that the deployment states. Unknown keys are ignored, because a deployment may
-//! gain new ones; a missing one that is needed is refused by name.
+//! Settings that a deployment generates for each of its processes: listen addresses, seeds and
+//! service-level bounds. Unknown keys are ignored, because newer deployments may add some.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -14,88 +13,89 @@
 pub struct NodeSettings {
     /// Name of the machine.
     pub node: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Internal address, for the system's own processes.
+    /// Internal listen address for routers and control replicas.
     pub internal_listen: SocketAddr,
-    /// Address for callers; set for routers.
+    /// Listen address for callers; only for routers.
     pub callers_listen: Option<SocketAddr>,
-    /// Address of the readiness question; set for routers.
+    /// Listen address of the readiness endpoint; only for routers.
     pub ready_listen: Option<SocketAddr>,
-    /// Address for registrations and operators; set for control replicas.
+    /// Listen address for registrations and operators; only for control replicas.
     pub control_listen: Option<SocketAddr>,
-    /// Address of the metrics page.
+    /// Listen address of the metrics endpoint.
     pub metrics_listen: Option<SocketAddr>,
     /// Control addresses of some control replicas.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether to bootstrap a new control group.
     pub bootstrap: bool,
-    /// The data folder; set for control replicas.
+    /// Data directory; only for control replicas.
     pub data: Option<PathBuf>,
-    /// Time between heartbeats of back-end replicas, milliseconds.
+    /// Heartbeat interval of back-end replicas, milliseconds.
     pub replica_heartbeat_ms: u64,
-    /// Machines that keep state and may be lost at once.
+    /// Number of machines with state that may fail at the same time.
     pub tolerated_machines: u32,
-    /// Bounds that the deployment states.
+    /// Service-level bounds of the deployment.
     pub bounds: BoundsSettings,
-    /// Mechanisms that are switched off for a measurement.
+    /// Mechanisms to disable for measurements.
     #[serde(default)]
     pub policy: Policy,
 }
 
-/// Bounds that the deployment states. Times are in milliseconds.
+/// Service-level bounds of a deployment. `_ms` keys are in milliseconds, `_s` keys in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct BoundsSettings {
-    /// Time in which an accepted configuration comes into force everywhere.
+    /// Time within which all routers apply an accepted configuration.
     pub config_apply_ms: u64,
-    /// Time after which a revoked key works nowhere.
+    /// Time after which a revoked key is refused by all routers.
     pub revoke_ms: u64,
-    /// Whether a router that cannot confirm its configuration refuses.
+    /// Whether a router refuses requests if it cannot confirm its configuration.
     pub fail_closed: bool,
-    /// Time after which a leaving replica gets no more work.
+    /// Time after which a leaving replica receives no new requests.
     pub drain_ms: u64,
-    /// Seconds between the signal to stop and the kill.
+    /// Time from the stop signal until the process is killed, seconds.
     pub grace_s: f64,
-    /// Time in which orders and registrations are acknowledged.
+    /// Time within which orders and registrations are acknowledged.
     pub ack_ms: u64,
-    /// Time after which an undisturbed machine counts as in touch.
+    /// Time after which an undisturbed machine must be reachable.
     pub contact_ms: u64,
-    /// Arrivals beyond the first, as a share of a service's requests.
+    /// Maximum retries as a ratio of a service's requests.
     pub retry_ratio: f64,
-    /// Seconds over which the share counts.
+    /// Window of `retry_ratio`, seconds.
     pub retry_window_s: f64,
-    /// Arrivals beyond the share in one window.
+    /// Retries per window in excess of `retry_ratio`.
     pub retry_slack: f64,
-    /// Time between orders of two holders.
+    /// Time that a new holder of the order lock waits before it gives its first order.
     pub lease_ms: u64,
-    /// Time in which requests stop starting on older weights.
+    /// Time within which no new requests start on older weights.
     pub version_ms: u64,
-    /// Seconds in which a part of a prompt is usually asked for again.
+    /// Time within which a prompt prefix is typically reused, seconds.
     #[serde(default = "default_reuse_window_s")]
     pub reuse_window_s: f64,
-    /// Seconds over which a tenant's quota is judged.
+    /// Window over which a tenant's quota is enforced, seconds.
     #[serde(default = "default_quota_window_s")]
     pub quota_window_s: f64,
-    /// What a tenant may use above its quota in a window, as a share of it.
+    /// Allowed overuse of a quota per window, as a ratio of the quota.
     #[serde(default)]
     pub quota_overage: f64,
-    /// What a tenant may use above that, in the quota's unit.
+    /// Further allowed overuse per window, in the quota's unit.
     #[serde(default)]
     pub quota_slack: f64,
 }
 
-/// The reuse window of a deployment that states none, seconds.
+/// Default of [`BoundsSettings::reuse_window_s`].
 fn default_reuse_window_s() -> f64 {
     10.0
 }
 
-/// The window of a deployment that states none, seconds.
+/// Default of [`BoundsSettings::quota_window_s`].
 fn default_quota_window_s() -> f64 {
     10.0
 }
 
 impl NodeSettings {
-    /// Internal addresses of the seeds: all processes of a deployment use the same ports.
+    /// Returns the internal addresses of the seeds. All processes of a deployment use the same
+    /// internal port.
     pub fn internal_seeds(&self) -> Vec<SocketAddr> {
         let port = self.internal_listen.port();
         self.seeds
@@ -104,7 +104,7 @@
             .collect()
     }
 
-    /// Losses to be borne.
+    /// Returns the failures that the control group must tolerate.
     pub fn fault_tolerance(&self) -> FaultTolerance {
         FaultTolerance {
             machines: self.tolerated_machines,
@@ -113,7 +113,7 @@
 }
 
 impl BoundsSettings {
-    /// The bounds in the units that decisions use.
+    /// Converts the settings to [`Bounds`], with all times in milliseconds.
     pub fn bounds(&self) -> Bounds {
         Bounds {
             config_apply_ms: self.config_apply_ms,
--- a/crates/settings/src/documents.rs
+++ b/crates/settings/src/documents.rs
@@ -1,7 +1,7 @@
-//! What operators submit: templates and tenants.
+//! Operator documents: templates, tenants and model targets.
 //!
-//! A template describes one kind of service; each tenant fills in its own values. A tenant's
-//! services refer to templates by name, so one revision reaches every service made from it.
+//! A template describes one kind of service; each tenant supplies its own parameter values. Services
+//! refer to templates by name, so a revision of a template affects all services that use it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,12 +10,12 @@
 use speedy::{Readable, Writable};
 use thiserror::Error;
 
-/// Longest name of anything, bytes.
-const NAME_BYTES: usize = 128;
-/// Largest template opening or tenant value, bytes.
-const TEXT_BYTES: usize = 1024 * 1024;
-/// Most tokens that a prompt or an answer may be allowed.
-const TOKEN_LIMIT: u32 = 2_000_000;
+/// Maximum length of a name, bytes.
+const MAX_NAME_BYTES: usize = 128;
+/// Maximum length of a template segment, bytes.
+const MAX_TEXT_BYTES: usize = 1024 * 1024;
+/// Upper bound of the configurable prompt and response lengths, tokens.
+const MAX_TOKENS: u32 = 2_000_000;
 
 /// One operator document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
@@ -25,69 +25,69 @@
     Template(Template),
     /// A tenant with its services.
     Tenant(Tenant),
-    /// The weights version that a model is to run.
+    /// Target weights version of a model.
     Model(ModelTarget),
 }
 
-/// Which weights a model is to run.
+/// Target weights version of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(deny_unknown_fields)]
 pub struct ModelTarget {
-    /// The model.
+    /// Name of the model.
     pub name: ModelName,
-    /// The version wanted on all its replicas.
+    /// Version that all replicas of the model should run.
     pub weights_version: WeightsVersion,
 }
 
-/// One kind of service.
+/// Description of one kind of service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// Unique name.
+    /// Unique name of the template.
     pub name: TemplateName,
-    /// What serves it.
+    /// Engines or service that run the requests.
     pub target: Target,
-    /// Which work goes first under load.
+    /// Scheduling class of the requests.
     #[serde(default)]
     pub priority: Priority,
-    /// Whether a request may run more than once. Always true of model templates.
+    /// Whether a request may run more than once. Must be true for model templates.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
-    /// Prompt openings from the most to the least shared, with `{{parameter}}` placeholders. The
-    /// caller's question follows them.
+    /// Parts of the prompt prefix with `{{parameter}}` placeholders, ordered from the most to the
+    /// least shared. The caller's prompt is appended to them.
     #[serde(default)]
     pub segments: Vec<String>,
-    /// Parameters that the segments name.
+    /// Parameters used in the segments.
     #[serde(default)]
     pub parameters: Vec<Parameter>,
-    /// Longest rendered prompt, tokens.
+    /// Maximum length of the rendered prompt, tokens.
     #[serde(default = "default_prompt_tokens")]
     pub max_prompt_tokens: u32,
-    /// Longest answer, tokens.
+    /// Maximum length of the response, tokens.
     #[serde(default = "default_output_tokens")]
     pub max_output_tokens: u32,
 }
 
-/// What serves a template.
+/// Target of a template's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
-    /// Engines that run a model, with an adapter if one is named.
+    /// Engines that run a model.
     Model {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
-        /// The adapter.
+        /// Optional adapter to apply to the model.
         #[serde(default)]
         adapter: Option<String>,
     },
-    /// An ordinary HTTP service.
+    /// An HTTP service.
     Service {
-        /// Its name in the platform's list.
+        /// Name of the service in the platform's machine list.
         service: String,
     },
 }
 
-/// Which work goes first under load.
+/// Scheduling class of a request.
 #[derive(
     Clone,
     Copy,
@@ -105,26 +105,26 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Somebody waits at a counter or a terminal.
+    /// A user is waiting for the response.
     #[default]
     Interactive,
-    /// Queued work that can wait.
+    /// Background work, scheduled after interactive requests.
     Batch,
 }
 
-/// A placeholder of a template.
+/// Declaration of a template parameter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
-    /// Name, as it stands between the braces.
+    /// Name as used in placeholders.
     pub name: String,
-    /// Who fills it in.
+    /// Source of the value.
     pub scope: ParameterScope,
-    /// Longest value, bytes.
+    /// Maximum length of the value, bytes.
     pub max_bytes: u32,
 }
 
-/// Who fills a parameter in.
+/// Source of a parameter's value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(rename_all = "snake_case")]
 pub enum ParameterScope {
@@ -138,30 +138,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Unique name.
+    /// Unique name of the tenant.
     pub name: TenantName,
     /// SHA-256 of each bearer key, in lower-case hexadecimal.
     pub key_hashes: Vec<String>,
-    /// Share of a contended fleet, relative to other tenants.
+    /// Relative share of the fleet under contention.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Limits over all the tenant's services.
+    /// Limits over all services of the tenant.
     #[serde(default)]
     pub limits: TenantLimits,
-    /// Templates the tenant uses, each with its values.
+    /// Services of the tenant.
     #[serde(default)]
     pub services: Vec<Service>,
 }
 
-/// Limits over all services of a tenant.
+/// Limits over all services of a tenant and the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(deny_unknown_fields, default)]
 pub struct TenantLimits {
-    /// Prompt and answer tokens per second, over the fleet.
+    /// Sustained rate of prompt and response tokens per second.
     pub tokens_per_second: u64,
-    /// Tokens that may be used at once after a quiet time.
+    /// Maximum burst after idle time, tokens.
     pub burst_tokens: u64,
-    /// Requests open at once, over the fleet.
+    /// Maximum number of concurrent requests.
     pub concurrent_requests: u32,
 }
 
@@ -179,7 +179,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The template.
+    /// Name of the template.
     pub template: TemplateName,
     /// Values of the template's tenant parameters.
     #[serde(default)]
@@ -202,49 +202,49 @@
     1
 }
 
-/// Why a document was refused. A refused document changes nothing.
+/// Validation error of a document. A refused document has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize, Readable, Writable)]
 #[serde(rename_all = "snake_case")]
 pub enum DocumentError {
-    /// A name is empty, too long or has other characters than letters, digits, `-`, `_` and `.`.
+    /// A name is empty, too long or contains characters other than letters, digits, `-`, `_` and `.`.
     #[error("name {name:?} is not 1 to 128 letters, digits, '-', '_' or '.'")]
     InvalidName {
-        /// The name.
+        /// Rejected name, truncated to 128 characters.
         name: String,
     },
     /// A number is out of range.
     #[error("{field} = {value} is not in {lowest} to {highest}")]
     OutOfRange {
-        /// The field.
+        /// Dotted name of the field.
         field: String,
-        /// The value.
+        /// Rejected value.
         value: u64,
-        /// Lowest allowed value.
+        /// Minimum allowed value.
         lowest: u64,
-        /// Highest allowed value.
+        /// Maximum allowed value.
         highest: u64,
     },
     /// A text is too long.
     #[error("{field} has more than {limit} bytes")]
     TooLong {
-        /// The field.
+        /// Name of the field.
         field: String,
-        /// Limit in bytes.
+        /// Maximum length, bytes.
         limit: u64,
     },
-    /// A name stands twice.
+    /// A name occurs twice.
     #[error("{name:?} is declared twice")]
     Duplicate {
-        /// The name.
+        /// Duplicate name.
         name: String,
     },
-    /// A segment uses a parameter that is not declared, or has an unclosed placeholder.
+    /// A segment uses an undeclared parameter or has an unclosed placeholder.
     #[error("segment placeholder {placeholder:?} is not a declared parameter")]
     UnknownPlaceholder {
-        /// What stands between the braces.
+        /// Text between the braces.
         placeholder: String,
     },
-    /// A model template cannot be declared unrepeatable: engines have no side effects.
+    /// A model template is declared non-repeatable, although engines have no side effects.
     #[error("a model template is always repeatable")]
     ModelNotRepeatable,
     /// A key hash is not 64 lower-case hexadecimal digits.
@@ -253,41 +253,42 @@
     /// A tenant uses a template that does not exist.
     #[error("tenant {tenant} uses template {template}, which does not exist")]
     UnknownTemplate {
-        /// The tenant.
+        /// Tenant with the service.
         tenant: TenantName,
-        /// The template.
+        /// Missing template.
         template: TemplateName,
     },
-    /// A tenant lacks a value that a template asks for.
+    /// A service has no value for a tenant parameter of its template.
     #[error("tenant {tenant} lacks a value for {parameter} of template {template}")]
     MissingValue {
-        /// The tenant.
+        /// Tenant with the service.
         tenant: TenantName,
-        /// The template.
+        /// Template that declares the parameter.
         template: TemplateName,
-        /// The parameter.
+        /// Parameter without a value.
         parameter: String,
     },
-    /// A tenant gives a value that the template does not ask for, or a longer one than allowed.
+    /// A service has a value that is too long or that its template does not declare as a tenant
+    /// parameter.
     #[error("tenant {tenant} gives {parameter} to template {template}, which does not take it")]
     UnexpectedValue {
-        /// The tenant.
+        /// Tenant with the service.
         tenant: TenantName,
-        /// The template.
+        /// Template of the service.
         template: TemplateName,
-        /// The parameter.
+        /// Parameter whose value was rejected.
         parameter: String,
     },
     /// The key belongs to another tenant.
     #[error("a key of tenant {tenant} is already held by another tenant")]
     KeyTaken {
-        /// The tenant whose document was refused.
+        /// Tenant whose document was refused.
         tenant: TenantName,
     },
 }
 
 impl Document {
-    /// Checks everything that can be checked without other documents.
+    /// Validates the document without regard to other documents.
     pub fn validate(&self) -> Result<(), DocumentError> {
         match self {
             Self::Template(template) => template.validate(),
@@ -298,7 +299,7 @@
 }
 
 impl Template {
-    /// Checks the template by itself.
+    /// Validates the template.
     pub fn validate(&self) -> Result<(), DocumentError> {
         require_name(self.name.as_str())?;
         match &self.target {
@@ -318,7 +319,7 @@
             .try_for_each(|segment| self.validate_segment(segment))
     }
 
-    /// The declared parameter of this name.
+    /// Returns the declared parameter with this name.
     pub fn parameter(&self, name: &str) -> Option<&Parameter> {
         self.parameters
             .iter()
@@ -351,7 +352,7 @@
 }
 
 impl Tenant {
-    /// Checks the tenant by itself.
+    /// Validates the tenant without regard to templates.
     pub fn validate(&self) -> Result<(), DocumentError> {
         require_name(self.name.as_str())?;
         require_in_range("weight", u64::from(self.weight), 1, 1_000_000)?;
@@ -370,14 +371,14 @@
         Ok(())
     }
 
-    /// The tenant's use of a template.
+    /// Returns the tenant's service for a template.
     pub fn service(&self, template: &TemplateName) -> Option<&Service> {
         self.services
             .iter()
             .find(|service| service.template == *template)
     }
 
-    /// Checks one service against the template it is made from.
+    /// Validates a service against its template.
     pub fn validate_service(
         &self,
         service: &Service,
@@ -413,7 +414,8 @@
     }
 }
 
-/// Names between double braces, in order. An unclosed placeholder yields the rest of the text.
+/// Returns the names between double braces, in order. An unclosed placeholder yields the rest of the
+/// text.
 pub fn placeholders(segment: &str) -> impl Iterator<Item = &str> {
     segment.split("{{").skip(1).map(|rest| {
         let name = rest.split_once("}}").map_or(rest, |(name, _)| name);
@@ -421,7 +423,7 @@
     })
 }
 
-/// Replaces every placeholder of a validated segment by its value.
+/// Replaces each placeholder of a validated segment by its value.
 pub fn render<'a>(segment: &'a str, value: impl Fn(&str) -> Option<&'a str>) -> String {
     let mut parts = segment.split("{{");
     let mut text = parts.next().unwrap_or_default().to_owned();
@@ -435,26 +437,26 @@
 
 fn require_name(name: &str) -> Result<(), DocumentError> {
     let allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-    if !name.is_empty() && name.len() <= NAME_BYTES && name.chars().all(allowed) {
+    if !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(allowed) {
         return Ok(());
     }
     Err(DocumentError::InvalidName {
-        name: name.chars().take(NAME_BYTES).collect(),
+        name: name.chars().take(MAX_NAME_BYTES).collect(),
     })
 }
 
 fn require_length(field: &str, text: &str) -> Result<(), DocumentError> {
-    if text.len() <= TEXT_BYTES {
+    if text.len() <= MAX_TEXT_BYTES {
         return Ok(());
     }
     Err(DocumentError::TooLong {
         field: field.to_owned(),
-        limit: TEXT_BYTES as u64,
+        limit: MAX_TEXT_BYTES as u64,
     })
 }
 
 fn require_tokens(field: &str, value: u32) -> Result<(), DocumentError> {
-    require_in_range(field, u64::from(value), 1, u64::from(TOKEN_LIMIT))
+    require_in_range(field, u64::from(value), 1, u64::from(MAX_TOKENS))
 }
 
 fn require_in_range(
--- a/crates/settings/src/emulator.rs
+++ b/crates/settings/src/emulator.rs
@@ -1,4 +1,4 @@
-//! Settings of `railtack-emulator`: one engine, one service or the platform's machine list.
+//! Settings of `railtack-emulator`, which emulates an engine, a service or the platform.
 
 use std::net::SocketAddr;
 
@@ -7,51 +7,51 @@
 
 use crate::load::{Validate, Violation, require_range};
 
-/// What one emulator process stands for.
+/// Settings of one emulator process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EmulatorSettings {
-    /// Where it listens; port 0 takes a free one.
+    /// Listen address; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// The stand-in.
+    /// Emulated component.
     pub role: EmulatorRole,
 }
 
-/// The stand-ins.
+/// Component to emulate.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind", deny_unknown_fields)]
 pub enum EmulatorRole {
     /// A model engine.
     Engine(EngineSettings),
-    /// An ordinary service whose executions are counted by key.
+    /// An HTTP service that counts executions by idempotency key.
     Service {
-        /// Name of the service, as templates give it.
+        /// Name of the service, as used in templates.
         service: String,
-        /// Time to answer, milliseconds.
+        /// Response time, milliseconds.
         answer_ms: u64,
     },
-    /// The platform's list of live and leaving machines, and its weight store.
+    /// The platform's machine list and its weight store.
     Platform {
-        /// How far the list lags behind the truth, milliseconds.
+        /// Delay until a change appears in the machine list, milliseconds.
         lag_ms: u64,
-        /// Rate of the weight store over all readers, bytes per second.
+        /// Total throughput of the weight store, bytes per second.
         weight_bytes_per_second: u64,
     },
 }
 
-/// A model engine's identity, costs and reporting.
+/// Settings of an emulated engine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSettings {
-    /// The replica's number, stable over restarts.
+    /// Id of the engine, stable across restarts.
     pub engine_id: EngineId,
-    /// The zone it runs in.
+    /// Zone of the engine.
     pub zone: ZoneName,
-    /// The model it has loaded.
+    /// Loaded model.
     pub model: ModelName,
-    /// The version of the model's weights.
+    /// Loaded version of the model's weights.
     pub weights_version: WeightsVersion,
-    /// Costs and sizes.
+    /// Performance model of the engine.
     #[serde(default)]
     pub costs: EngineCosts,
     /// Cache events and load reports.
@@ -59,20 +59,18 @@
     pub reporting: ReportingSettings,
 }
 
-/// Costs and sizes of the engine model.
-///
-/// The defaults are assumed: they have the shape of published measurements of a 13-billion
-/// parameter model on one accelerator, and come from no measurement of ours.
+/// Performance model of an engine. The defaults resemble a 13-billion-parameter model on one
+/// accelerator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineCosts {
-    /// Tokens in one cache block.
+    /// Size of a cache block, tokens.
     pub block_tokens: u32,
-    /// Blocks the prefix cache holds.
+    /// Capacity of the prefix cache, blocks.
     pub cache_blocks: usize,
-    /// Requests in one batch.
+    /// Maximum requests in one batch.
     pub batch_limit: usize,
-    /// Prefill tokens in one step.
+    /// Maximum prefill tokens in one step.
     pub step_prefill_tokens: u32,
     /// Fixed cost of a step, microseconds.
     pub step_base_us: u64,
@@ -80,7 +78,7 @@
     pub step_request_us: u64,
     /// Cost of each uncached prompt token, microseconds.
     pub prefill_token_us: f64,
-    /// Cost of importing one token of kept cache, microseconds.
+    /// Cost of importing one cached token, microseconds.
     pub import_token_us: f64,
 }
 
@@ -99,15 +97,15 @@
     }
 }
 
-/// How an engine reports its cache and its load.
+/// Settings of an engine's cache events and load reports.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ReportingSettings {
     /// Delay of cache events, milliseconds.
     pub event_delay_ms: u64,
-    /// Share of cache events lost, 0 to 1.
+    /// Fraction of cache events that are lost, 0 to 1.
     pub event_loss: f64,
-    /// Time between load reports, milliseconds.
+    /// Interval of load reports, milliseconds.
     pub load_interval_ms: u64,
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings files and operator documents, with their validation.
+//! Settings files and operator documents, and their validation.
 
 pub mod control;
 pub mod daemon;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file: typed errors with file, line, key and allowed range.
+//! Loading and validation of settings files. Errors name the file, line, key and allowed range.
 
 use std::{fmt::Display, fs, ops::RangeInclusive, path::Path};
 
@@ -9,51 +9,51 @@
 
 use crate::overrides::Override;
 
-/// Why settings were refused. Nothing is started with refused settings.
+/// Error of loading settings.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{file}: cannot be read")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
     },
-    /// The text is not TOML, names an unknown key or has a value of the wrong type.
+    /// The text is not TOML, has an unknown key or a value of the wrong type.
     #[error("{file}:{line}: {reason}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Line, counted from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The parser's reason, which names the key.
+        /// Message of the parser, which names the key.
         reason: String,
     },
-    /// A value is outside what is allowed.
+    /// A value is not allowed.
     #[error("{file}:{line}: {violation}")]
     InvalidValue {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Line, counted from 1; 1 if the key is not in the file.
+        /// Line number, from 1; 1 if the key is not in the file.
         line: usize,
         /// Key, value and allowed range.
         violation: Violation,
     },
 }
 
-/// A value outside what is allowed.
+/// A value that is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{key} = {value} is not allowed; allowed: {allowed}")]
 pub struct Violation {
     /// Dotted key.
     pub key: String,
-    /// The value found.
+    /// Rejected value.
     pub value: String,
-    /// What is allowed, for a person to read.
+    /// Allowed values, as text.
     pub allowed: String,
 }
 
 impl Violation {
-    /// A violation of `key`.
+    /// Creates a violation of `key`.
     pub fn new(key: &str, value: impl Display, allowed: impl Display) -> Self {
         Self {
             key: key.to_owned(),
@@ -63,13 +63,13 @@
     }
 }
 
-/// Settings that can tell whether their values make sense.
+/// Settings whose values can be validated.
 pub trait Validate {
-    /// The first value that is not allowed.
+    /// Returns the first value that is not allowed as an error.
     fn validate(&self) -> Result<(), Violation>;
 }
 
-/// Requires `value` to lie in `range`.
+/// Returns an error if `value` is not in `range`.
 pub fn require_range<T>(key: &str, value: T, range: RangeInclusive<T>) -> Result<(), Violation>
 where
     T: PartialOrd + Display,
@@ -81,7 +81,7 @@
     Err(Violation::new(key, value, allowed))
 }
 
-/// Reads and validates a settings file, with values of the command line in place of its own.
+/// Reads and validates a settings file, after applying the overrides of the command line.
 pub fn load_settings<T>(file: &Path, overrides: &[Override]) -> Result<T, Report<SettingsError>>
 where
     T: DeserializeOwned + Validate,
@@ -94,16 +94,16 @@
     }
     let mut table: Table =
         toml::from_str(&text).map_err(|error| malformed(&name, &text, &error))?;
-    for change in overrides {
-        change.apply(&mut table);
+    for setting in overrides {
+        setting.apply(&mut table);
     }
-    // Lines are those of the settings as they are in force.
+    // With overrides, line numbers refer to the effective settings and not to the file.
     let effective = toml::to_string(&table)
         .change_context_lazy(|| SettingsError::Unreadable { file: name.clone() })?;
     parse_settings(&format!("{name} with --set"), &effective)
 }
 
-/// Parses and validates settings; `name` stands for the file in errors.
+/// Parses and validates settings. Errors report `name` as the file.
 pub fn parse_settings<T>(name: &str, text: &str) -> Result<T, Report<SettingsError>>
 where
     T: DeserializeOwned + Validate,
@@ -129,7 +129,7 @@
     })
 }
 
-/// Line on which a dotted key is set, counted from 1; 1 if it is left to its default.
+/// Returns the line number, from 1, on which a dotted key is set; 1 if it is not set.
 fn line_of_key(text: &str, dotted_key: &str) -> usize {
     let (section, key) = dotted_key.rsplit_once('.').unwrap_or(("", dotted_key));
     let mut current = String::new();
--- a/crates/settings/src/overrides.rs
+++ b/crates/settings/src/overrides.rs
@@ -1,4 +1,4 @@
-//! Values of the command line that take the place of a file's: `--set limits.body_bytes=4096`.
+//! Overrides of settings on the command line: `--set limits.body_bytes=4096`.
 
 use std::str::FromStr;
 
@@ -6,15 +6,15 @@
 use thiserror::Error;
 use toml::{Table, Value};
 
-/// Why an override was refused.
+/// Error of parsing an override.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum OverrideError {
-    /// There is no `=`, or no key before it.
+    /// The argument has no `=` or an empty key.
     #[error("expected KEY=VALUE")]
     NoKey,
 }
 
-/// One value that takes the place of the file's.
+/// A value that replaces the file's value for a key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
     key: String,
@@ -24,7 +24,8 @@
 impl FromStr for Override {
     type Err = OverrideError;
 
-    /// A value that is not TOML by itself is taken as text, so that names need no quotes.
+    /// Parses `KEY=VALUE`. A value that is not valid TOML becomes a string, so that strings need no
+    /// quotes.
     fn from_str(text: &str) -> Result<Self, OverrideError> {
         let (key, value) = text.split_once('=').ok_or(OverrideError::NoKey)?;
         if key.is_empty() {
@@ -43,21 +44,22 @@
 }
 
 impl Override {
-    /// Puts the value in its place; tables on the way are made if they are missing.
+    /// Sets the value in `table`, creating missing tables along the key.
     pub fn apply(&self, table: &mut Table) {
-        let mut place = table;
+        let mut current = table;
         let mut parts = self.key.split('.').peekable();
         while let Some(part) = parts.next() {
             if parts.peek().is_none() {
-                place.insert(part.to_owned(), self.value.clone());
+                current.insert(part.to_owned(), self.value.clone());
                 return;
             }
-            let entry = place
+            let entry = current
                 .entry(part)
                 .or_insert_with(|| Value::Table(Table::new()));
             match entry {
-                Value::Table(inner) => place = inner,
-                // Not a table: the wrong type is reported when the settings are read.
+                Value::Table(inner) => current = inner,
+                // The key's parent is not a table: replace it, so that parsing the settings reports
+                // a type error.
                 other => {
                     *other = self.value.clone();
                     return;
@@ -67,7 +69,7 @@
     }
 }
 
-/// The `--set` argument of every daemon.
+/// Returns the `--set` argument, which is common to all daemons.
 pub fn argument() -> Arg {
     Arg::new("set")
         .long("set")
@@ -77,8 +79,8 @@
         .help("Use this value in place of the file's; may be given several times")
 }
 
-/// The overrides that were given.
-pub fn given(matches: &ArgMatches) -> Vec<Override> {
+/// Returns the overrides given on the command line.
+pub fn from_matches(matches: &ArgMatches) -> Vec<Override> {
     matches
         .get_many::<Override>("set")
         .unwrap_or_default()
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -7,56 +7,56 @@
 
 use crate::load::{Validate, Violation, require_range};
 
-/// Settings of one router. Every duration is in milliseconds.
+/// Settings of one router. All durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouterSettings {
-    /// Unique number of this router.
+    /// Unique id of this router.
     pub router_id: RouterId,
-    /// The zone it runs in.
+    /// Zone of this router.
     pub zone: ZoneName,
-    /// Where callers connect; port 0 takes a free one.
+    /// Listen address for callers; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Where operators and the metrics collector connect; port 0 takes a free one.
+    /// Listen address for operators and metrics; port 0 selects a free port.
     pub admin_listen: SocketAddr,
     /// Internal addresses of the control replicas.
     pub control: Vec<ControlAddress>,
-    /// Address of the platform's list of machines.
+    /// Address of the platform's machine list.
     pub platform: SocketAddr,
-    /// Limits towards callers.
+    /// Limits on callers' connections and requests.
     #[serde(default)]
     pub limits: CallerLimits,
-    /// How long configuration may be used without confirmation.
+    /// Configuration lease.
     #[serde(default)]
     pub lease: LeaseSettings,
-    /// How long a planned stop waits for open requests.
+    /// Maximum time that a graceful shutdown waits for open requests.
     #[serde(default = "default_drain")]
     pub drain_ms: u64,
 }
 
-/// One control replica, as a router knows it.
+/// Address of one control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlAddress {
-    /// The replica's number.
+    /// Id of the replica.
     pub replica_id: u32,
-    /// Its internal address.
+    /// Internal address of the replica.
     pub address: SocketAddr,
 }
 
-/// Limits towards callers.
+/// Limits on callers' connections and requests.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallerLimits {
-    /// Largest request body, bytes.
+    /// Maximum size of a request body, bytes.
     pub body_bytes: usize,
-    /// Time for a whole request to arrive.
+    /// Timeout for receiving a request.
     pub receive_timeout_ms: u64,
-    /// Open connections; more are closed at once.
+    /// Maximum open connections; further ones are closed immediately.
     pub connections: usize,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that sets none.
     pub default_deadline_ms: u64,
-    /// Longest deadline a request may name.
+    /// Maximum deadline of a request; longer ones are reduced to it.
     pub longest_deadline_ms: u64,
 }
 
@@ -76,11 +76,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseSettings {
-    /// How long a confirmation by a majority of control replicas holds.
+    /// Validity of a confirmation by a majority of control replicas.
     pub duration_ms: u64,
-    /// Time between confirmations.
+    /// Interval at which the control replicas are polled; at most half of `duration_ms`.
     pub confirm_interval_ms: u64,
-    /// What to do with new requests when the lease has run out.
+    /// Handling of new requests after the lease has expired.
     pub when_unconfirmed: WhenUnconfirmed,
 }
 
@@ -94,13 +94,13 @@
     }
 }
 
-/// What a router does without a confirmed configuration.
+/// Handling of new requests without a confirmed configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WhenUnconfirmed {
-    /// Refuse, so that no superseded configuration is used.
+    /// Refuse them, so that no outdated configuration is used.
     Refuse,
-    /// Serve the last known configuration, which may have been superseded.
+    /// Serve them with the last known configuration, which may be outdated.
     Serve,
 }
 
@@ -108,8 +108,9 @@
     30_000
 }
 
-/// Longest lease. A change is promised in force everywhere within 7 s of its acceptance.
-const LONGEST_LEASE_MS: u64 = 6_500;
+/// Maximum lease duration. Must stay below the 7 s within which an accepted change is guaranteed to
+/// apply on all routers.
+const MAX_LEASE_MS: u64 = 6_500;
 
 impl Validate for RouterSettings {
     fn validate(&self) -> Result<(), Violation> {
@@ -143,11 +144,7 @@
             1..=limits.longest_deadline_ms,
         )?;
         let lease = &self.lease;
-        require_range(
-            "lease.duration_ms",
-            lease.duration_ms,
-            100..=LONGEST_LEASE_MS,
-        )?;
+        require_range("lease.duration_ms", lease.duration_ms, 100..=MAX_LEASE_MS)?;
         require_range(
             "lease.confirm_interval_ms",
             lease.confirm_interval_ms,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: the examples load, and what is wrong is refused with its place.
+//! Settings files: the examples load, and invalid settings are refused with file and line.
 
 use std::{fs, path::PathBuf};
 
@@ -15,15 +15,15 @@
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("../../examples")
         .join(name);
-    fs::read_to_string(&path).expect("the example is there")
+    fs::read_to_string(&path).expect("example file")
 }
 
 fn document<T: DeserializeOwned>(name: &str) -> T {
-    toml::from_str(&example(name)).expect("the example is a document")
+    toml::from_str(&example(name)).expect("example document")
 }
 
 #[test]
-fn examples_of_settings_load() {
+fn example_settings_load() {
     parse_settings::<RouterSettings>("router.toml", &example("router.toml")).expect("router");
     parse_settings::<ControlSettings>("control.toml", &example("control.toml")).expect("control");
     for name in ["engine.toml", "service.toml", "platform.toml"] {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn examples_of_documents_are_valid_together() {
+fn example_documents_are_consistent() {
     let template: Template = document("template.toml");
     let service: Template = document("service-template.toml");
     let tenant: Tenant = document("tenant.toml");
@@ -45,89 +45,89 @@
     }
 }
 
-/// Settings with one line changed, and the refusal that names it.
-struct Wrong {
+/// An invalid change of the example settings and the expected error.
+struct InvalidSettings {
     find: &'static str,
     replace: &'static str,
     line: usize,
-    says: &'static str,
+    message: &'static str,
 }
 
-const WRONG: [Wrong; 7] = [
-    Wrong {
+const INVALID_SETTINGS: [InvalidSettings; 7] = [
+    InvalidSettings {
         find: "router_id = 1",
         replace: "router_number = 1",
         line: 4,
-        says: "unknown field `router_number`",
+        message: "unknown field `router_number`",
     },
-    Wrong {
+    InvalidSettings {
         find: "listen = \"127.0.0.1:8080\"",
         replace: "listen = \"127.0.0.1\"",
         line: 8,
-        says: "invalid socket address",
+        message: "invalid socket address",
     },
-    Wrong {
+    InvalidSettings {
         find: "body_bytes = 4194304",
         replace: "body_bytes = 12",
         line: 31,
-        says: "limits.body_bytes = 12 is not allowed; allowed: 1024 to 268435456",
+        message: "limits.body_bytes = 12 is not allowed; allowed: 1024 to 268435456",
     },
-    Wrong {
+    InvalidSettings {
         find: "default_deadline_ms = 120000",
         replace: "default_deadline_ms = 99999999",
         line: 34,
-        says: "limits.default_deadline_ms = 99999999",
+        message: "limits.default_deadline_ms = 99999999",
     },
-    Wrong {
+    InvalidSettings {
         find: "duration_ms = 5000",
         replace: "duration_ms = 60000",
         line: 39,
-        says: "lease.duration_ms = 60000 is not allowed; allowed: 100 to 6500",
+        message: "lease.duration_ms = 60000 is not allowed; allowed: 100 to 6500",
     },
-    Wrong {
+    InvalidSettings {
         find: "confirm_interval_ms = 500",
         replace: "confirm_interval_ms = 4000",
         line: 40,
-        says: "allowed: 10 to 2500",
+        message: "allowed: 10 to 2500",
     },
-    Wrong {
+    InvalidSettings {
         find: "when_unconfirmed = \"refuse\"",
         replace: "when_unconfirmed = \"hope\"",
         line: 42,
-        says: "unknown variant `hope`",
+        message: "unknown variant `hope`",
     },
 ];
 
 #[test]
-fn wrong_settings_are_refused_with_line_key_and_range() {
-    let right = example("router.toml");
-    for wrong in WRONG {
-        let text = right.replace(wrong.find, wrong.replace);
-        assert_ne!(text, right, "{} is in the example", wrong.find);
+fn invalid_settings_are_refused_with_line_key_and_range() {
+    let valid = example("router.toml");
+    for invalid in INVALID_SETTINGS {
+        let text = valid.replace(invalid.find, invalid.replace);
+        assert_ne!(text, valid, "{} is not in the example", invalid.find);
         let report = parse_settings::<RouterSettings>("router.toml", &text)
-            .expect_err("the settings are wrong");
-        let message = report.current_context().to_string();
-        assert!(message.contains(wrong.says), "{message}");
+            .expect_err("the settings must be refused");
+        let error = report.current_context().to_string();
+        assert!(error.contains(invalid.message), "{error}");
         let line = match report.current_context() {
             SettingsError::Malformed { line, .. } | SettingsError::InvalidValue { line, .. } => {
                 *line
             }
             SettingsError::Unreadable { .. } => 0,
         };
-        assert_eq!(line, wrong.line, "{message}");
+        assert_eq!(line, invalid.line, "{error}");
     }
 }
 
 #[test]
-fn overrides_take_the_place_of_values() {
+fn overrides_replace_values() {
     let mut table: toml::Table = toml::from_str(&example("router.toml")).expect("TOML");
     for text in [
         "zone=hala-b",
         "limits.body_bytes=2048",
         "lease.duration_ms=2000",
     ] {
-        let change: Override = text.parse().expect("an override");
-        change.apply(&mut table);
+        let setting: Override = text.parse().expect("an override");
+        setting.apply(&mut table);
     }
     let text = toml::to_string(&table).expect("TOML");
     let settings = parse_settings::<RouterSettings>("router.toml", &text).expect("settings");
