--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -58,7 +58,7 @@
 impl Validate for ControlSettings {
     fn validate(&self) -> Result<(), Violation> {
         if self.cluster.is_empty() {
-            return Err(Violation::new("cluster", "\"\"", "a name"));
+            return Err(Violation::new("cluster", "\"\"", "a non-empty name"));
         }
         let consensus = &self.consensus;
         require_range("consensus.heartbeat_ms", consensus.heartbeat_ms, 5..=10_000)?;
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -141,7 +141,7 @@
 impl Validate for NodeSettings {
     fn validate(&self) -> Result<(), Violation> {
         if self.node.is_empty() {
-            return Err(Violation::new("node", "\"\"", "a name"));
+            return Err(Violation::new("node", "\"\"", "a non-empty name"));
         }
         require_range(
             "replica_heartbeat_ms",
--- a/crates/settings/src/documents.rs
+++ b/crates/settings/src/documents.rs
@@ -213,7 +213,7 @@
         name: String,
     },
     /// A number is out of range.
-    #[error("{field} = {value} is not in {lowest} to {highest}")]
+    #[error("{field} = {value} is not in the range {lowest} to {highest}")]
     OutOfRange {
         /// Dotted name of the field.
         field: String,
@@ -245,7 +245,7 @@
         placeholder: String,
     },
     /// A model template is declared non-repeatable, although engines have no side effects.
-    #[error("a model template is always repeatable")]
+    #[error("a model template must be repeatable")]
     ModelNotRepeatable,
     /// A key hash is not 64 lower-case hexadecimal digits.
     #[error("a key hash is not 64 lower-case hexadecimal digits")]
@@ -259,7 +259,7 @@
         template: TemplateName,
     },
     /// A service has no value for a tenant parameter of its template.
-    #[error("tenant {tenant} lacks a value for {parameter} of template {template}")]
+    #[error("tenant {tenant} sets no value for {parameter} of template {template}")]
     MissingValue {
         /// Tenant with the service.
         tenant: TenantName,
@@ -270,7 +270,9 @@
     },
     /// A service has a value that is too long or that its template does not declare as a tenant
     /// parameter.
-    #[error("tenant {tenant} gives {parameter} to template {template}, which does not take it")]
+    #[error(
+        "tenant {tenant} sets {parameter} of template {template}, which does not accept the value"
+    )]
     UnexpectedValue {
         /// Tenant with the service.
         tenant: TenantName,
@@ -280,7 +282,7 @@
         parameter: String,
     },
     /// The key belongs to another tenant.
-    #[error("a key of tenant {tenant} is already held by another tenant")]
+    #[error("a key of tenant {tenant} already belongs to another tenant")]
     KeyTaken {
         /// Tenant whose document was refused.
         tenant: TenantName,
