--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -16,7 +16,7 @@
 use railtack_core::{EngineId, ModelName};
 use railtack_http::{HttpClient, ServeOptions, body, observability};
 use railtack_rpc::{
-    Control, FeatureLevel, Sender,
+    Control, FeatureLevel, PeerInfo,
     codec::ServerCodec,
     permits::{PermitReply, PermitRequest},
     protocol::{
@@ -25,8 +25,8 @@
     },
     service::{ControlRequest, ControlResponse},
     serving::{
-        AliveNotice, AliveReply, JoinReply, JoinRequest, QuotaReply, QuotaRequest, ReadIndexReply,
-        SuspectStatus, WatchReply, WatchRequest,
+        JoinReply, JoinRequest, LivenessReply, LivenessReport, QuotaReply, QuotaRequest,
+        ReadIndexReply, SuspectStatus, WatchReply, WatchRequest,
     },
 };
 use railtack_settings::ControlSettings;
@@ -45,9 +45,9 @@
     node::{self, Input, LeaderView, NodeHandle, NodeOptions},
     peers::Peers,
     replica::{Replica, ReplicaOptions},
-    rollout::{self, EnginesSeen, RolloutStep},
+    rollout::{self, ObservedEngines, RolloutStep},
     serving::{
-        leader::LeaderLink, liveness::Liveness, permits::PermitServer, quarantine,
+        leader::LeaderClient, liveness::Liveness, permits::PermitServer, quarantine,
         quota::QuotaServer, watch::WatchServer,
     },
     state::IssuedOrder,
@@ -66,7 +66,7 @@
     ReplicaOptions {
         cluster: settings.cluster.clone(),
         replica: ReplicaId(settings.replica_id),
-        adopts_folder: false,
+        accept_stored_id: false,
         new_disk,
         election_timeout: consensus.election_timeout_ms,
         heartbeat_interval: consensus.heartbeat_ms,
@@ -107,7 +107,7 @@
         metrics.clone(),
         settings.listen,
     );
-    let (handle, ended) = node::start(
+    let (handle, exit) = node::start(
         replica,
         peers,
         metrics.clone(),
@@ -130,11 +130,11 @@
         handle.clone(),
         shutdown.clone(),
     ));
-    tokio::spawn(roll_out(handle.clone(), settings.platform));
-    let link = LeaderLink::new(handle.clone(), settings.listen.to_string());
-    tokio::spawn(quarantine::keep_released(Arc::new(link), metrics));
+    tokio::spawn(run_rollout(handle.clone(), settings.platform));
+    let link = LeaderClient::new(handle.clone(), settings.listen.to_string());
+    tokio::spawn(quarantine::run_release_timers(Arc::new(link), metrics));
     tokio::select! {
-        outcome = ended => outcome.map_err(|_| Report::new(ControlError::Stopped))?,
+        outcome = exit => outcome.map_err(|_| Report::new(ControlError::Stopped))?,
         () = shutdown.cancelled() => {
             handle.stop();
             Ok(())
@@ -181,7 +181,7 @@
         let registry = Arc::clone(&registry);
         let handle = handle.clone();
         async move {
-            let status = handle.ask(Input::Status).await;
+            let status = handle.request(Input::Status).await;
             let ready = status.is_ok_and(|status| status.leader.is_some());
             observability::respond(request.uri().path(), &registry, ready)
                 .unwrap_or_else(|| body::with_content_type(404, "text/plain", body::empty()))
@@ -201,7 +201,7 @@
 /// What a replica of a group that serves routers by watches has besides.
 #[derive(Clone)]
 pub(crate) struct GroupServices {
-    pub(crate) link: Arc<LeaderLink>,
+    pub(crate) link: Arc<LeaderClient>,
     pub(crate) watch: Arc<WatchServer>,
     pub(crate) liveness: Arc<Liveness>,
     pub(crate) quotas: Arc<QuotaServer>,
@@ -227,37 +227,40 @@
 }
 
 impl Control for ControlService {
-    async fn deliver(self, _: Context, message: Message, sender: Sender) {
+    async fn deliver(self, _: Context, message: Message, sender: PeerInfo) {
         self.handle.deliver(message, sender);
     }
 
     async fn poll(self, _: Context, request: PollRequest) -> PollReply {
-        let answer = self.handle.ask(|sender| Input::Poll(request, sender)).await;
-        answer.unwrap_or_else(|_| stopped_poll_reply())
+        let reply = self
+            .handle
+            .request(|sender| Input::Poll(request, sender))
+            .await;
+        reply.unwrap_or_else(|_| stopped_poll_reply())
     }
 
     async fn propose(self, _: Context, mut proposal: Proposal) -> ProposeReply {
         proposal.at = unix_millis();
-        let answer = self
+        let reply = self
             .handle
-            .ask(|sender| Input::Propose(proposal, sender))
+            .request(|sender| Input::Propose(proposal, sender))
             .await;
-        answer.unwrap_or(ProposeReply::Unknown)
+        reply.unwrap_or(ProposeReply::Unknown)
     }
 
     async fn configuration(self, _: Context) -> Configuration {
-        let answer = self.handle.ask(Input::Configuration).await;
-        answer.unwrap_or_default()
+        let reply = self.handle.request(Input::Configuration).await;
+        reply.unwrap_or_default()
     }
 
     async fn identify(self, _: Context) -> ReplicaIdentity {
-        let answer = self.handle.ask(Input::Identify).await;
-        answer.unwrap_or_else(|_| unknown_identity())
+        let reply = self.handle.request(Input::Identify).await;
+        reply.unwrap_or_else(|_| unknown_identity())
     }
 
     async fn status(self, _: Context) -> StatusReply {
-        let answer = self.handle.ask(Input::Status).await;
-        answer.unwrap_or_else(|_| StatusReply {
+        let reply = self.handle.request(Input::Status).await;
+        reply.unwrap_or_else(|_| StatusReply {
             identity: unknown_identity(),
             term: 0,
             leader: None,
@@ -273,42 +276,45 @@
     }
 
     async fn change_membership(self, _: Context, change: MembershipChange) -> MembershipReply {
-        let answer = self
+        let reply = self
             .handle
-            .ask(|sender| Input::ChangeMembership(change, sender))
+            .request(|sender| Input::ChangeMembership(change, sender))
             .await;
-        answer.unwrap_or(MembershipReply::NotLeader { leader: None })
+        reply.unwrap_or(MembershipReply::NotLeader { leader: None })
     }
 
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
         match &self.group {
-            Some(group) => group.watch.answer(request).await,
-            None => unwatched_reply(),
+            Some(group) => group.watch.handle(request).await,
+            None => unconfirmed_watch_reply(),
         }
     }
 
     async fn join(self, _: Context, request: JoinRequest) -> JoinReply {
-        let answer = self.handle.ask(|sender| Input::Join(request, sender)).await;
-        answer.unwrap_or(JoinReply::NotLeader { leader: None })
+        let reply = self
+            .handle
+            .request(|sender| Input::Join(request, sender))
+            .await;
+        reply.unwrap_or(JoinReply::NotLeader { leader: None })
     }
 
     async fn leave(self, _: Context, replica: ReplicaId) -> JoinReply {
-        let answer = self
+        let reply = self
             .handle
-            .ask(|sender| Input::Leave(replica, sender))
+            .request(|sender| Input::Leave(replica, sender))
             .await;
-        answer.unwrap_or(JoinReply::NotLeader { leader: None })
+        reply.unwrap_or(JoinReply::NotLeader { leader: None })
     }
 
     async fn read_index(self, _: Context) -> ReadIndexReply {
-        let answer = self.handle.ask(Input::ReadIndex).await;
-        answer.unwrap_or(ReadIndexReply::NotLeader { leader: None })
+        let reply = self.handle.request(Input::ReadIndex).await;
+        reply.unwrap_or(ReadIndexReply::NotLeader { leader: None })
     }
 
-    async fn alive(self, _: Context, notice: AliveNotice) -> AliveReply {
+    async fn alive(self, _: Context, notice: LivenessReport) -> LivenessReply {
         let group = self.group.as_ref();
-        group.map_or_else(AliveReply::default, |group| {
-            group.liveness.take_notice(notice)
+        group.map_or_else(LivenessReply::default, |group| {
+            group.liveness.merge_report(notice)
         })
     }
 
@@ -329,22 +335,22 @@
     async fn take_quota(self, _: Context, request: QuotaRequest) -> QuotaReply {
         let group = self.group.as_ref();
         group.map_or(QuotaReply::NotLeader { leader: None }, |group| {
-            group.quotas.take(&request)
+            group.quotas.handle(&request)
         })
     }
 
     async fn take_permit(self, _: Context, request: PermitRequest) -> PermitReply {
-        self.permits.take(&request)
+        self.permits.handle(&request)
     }
 
     async fn snapshot(self, _: Context) -> u64 {
-        let answer = self.handle.ask(Input::Snapshot).await;
-        answer.unwrap_or_default()
+        let reply = self.handle.request(Input::Snapshot).await;
+        reply.unwrap_or_default()
     }
 }
 
 /// A replica that answers no watches confirms nothing.
-fn unwatched_reply() -> WatchReply {
+fn unconfirmed_watch_reply() -> WatchReply {
     WatchReply {
         confirmed_age_ms: None,
         held_ms: 0,
@@ -386,22 +392,22 @@
 }
 
 /// While this replica leads, brings engines to the wanted weights.
-async fn roll_out(handle: NodeHandle, platform: SocketAddr) {
+async fn run_rollout(handle: NodeHandle, platform: SocketAddr) {
     let client = HttpClient::new(PLATFORM_TIMEOUT);
     let mut interval = tokio::time::interval(ROLLOUT_INTERVAL);
     loop {
         interval.tick().await;
-        let Ok(view) = handle.ask(Input::Leading).await else {
+        let Ok(view) = handle.request(Input::LeaderView).await else {
             return;
         };
-        let wanted = view.filter(|view| !view.configuration.models.is_empty());
-        if let Some(view) = wanted {
-            roll_out_once(&handle, &client, platform, &view).await;
+        let active_view = view.filter(|view| !view.configuration.models.is_empty());
+        if let Some(view) = active_view {
+            run_rollout_step(&handle, &client, platform, &view).await;
         }
     }
 }
 
-async fn roll_out_once(
+async fn run_rollout_step(
     handle: &NodeHandle,
     client: &HttpClient,
     platform: SocketAddr,
@@ -409,7 +415,7 @@
 ) {
     let (listed, engines) = fetch_engines(client, platform).await;
     let statuses: Vec<EngineStatus> = engines.iter().map(|(_, status)| status.clone()).collect();
-    let seen = EnginesSeen {
+    let seen = ObservedEngines {
         statuses: &statuses,
         listed: &listed,
     };
@@ -421,7 +427,9 @@
             command,
         };
         // The next look finds the order recorded, or records it again.
-        let _ = handle.ask(|sender| Input::Propose(proposal, sender)).await;
+        let _ = handle
+            .request(|sender| Input::Propose(proposal, sender))
+            .await;
     }
     for (engine, issued) in send {
         let address = engines
--- a/crates/control/src/serving/quarantine.rs
+++ b/crates/control/src/serving/quarantine.rs
@@ -10,42 +10,42 @@
 
 use futures::future::join_all;
 use railtack_consensus::LogIndex;
-use railtack_rpc::serving::{QUARANTINE_TIME, ServingCommand};
+use railtack_rpc::serving::{QUARANTINE_DURATION, ServingCommand};
 use railtack_serving::ContentKey;
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    metrics::ControlMetrics, serving::leader::LeaderLink, serving_state::quarantine::Quarantine,
+    metrics::ControlMetrics, serving::leader::LeaderClient, serving_state::quarantine::Quarantine,
 };
 
 /// Time between looks; a release may be late by this.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const SCAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for having one request released; it is tried again at the next look.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// When this replica first saw each request as it is now. Pure: times are passed in.
 #[derive(Debug, Default)]
 pub struct ReleaseTimers {
-    seen: HashMap<ContentKey, (LogIndex, Instant)>,
+    first_seen: HashMap<ContentKey, (LogIndex, Instant)>,
 }
 
 impl ReleaseTimers {
     /// Requests that have not changed for long enough, with the change that was seen.
     pub fn due(&mut self, quarantine: &Quarantine, now: Instant) -> Vec<(ContentKey, LogIndex)> {
         let suspects = quarantine.suspects();
-        self.seen
+        self.first_seen
             .retain(|content, _| suspects.contains_key(content));
         let mut due = Vec::new();
         for (content, suspect) in suspects {
-            let seen = self
-                .seen
+            let entry = self
+                .first_seen
                 .entry(*content)
                 .or_insert((suspect.changed_at(), now));
-            if seen.0 != suspect.changed_at() {
-                *seen = (suspect.changed_at(), now);
+            if entry.0 != suspect.changed_at() {
+                *entry = (suspect.changed_at(), now);
             }
-            if now.saturating_duration_since(seen.1) >= QUARANTINE_TIME {
-                due.push((*content, seen.0));
+            if now.saturating_duration_since(entry.1) >= QUARANTINE_DURATION {
+                due.push((*content, entry.0));
             }
         }
         due
@@ -53,17 +53,17 @@
 }
 
 /// Keeps the timers, the counters and the log lines of the quarantine, for as long as the process runs.
-pub async fn keep_released(link: Arc<LeaderLink>, metrics: ControlMetrics) {
+pub async fn run_release_timers(link: Arc<LeaderClient>, metrics: ControlMetrics) {
     let mut timers = ReleaseTimers::default();
     let mut quarantined = BTreeSet::new();
     loop {
-        sleep(LOOK_INTERVAL).await;
+        sleep(SCAN_INTERVAL).await;
         let view = link.view();
         let quarantine = view.serving.quarantine();
         log_changes(quarantine, &mut quarantined);
         metrics.quarantined.set(quarantined.len() as i64);
         metrics.suspects.set(quarantine.suspects().len() as i64);
-        if !view.leads {
+        if !view.is_leader {
             timers = ReleaseTimers::default();
             continue;
         }
@@ -76,7 +76,7 @@
     }
 }
 
-async fn release(link: &LeaderLink, content: ContentKey, changed_at: LogIndex) {
+async fn release(link: &LeaderClient, content: ContentKey, changed_at: LogIndex) {
     let command = ServingCommand::ReleaseContent {
         content,
         changed_at,
@@ -89,19 +89,19 @@
     });
 }
 
-fn log_changes(quarantine: &Quarantine, before: &mut BTreeSet<ContentKey>) {
-    let now: BTreeSet<ContentKey> = quarantine.told().quarantined.iter().copied().collect();
-    for content in now.difference(before) {
+fn log_changes(quarantine: &Quarantine, previous: &mut BTreeSet<ContentKey>) {
+    let current: BTreeSet<ContentKey> = quarantine.update().quarantined.iter().copied().collect();
+    for content in current.difference(previous) {
         let suspect = quarantine.suspects().get(content);
         spdlog::warn!("request quarantined", kv: {
             content = content.to_string(),
-            ends = suspect.map_or(0, |suspect| suspect.ends()),
+            ends = suspect.map_or(0, |suspect| suspect.crashes()),
             changed_at = suspect.map_or(0, |suspect| suspect.changed_at()),
             suspects = quarantine.suspects().len(),
         });
     }
-    for content in before.difference(&now) {
+    for content in previous.difference(&current) {
         spdlog::info!("request released", kv: { content = content.to_string() });
     }
-    *before = now;
+    *previous = current;
 }
--- a/crates/lab/src/simulate/control/checks.rs
+++ b/crates/lab/src/simulate/control/checks.rs
@@ -4,7 +4,7 @@
 
 use railtack_control::replica::Applied;
 use railtack_core::{AttemptId, Execution, OperationId, Revision};
-use railtack_rpc::protocol::{ClaimAnswer, Command, ConfigurationChange, Outcome, Proposal};
+use railtack_rpc::protocol::{ClaimReply, Command, ConfigurationChange, Outcome, Proposal};
 use railtack_settings::documents::Document;
 use speedy::Readable;
 
@@ -45,7 +45,7 @@
 impl Checks {
     /// A replica applied an entry: it must be the one that others applied at that place.
     pub fn applied(&mut self, replica: u32, applied: &Applied) -> Result<(), Broken> {
-        let index = applied.ticket.index;
+        let index = applied.position.index;
         let Some(known) = self.history.get(&index) else {
             let entry = HistoryEntry {
                 encoded: applied.encoded.clone(),
@@ -194,7 +194,7 @@
                 self.check_change(index, &change, outcome)
             }
             Command::Claim(request) => {
-                if *outcome != Outcome::Claim(ClaimAnswer::Granted) {
+                if *outcome != Outcome::Claim(ClaimReply::Granted) {
                     return Ok(());
                 }
                 let holder = self.granted.entry(request.key.0.clone());
--- a/crates/lab/src/simulate/control/routers.rs
+++ b/crates/lab/src/simulate/control/routers.rs
@@ -9,7 +9,7 @@
     proposal::{ProposalAttempts, ProposalOutcome, ReplicaResponse},
     resolved::ResolvedConfiguration,
 };
-use railtack_rpc::protocol::{Command, PollReply, PollRequest, Proposal, StoredAnswer};
+use railtack_rpc::protocol::{Command, PollReply, PollRequest, Proposal, StoredResponse};
 use rand::RngExt;
 
 use crate::simulate::{
@@ -381,7 +381,7 @@
 
     /// The service's answer arrives.
     pub fn service_answered(&mut self, arrival: u64) -> Result<(), Broken> {
-        let answer = StoredAnswer {
+        let answer = StoredResponse {
             status: 200,
             content_type: "text/plain".to_owned(),
             body: Some(Vec::new()),
@@ -397,7 +397,7 @@
     fn service_result_if_waiting(
         &mut self,
         arrival: u64,
-        result: Result<StoredAnswer, SendError>,
+        result: Result<StoredResponse, SendError>,
     ) -> Result<(), Broken> {
         let waiting = self
             .arrivals
@@ -412,7 +412,7 @@
     fn service_result(
         &mut self,
         arrival: u64,
-        result: Result<StoredAnswer, SendError>,
+        result: Result<StoredResponse, SendError>,
     ) -> Result<(), Broken> {
         let Some(state) = self.arrivals.get_mut(&arrival) else {
             return Ok(());
--- a/crates/lab/tests/lent_retries.rs
+++ b/crates/lab/tests/lent_retries.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 use railtack_control::serving::{
-    ledger::{LedgerAnswer, QuotaLedger, Withdrawal},
+    ledger::{LedgerReply, QuotaLedger, Withdrawal},
     quota::grant_times,
 };
 use railtack_proxy::budget::{BudgetRule, RetryBudget};
 use railtack_serving::{
     Bounds, QuotaBounds,
-    retries::{LENT_SLACK, OWN_SLACK, lent_bounds, lent_quota},
+    retries::{LOCAL_SLACK_SHARE, SHARED_SLACK_SHARE, shared_retry_bounds, shared_retry_quota},
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use tokio::time::Instant;
@@ -66,7 +66,11 @@
     fn first(bounds: Bounds, now: Instant) -> Self {
         Self {
             bounds,
-            ledger: QuotaLedger::first(lent_bounds(&bounds), grant_times(), now),
+            ledger: QuotaLedger::with_full_buckets(
+                shared_retry_bounds(&bounds),
+                grant_times(),
+                now,
+            ),
         }
     }
 
@@ -74,23 +78,23 @@
     fn later(bounds: Bounds, now: Instant) -> Self {
         Self {
             bounds,
-            ledger: QuotaLedger::new(lent_bounds(&bounds), grant_times(), now),
+            ledger: QuotaLedger::new(shared_retry_bounds(&bounds), grant_times(), now),
         }
     }
 
     fn lend(&mut self, now: Instant) -> bool {
-        let Some(quota) = lent_quota(&self.bounds) else {
+        let Some(quota) = shared_retry_quota(&self.bounds) else {
             return false;
         };
         let withdrawal = Withdrawal {
-            holder: "portal",
+            account: "portal",
             quota,
             cost: quota.cost(None),
-            longest_wait: Duration::ZERO,
+            max_wait: Duration::ZERO,
         };
         matches!(
             self.ledger.withdraw(withdrawal, now),
-            LedgerAnswer::Granted { .. }
+            LedgerReply::Granted { .. }
         )
     }
 }
@@ -138,13 +142,13 @@
             lender = Lender::later(bounds, now);
         }
         let budget = &mut budgets[random.random_range(0..ROUTERS)];
-        budget.earn(ROUTERS as u32, now);
+        budget.deposit(ROUTERS as u32, now);
         retries.requests.push(now);
         if !random.random_bool(failures(second)) {
             continue;
         }
         retries.wanted += 1;
-        if budget.spend(ROUTERS as u32, now) || lends && lender.lend(now) {
+        if budget.withdraw(ROUTERS as u32, now) || lends && lender.lend(now) {
             retries.sent.push(now);
         }
     }
@@ -197,6 +201,8 @@
 /// What routers may spend twice and a leader once, as a restart forgets it, fits the slack.
 #[test]
 fn the_parts_of_the_slack_add_up() {
-    let parts: f64 = [OWN_SLACK, OWN_SLACK, LENT_SLACK].iter().sum();
+    let parts: f64 = [LOCAL_SLACK_SHARE, LOCAL_SLACK_SHARE, SHARED_SLACK_SHARE]
+        .iter()
+        .sum();
     assert!(parts <= 1.0, "{parts}");
 }
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -1,128 +1,129 @@
-//! The share of the system's retries that one router may spend. Pure.
+//! Local share of the fleet-wide retry budget. Pure.
 //!
-//! The bound holds for all routers together and for every window: arrivals beyond the first of
-//! each request may reach a share of the requests, and some slack. A router counts its own first
-//! arrivals and retries over the last window. It spends up to a part of the share of its own
-//! requests, all at once if they fail at once, and up to its part of the slack.
+//! The bound holds for all routers together and for any window: retries stay below a ratio of the
+//! requests plus a fixed slack. Each router counts its own requests and retries over the last
+//! window. It may spend part of the ratio of its own requests, in a burst if necessary, plus its
+//! part of the slack.
 //!
-//! Invariant: retries in any window, of all lives of all routers, stay below the bound. What a
-//! former life spent is not known after a restart, so a router starts with no slack and gains it
-//! over one window; as much is left for what was spent before, and the rest is lent by the leader.
+//! Invariant: retries in any window stay below the bound, including those sent by routers before a
+//! restart. A restarted router does not know what it spent before, so it starts without slack and
+//! gains it over one window. The remaining slack is lent by the leader.
 
 use std::time::Duration;
 
-use railtack_serving::retries::OWN_SLACK;
+use railtack_serving::retries::LOCAL_SLACK_SHARE;
 use tokio::time::Instant;
 
-/// Part of the share that is spent; the rest covers requests that are counted elsewhere.
-const SHARE_USED: f64 = 0.85;
-/// Routers that are assumed as long as nobody has told how many there are.
-const ROUTERS_ASSUMED: u32 = 64;
-/// Steps in which a window moves on.
-const STEPS: u64 = 20;
-/// Steps that are kept: a window, and the step that it leaves.
-const STEPS_KEPT: usize = STEPS as usize + 1;
+/// Part of the ratio that is spent; the rest covers requests counted by other routers.
+const SPENDABLE_SHARE: f64 = 0.85;
+/// Number of routers assumed until it is known.
+const ASSUMED_ROUTERS: u32 = 64;
+/// Buckets per window.
+const BUCKETS_PER_WINDOW: u64 = 20;
+/// Buckets kept: one window and the bucket that is leaving it.
+const BUCKET_COUNT: usize = BUCKETS_PER_WINDOW as usize + 1;
 
-/// What the deployment allows.
+/// Retry limits of the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetRule {
-    /// Arrivals beyond the first, as a share of the requests.
+    /// Retries per request.
     pub ratio: f64,
-    /// Arrivals beyond the share in one window.
+    /// Retries per window in addition to the ratio.
     pub slack: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// What was counted in one step of the window.
+/// Counts of one bucket of the window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Step {
-    number: u64,
+struct Bucket {
+    index: u64,
     requests: u32,
     retries: u32,
-    /// Most routers that were alive.
+    /// Largest number of live routers seen.
     routers: u32,
 }
 
-/// Retries that this router may still send to one service.
+/// Retry budget of this router for one service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     rule: BudgetRule,
     started_at: Instant,
-    steps: [Step; STEPS_KEPT],
+    buckets: [Bucket; BUCKET_COUNT],
 }
 
 impl RetryBudget {
-    /// The budget of a router that starts.
+    /// Creates the budget of a router that starts at `now`.
     pub fn new(rule: BudgetRule, now: Instant) -> Self {
         Self {
             rule,
             started_at: now,
-            steps: [Step::default(); STEPS_KEPT],
+            buckets: [Bucket::default(); BUCKET_COUNT],
         }
     }
 
-    /// Notes a first arrival of a request. `routers` is the number of routers that are alive, 0
-    /// while unknown.
-    pub fn earn(&mut self, routers: u32, now: Instant) {
-        self.step(routers, now).requests += 1;
+    /// Counts a first attempt. `routers` is the number of live routers, 0 if unknown.
+    pub fn deposit(&mut self, routers: u32, now: Instant) {
+        self.current_bucket(routers, now).requests += 1;
     }
 
-    /// Takes one retry, if there is one.
-    pub fn spend(&mut self, routers: u32, now: Instant) -> bool {
-        self.step(routers, now);
-        let may_spend = f64::from(self.retries()) + 1.0 <= self.allowance(now);
-        if may_spend {
-            self.step(routers, now).retries += 1;
+    /// Counts a retry and returns true if the budget allows it.
+    pub fn withdraw(&mut self, routers: u32, now: Instant) -> bool {
+        self.current_bucket(routers, now);
+        let is_allowed = f64::from(self.retries()) + 1.0 <= self.allowance(now);
+        if is_allowed {
+            self.current_bucket(routers, now).retries += 1;
         }
-        may_spend
+        is_allowed
     }
 
-    /// Retries that may lie in the window that ends now.
+    /// Returns the retries allowed in the window that ends at `now`.
     fn allowance(&self, now: Instant) -> f64 {
-        let current = self.number(now);
+        let current = self.bucket_index(now);
         let counted = self
-            .steps
+            .buckets
             .iter()
-            .filter(|step| step.number + STEPS > current);
-        let requests: u32 = counted.map(|step| step.requests).sum();
-        let share = f64::from(requests) * self.rule.ratio * SHARE_USED;
+            .filter(|bucket| bucket.index + BUCKETS_PER_WINDOW > current);
+        let requests: u32 = counted.map(|bucket| bucket.requests).sum();
+        let share = f64::from(requests) * self.rule.ratio * SPENDABLE_SHARE;
         share + self.slack(now)
     }
 
-    /// This router's part of the slack.
+    /// Returns this router's part of the slack.
     fn slack(&self, now: Instant) -> f64 {
-        // A control replica that has just begun to lead knows few routers yet.
-        let most = self.steps.iter().map(|step| step.routers).max();
-        let routers = most.filter(|most| *most > 0).unwrap_or(ROUTERS_ASSUMED);
+        // A new leader has not heard from all routers yet, so the largest recent number counts.
+        let max_routers = self.buckets.iter().map(|bucket| bucket.routers).max();
+        let routers = max_routers
+            .filter(|max_routers| *max_routers > 0)
+            .unwrap_or(ASSUMED_ROUTERS);
         let age = now.saturating_duration_since(self.started_at);
-        let grown = age.as_secs_f64() / self.window_s();
-        self.rule.slack * OWN_SLACK / f64::from(routers) * grown.min(1.0)
+        let ramp = age.as_secs_f64() / self.window_s();
+        self.rule.slack * LOCAL_SLACK_SHARE / f64::from(routers) * ramp.min(1.0)
     }
 
     fn retries(&self) -> u32 {
-        self.steps.iter().map(|step| step.retries).sum()
+        self.buckets.iter().map(|bucket| bucket.retries).sum()
     }
 
-    /// The present step, after those that have left the window were cleared.
-    fn step(&mut self, routers: u32, now: Instant) -> &mut Step {
-        let current = self.number(now);
-        for step in &mut self.steps {
-            if step.number + STEPS < current {
-                *step = Step::default();
+    /// Returns the bucket of `now` after clearing those that have left the window.
+    fn current_bucket(&mut self, routers: u32, now: Instant) -> &mut Bucket {
+        let current = self.bucket_index(now);
+        for bucket in &mut self.buckets {
+            if bucket.index + BUCKETS_PER_WINDOW < current {
+                *bucket = Bucket::default();
             }
         }
-        let step = &mut self.steps[current as usize % STEPS_KEPT];
-        step.number = current;
-        step.routers = step.routers.max(routers);
-        step
+        let bucket = &mut self.buckets[current as usize % BUCKET_COUNT];
+        bucket.index = current;
+        bucket.routers = bucket.routers.max(routers);
+        bucket
     }
 
-    /// Number of the step that `now` falls into; the first is 1.
-    fn number(&self, now: Instant) -> u64 {
+    /// Returns the index of the bucket of `now`, starting at 1.
+    fn bucket_index(&self, now: Instant) -> u64 {
         let age = now.saturating_duration_since(self.started_at);
-        let steps = age.as_secs_f64() / self.window_s() * STEPS as f64;
-        steps as u64 + 1
+        let buckets = age.as_secs_f64() / self.window_s() * BUCKETS_PER_WINDOW as f64;
+        buckets as u64 + 1
     }
 
     fn window_s(&self) -> f64 {
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -1,208 +1,223 @@
-//! Permits for requests to back ends that name a limit over all routers together.
+//! Permits for requests to back ends that advertise a rate limit for all routers together.
 //!
-//! A router that has heard of a limit, from an answer or from the digest of all routers, asks the leader for a
-//! permit right before it sends a request there, and tells it what it heard. Nobody keeps permits: one that is not
-//! used soon is void, so that a router which was frozen with one in hand does not send it later. Without an
-//! answer of a leader nothing is sent there, as nobody else knows what others send.
+//! A router that knows of a limit, from a response or from the fleet digest, requests a permit from
+//! the leader right before it sends a request, and reports the limit with it. Permits are not kept:
+//! one that is not used soon expires, so that a router that was suspended does not use it later.
+//! Without a reply of a leader the request is not sent to that back end, since only the leader
+//! knows the combined rate.
 
 use std::{sync::Arc, time::Duration};
 
 use railtack_clock::BootInstant;
 use railtack_rpc::{
-    permits::{LimitStatement, PermitReply, PermitRequest, PermitStamp},
-    serving::GRANT_LIFE,
+    permits::{LimitReport, PermitReply, PermitRequest, PermitStamp},
+    serving::GRANT_TTL,
 };
-use railtack_serving::{Moment, NamedLimit, RequestLimit, StatedLimit};
+use railtack_serving::{AdvertisedLimit, LimitHeader, MonotonicTime, RequestLimit};
 use tokio::time::sleep;
 
-/// Longest time for one question.
-const LONGEST_ASK: Duration = Duration::from_millis(250);
-/// Part of the objective, as a divisor, that one question may take: other back ends may be asked after it.
-const ASK_DIVISOR: u32 = 8;
-/// Time after an unanswered question in which no other is asked: a leader is elected in some hundreds of
-/// milliseconds, and requests go to other back ends meanwhile.
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(100);
-/// Time for telling the leader what an answer said.
-const TELL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Tries to tell it; the next question for a permit tells it too.
-const TELL_TRIES: u32 = 4;
-
-/// The right to send one request to a back end that names a limit, or the leader's word that it has none any more:
-/// digests may name it for longer.
+/// Maximum timeout of one permit request.
+const MAX_PERMIT_REQUEST_TIME: Duration = Duration::from_millis(250);
+/// Divisor of the objective that bounds the timeout of one permit request; other back ends may have
+/// to be tried after it.
+const PERMIT_REQUEST_DIVISOR: u32 = 8;
+/// Pause in permit requests after one that got no reply. An election takes some hundred
+/// milliseconds; requests use other back ends meanwhile.
+const LEADER_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Timeout of one report of a limit to the leader.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Attempts to report a limit; the next permit request reports it too.
+const REPORT_ATTEMPTS: u32 = 4;
+
+/// Permission to send one request to a back end that advertises a limit, or the leader's
+/// confirmation that the limit no longer exists, which digests may not reflect yet.
 #[derive(Clone, Copy, Debug)]
 pub struct Permit {
-    asked_at: BootInstant,
-    /// The limit and the permit's name; `None` if there is no limit.
-    given: Option<(RequestLimit, PermitStamp)>,
+    requested_at: BootInstant,
+    /// The limit and the identifier of the permit; `None` if there is no limit.
+    grant: Option<(RequestLimit, PermitStamp)>,
 }
 
 impl Permit {
-    /// Whether it may still be used.
     fn is_fresh(&self) -> bool {
-        self.asked_at.elapsed() <= GRANT_LIFE
+        self.requested_at.elapsed() <= GRANT_TTL
     }
 
     fn limit(&self) -> Option<RequestLimit> {
-        self.given.map(|(limit, _)| limit)
+        self.grant.map(|(limit, _)| limit)
     }
 
     fn stamp(&self) -> Option<PermitStamp> {
-        self.given.map(|(_, stamp)| stamp)
+        self.grant.map(|(_, stamp)| stamp)
     }
 }
 
-/// What became of a question for a permit.
+/// Result of a permit request.
 #[derive(Clone, Copy, Debug)]
-pub enum Permission {
-    /// The request may be sent; with a permit, if the back end is known to have, or to have had, a limit.
-    Given(Option<Permit>),
-    /// It may not, before a moment that was noted.
-    Withheld,
+pub enum PermitDecision {
+    /// The request may be sent. Holds a permit if the back end has, or recently had, a limit.
+    Granted(Option<Permit>),
+    /// The limit has no room yet; the time at which it does was recorded.
+    Denied,
 }
 
 /// What a router knows of a back end's limit.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownLimit {
-    /// The limit that was named last, to this router or to others.
+    /// The most recently advertised limit, to this router or to another.
     pub limit: RequestLimit,
-    /// Time since.
+    /// Time since it was advertised.
     pub age: Duration,
-    /// What the back end named to this router itself.
-    pub own: Option<NamedLimit>,
+    /// The limit that the back end advertised to this router.
+    pub advertised_here: Option<AdvertisedLimit>,
 }
 
-/// A router, as far as limits need it: what it knows of them, and how it reaches the leader.
-pub trait LimitedRouter: Send + Sync + 'static {
-    /// Time since it started.
-    fn uptime(&self) -> Moment;
-    /// What it knows of a back end's limit; `None` if it has none.
+/// Access to a router's limits and to the leader, as needed for permits.
+pub trait PermitClient: Send + Sync + 'static {
+    /// Returns the time since the router started.
+    fn uptime(&self) -> MonotonicTime;
+    /// Returns the known limit of a back end; `None` if it has none.
     fn known_limit(&self, life: &str) -> Option<KnownLimit>;
-    /// Until when no permit is asked for, as no leader answered.
-    fn unanswered_until(&self) -> Moment;
-    /// Notes that no leader answered.
-    fn note_unanswered(&self, until: Moment);
-    /// Notes that a limit has no room before a moment.
-    fn note_withheld(&self, life: &str, limit: RequestLimit, room_at: Moment);
-    /// Notes that a limit is over that was named to this router no later than at `named_at`.
-    fn note_over(&self, life: &str, named_at: Moment);
-    /// Asks the control replica that is believed to lead; `None` without an answer.
+    /// Returns the end of the pause in permit requests after a call without a reply.
+    fn permit_requests_suspended_until(&self) -> MonotonicTime;
+    /// Pauses permit requests because no leader replied.
+    fn suspend_permit_requests(&self, until: MonotonicTime);
+    /// Records that a limit has no room before `room_at`.
+    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime);
+    /// Removes a limit that was last advertised to this router at `named_at` or earlier.
+    fn clear_limit(&self, life: &str, named_at: MonotonicTime);
+    /// Calls the presumed leader; returns `None` without a reply.
     fn ask_leader(
         &self,
-        question: PermitRequest,
+        request: PermitRequest,
         limit: Duration,
     ) -> impl Future<Output = Option<PermitReply>> + Send;
 }
 
-/// Whether a request lacks a permit to be sent to this back end now.
-pub fn is_lacking(router: &impl LimitedRouter, life: &str, permit: Option<Permit>) -> bool {
+/// Whether the request needs a permit for this back end and has no valid one.
+pub fn lacks_valid_permit(router: &impl PermitClient, life: &str, permit: Option<Permit>) -> bool {
     match permit {
         Some(permit) => !permit.is_fresh(),
         None => router.known_limit(life).is_some(),
     }
 }
 
-/// Takes a permit for one request, if the back end has a limit.
-pub async fn take(router: &impl LimitedRouter, life: &str, objective: Duration) -> Permission {
+/// Requests a permit if the back end has a limit.
+pub async fn acquire(
+    router: &impl PermitClient,
+    life: &str,
+    objective: Duration,
+) -> PermitDecision {
     let Some(known) = router.known_limit(life) else {
-        return Permission::Given(None);
+        return PermitDecision::Granted(None);
     };
-    let withheld = |limit: RequestLimit, room_in: Duration| {
+    let deny = |limit: RequestLimit, room_in: Duration| {
         spdlog::info!("permit withheld", kv: {
             replica = life.to_owned(),
             per_s = limit.requests_per_s(),
             room_in_ms = room_in.as_millis() as u64,
         });
-        router.note_withheld(life, limit, router.uptime() + room_in);
-        Permission::Withheld
+        router.record_denied(life, limit, router.uptime() + room_in);
+        PermitDecision::Denied
     };
-    if router.uptime() < router.unanswered_until() {
-        return withheld(known.limit, UNANSWERED_PAUSE);
+    if router.uptime() < router.permit_requests_suspended_until() {
+        return deny(known.limit, LEADER_RETRY_PAUSE);
     }
-    let asked_at = BootInstant::now();
-    let question = PermitRequest {
-        life: life.to_owned(),
-        statement: LimitStatement {
+    let requested_at = BootInstant::now();
+    let request = PermitRequest {
+        incarnation_id: life.to_owned(),
+        report: LimitReport {
             limit: Some(known.limit),
             age_ms: milliseconds(known.age),
             permit: None,
         },
         wants_permit: true,
     };
-    let limit = LONGEST_ASK.min(objective / ASK_DIVISOR);
-    match router.ask_leader(question, limit).await {
-        Some(PermitReply::Given { limit, stamp }) => Permission::Given(Some(Permit {
-            asked_at,
-            given: Some((limit, stamp)),
+    let limit = MAX_PERMIT_REQUEST_TIME.min(objective / PERMIT_REQUEST_DIVISOR);
+    match router.ask_leader(request, limit).await {
+        Some(PermitReply::Granted { limit, stamp }) => PermitDecision::Granted(Some(Permit {
+            requested_at,
+            grant: Some((limit, stamp)),
         })),
-        Some(PermitReply::Withheld { limit, room_in_ms }) => {
-            withheld(limit, Duration::from_millis(u64::from(room_in_ms)))
-        }
+        Some(PermitReply::Denied {
+            limit,
+            retry_after_ms,
+        }) => deny(limit, Duration::from_millis(u64::from(retry_after_ms))),
         Some(PermitReply::Unlimited) => {
-            limit_is_over(router, life, known.own);
-            let given = None;
-            Permission::Given(Some(Permit { asked_at, given }))
+            clear_limit(router, life, known.advertised_here);
+            let grant = None;
+            PermitDecision::Granted(Some(Permit {
+                requested_at,
+                grant,
+            }))
         }
         Some(PermitReply::NotLeader { .. }) | None => {
-            router.note_unanswered(router.uptime() + UNANSWERED_PAUSE);
-            withheld(known.limit, UNANSWERED_PAUSE)
+            router.suspend_permit_requests(router.uptime() + LEADER_RETRY_PAUSE);
+            deny(known.limit, LEADER_RETRY_PAUSE)
         }
     }
 }
 
-/// Takes in what the answer to a request says of its back end's limit; `is_news` if this router had not heard of
-/// it. What the leader does not know yet is told to it at once.
-pub fn note_answer<R: LimitedRouter>(
+/// Processes the limit advertised by a response and reports it to the leader if the leader may not
+/// know it yet. `is_news` is true if the limit is new to this router.
+pub fn handle_response<R: PermitClient>(
     router: &Arc<R>,
     life: &str,
     permit: Option<Permit>,
-    stated: StatedLimit,
+    stated: LimitHeader,
     is_news: bool,
 ) {
     let limit = match stated {
-        StatedLimit::Named(limit) => Some(limit),
-        StatedLimit::NotNamed => None,
-        StatedLimit::Unreadable(_) => return,
+        LimitHeader::Present(limit) => Some(limit),
+        LimitHeader::Absent => None,
+        LimitHeader::Invalid(_) => return,
     };
     let differs = permit.is_some_and(|permit| permit.limit() != limit);
     if !differs && !is_news {
         return;
     }
-    let statement = LimitStatement {
+    let statement = LimitReport {
         limit,
         age_ms: 0,
         permit: permit.and_then(|permit| permit.stamp()),
     };
-    tokio::spawn(tell(Arc::clone(router), life.to_owned(), statement));
+    tokio::spawn(report_limit(Arc::clone(router), life.to_owned(), statement));
 }
 
-/// Tells the leader again of a limit that was named to this router: others may not know of it, or know that it
-/// is over.
-pub fn tell_again<R: LimitedRouter>(router: &Arc<R>, life: String, own: NamedLimit) {
-    let statement = LimitStatement {
-        limit: Some(own.limit),
-        age_ms: milliseconds(router.uptime().saturating_sub(own.named_at)),
+/// Reports a limit again that was advertised to this router. The leader may not know it, or may
+/// reply that it no longer exists.
+pub fn resend_limit<R: PermitClient>(router: &Arc<R>, life: String, named: AdvertisedLimit) {
+    let statement = LimitReport {
+        limit: Some(named.limit),
+        age_ms: milliseconds(router.uptime().saturating_sub(named.advertised_at)),
         permit: None,
     };
-    tokio::spawn(tell(Arc::clone(router), life, statement));
+    tokio::spawn(report_limit(Arc::clone(router), life, statement));
 }
 
-async fn tell<R: LimitedRouter>(router: Arc<R>, life: String, heard: LimitStatement) {
-    let began_at = router.uptime();
-    let heard_at = began_at.saturating_sub(Duration::from_millis(u64::from(heard.age_ms)));
-    for _ in 0..TELL_TRIES {
-        let question = PermitRequest {
-            life: life.clone(),
-            statement: LimitStatement {
-                age_ms: milliseconds(router.uptime().saturating_sub(heard_at)),
-                ..heard
+async fn report_limit<R: PermitClient>(router: Arc<R>, life: String, report: LimitReport) {
+    let started_at = router.uptime();
+    let received_at = started_at.saturating_sub(Duration::from_millis(u64::from(report.age_ms)));
+    for _ in 0..REPORT_ATTEMPTS {
+        let request = PermitRequest {
+            incarnation_id: life.clone(),
+            report: LimitReport {
+                age_ms: milliseconds(router.uptime().saturating_sub(received_at)),
+                ..report
             },
             wants_permit: false,
         };
-        match router.ask_leader(question, TELL_TIMEOUT).await {
-            Some(PermitReply::NotLeader { .. }) | None => sleep(UNANSWERED_PAUSE).await,
+        match router.ask_leader(request, REPORT_TIMEOUT).await {
+            Some(PermitReply::NotLeader { .. }) | None => sleep(LEADER_RETRY_PAUSE).await,
             Some(PermitReply::Unlimited) => {
-                let own = router.known_limit(&life).and_then(|known| known.own);
-                limit_is_over(&*router, &life, own.filter(|own| own.named_at <= began_at));
+                let named = router
+                    .known_limit(&life)
+                    .and_then(|known| known.advertised_here);
+                clear_limit(
+                    &*router,
+                    &life,
+                    named.filter(|named| named.advertised_at <= started_at),
+                );
                 return;
             }
             Some(_) => return,
@@ -210,18 +225,19 @@
     }
 }
 
-/// In whole milliseconds, rounded down: what is told as newer than it is takes no limit back too early.
+/// Converts to whole milliseconds, rounding down. An age that is rounded up could make the leader
+/// drop a limit too early.
 fn milliseconds(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn limit_is_over(router: &impl LimitedRouter, life: &str, own: Option<NamedLimit>) {
-    let Some(own) = own else {
+fn clear_limit(router: &impl PermitClient, life: &str, named: Option<AdvertisedLimit>) {
+    let Some(named) = named else {
         return;
     };
     spdlog::info!("limit is over", kv: {
         replica = life.to_owned(),
-        per_s = own.limit.requests_per_s(),
+        per_s = named.limit.requests_per_s(),
     });
-    router.note_over(life, own.named_at);
+    router.clear_limit(life, named.advertised_at);
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -6,9 +6,9 @@
 use http_body_util::Full;
 use hyper::{Request, http::response};
 use railtack_proxy::{
-    AnswerHead, BackendProtocol, Dispatch, ProxiedRequest, ProxyOptions, ProxyState,
+    BackendProtocol, Dispatch, ProxiedRequest, ProxyOptions, ProxyState, ResponseClass,
 };
-use railtack_serving::{BackEndNotice, Bounds, Policy, QuotaBounds};
+use railtack_serving::{BackEndSignals, Bounds, Policy, QuotaBounds};
 
 /// A back end's language that no test here speaks.
 struct Unspoken;
@@ -18,12 +18,12 @@
         Request::default()
     }
 
-    fn classify(&self, _: &ProxiedRequest, _: &response::Parts) -> AnswerHead {
-        AnswerHead::Foreign
+    fn classify(&self, _: &ProxiedRequest, _: &response::Parts) -> ResponseClass {
+        ResponseClass::OtherRequest
     }
 
-    fn notice(&self, _: &response::Parts) -> BackEndNotice {
-        BackEndNotice::default()
+    fn signals(&self, _: &response::Parts) -> BackEndSignals {
+        BackEndSignals::default()
     }
 
     fn is_hop_by_hop(&self, _: &str) -> bool {
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -4,7 +4,7 @@
 
 use railtack_backend_api::StreamEnd;
 use railtack_core::{Execution, RefusalCode};
-use railtack_rpc::serving::ENDS_TO_QUARANTINE;
+use railtack_rpc::serving::CRASHES_TO_QUARANTINE;
 
 use crate::refusal::Refusal;
 
@@ -91,7 +91,7 @@
                 self.may_have_run = true;
                 self.lost += 1;
                 // After this many failures, the request itself is the likely cause.
-                self.lost < ENDS_TO_QUARANTINE && spend_retry()
+                self.lost < CRASHES_TO_QUARANTINE && spend_retry()
             }
         };
         if may_repeat && self.count < ATTEMPT_LIMIT {
--- a/crates/router/src/completions.rs
+++ b/crates/router/src/completions.rs
@@ -12,7 +12,7 @@
 };
 use railtack_http::Body;
 use railtack_routing::{
-    AdmissionRefusal, Decision, ModelKey, RequestShape, admission::AdmissionRequest,
+    AdmissionRefusal, Decision, ModelKey, RoutingRequest, admission::AdmissionRequest,
 };
 use railtack_serving::{ContentKey, RequestContent};
 use railtack_settings::documents::Target;
@@ -173,13 +173,13 @@
     lock(&state.retry_budgets)
         .entry(job.tenant.clone())
         .or_default()
-        .earn();
+        .deposit();
     job.first_decision = Some(decision);
     Ok(job)
 }
 
 fn choose_first(state: &RouterState, job: &Job, now: u64) -> Result<Decision, Refusal> {
-    let shape = RequestShape {
+    let shape = RoutingRequest {
         key: &job.model_key,
         chain: &job.chain,
         boundaries: &job.boundaries,
@@ -192,7 +192,7 @@
 
 /// Returns the refusal for a request that no engine accepts.
 pub fn no_engine_refusal(state: &RouterState, key: &ModelKey) -> Refusal {
-    let available_in = lock(&state.scheduler).opens_in(key, state.now_us());
+    let available_in = lock(&state.scheduler).available_in(key, state.now_us());
     let retry_after_ms = available_in.map_or(NO_ENGINE_RETRY_MS, |delay| delay.div_ceil(1_000));
     let detail = format!("no engine runs {} {}", key.model, key.weights_version);
     Refusal::not_run(RefusalCode::NoBackend, detail).retry_after_ms(retry_after_ms)
--- a/crates/router/src/control_link.rs
+++ b/crates/router/src/control_link.rs
@@ -9,7 +9,7 @@
 
 use railtack_consensus::ReplicaId;
 use railtack_rpc::{
-    ControlConnection, FeatureLevel, KnownLevel, call_deadline,
+    ControlConnection, FeatureLevel, GroupLevel, call_context,
     permits::{PermitReply, PermitRequest},
     protocol::{Command, PollReply, PollRequest, Proposal, ProposeReply, VoterAddress},
 };
@@ -41,7 +41,7 @@
 pub struct ControlLink {
     connections: Mutex<Connections>,
     leader: Mutex<Option<SocketAddr>>,
-    group_level: KnownLevel,
+    group_level: GroupLevel,
 }
 
 impl ControlLink {
@@ -54,7 +54,7 @@
         Self {
             connections: Mutex::new(connections.collect()),
             leader: Mutex::new(None),
-            group_level: KnownLevel::default(),
+            group_level: GroupLevel::default(),
         }
     }
 
@@ -130,7 +130,7 @@
             let reply = connection
                 .call(|client| async move {
                     client
-                        .take_permit(call_deadline(remaining), permit_request)
+                        .take_permit(call_context(remaining), permit_request)
                         .await
                 })
                 .await;
@@ -189,7 +189,7 @@
     let reply = connection
         .call(|client| async move {
             client
-                .propose(call_deadline(PROPOSE_TIMEOUT), proposal)
+                .propose(call_context(PROPOSE_TIMEOUT), proposal)
                 .await
         })
         .await;
@@ -197,7 +197,7 @@
         Ok(reply) => ReplicaResponse::Reply(reply),
         Err(report) => match report.current_context() {
             railtack_rpc::ConnectionError::Unreachable { .. } => ReplicaResponse::Unreachable,
-            railtack_rpc::ConnectionError::NoAnswer { .. } => ReplicaResponse::NoReply,
+            railtack_rpc::ConnectionError::NoResponse { .. } => ReplicaResponse::NoReply,
         },
     }
 }
@@ -253,7 +253,7 @@
         quarantine_known: lock(&state.quarantine).changed_at(),
     };
     let reply = connection
-        .call(|client| async move { client.poll(call_deadline(POLL_TIMEOUT), request).await })
+        .call(|client| async move { client.poll(call_context(POLL_TIMEOUT), request).await })
         .await
         .ok()?;
     let reported = reply.last_configuration_index;
@@ -274,7 +274,7 @@
     if let Some(update) = &reply.quarantine {
         quarantine::apply_update(state, update);
     }
-    state.control.group_level.learn(reply.group_level);
+    state.control.group_level.raise(reply.group_level);
     if reply.voter {
         lock(&state.admission).set_routers(reply.routers);
     }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -12,8 +12,8 @@
 use railtack_core::{
     AttemptId, CacheNamespace, EngineIncarnation, PrefixChain, RequestId, TemplateName, TenantName,
 };
-use railtack_proxy::permits::{Permission, Permit};
-use railtack_routing::{Decision, EngineSlot, ModelKey, RequestShape};
+use railtack_proxy::permits::{Permit, PermitDecision};
+use railtack_routing::{Decision, EngineSlot, ModelKey, RoutingRequest};
 use railtack_serving::ContentKey;
 use railtack_settings::documents::Priority;
 use tokio::{sync::mpsc, time::Instant};
@@ -144,7 +144,7 @@
     }
 
     fn choose(&self) -> Option<Decision> {
-        let shape = RequestShape {
+        let shape = RoutingRequest {
             key: &self.job.model_key,
             chain: &self.job.chain,
             boundaries: &self.job.boundaries,
@@ -170,15 +170,15 @@
         let incarnation_id = {
             let scheduler = lock(&self.state.scheduler);
             let view = scheduler.engines.view(decision.chosen.engine);
-            let is_limited = view.announced.limit().is_some();
+            let is_limited = view.advertised.limit().is_some();
             is_limited.then(|| engine_incarnation_id(view.id, view.incarnation))
         };
         let Some(incarnation_id) = incarnation_id else {
             return Some(None);
         };
         match limits::acquire_permit(self.state, &incarnation_id).await {
-            Permission::Given(permit) => Some(permit),
-            Permission::Withheld => None,
+            PermitDecision::Granted(permit) => Some(permit),
+            PermitDecision::Denied => None,
         }
     }
 
@@ -260,8 +260,8 @@
     fn on_attempt_started(&self, attempt: &Attempt) {
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
-        view.breaker.begin();
-        view.sent(attempt.uncached_tokens, self.is_interactive());
+        view.breaker.record_attempt();
+        view.record_sent(attempt.uncached_tokens, self.is_interactive());
         if view.incarnation == attempt.incarnation {
             scheduler.expect_cached(attempt.engine, &self.job.chain);
         }
@@ -282,20 +282,20 @@
         }
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
-        view.prefilled(attempt.uncached_tokens, self.is_interactive());
-        view.breaker.succeed();
+        view.record_prefilled(attempt.uncached_tokens, self.is_interactive());
+        view.breaker.record_success();
     }
 
     fn on_attempt_finished(&self, attempt: &Attempt, end: &AttemptOutcome) {
         let now = self.state.now_us();
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
-        view.closed();
+        view.record_closed();
         if matches!(end, AttemptOutcome::Lost | AttemptOutcome::NotSent) {
-            view.breaker.fail(now);
+            view.breaker.record_failure(now);
         }
         if attempt.awaiting_first_token {
-            view.prefilled(attempt.uncached_tokens, self.is_interactive());
+            view.record_prefilled(attempt.uncached_tokens, self.is_interactive());
             scheduler.withdraw_expectation(attempt.engine, &self.job.chain, attempt.held_blocks);
         }
     }
@@ -373,5 +373,5 @@
 /// Takes one retry from the tenant's budget; returns false if it is exhausted.
 fn spend_retry(state: &RouterState, tenant: &TenantName) -> bool {
     let mut budgets = lock(&state.retry_budgets);
-    budgets.entry(tenant.clone()).or_default().spend()
+    budgets.entry(tenant.clone()).or_default().withdraw()
 }
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, Response, body::Incoming};
 use railtack_backend_api::{EngineError, EngineRefusal, EngineRequest, StreamFrame};
 use railtack_http::{SendError, lines, read_body, retry_after};
-use railtack_serving::BackEndNotice;
+use railtack_serving::BackEndSignals;
 use tokio::time::{sleep, timeout, timeout_at};
 
 use super::{Attempt, Dispatch};
@@ -190,14 +190,14 @@
     /// Records the engine's `Retry-After` delay.
     fn record_back_off(&self, attempt: &Attempt, delay: Duration) {
         let now = self.state.uptime();
-        let notice = BackEndNotice {
+        let notice = BackEndSignals {
             back_off: Some(delay),
-            ..BackEndNotice::default()
+            ..BackEndSignals::default()
         };
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
         if view.incarnation == attempt.incarnation {
-            view.announced.note(notice, now);
+            view.advertised.record(notice, now);
         }
         spdlog::info!("engine requested back-off", kv: {
             engine = view.id.to_string(),
--- a/crates/router/src/engine_link.rs
+++ b/crates/router/src/engine_link.rs
@@ -16,7 +16,7 @@
 };
 use railtack_core::{BlockHash, EngineId, EngineIncarnation};
 use railtack_http::lines;
-use railtack_routing::engines::{CacheKnowledge, EngineDescription, EngineSlot, ModelKey};
+use railtack_routing::engines::{CacheValidity, EngineDescription, EngineSlot, ModelKey};
 use tokio::time::{sleep, timeout};
 
 use crate::state::{RouterState, ServiceBackends, lock};
@@ -194,8 +194,8 @@
         },
         available: !status.draining && !status.loading && !drained,
     });
-    if knowledge == CacheKnowledge::Void {
-        scheduler.index.forget(slot);
+    if knowledge == CacheValidity::Invalidated {
+        scheduler.index.remove_engine(slot);
     }
     scheduler.engines.report(slot, status.load, now);
     slot
@@ -229,7 +229,10 @@
         }
         if is_cache_event && event.sequence != sequence + 1 {
             state.metrics.event_gaps.inc();
-            lock(&state.scheduler).engines.view_mut(slot).suspect = true;
+            lock(&state.scheduler)
+                .engines
+                .view_mut(slot)
+                .cache_view_stale = true;
             match resync(state, address, slot).await {
                 Some((same, resumed_at)) if same == incarnation => sequence = resumed_at,
                 _ => return,
@@ -259,9 +262,9 @@
     if scheduler.engines.view(slot).incarnation != listing.incarnation {
         return None;
     }
-    scheduler.index.forget(slot);
-    scheduler.index.stored(slot, block_hashes(&listing.blocks));
-    scheduler.engines.view_mut(slot).suspect = false;
+    scheduler.index.remove_engine(slot);
+    scheduler.index.insert(slot, block_hashes(&listing.blocks));
+    scheduler.engines.view_mut(slot).cache_view_stale = false;
     Some((listing.incarnation, listing.sequence))
 }
 
@@ -272,8 +275,8 @@
         return;
     }
     match event.event {
-        EngineEventKind::Stored { blocks } => scheduler.index.stored(slot, block_hashes(&blocks)),
-        EngineEventKind::Removed { blocks } => scheduler.index.removed(slot, block_hashes(&blocks)),
+        EngineEventKind::Stored { blocks } => scheduler.index.insert(slot, block_hashes(&blocks)),
+        EngineEventKind::Removed { blocks } => scheduler.index.remove(slot, block_hashes(&blocks)),
         EngineEventKind::Load(load) => scheduler.engines.report(slot, load, now),
     }
     state
@@ -290,7 +293,7 @@
 pub async fn wait_until_silent(state: &RouterState, engine: EngineSlot) {
     loop {
         sleep(SILENCE_CHECK_INTERVAL).await;
-        let heard_at = lock(&state.scheduler).engines.view(engine).heard_at;
+        let heard_at = lock(&state.scheduler).engines.view(engine).last_seen_at;
         if state.now_us().saturating_sub(heard_at) > ENGINE_SILENCE_TIMEOUT_US {
             return;
         }
--- a/crates/router/src/idempotency.rs
+++ b/crates/router/src/idempotency.rs
@@ -16,7 +16,7 @@
 use railtack_core::{AttemptId, IdempotencyKey, RefusalCode, TenantName};
 use railtack_http::SendError;
 use railtack_rpc::protocol::{
-    ClaimAnswer, ClaimOutcome, ClaimRequest, Command, Outcome, StoredAnswer,
+    ClaimOutcome, ClaimReply, ClaimRequest, Command, Outcome, StoredResponse,
 };
 
 use crate::{proposal::ProposalOutcome, refusal::Refusal};
@@ -42,7 +42,7 @@
     /// Respond to the caller.
     Respond {
         /// Response or refusal.
-        response: Result<StoredAnswer, Refusal>,
+        response: Result<StoredResponse, Refusal>,
         /// Command to commit in the background within [`SETTLE_TIMEOUT`].
         settlement: Option<Command>,
     },
@@ -53,7 +53,7 @@
     Claiming,
     Sending,
     Settling {
-        response: Result<StoredAnswer, Refusal>,
+        response: Result<StoredResponse, Refusal>,
         outcome: ClaimOutcome,
     },
     Done,
@@ -115,7 +115,7 @@
 
     /// Handles the back end's response. `NotSent` means that the back end has certainly not received
     /// the request.
-    pub fn on_response(&mut self, response: Result<StoredAnswer, SendError>) -> IdempotentStep {
+    pub fn on_response(&mut self, response: Result<StoredResponse, SendError>) -> IdempotentStep {
         match response {
             Ok(response) => {
                 let outcome = ClaimOutcome::Completed(without_large_body(&response));
@@ -143,32 +143,32 @@
         }
     }
 
-    fn on_claim_reply(&mut self, reply: ClaimAnswer) -> IdempotentStep {
+    fn on_claim_reply(&mut self, reply: ClaimReply) -> IdempotentStep {
         match reply {
-            ClaimAnswer::Granted => {
+            ClaimReply::Granted => {
                 self.stage = Stage::Sending;
                 IdempotentStep::Send
             }
-            ClaimAnswer::InProgress => refuse(
+            ClaimReply::InProgress => refuse(
                 Refusal::unknown(
                     RefusalCode::InProgress,
                     "an earlier arrival of this key has not ended",
                 )
                 .retry_after_ms(IN_PROGRESS_RETRY_MS),
             ),
-            ClaimAnswer::KeyReused => refuse(Refusal::unknown(
+            ClaimReply::KeyReused => refuse(Refusal::unknown(
                 RefusalCode::IdempotencyKeyReused,
                 "the key was used for another request",
             )),
-            ClaimAnswer::Ended(ClaimOutcome::Completed(stored)) => IdempotentStep::Respond {
+            ClaimReply::Ended(ClaimOutcome::Completed(stored)) => IdempotentStep::Respond {
                 response: Ok(stored),
                 settlement: None,
             },
-            ClaimAnswer::Ended(ClaimOutcome::NotRun { code }) => refuse(Refusal::not_run(
+            ClaimReply::Ended(ClaimOutcome::NotRun { code }) => refuse(Refusal::not_run(
                 code,
                 "an earlier arrival of this key was refused before it ran; use a new key",
             )),
-            ClaimAnswer::Ended(ClaimOutcome::Unknown) => refuse(Refusal::unknown(
+            ClaimReply::Ended(ClaimOutcome::Unknown) => refuse(Refusal::unknown(
                 RefusalCode::OutcomeUnknown,
                 "an earlier arrival of this key ended without a known outcome",
             )),
@@ -177,7 +177,7 @@
 
     fn settle(
         &mut self,
-        response: Result<StoredAnswer, Refusal>,
+        response: Result<StoredResponse, Refusal>,
         outcome: ClaimOutcome,
     ) -> IdempotentStep {
         let command = self.settlement(outcome.clone());
@@ -190,7 +190,7 @@
     /// of the back end is returned unchanged.
     fn respond_unsettled(
         &self,
-        response: Result<StoredAnswer, Refusal>,
+        response: Result<StoredResponse, Refusal>,
         outcome: ClaimOutcome,
     ) -> IdempotentStep {
         let response = response.map_err(|refusal| Refusal {
@@ -220,12 +220,12 @@
     }
 }
 
-fn without_large_body(response: &StoredAnswer) -> StoredAnswer {
+fn without_large_body(response: &StoredResponse) -> StoredResponse {
     let body = response
         .body
         .clone()
         .filter(|content| content.len() <= MAX_STORED_BODY_BYTES);
-    StoredAnswer {
+    StoredResponse {
         body,
         ..response.clone()
     }
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -3,13 +3,15 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use hyper::HeaderMap;
-use railtack_backend_api::REQUEST_LIMIT;
+use railtack_backend_api::REQUEST_LIMIT_HEADER;
 use railtack_proxy::{
-    backend::stated_limit,
-    permits::{self, KnownLimit, LimitedRouter, Permission, Permit},
+    backend::parse_limit_header,
+    permits::{self, KnownLimit, Permit, PermitClient, PermitDecision},
 };
 use railtack_rpc::permits::{PermitReply, PermitRequest};
-use railtack_serving::{Announced, BackEndNotice, Moment, News, RequestLimit, StatedLimit};
+use railtack_serving::{
+    AdvertisedState, BackEndSignals, LimitHeader, MonotonicTime, RequestLimit, SignalChanges,
+};
 
 use crate::{
     quarantine::engine_incarnation_id,
@@ -25,7 +27,7 @@
     fn with_advertised<T>(
         &self,
         incarnation_id: &str,
-        apply: impl FnOnce(&mut Announced) -> T,
+        apply: impl FnOnce(&mut AdvertisedState) -> T,
     ) -> T {
         if incarnation_id.parse::<SocketAddr>().is_ok() {
             return apply(lock(&self.back_end_availability).of(incarnation_id));
@@ -40,15 +42,15 @@
             scheduler.engines.slot(id)
         });
         match slot {
-            Some(slot) => apply(&mut scheduler.engines.view_mut(slot).announced),
+            Some(slot) => apply(&mut scheduler.engines.view_mut(slot).advertised),
             // A former incarnation, which has no state.
-            None => apply(&mut Announced::default()),
+            None => apply(&mut AdvertisedState::default()),
         }
     }
 }
 
-impl LimitedRouter for RouterState {
-    fn uptime(&self) -> Moment {
+impl PermitClient for RouterState {
+    fn uptime(&self) -> MonotonicTime {
         RouterState::uptime(self)
     }
 
@@ -59,26 +61,27 @@
         }?;
         Some(KnownLimit {
             limit: advertised.limit,
-            age: self.uptime().saturating_sub(advertised.named_at),
-            own: Some(advertised),
+            age: self.uptime().saturating_sub(advertised.advertised_at),
+            advertised_here: Some(advertised),
         })
     }
 
-    fn unanswered_until(&self) -> Moment {
+    fn permit_requests_suspended_until(&self) -> MonotonicTime {
         *lock(&self.permit_requests_paused_until)
     }
 
-    fn note_unanswered(&self, until: Moment) {
+    fn suspend_permit_requests(&self, until: MonotonicTime) {
         *lock(&self.permit_requests_paused_until) = until;
     }
 
-    fn note_withheld(&self, incarnation_id: &str, limit: RequestLimit, room_at: Moment) {
+    fn record_denied(&self, incarnation_id: &str, limit: RequestLimit, room_at: MonotonicTime) {
         self.metrics.permits_denied.inc();
-        self.with_advertised(incarnation_id, |state| state.has_room_at(limit, room_at));
+        self.with_advertised(incarnation_id, |state| state.set_limited_until(limit, room_at)
+        });
     }
 
-    fn note_over(&self, incarnation_id: &str, named_at: Moment) {
-        self.with_advertised(incarnation_id, |state| state.limit_is_over(named_at));
+    fn clear_limit(&self, incarnation_id: &str, named_at: MonotonicTime) {
+        self.with_advertised(incarnation_id, |state| state.clear_limit(named_at));
     }
 
     async fn ask_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
@@ -87,8 +90,8 @@
 }
 
 /// Acquires a permit for one request, if the engine or back end has a rate limit.
-pub async fn acquire_permit(state: &RouterState, incarnation_id: &str) -> Permission {
-    permits::take(state, incarnation_id, PERMIT_TIMEOUT).await
+pub async fn acquire_permit(state: &RouterState, incarnation_id: &str) -> PermitDecision {
+    permits::acquire(state, incarnation_id, PERMIT_TIMEOUT).await
 }
 
 /// Records the rate limit that the response headers of an engine or back end advertise.
@@ -98,10 +101,10 @@
     permit: Option<Permit>,
     headers: &HeaderMap,
 ) {
-    let stated = stated_limit(headers, REQUEST_LIMIT);
+    let stated = parse_limit_header(headers, REQUEST_LIMIT_HEADER);
     let news = match stated {
-        StatedLimit::NotNamed => News::default(),
-        StatedLimit::Unreadable(error) => {
+        LimitHeader::Absent => SignalChanges::default(),
+        LimitHeader::Invalid(error) => {
             state.metrics.invalid_limits.inc();
             spdlog::info!("rate limit header invalid", kv: {
                 replica = incarnation_id.to_owned(),
@@ -109,22 +112,22 @@
             });
             return;
         }
-        StatedLimit::Named(_) => {
-            let notice = BackEndNotice {
+        LimitHeader::Present(_) => {
+            let notice = BackEndSignals {
                 limit: stated,
-                ..BackEndNotice::default()
+                ..BackEndSignals::default()
             };
             let now = state.uptime();
             log_new_limit(
                 incarnation_id,
-                state.with_advertised(incarnation_id, |state| state.note(notice, now)),
+                state.with_advertised(incarnation_id, |state| state.record(notice, now)),
             )
         }
     };
-    permits::note_answer(state, incarnation_id, permit, stated, news.limit.is_some());
+    permits::handle_response(state, incarnation_id, permit, stated, news.limit.is_some());
 }
 
-fn log_new_limit(incarnation_id: &str, news: News) -> News {
+fn log_new_limit(incarnation_id: &str, news: SignalChanges) -> SignalChanges {
     if let Some(limit) = news.limit {
         spdlog::info!("rate limit advertised", kv: {
             replica = incarnation_id.to_owned(),
--- a/crates/router/src/proposal.rs
+++ b/crates/router/src/proposal.rs
@@ -40,7 +40,7 @@
                 Some(ProposalOutcome::Done(outcome))
             }
             ReplicaResponse::Reply(
-                ProposeReply::NotLeader { .. } | ProposeReply::LevelDiffers { .. },
+                ProposeReply::NotLeader { .. } | ProposeReply::LevelMismatch { .. },
             )
             | ReplicaResponse::Unreachable => None,
             ReplicaResponse::Reply(ProposeReply::Unknown) | ReplicaResponse::NoReply => {
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -5,7 +5,7 @@
 
 use railtack_core::{EngineId, EngineIncarnation, RefusalCode};
 use railtack_http::client::is_port_closed;
-use railtack_proxy::quarantine::{GATHERING, RECORD_LIMIT};
+use railtack_proxy::quarantine::{REPORT_BATCH_DELAY, REPORT_TIMEOUT};
 use railtack_rpc::{
     protocol::{Command, Outcome},
     serving::{QuarantineUpdate, ServingCommand, ServingOutcome},
@@ -38,7 +38,7 @@
 
 /// Returns the refusal for a quarantined request; `None` if it is not quarantined.
 pub fn refusal(state: &RouterState, content: ContentKey) -> Option<Refusal> {
-    let delay = lock(&state.quarantine).pause(content, Instant::now())?;
+    let delay = lock(&state.quarantine).retry_after(content, Instant::now())?;
     let detail = "back ends ended under this request, one after the other";
     let refusal = Refusal::not_run(RefusalCode::Quarantined, detail);
     Some(refusal.retry_after_ms(delay.as_millis() as u64))
@@ -47,7 +47,7 @@
 /// Applies an update of the control group's quarantine list.
 pub fn apply_update(state: &RouterState, update: &QuarantineUpdate) {
     let mut quarantine = lock(&state.quarantine);
-    for change in quarantine.learn(update, Instant::now()) {
+    for change in quarantine.apply(update, Instant::now()) {
         spdlog::info!("quarantine changed", kv: {
             change = format!("{change:?}"),
             changed_at = update.changed_at,
@@ -62,12 +62,12 @@
 /// Records that a back end completed a request, and reports this to the control group if the request
 /// is suspected.
 pub fn record_success(state: &Arc<RouterState>, content: ContentKey) {
-    lock(&state.crash_tracker).outlived(content, Instant::now());
-    if lock(&state.quarantine).take_good_end(content) {
+    lock(&state.crash_tracker).record_success(content, Instant::now());
+    if lock(&state.quarantine).should_report_success(content) {
         let state = Arc::clone(state);
         let contents = vec![content];
         tokio::spawn(
-            async move { propose(&state, ServingCommand::ClearContents { contents }).await },
+            async move { propose(&state, ServingCommand::ClearSuspects { contents }).await },
         );
     }
 }
@@ -79,7 +79,8 @@
     incarnation: BackEndIncarnation,
     content: ContentKey,
 ) {
-    if lock(&state.crash_tracker).broke(&incarnation.id, content, Instant::now()) {
+    if lock(&state.crash_tracker).record_broken_connection(&incarnation.id, content, Instant::now())
+    {
         let state = Arc::clone(state);
         tokio::spawn(async move { check_crashed(&state, &incarnation).await });
     }
@@ -94,7 +95,7 @@
     });
     if has_ended {
         state.metrics.back_end_crashes.inc();
-        sleep(GATHERING).await;
+        sleep(REPORT_BATCH_DELAY).await;
         report_crash(state, incarnation).await;
     }
     lock(&state.crash_tracker).forget(&incarnation.id);
@@ -102,16 +103,16 @@
 
 async fn report_crash(state: &RouterState, incarnation: &BackEndIncarnation) {
     loop {
-        let contents = lock(&state.crash_tracker).next_report(&incarnation.id);
+        let contents = lock(&state.crash_tracker).take_unreported(&incarnation.id);
         if contents.is_empty() {
             return;
         }
         let replica = ReplicaKey::of(&incarnation.id);
-        let command = ServingCommand::RecordEnd {
+        let command = ServingCommand::RecordCrash {
             replica,
             contents,
             // No witness is needed: the platform lists engines and back ends.
-            witness: None,
+            reporter: None,
         };
         propose(state, command).await;
     }
@@ -124,10 +125,10 @@
     }
     let proposed = state
         .control
-        .propose(Command::Serving(command), RECORD_LIMIT)
+        .propose(Command::Serving(command), REPORT_TIMEOUT)
         .await;
     match proposed {
-        ProposalOutcome::Done(Outcome::Serving(ServingOutcome::EndRecorded(update))) => {
+        ProposalOutcome::Done(Outcome::Serving(ServingOutcome::CrashRecorded(update))) => {
             apply_update(state, &update)
         }
         ProposalOutcome::Done(_) => {}
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -11,9 +11,9 @@
 };
 use railtack_core::{AttemptId, IdempotencyKey, RefusalCode, TemplateName, TenantName};
 use railtack_http::{Body, SendError, body, read_body, retry_after, send_on_new_connection};
-use railtack_proxy::permits::{Permission, Permit};
-use railtack_rpc::protocol::StoredAnswer;
-use railtack_serving::{BackEndNotice, ContentKey, RequestContent};
+use railtack_proxy::permits::{Permit, PermitDecision};
+use railtack_rpc::protocol::StoredResponse;
+use railtack_serving::{BackEndSignals, ContentKey, RequestContent};
 use railtack_settings::documents::Target;
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_128;
@@ -85,7 +85,7 @@
 async fn handle(
     state: &Arc<RouterState>,
     request: &ServiceRequest,
-) -> Result<StoredAnswer, Refusal> {
+) -> Result<StoredResponse, Refusal> {
     let key = validate_key(request)?;
     // Until the key's claim is known, another request with the key may have run, so refusals of
     // keyed requests report the execution as unknown.
@@ -158,7 +158,7 @@
 async fn run_repeatable(
     state: &Arc<RouterState>,
     forwarded: &ForwardedRequest<'_>,
-) -> Result<StoredAnswer, Refusal> {
+) -> Result<StoredResponse, Refusal> {
     let mut may_have_run = false;
     for _ in 0..MAX_REPEATABLE_ATTEMPTS {
         if may_have_run && quarantine::refusal(state, forwarded.content_key).is_some() {
@@ -184,7 +184,7 @@
     state: &Arc<RouterState>,
     forwarded: &ForwardedRequest<'_>,
     key: IdempotencyKey,
-) -> Result<StoredAnswer, Refusal> {
+) -> Result<StoredResponse, Refusal> {
     let (idempotent, first_step) = IdempotentRequest::begin(
         forwarded.tenant.clone(),
         key,
@@ -221,7 +221,7 @@
     forwarded: &ForwardedRequest<'_>,
     mut idempotent: IdempotentRequest,
     first_step: IdempotentStep,
-) -> Result<StoredAnswer, Refusal> {
+) -> Result<StoredResponse, Refusal> {
     let mut step = first_step;
     loop {
         step = match step {
@@ -253,7 +253,7 @@
 async fn send_once(
     state: &Arc<RouterState>,
     forwarded: &ForwardedRequest<'_>,
-) -> Result<StoredAnswer, SendError> {
+) -> Result<StoredResponse, SendError> {
     let chosen = acquire_backend(state, &forwarded.service).await;
     forward(state, chosen.ok_or(SendError::NotSent)?, forwarded).await
 }
@@ -262,7 +262,7 @@
     state: &Arc<RouterState>,
     AcquiredBackend { address, permit }: AcquiredBackend,
     forwarded: &ForwardedRequest<'_>,
-) -> Result<StoredAnswer, SendError> {
+) -> Result<StoredResponse, SendError> {
     let request = build_request(forwarded)?;
     let exchange = async {
         let response = send_on_new_connection(address, request, CONNECT_TIMEOUT).await?;
@@ -306,7 +306,7 @@
 async fn read_response(
     response: Response<Incoming>,
     time_limit: Duration,
-) -> Result<StoredAnswer, SendError> {
+) -> Result<StoredResponse, SendError> {
     let status = response.status().as_u16();
     let content_type = response
         .headers()
@@ -317,14 +317,14 @@
     let content = read_body(response.into_body(), MAX_RESPONSE_BYTES, time_limit)
         .await
         .map_err(|_| SendError::MaybeSent)?;
-    Ok(StoredAnswer {
+    Ok(StoredResponse {
         status,
         content_type,
         body: Some(content.to_vec()),
     })
 }
 
-fn to_response(stored: StoredAnswer) -> Response<Body> {
+fn to_response(stored: StoredResponse) -> Response<Body> {
     let mut response = Response::new(body::full(stored.body.unwrap_or_default()));
     if let Ok(status) = hyper::StatusCode::from_u16(stored.status) {
         *response.status_mut() = status;
@@ -347,7 +347,8 @@
     loop {
         let address = next_backend(state, service)?;
         // A denial was recorded, so this back end is skipped next time.
-        if let Permission::Given(permit) = limits::acquire_permit(state, &address.to_string()).await
+        if let PermitDecision::Granted(permit) =
+            limits::acquire_permit(state, &address.to_string()).await
         {
             return Some(AcquiredBackend { address, permit });
         }
@@ -357,13 +358,13 @@
 fn next_backend(state: &RouterState, service: &str) -> Option<SocketAddr> {
     let now = state.uptime();
     let mut available = lock(&state.back_end_availability);
-    available.forget_past(now);
+    available.remove_expired(now);
     let mut services = lock(&state.services);
     let backends = services.get_mut(service)?;
     for _ in 0..backends.live.len() {
         backends.next = (backends.next + 1) % backends.live.len();
         let address = backends.live[backends.next];
-        if available.takes(&address.to_string(), now) {
+        if available.accepts_requests(&address.to_string(), now) {
             return Some(address);
         }
     }
@@ -376,12 +377,12 @@
         address = address.to_string(),
         back_off_ms = delay.as_millis() as u64,
     });
-    let notice = BackEndNotice {
+    let notice = BackEndSignals {
         back_off: Some(delay),
-        ..BackEndNotice::default()
+        ..BackEndSignals::default()
     };
     let mut available = lock(&state.back_end_availability);
-    available.note(&address.to_string(), notice, state.uptime());
+    available.record(&address.to_string(), notice, state.uptime());
 }
 
 /// Returns the time until the first back end of a service is available, milliseconds; `None` if one
@@ -391,7 +392,7 @@
     let available = lock(&state.back_end_availability);
     let services = lock(&state.services);
     let live = services.get(service)?.live.iter();
-    let delays = live.filter_map(|address| available.opens_in(&address.to_string(), now));
+    let delays = live.filter_map(|address| available.available_in(&address.to_string(), now));
     let delay = delays.min()?.as_millis() as u64;
     (delay > 0).then_some(delay)
 }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -15,9 +15,9 @@
 use railtack_consensus::{Millis, ReplicaId};
 use railtack_core::{EngineId, RefusalCode, TenantName};
 use railtack_http::HttpClient;
-use railtack_proxy::quarantine::{EndsMet, QuarantineKnowledge};
+use railtack_proxy::quarantine::{CrashTracker, QuarantineState};
 use railtack_routing::{Admission, Micros, RetryBudget, Scheduler, SchedulerOptions};
-use railtack_serving::{Availability, Moment};
+use railtack_serving::{Availability, MonotonicTime};
 use railtack_settings::{RouterSettings, router::WhenUnconfirmed};
 
 use crate::{
@@ -61,9 +61,9 @@
     /// Recent scheduling decisions.
     pub decisions: Mutex<DecisionLog>,
     /// Requests that the control group has quarantined.
-    pub quarantine: Mutex<QuarantineKnowledge>,
+    pub quarantine: Mutex<QuarantineState>,
     /// Crashes and broken connections observed under this router's requests.
-    pub crash_tracker: Mutex<EndsMet>,
+    pub crash_tracker: Mutex<CrashTracker>,
     /// Metrics of this process.
     pub metrics: RouterMetrics,
     /// HTTP client for engines and the platform.
@@ -71,7 +71,7 @@
     /// Connections to the control replicas.
     pub control: ControlLink,
     /// Time before which no permit is requested, because no leader replied.
-    pub permit_requests_paused_until: Mutex<Moment>,
+    pub permit_requests_paused_until: Mutex<MonotonicTime>,
     /// Size of a cache block as reported by the engines, tokens.
     pub block_tokens: std::sync::atomic::AtomicU32,
     /// Whether the platform's machine list was received at least once.
@@ -121,7 +121,7 @@
     }
 
     /// Time since the router started.
-    pub fn uptime(&self) -> Moment {
+    pub fn uptime(&self) -> MonotonicTime {
         self.started.elapsed()
     }
 
--- a/crates/routing/src/breaker.rs
+++ b/crates/routing/src/breaker.rs
@@ -1,49 +1,49 @@
-//! Circuit breaking for one life of an engine.
+//! Circuit breaker for one incarnation of an engine.
 //!
-//! A new incarnation starts with a closed breaker: what failed was the former process.
+//! A new incarnation starts with a closed breaker, since the failures were those of the former process.
 
 use crate::Micros;
 
-/// Failures in a row that open the breaker.
+/// Consecutive failures that open the breaker.
 const FAILURES_TO_OPEN: u32 = 3;
-/// First pause, microseconds; it doubles with each further failure.
-const FIRST_PAUSE: Micros = 500_000;
-/// Longest pause, microseconds.
-const LONGEST_PAUSE: Micros = 30_000_000;
+/// Time for which the breaker stays open at first, microseconds; it doubles with each further failure.
+const MIN_OPEN_TIME: Micros = 500_000;
+/// Maximum time for which the breaker stays open, microseconds.
+const MAX_OPEN_TIME: Micros = 30_000_000;
 
-/// Whether an engine is kept from new work because of failures.
+/// Blocks requests to an engine after consecutive failures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CircuitBreaker {
     failures: u32,
-    closed_from: Micros,
+    open_until: Micros,
     probing: bool,
 }
 
 impl CircuitBreaker {
-    /// Whether a request may be sent now. After a pause, one probe at a time may.
+    /// Whether a request may be sent now. Once the open time has passed, one probe at a time is allowed.
     pub fn allows(&self, now: Micros) -> bool {
         if self.failures < FAILURES_TO_OPEN {
             return true;
         }
-        now >= self.closed_from && !self.probing
+        now >= self.open_until && !self.probing
     }
 
-    /// Notes that a request is sent.
-    pub fn begin(&mut self) {
+    /// Records that a request is sent.
+    pub fn record_attempt(&mut self) {
         self.probing = self.failures >= FAILURES_TO_OPEN;
     }
 
-    /// Notes an answer.
-    pub fn succeed(&mut self) {
+    /// Records a response and closes the breaker.
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a failure of the engine, not a refusal.
-    pub fn fail(&mut self, now: Micros) {
+    /// Records a failure of the engine. Refusals do not count as failures.
+    pub fn record_failure(&mut self, now: Micros) {
         self.failures = self.failures.saturating_add(1);
         self.probing = false;
         let doublings = self.failures.saturating_sub(FAILURES_TO_OPEN).min(16);
-        let pause = (FIRST_PAUSE << doublings).min(LONGEST_PAUSE);
-        self.closed_from = now + pause;
+        let open_time = (MIN_OPEN_TIME << doublings).min(MAX_OPEN_TIME);
+        self.open_until = now + open_time;
     }
 }
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The prefix index, candidates and the choice of an engine.
+//! Tests of the prefix index, of candidate selection and of the choice of an engine.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,10 +11,10 @@
     BlockHash, CacheNamespace, EngineId, EngineIncarnation, ModelName, PrefixChain, WeightsVersion,
 };
 use railtack_routing::{
-    EngineSlot, ModelKey, PrefixIndex, RequestShape, Scheduler, SchedulerOptions,
-    engines::{CacheKnowledge, EngineDescription},
+    EngineSlot, ModelKey, PrefixIndex, RoutingRequest, Scheduler, SchedulerOptions,
+    engines::{CacheValidity, EngineDescription},
 };
-use railtack_serving::BackEndNotice;
+use railtack_serving::BackEndSignals;
 use railtack_settings::documents::Priority;
 
 const BLOCK_TOKENS: u32 = 16;
@@ -26,10 +26,10 @@
     }
 }
 
-fn describe(id: u32, life: u64, version: u32) -> EngineDescription {
+fn describe(id: u32, incarnation: u64, version: u32) -> EngineDescription {
     EngineDescription {
         id: EngineId(id),
-        incarnation: EngineIncarnation(life),
+        incarnation: EngineIncarnation(incarnation),
         zone: "zone".into(),
         key: key(version),
         available: true,
@@ -60,7 +60,7 @@
 ) -> Option<EngineSlot> {
     let key = key(1);
     let boundaries = [chain.blocks.len() as u32];
-    let shape = RequestShape {
+    let shape = RoutingRequest {
         key: &key,
         chain,
         boundaries: &boundaries,
@@ -77,16 +77,16 @@
     let mut scheduler = scheduler(40);
     let chain = chain(&"a long opening ".repeat(200));
     let holder = EngineSlot(17);
-    scheduler.index.stored(holder, chain.blocks.iter().copied());
+    scheduler.index.insert(holder, chain.blocks.iter().copied());
     assert_eq!(choose(&scheduler, &chain, &[]), Some(holder));
 }
 
 #[test]
-fn a_holder_with_a_long_queue_is_passed_over() {
+fn a_holder_with_a_long_queue_is_not_chosen() {
     let mut scheduler = scheduler(40);
     let chain = chain(&"a long opening ".repeat(200));
     let holder = EngineSlot(17);
-    scheduler.index.stored(holder, chain.blocks.iter().copied());
+    scheduler.index.insert(holder, chain.blocks.iter().copied());
     let busy = LoadReport {
         queued_prefill_tokens: 100_000,
         urgent_prefill_tokens: 100_000,
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn waiting_batch_work_does_not_stand_before_interactive_work() {
+fn queued_batch_requests_do_not_delay_interactive_requests() {
     let mut scheduler = scheduler(1);
     let full = LoadReport {
         running: 32,
@@ -113,7 +113,7 @@
     let key = key(1);
     let chain = chain("short");
     let expected = |priority| {
-        let shape = RequestShape {
+        let shape = RoutingRequest {
             key: &key,
             chain: &chain,
             boundaries: &[],
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn engines_that_left_are_never_chosen() {
+fn unavailable_and_unlisted_engines_are_never_chosen() {
     let mut scheduler = scheduler(3);
     let chain = chain("short");
     scheduler.engines.view_mut(EngineSlot(0)).available = false;
@@ -138,42 +138,46 @@
 }
 
 #[test]
-fn an_engine_that_asked_for_rest_is_not_chosen_in_that_life() {
-    const REST_US: u64 = 3_000_000;
+fn an_engine_in_back_off_is_not_chosen_until_it_restarts() {
+    const BACK_OFF_US: u64 = 3_000_000;
     let mut scheduler = scheduler(1);
     let chain = chain("short");
-    let notice = BackEndNotice {
-        back_off: Some(Duration::from_micros(REST_US)),
-        ..BackEndNotice::default()
+    let notice = BackEndSignals {
+        back_off: Some(Duration::from_micros(BACK_OFF_US)),
+        ..BackEndSignals::default()
     };
     let view = scheduler.engines.view_mut(EngineSlot(0));
-    view.announced.note(notice, Duration::ZERO);
-    // Neither a good answer nor a report ends it.
-    scheduler.engines.view_mut(EngineSlot(0)).breaker.succeed();
+    view.advertised.record(notice, Duration::ZERO);
+    // Neither a successful request nor a load report ends the back-off.
+    scheduler
+        .engines
+        .view_mut(EngineSlot(0))
+        .breaker
+        .record_success();
     scheduler
         .engines
         .report(EngineSlot(0), LoadReport::default(), 1);
     scheduler.engines.update(describe(0, 1, 1));
     assert_eq!(choose(&scheduler, &chain, &[]), None);
     assert_eq!(
-        scheduler.opens_in(&key(1), REST_US / 3),
-        Some(REST_US * 2 / 3)
+        scheduler.available_in(&key(1), BACK_OFF_US / 3),
+        Some(BACK_OFF_US * 2 / 3)
     );
-    assert_eq!(scheduler.opens_in(&key(1), REST_US), None);
-    // What the former life asked for does not bind the next one.
+    assert_eq!(scheduler.available_in(&key(1), BACK_OFF_US), None);
+    // The back-off of the former incarnation does not apply to the next one.
     scheduler.engines.update(describe(0, 2, 1));
     assert_eq!(choose(&scheduler, &chain, &[]), Some(EngineSlot(0)));
 }
 
 #[test]
-fn a_new_life_or_new_weights_void_what_was_known() {
+fn a_restart_or_new_weights_invalidate_the_cache() {
     let mut scheduler = scheduler(1);
     let (_, same) = scheduler.engines.update(describe(0, 1, 1));
-    let (_, life) = scheduler.engines.update(describe(0, 2, 1));
+    let (_, restarted) = scheduler.engines.update(describe(0, 2, 1));
     let (_, weights) = scheduler.engines.update(describe(0, 2, 2));
-    assert_eq!(same, CacheKnowledge::Kept);
-    assert_eq!(life, CacheKnowledge::Void);
-    assert_eq!(weights, CacheKnowledge::Void);
+    assert_eq!(same, CacheValidity::Valid);
+    assert_eq!(restarted, CacheValidity::Invalidated);
+    assert_eq!(weights, CacheValidity::Invalidated);
     assert!(scheduler.engines.group(&key(1)).is_empty());
     let group = scheduler.engines.group(&key(2));
     let slots: Vec<EngineSlot> = group.iter().map(|member| member.slot).collect();
@@ -181,7 +185,7 @@
 }
 
 #[test]
-fn all_routers_agree_on_the_favourites_of_a_prefix_they_know_nothing_of() {
+fn all_routers_choose_the_same_engine_for_an_unknown_prefix() {
     let chain = chain(&"a long opening ".repeat(50));
     let mut one = scheduler(50);
     let other = scheduler(50);
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn tenants_move_to_new_weights_with_the_share_of_replicas() {
+fn tenants_switch_to_new_weights_in_proportion_to_updated_replicas() {
     let mut scheduler = scheduler(4);
     let model = ModelName::from("model");
     let version = |scheduler: &Scheduler, point: f64| {
@@ -213,7 +217,7 @@
     assert_eq!(version(&scheduler, 0.99), 2);
 }
 
-/// What an engine holds, as a set of leading blocks for each chain.
+/// Checks lookup results against `holdings`, the number of leading blocks that each engine has cached.
 fn check_overlaps(
     holdings: &BTreeMap<u16, usize>,
     chain: &PrefixChain,
@@ -242,33 +246,33 @@
         for (engine, depth) in depths.into_iter().take(20) {
             let depth = usize::from(depth) % (chain.blocks.len() + 1);
             if depth > 0 && holdings.insert(engine, depth).is_none() {
-                index.stored(EngineSlot(engine), chain.blocks[..depth].iter().copied());
+                index.insert(EngineSlot(engine), chain.blocks[..depth].iter().copied());
             } else if depth > 0 {
                 let known = holdings[&engine];
-                index.forget(EngineSlot(engine));
-                index.stored(EngineSlot(engine), chain.blocks[..depth].iter().copied());
+                index.remove_engine(EngineSlot(engine));
+                index.insert(EngineSlot(engine), chain.blocks[..depth].iter().copied());
                 let _ = known;
             }
         }
         check_overlaps(&holdings, &chain, &index)
     }
 
-    fn forgetting_an_engine_leaves_the_others(blocks: Vec<(u16, u64)>, gone: u16) -> bool {
+    fn removing_an_engine_keeps_the_blocks_of_others(blocks: Vec<(u16, u64)>, removed: u16) -> bool {
         let mut index = PrefixIndex::new(1_000_000);
         let mut kept = BTreeSet::new();
         for (engine, block) in &blocks {
-            index.stored(EngineSlot(*engine), [BlockHash(u128::from(*block))]);
-            if *engine != gone {
+            index.insert(EngineSlot(*engine), [BlockHash(u128::from(*block))]);
+            if *engine != removed {
                 kept.insert(*block);
             }
         }
-        index.forget(EngineSlot(gone));
+        index.remove_engine(EngineSlot(removed));
         index.len() == kept.len()
     }
 
-    fn a_full_index_refuses_instead_of_growing(blocks: Vec<u64>) -> bool {
+    fn a_full_index_does_not_grow(blocks: Vec<u64>) -> bool {
         let mut index = PrefixIndex::new(5);
-        index.stored(EngineSlot(0), blocks.iter().map(|block| BlockHash(u128::from(*block))));
+        index.insert(EngineSlot(0), blocks.iter().map(|block| BlockHash(u128::from(*block))));
         index.len() <= 5
     }
 }
