--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -109,7 +109,7 @@
     }
 
     /// Fails the request with `refusal`, adjusted for the attempts made so far.
-    pub fn refused(&self, refusal: Refusal) -> NextStep {
+    pub fn fail_with(&self, refusal: Refusal) -> NextStep {
         NextStep::Fail(Refusal {
             execution: self.execution(),
             ..refusal
--- a/crates/router/src/completions.rs
+++ b/crates/router/src/completions.rs
@@ -179,14 +179,14 @@
 }
 
 fn choose_first(state: &RouterState, job: &Job, now: u64) -> Result<Decision, Refusal> {
-    let shape = RoutingRequest {
+    let request = RoutingRequest {
         key: &job.model_key,
         chain: &job.chain,
         boundaries: &job.boundaries,
         priority: job.priority,
         excluded: &[],
     };
-    let decision = lock(&state.scheduler).choose(shape, now, rand::random());
+    let decision = lock(&state.scheduler).choose(request, now, rand::random());
     decision.ok_or_else(|| no_engine_refusal(state, &job.model_key))
 }
 
--- a/crates/router/src/control_link.rs
+++ b/crates/router/src/control_link.rs
@@ -47,9 +47,9 @@
 impl ControlLink {
     /// Creates connections to the configured replicas.
     pub fn new(replicas: &[ControlAddress]) -> Self {
-        let connections = replicas.iter().map(|known| {
-            let connection = ControlConnection::new(known.address, CONNECT_TIMEOUT);
-            (ReplicaId(known.replica_id), Arc::new(connection))
+        let connections = replicas.iter().map(|replica| {
+            let connection = ControlConnection::new(replica.address, CONNECT_TIMEOUT);
+            (ReplicaId(replica.replica_id), Arc::new(connection))
         });
         Self {
             connections: Mutex::new(connections.collect()),
@@ -72,10 +72,10 @@
             let Ok(address) = voter.address.parse::<SocketAddr>() else {
                 continue;
             };
-            let known = connections
+            let is_connected = connections
                 .get(&voter.replica)
                 .is_some_and(|connection| connection.address() == address);
-            if !known {
+            if !is_connected {
                 let connection = ControlConnection::new(address, CONNECT_TIMEOUT);
                 connections.insert(voter.replica, Arc::new(connection));
             }
@@ -266,9 +266,9 @@
         // Updates of different replicas may arrive out of order; `with_update` ignores older ones.
         state
             .resolved
-            .rcu(|known| match known.with_update(update.clone()) {
+            .rcu(|current| match current.with_update(update.clone()) {
                 Some(newer) => Arc::new(newer),
-                None => Arc::clone(known),
+                None => Arc::clone(current),
             });
     }
     if let Some(update) = &reply.quarantine {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -108,7 +108,7 @@
     address: SocketAddr,
     uncached_tokens: u64,
     /// Leading blocks that the engine was known to have cached before the attempt.
-    held_blocks: u32,
+    cached_blocks: u32,
     awaiting_first_token: bool,
     /// Permit for this attempt, if the engine has a rate limit.
     permit: Option<Permit>,
@@ -124,19 +124,19 @@
                 return final_event(self.no_engine_outcome());
             };
             if let Some(refusal) = quarantine::refusal(self.state, self.job.content_key) {
-                return final_event(self.attempts.refused(refusal));
+                return final_event(self.attempts.fail_with(refusal));
             }
             let Some(permit) = self.acquire_permit(&decision).await else {
                 // The denial was recorded, so the next decision skips this engine.
                 continue;
             };
             self.record_decision(&decision);
-            let end = self.attempt(&decision, permit).await;
-            self.log.record_attempt(&end);
+            let outcome = self.attempt(&decision, permit).await;
+            self.log.record_attempt(&outcome);
             let (state, tenant) = (self.state, &self.job.tenant);
-            let after = self.attempts.record(end, || spend_retry(state, tenant));
-            if after != NextStep::Retry {
-                return final_event(after);
+            let next_step = self.attempts.record(outcome, || spend_retry(state, tenant));
+            if next_step != NextStep::Retry {
+                return final_event(next_step);
             }
             self.excluded.push(decision.chosen.engine);
             self.state.metrics.retries.inc();
@@ -144,14 +144,14 @@
     }
 
     fn choose(&self) -> Option<Decision> {
-        let shape = RoutingRequest {
+        let request = RoutingRequest {
             key: &self.job.model_key,
             chain: &self.job.chain,
             boundaries: &self.job.boundaries,
             priority: self.job.priority,
             excluded: &self.excluded,
         };
-        lock(&self.state.scheduler).choose(shape, self.state.now_us(), rand::random())
+        lock(&self.state.scheduler).choose(request, self.state.now_us(), rand::random())
     }
 
     /// Outcome when no engine accepts the request. Before the first attempt, the refusal includes the
@@ -161,7 +161,7 @@
             return self.attempts.fail_without_engine();
         }
         let refusal = completions::no_engine_refusal(self.state, &self.job.model_key);
-        self.attempts.refused(refusal)
+        self.attempts.fail_with(refusal)
     }
 
     /// Acquires a permit if the chosen engine has a rate limit. Returns `None` if the permit was
@@ -193,17 +193,17 @@
             incarnation: request.incarnation,
             address,
             uncached_tokens: u64::from(decision.chosen.uncached_tokens),
-            held_blocks: decision.chosen.held_tokens / self.job.chain.block_tokens.max(1),
+            cached_blocks: decision.chosen.held_tokens / self.job.chain.block_tokens.max(1),
             awaiting_first_token: true,
             permit,
         };
         self.relay.begin(attempt.id);
         self.on_attempt_started(&attempt);
-        let end = self.exchange(&mut attempt, &request).await;
-        self.on_attempt_finished(&attempt, &end);
-        self.report_back_end_health(&attempt, &end);
+        let outcome = self.exchange(&mut attempt, &request).await;
+        self.on_attempt_finished(&attempt, &outcome);
+        self.report_back_end_health(&attempt, &outcome);
         let may_still_run = matches!(
-            end,
+            outcome,
             AttemptOutcome::ClientDisconnected
                 | AttemptOutcome::DeadlineExceeded
                 | AttemptOutcome::Lost
@@ -211,12 +211,12 @@
         if may_still_run {
             self.cancel(&attempt);
         }
-        end
+        outcome
     }
 
     /// Reports to the quarantine whether the engine survived the request.
-    fn report_back_end_health(&self, attempt: &Attempt, end: &AttemptOutcome) {
-        match end {
+    fn report_back_end_health(&self, attempt: &Attempt, outcome: &AttemptOutcome) {
+        match outcome {
             AttemptOutcome::Completed(_) => {
                 quarantine::record_success(self.state, self.job.content_key)
             }
@@ -286,17 +286,17 @@
         view.breaker.record_success();
     }
 
-    fn on_attempt_finished(&self, attempt: &Attempt, end: &AttemptOutcome) {
+    fn on_attempt_finished(&self, attempt: &Attempt, outcome: &AttemptOutcome) {
         let now = self.state.now_us();
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
         view.record_closed();
-        if matches!(end, AttemptOutcome::Lost | AttemptOutcome::NotSent) {
+        if matches!(outcome, AttemptOutcome::Lost | AttemptOutcome::NotSent) {
             view.breaker.record_failure(now);
         }
         if attempt.awaiting_first_token {
             view.record_prefilled(attempt.uncached_tokens, self.is_interactive());
-            scheduler.withdraw_expectation(attempt.engine, &self.job.chain, attempt.held_blocks);
+            scheduler.withdraw_expectation(attempt.engine, &self.job.chain, attempt.cached_blocks);
         }
     }
 
@@ -362,8 +362,8 @@
 }
 
 /// Returns the event that ends a response; `None` if the caller disconnected.
-fn final_event(after: NextStep) -> Option<ResponseEvent> {
-    match after {
+fn final_event(next_step: NextStep) -> Option<ResponseEvent> {
+    match next_step {
         NextStep::Completed(end) => Some(ResponseEvent::Ended(end)),
         NextStep::Fail(refusal) => Some(ResponseEvent::Failed(refusal)),
         NextStep::Retry | NextStep::Abandon => None,
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -190,14 +190,14 @@
     /// Records the engine's `Retry-After` delay.
     fn record_back_off(&self, attempt: &Attempt, delay: Duration) {
         let now = self.state.uptime();
-        let notice = BackEndSignals {
+        let signals = BackEndSignals {
             back_off: Some(delay),
             ..BackEndSignals::default()
         };
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
         if view.incarnation == attempt.incarnation {
-            view.advertised.record(notice, now);
+            view.advertised.record(signals, now);
         }
         spdlog::info!("engine requested back-off", kv: {
             engine = view.id.to_string(),
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -57,7 +57,7 @@
     fn known_limit(&self, incarnation_id: &str) -> Option<KnownLimit> {
         let advertised = match incarnation_id.parse::<SocketAddr>() {
             Ok(_) => lock(&self.back_end_availability).limit(incarnation_id),
-            Err(_) => self.with_advertised(incarnation_id, |state| state.limit()),
+            Err(_) => self.with_advertised(incarnation_id, |advertised| advertised.limit()),
         }?;
         Some(KnownLimit {
             limit: advertised.limit,
@@ -67,21 +67,29 @@
     }
 
     fn permit_requests_suspended_until(&self) -> MonotonicTime {
-        *lock(&self.permit_requests_paused_until)
+        *lock(&self.permit_requests_suspended_until)
     }
 
     fn suspend_permit_requests(&self, until: MonotonicTime) {
-        *lock(&self.permit_requests_paused_until) = until;
+        *lock(&self.permit_requests_suspended_until) = until;
     }
 
-    fn record_denied(&self, incarnation_id: &str, limit: RequestLimit, room_at: MonotonicTime) {
+    fn record_denied(
+        &self,
+        incarnation_id: &str,
+        limit: RequestLimit,
+        limited_until: MonotonicTime,
+    ) {
         self.metrics.permits_denied.inc();
-        self.with_advertised(incarnation_id, |state| state.set_limited_until(limit, room_at)
+        self.with_advertised(incarnation_id, |advertised| {
+            advertised.set_limited_until(limit, limited_until)
         });
     }
 
-    fn clear_limit(&self, incarnation_id: &str, named_at: MonotonicTime) {
-        self.with_advertised(incarnation_id, |state| state.clear_limit(named_at));
+    fn clear_limit(&self, incarnation_id: &str, advertised_at: MonotonicTime) {
+        self.with_advertised(incarnation_id, |advertised| {
+            advertised.clear_limit(advertised_at)
+        });
     }
 
     async fn ask_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
@@ -101,8 +109,8 @@
     permit: Option<Permit>,
     headers: &HeaderMap,
 ) {
-    let stated = parse_limit_header(headers, REQUEST_LIMIT_HEADER);
-    let news = match stated {
+    let header = parse_limit_header(headers, REQUEST_LIMIT_HEADER);
+    let changes = match header {
         LimitHeader::Absent => SignalChanges::default(),
         LimitHeader::Invalid(error) => {
             state.metrics.invalid_limits.inc();
@@ -113,26 +121,32 @@
             return;
         }
         LimitHeader::Present(_) => {
-            let notice = BackEndSignals {
-                limit: stated,
+            let signals = BackEndSignals {
+                limit: header,
                 ..BackEndSignals::default()
             };
             let now = state.uptime();
             log_new_limit(
                 incarnation_id,
-                state.with_advertised(incarnation_id, |state| state.record(notice, now)),
+                state.with_advertised(incarnation_id, |advertised| advertised.record(signals, now)),
             )
         }
     };
-    permits::handle_response(state, incarnation_id, permit, stated, news.limit.is_some());
+    permits::handle_response(
+        state,
+        incarnation_id,
+        permit,
+        header,
+        changes.limit.is_some(),
+    );
 }
 
-fn log_new_limit(incarnation_id: &str, news: SignalChanges) -> SignalChanges {
-    if let Some(limit) = news.limit {
+fn log_new_limit(incarnation_id: &str, changes: SignalChanges) -> SignalChanges {
+    if let Some(limit) = changes.limit {
         spdlog::info!("rate limit advertised", kv: {
             replica = incarnation_id.to_owned(),
             per_s = limit.requests_per_s(),
         });
     }
-    news
+    changes
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -111,7 +111,7 @@
         let command = ServingCommand::RecordCrash {
             replica,
             contents,
-            // No witness is needed: the platform lists engines and back ends.
+            // No reporter is needed: the platform lists engines and back ends.
             reporter: None,
         };
         propose(state, command).await;
@@ -123,11 +123,11 @@
         spdlog::info!("report skipped: not supported at the group's feature level");
         return;
     }
-    let proposed = state
+    let outcome = state
         .control
         .propose(Command::Serving(command), REPORT_TIMEOUT)
         .await;
-    match proposed {
+    match outcome {
         ProposalOutcome::Done(Outcome::Serving(ServingOutcome::CrashRecorded(update))) => {
             apply_update(state, &update)
         }
--- a/crates/router/src/request_log.rs
+++ b/crates/router/src/request_log.rs
@@ -11,7 +11,7 @@
 pub struct RequestLog {
     job: Arc<Job>,
     replica: String,
-    kept_tokens: u32,
+    cached_tokens: u32,
     attempts: u32,
     first_byte: Option<Duration>,
     outcome: String,
@@ -23,7 +23,7 @@
         Self {
             job,
             replica: String::new(),
-            kept_tokens: 0,
+            cached_tokens: 0,
             attempts: 0,
             first_byte: None,
             outcome: "caller_gone".to_owned(),
@@ -32,29 +32,29 @@
 
     /// Records the choice of an engine. Repeated choices are logged at once, since the final line
     /// contains only the last one.
-    pub fn record_choice(&mut self, engine: EngineId, held_tokens: u32) {
+    pub fn record_choice(&mut self, engine: EngineId, cached_tokens: u32) {
         self.replica = engine.to_string();
-        self.kept_tokens = held_tokens;
+        self.cached_tokens = cached_tokens;
         self.attempts += 1;
         if self.attempts > 1 {
             spdlog::info!("chosen again", kv: {
                 request = format_id(self.job.request_id),
                 attempt = self.attempts,
                 replica = self.replica.clone(),
-                kept_tokens = held_tokens,
+                kept_tokens = cached_tokens,
             });
         }
     }
 
     /// Logs an attempt that did not complete.
-    pub fn record_attempt(&self, end: &AttemptOutcome) {
-        if matches!(end, AttemptOutcome::Completed(_)) {
+    pub fn record_attempt(&self, outcome: &AttemptOutcome) {
+        if matches!(outcome, AttemptOutcome::Completed(_)) {
             return;
         }
         spdlog::info!("exchange failed", kv: {
             request = format_id(self.job.request_id),
             replica = self.replica.clone(),
-            cause = end.label().to_owned(),
+            cause = outcome.label().to_owned(),
             attempt = self.attempts,
         });
     }
@@ -87,7 +87,7 @@
             model = job.model_key.model.0.clone(),
             weights = job.model_key.weights_version.0,
             prompt_tokens = job.chain.total_tokens,
-            kept_tokens = self.kept_tokens,
+            kept_tokens = self.cached_tokens,
             attempts = self.attempts,
             first_byte_ms = self.first_byte.map_or(0, |elapsed| elapsed.as_millis() as u64),
             total_ms = job.received.elapsed().as_millis() as u64,
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -377,12 +377,12 @@
         address = address.to_string(),
         back_off_ms = delay.as_millis() as u64,
     });
-    let notice = BackEndSignals {
+    let signals = BackEndSignals {
         back_off: Some(delay),
         ..BackEndSignals::default()
     };
     let mut available = lock(&state.back_end_availability);
-    available.record(&address.to_string(), notice, state.uptime());
+    available.record(&address.to_string(), signals, state.uptime());
 }
 
 /// Returns the time until the first back end of a service is available, milliseconds; `None` if one
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -71,7 +71,7 @@
     /// Connections to the control replicas.
     pub control: ControlLink,
     /// Time before which no permit is requested, because no leader replied.
-    pub permit_requests_paused_until: Mutex<MonotonicTime>,
+    pub permit_requests_suspended_until: Mutex<MonotonicTime>,
     /// Size of a cache block as reported by the engines, tokens.
     pub block_tokens: std::sync::atomic::AtomicU32,
     /// Whether the platform's machine list was received at least once.
@@ -91,7 +91,7 @@
         let voters = settings
             .control
             .iter()
-            .map(|known| ReplicaId(known.replica_id));
+            .map(|replica| ReplicaId(replica.replica_id));
         let options = SchedulerOptions {
             zone: settings.zone.clone(),
             ..SchedulerOptions::default()
@@ -111,7 +111,7 @@
             metrics: RouterMetrics::default(),
             client: HttpClient::new(ENGINE_CONNECT_TIMEOUT),
             control: ControlLink::new(&settings.control),
-            permit_requests_paused_until: Mutex::default(),
+            permit_requests_suspended_until: Mutex::default(),
             block_tokens: std::sync::atomic::AtomicU32::new(16),
             machine_list_received: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
