--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: whole ones, streams, and reading within limits.
+//! HTTP bodies: complete and streamed bodies, and reading with limits.
 
 use std::{io, time::Duration};
 
@@ -19,43 +19,43 @@
 
 use crate::errors::ReceiveError;
 
-/// The body type of every response. An error ends the connection, so that a body that breaks off
-/// does not look whole.
+/// Body type of all responses. A body error aborts the connection, so that the peer does not mistake
+/// a truncated body for a complete one.
 pub type Body = BoxBody<Bytes, io::Error>;
 
-/// Chunks that may wait for a slow reader before the writer waits too.
+/// Chunks buffered for a slow reader before the writer is blocked.
 const STREAM_BUFFER: usize = 64;
 
-/// The writing end of a streamed body.
+/// Sender of a streamed body's chunks.
 pub type BodySender = mpsc::Sender<Bytes>;
 
-/// An empty body.
+/// Returns an empty body.
 pub fn empty() -> Body {
     full(Bytes::new())
 }
 
-/// A body that is known as a whole.
+/// Returns a body with the given content.
 pub fn full(content: impl Into<Bytes>) -> Body {
     Full::new(content.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// A body that is written while it is sent; it ends when the sender is dropped.
+/// Returns a streamed body and its sender. The body ends when the sender is dropped.
 pub fn streaming() -> (BodySender, Body) {
     let (sender, receiver) = mpsc::channel(STREAM_BUFFER);
     let frames = receiver.map(|chunk| Ok::<_, io::Error>(Frame::data(chunk)));
     (sender, BodyExt::boxed(StreamBody::new(frames)))
 }
 
-/// A JSON response.
+/// Returns a JSON response.
 pub fn json<T: Serialize>(status: u16, content: &T) -> Response<Body> {
-    // Serializing our own types cannot fail: they have string keys only.
+    // Serialization cannot fail, because all maps of the serialized types have string keys.
     let text = serde_json::to_vec(content).unwrap_or_default();
     with_content_type(status, "application/json", full(text))
 }
 
-/// A response of the given content type.
+/// Returns a response with the given status, content type and body.
 pub fn with_content_type(status: u16, content_type: &'static str, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
@@ -65,24 +65,28 @@
     response
 }
 
-/// Longest line of a streamed body, bytes.
-const LINE_LIMIT: usize = 16 * 1024 * 1024;
+/// Maximum length of a line of a streamed body, bytes.
+const MAX_LINE_BYTES: usize = 16 * 1024 * 1024;
 
-/// The lines of a body as they arrive. An error is a broken connection or an overlong line.
+/// Returns the lines of a body as a stream. Fails if the connection breaks or a line is too long.
 pub fn lines(body: Incoming) -> impl Stream<Item = Result<String, ReceiveError>> + Unpin {
     let chunks = BodyDataStream::new(body).map(|chunk| chunk.map_err(std::io::Error::other));
     let reader = StreamReader::new(chunks);
-    FramedRead::new(reader, LinesCodec::new_with_max_length(LINE_LIMIT))
+    FramedRead::new(reader, LinesCodec::new_with_max_length(MAX_LINE_BYTES))
         .map(|line| line.map_err(|_| ReceiveError::ConnectionLost))
 }
 
-/// Reads a whole body within a size and a time.
-pub async fn read_body<B>(body: B, limit: usize, time: Duration) -> Result<Bytes, ReceiveError>
+/// Reads a complete body of at most `limit` bytes, within `time_limit`.
+pub async fn read_body<B>(
+    body: B,
+    limit: usize,
+    time_limit: Duration,
+) -> Result<Bytes, ReceiveError>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let collected = timeout(time, Limited::new(body, limit).collect()).await;
+    let collected = timeout(time_limit, Limited::new(body, limit).collect()).await;
     match collected {
         Err(_) => Err(ReceiveError::Timeout),
         Ok(Ok(content)) => Ok(content.to_bytes()),
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Sending requests to back ends and the platform.
+//! HTTP client for back ends and the platform.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -18,30 +18,30 @@
     errors::{HttpError, SendError},
 };
 
-/// Largest answer read as a whole.
-const ANSWER_LIMIT: usize = 64 * 1024 * 1024;
-/// Idle connections kept to each address.
-const IDLE_CONNECTIONS: usize = 64;
+/// Maximum size of a JSON response, bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum idle connections per address.
+const MAX_IDLE_PER_HOST: usize = 64;
 
-/// A client that keeps connections open between requests.
+/// HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client whose connections must be made within `connect_timeout`.
+    /// Creates a client with the given timeout for opening a connection.
     pub fn new(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect_timeout));
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(IDLE_CONNECTIONS)
+            .pool_max_idle_per_host(MAX_IDLE_PER_HOST)
             .build(connector);
         Self { client }
     }
 
-    /// Sends a request and waits for the head of the response.
+    /// Sends a request and returns the response once its head is received.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -55,67 +55,67 @@
         })
     }
 
-    /// Fetches a JSON document.
+    /// Sends a GET request and parses the JSON response.
     pub async fn get_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<T, Report<HttpError>> {
         let request = Request::get(format!("http://{address}{path}"))
             .body(Full::default())
             .change_context(HttpError::InvalidRequest)?;
-        self.exchange_json(address, request, limit).await
+        self.exchange_json(address, request, time_limit).await
     }
 
-    /// Posts a JSON document and reads the JSON answer.
+    /// Sends a POST request with a JSON body and parses the JSON response.
     pub async fn post_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
         content: Vec<u8>,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<T, Report<HttpError>> {
         let request = Request::post(format!("http://{address}{path}"))
             .body(Full::new(Bytes::from(content)))
             .change_context(HttpError::InvalidRequest)?;
-        self.exchange_json(address, request, limit).await
+        self.exchange_json(address, request, time_limit).await
     }
 
     async fn exchange_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<T, Report<HttpError>> {
-        let no_answer = HttpError::NoAnswer { address };
-        let response = timeout(limit, self.send(request))
+        let no_response = HttpError::NoResponse { address };
+        let response = timeout(time_limit, self.send(request))
             .await
-            .change_context(no_answer)?
-            .change_context(no_answer)?;
+            .change_context(no_response)?
+            .change_context(no_response)?;
         let status = response.status().as_u16();
         if status != 200 {
             return Err(Report::new(HttpError::Status { address, status }));
         }
-        let body = read_body(response.into_body(), ANSWER_LIMIT, limit)
+        let body = read_body(response.into_body(), MAX_RESPONSE_BYTES, time_limit)
             .await
-            .change_context(no_answer)?;
+            .change_context(no_response)?;
         serde_json::from_slice(&body).change_context(HttpError::Malformed { address })
     }
 }
 
-/// Whether nobody listens at an address: its port refuses connections. False if it accepts them, and
-/// if nothing is heard within `limit`.
-pub async fn is_port_closed(address: SocketAddr, limit: Duration) -> bool {
-    let connected = timeout(limit, TcpStream::connect(address)).await;
+/// Whether the port at `address` refuses connections. Returns false if it accepts them, or if the
+/// connection attempt does not complete within `time_limit`.
+pub async fn is_port_closed(address: SocketAddr, time_limit: Duration) -> bool {
+    let connected = timeout(time_limit, TcpStream::connect(address)).await;
     let refused = |error: &io::Error| error.kind() == io::ErrorKind::ConnectionRefused;
     connected.is_ok_and(|connected| connected.as_ref().err().is_some_and(refused))
 }
 
-/// Sends one request on a connection of its own.
+/// Sends one request on a new connection.
 ///
-/// A pooled connection may turn out to be closed just as a request is written to it, and then
-/// nobody knows whether it was received. Here a failure to connect proves that it was not sent.
+/// If a pooled connection is closed while a request is written, it is unknown whether the request
+/// was received. With a new connection, a failure to connect proves that it was not sent.
 pub async fn send_on_new_connection(
     address: SocketAddr,
     mut request: Request<Full<Bytes>>,
--- a/crates/http/src/errors.rs
+++ b/crates/http/src/errors.rs
@@ -1,19 +1,19 @@
-//! Failures of HTTP exchanges, told apart by what they prove.
+//! Errors of HTTP exchanges, distinguished by whether the request may have been received.
 
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// Why a request body could not be received.
+/// Error of receiving a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReceiveError {
-    /// It is larger than allowed.
+    /// The body is larger than allowed.
     #[error("the body exceeds {limit} bytes")]
     TooLarge {
-        /// Limit in bytes.
+        /// Maximum size, bytes.
         limit: usize,
     },
-    /// It did not arrive in time.
+    /// The body did not arrive in time.
     #[error("the body did not arrive in time")]
     Timeout,
     /// The connection broke.
@@ -21,10 +21,10 @@
     ConnectionLost,
 }
 
-/// Why a request got no response.
+/// Error of sending a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SendError {
-    /// No connection could be made; the request was not sent.
+    /// The connection failed; the request was certainly not sent.
     #[error("the request was not sent")]
     NotSent,
     /// The request may have been received.
@@ -32,36 +32,36 @@
     MaybeSent,
 }
 
-/// Why an exchange failed as a whole.
+/// Error of a complete exchange, or of opening a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// Nothing listens there, or it did not answer.
+    /// The server cannot be reached or did not respond in time.
     #[error("no answer from {address}")]
-    NoAnswer {
-        /// The address.
+    NoResponse {
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The answer has another status than 200.
+    /// The response has a status other than 200.
     #[error("{address} answered with status {status}")]
     Status {
-        /// The address.
+        /// Address of the server.
         address: SocketAddr,
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
     },
-    /// The answer is not of the expected shape.
+    /// The response cannot be parsed.
     #[error("the answer of {address} is malformed")]
     Malformed {
-        /// The address.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// A request could not be built from the given parts.
+    /// The request cannot be built from the given parts.
     #[error("the request is not valid HTTP")]
     InvalidRequest,
-    /// A listener cannot be opened.
+    /// A listener cannot be bound.
     #[error("cannot listen on {address}")]
     Listen {
-        /// The address.
+        /// Listen address.
         address: SocketAddr,
     },
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP plumbing shared by the daemons, over hyper.
+//! HTTP client and server utilities shared by the daemons, based on hyper.
 
 pub mod body;
 pub mod client;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, with limits and a drain that cuts off no open request.
+//! HTTP/1 server with connection limits and graceful shutdown.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -18,21 +18,21 @@
 
 use crate::body::Body;
 
-/// Pause after a failed accept, so that a lack of file descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, which avoids a busy loop if file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Smallest buffer that hyper takes, bytes.
-const SMALLEST_BUFFER: usize = 8 * 1024;
+/// Minimum buffer size that hyper accepts, bytes.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
 /// Default of [`ServeOptions::linger`].
 pub const LINGER: Duration = Duration::from_millis(500);
 
-/// Limits of one connection, as they are when it is accepted.
+/// Limits of one connection, fixed when it is accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Time for which the connection may rest, and for the head of a request to arrive.
+    /// Timeout for receiving a request head, which also limits how long a connection may be idle.
     pub head_timeout: Duration,
-    /// Largest head of a request, bytes.
+    /// Maximum size of a request head, bytes.
     pub head_bytes: usize,
 }
 
@@ -48,15 +48,15 @@
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ServeOptions {
-    /// Open connections; more are closed at once.
+    /// Maximum open connections; further ones are closed immediately.
     pub connections: usize,
-    /// Limits of each connection, unless they are asked for anew ([`serve_limited`]).
+    /// Limits of each connection; [`serve_limited`] does not use them.
     pub limits: ConnectionLimits,
-    /// Time after shutdown is asked for in which connections and requests are still taken, so
-    /// that the handler can refuse them and callers learn to go elsewhere. Closing idle
-    /// connections at once would cut off a request that is just being written to one.
+    /// Time after the start of a shutdown during which connections and requests are still accepted, so
+    /// that the handler can refuse them and callers retry elsewhere. Closing idle connections
+    /// immediately could cut off a request that is just being written.
     pub linger: Duration,
-    /// Time for open requests to end after that.
+    /// Maximum time after `linger` for open requests to complete.
     pub drain: Duration,
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// Serves until `shutdown`, then waits for open requests; true if all ended in time.
+/// Serves until `shutdown`, then drains open requests. Returns true if all of them completed in time.
 pub async fn serve<H, F>(
     listener: TcpListener,
     options: ServeOptions,
@@ -86,7 +86,7 @@
     serve_limited(listener, options, limits, shutdown, handler).await
 }
 
-/// Like [`serve`], with limits that may change: `limits` is asked for each new connection.
+/// Like [`serve`], but calls `limits` for the limits of each new connection.
 pub async fn serve_limited<H, F>(
     listener: TcpListener,
     options: ServeOptions,
@@ -99,39 +99,39 @@
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     let graceful = GracefulShutdown::new();
-    let permits = Arc::new(Semaphore::new(options.connections));
-    let lingered = linger(&shutdown, options.linger);
-    tokio::pin!(lingered);
+    let connection_permits = Arc::new(Semaphore::new(options.connections));
+    let linger_elapsed = linger(&shutdown, options.linger);
+    tokio::pin!(linger_elapsed);
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = &mut lingered => break,
+            () = &mut linger_elapsed => break,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&connection_permits).try_acquire_owned() else {
             continue;
         };
-        // A failure here only costs latency.
+        // Ignored: without the option, only latency increases.
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
         let shutdown = shutdown.clone();
         let service = service_fn(move |request| {
-            let answer = handler(request);
+            let response = handler(request);
             let shutdown = shutdown.clone();
-            async move { Ok::<_, Infallible>(closing_if(&shutdown, answer.await)) }
+            async move { Ok::<_, Infallible>(with_close_on_shutdown(&shutdown, response.await)) }
         });
         let limits = limits();
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(limits.head_timeout)
-            .max_buf_size(limits.head_bytes.max(SMALLEST_BUFFER))
+            .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         let watched = graceful.watch(connection);
         tokio::spawn(async move {
-            // The peer may close at any time; there is nobody left to tell.
+            // Connection errors are ignored: the peer may disconnect at any time.
             let _ = watched.await;
             drop(permit);
         });
@@ -145,8 +145,11 @@
     tokio::time::sleep(time).await;
 }
 
-/// Tells the peer of a stopping server not to use the connection again.
-fn closing_if(shutdown: &CancellationToken, mut response: Response<Body>) -> Response<Body> {
+/// Adds `Connection: close` to the response if the server is shutting down.
+fn with_close_on_shutdown(
+    shutdown: &CancellationToken,
+    mut response: Response<Body>,
+) -> Response<Body> {
     if shutdown.is_cancelled() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
--- a/crates/http/src/signals.rs
+++ b/crates/http/src/signals.rs
@@ -1,11 +1,11 @@
-//! Planned stops by signal.
+//! Handlers for SIGHUP and SIGTERM.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// Calls `reload` whenever SIGHUP arrives, for as long as the process runs.
+/// Calls `reload` on each SIGHUP, indefinitely.
 pub async fn reload_on_hangup(reload: impl Fn()) {
-    // Without a handler the signal ends the process, which is its default.
+    // If no handler can be installed, the signal terminates the process by default.
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
@@ -15,9 +15,9 @@
     }
 }
 
-/// Cancels a token when SIGTERM arrives.
+/// Cancels `shutdown` on SIGTERM.
 pub async fn cancel_on_terminate(shutdown: CancellationToken) {
-    // Without a handler the signal ends the process at once, which is its default.
+    // If no handler can be installed, the signal terminates the process by default.
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return;
     };
--- a/crates/http/tests/retry_after.rs
+++ b/crates/http/tests/retry_after.rs
@@ -1,4 +1,4 @@
-//! What an answer says of when its sender takes requests again.
+//! Parsing of the `Retry-After` header.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 };
 use railtack_http::{MAX_RETRY_AFTER, retry_after};
 
-fn read(status: StatusCode, value: &[u8]) -> Option<Duration> {
+fn parse(status: StatusCode, value: &[u8]) -> Option<Duration> {
     let mut headers = HeaderMap::new();
     let value = HeaderValue::from_bytes(value).expect("a value");
     headers.insert(RETRY_AFTER, value);
@@ -16,19 +16,19 @@
 }
 
 #[test]
-fn seconds_with_fractions_are_read_from_answers_that_turn_away() {
+fn delay_is_parsed_only_from_503_and_429() {
     let busy = StatusCode::SERVICE_UNAVAILABLE;
-    assert_eq!(read(busy, b"3"), Some(Duration::from_secs(3)));
-    assert_eq!(read(busy, b" 0.25 "), Some(Duration::from_millis(250)));
+    assert_eq!(parse(busy, b"3"), Some(Duration::from_secs(3)));
+    assert_eq!(parse(busy, b" 0.25 "), Some(Duration::from_millis(250)));
     let limited = StatusCode::TOO_MANY_REQUESTS;
-    assert_eq!(read(limited, b"3"), Some(Duration::from_secs(3)));
-    assert_eq!(read(StatusCode::OK, b"3"), None);
-    assert_eq!(read(StatusCode::MISDIRECTED_REQUEST, b"3"), None);
+    assert_eq!(parse(limited, b"3"), Some(Duration::from_secs(3)));
+    assert_eq!(parse(StatusCode::OK, b"3"), None);
+    assert_eq!(parse(StatusCode::MISDIRECTED_REQUEST, b"3"), None);
     assert_eq!(retry_after(busy, &HeaderMap::new()), None);
 }
 
 #[test]
-fn anything_else_is_no_time() {
+fn invalid_values_are_ignored() {
     for value in [
         &b""[..],
         b"soon",
@@ -41,7 +41,7 @@
         b"Wed, 21 Oct 2026 07:28:00 GMT",
     ] {
         assert_eq!(
-            read(StatusCode::SERVICE_UNAVAILABLE, value),
+            parse(StatusCode::SERVICE_UNAVAILABLE, value),
             None,
             "{value:?}"
         );
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_huge_time_stays_in_range() {
-    let huge = read(StatusCode::SERVICE_UNAVAILABLE, b"1000000000000");
+fn long_delay_is_reduced_to_the_maximum() {
+    let huge = parse(StatusCode::SERVICE_UNAVAILABLE, b"1000000000000");
     assert_eq!(huge, Some(MAX_RETRY_AFTER));
 }
