--- a/crates/http/src/errors.rs
+++ b/crates/http/src/errors.rs
@@ -36,13 +36,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
     /// The server cannot be reached or did not respond in time.
-    #[error("no answer from {address}")]
+    #[error("no response from {address}")]
     NoResponse {
         /// Address of the server.
         address: SocketAddr,
     },
     /// The response has a status other than 200.
-    #[error("{address} answered with status {status}")]
+    #[error("{address} responded with status {status}")]
     Status {
         /// Address of the server.
         address: SocketAddr,
@@ -50,7 +50,7 @@
         status: u16,
     },
     /// The response cannot be parsed.
-    #[error("the answer of {address} is malformed")]
+    #[error("malformed response from {address}")]
     Malformed {
         /// Address of the server.
         address: SocketAddr,
--- a/crates/http/src/retry_after.rs
+++ b/crates/http/src/retry_after.rs
@@ -24,7 +24,7 @@
     let value = headers.get(RETRY_AFTER)?;
     let delay = parse_seconds(value.as_bytes());
     if delay.is_none() {
-        spdlog::info!("header not read", kv: {
+        spdlog::info!("header value invalid", kv: {
             header = RETRY_AFTER.as_str(),
             value = format!("{value:?}"),
         });
