--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,17 +1,16 @@
-//! Structured logs: one JSON object a line on standard output.
+//! Structured logs: one JSON object per line on standard output.
 //!
-//! The caller of a log macro never waits: a line passes a [`budget`] of lines a second for its
-//! event, is written as JSON with its place in the process's sequence, and goes into a queue that
-//! drops when it is full. A thread of its own hands the queue to standard output, so that a reader
-//! that stands still slows nothing. What is left out or dropped is counted in [`metrics()`], and shows
-//! as gaps in the sequence.
+//! Log macros never block. Each event has a [`budget`] of lines per second; lines beyond it are
+//! suppressed. Other lines are serialized with a sequence number and put into a bounded queue, which
+//! a separate thread writes to standard output. If the queue is full, lines are dropped. Suppressed
+//! and dropped lines are counted in [`metrics()`] and leave gaps in the sequence numbers.
 //!
-//! | module | job | pure |
-//! |---|---|---|
-//! | [`budget`] | lines that an event may write in a second | yes |
-//! | [`mod@line`] | a line's fields, written and read | yes |
-//! | [`mod@metrics`] | counters | yes |
-//! | [`sink`] | the queue and its thread | |
+//! | module | content |
+//! |---|---|
+//! | [`budget`] | lines per second that an event may write |
+//! | [`mod@line`] | serialization and parsing of log lines |
+//! | [`mod@metrics`] | counters of log lines and resident memory |
+//! | [`sink`] | queue and writer thread |
 
 pub mod budget;
 pub mod line;
@@ -27,23 +26,23 @@
 
 use crate::{line::Process, metrics::LogMetrics, sink::BoundedSink};
 
-/// The process's metrics of its logs, also before [`initialize`].
+/// Returns the log metrics of this process. May be called before [`initialize`].
 pub fn metrics() -> &'static LogMetrics {
     static METRICS: OnceLock<LogMetrics> = OnceLock::new();
     METRICS.get_or_init(LogMetrics::default)
 }
 
-/// Names the machine in every later line; the first name counts.
+/// Sets the node name of all later lines. Only the first call has an effect.
 pub fn set_node(node: &str) {
-    Process::this().set_node(node);
+    Process::current().set_node(node);
 }
 
-/// Sends logs of `info` and above to standard output. A second call replaces the first logger.
+/// Writes logs of level `info` and above to standard output. A further call replaces the logger.
 pub fn initialize() {
     initialize_to(Box::new(io::stdout()));
 }
 
-/// Sends logs of `info` and above to a writer, which may block without slowing anyone.
+/// Writes logs of level `info` and above to `writer`, which may block without blocking callers.
 pub fn initialize_to(writer: Box<dyn io::Write + Send>) {
     let sink = BoundedSink::start(writer, metrics().clone());
     let logger = spdlog::Logger::builder()
--- a/crates/telemetry/src/line.rs
+++ b/crates/telemetry/src/line.rs
@@ -1,4 +1,4 @@
-//! One line of a log: what every line says of itself, besides its event's own fields.
+//! Format of log lines: common fields and the fields of the event.
 
 use std::{
     sync::{
@@ -12,31 +12,31 @@
 use serde_json::{Map, Value};
 use spdlog::{Level, Record};
 
-/// A line as a reader gets it.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct LogLine {
     /// Severity.
     pub level: String,
-    /// Time of day, milliseconds since 1970; may jump.
+    /// Wall clock time, milliseconds since the Unix epoch. Not monotonic.
     pub timestamp: u64,
-    /// Time since the process started, by its steady clock, microseconds.
+    /// Monotonic time since the process started, microseconds.
     pub uptime_us: u64,
-    /// The machine; empty before the process has read its settings.
+    /// Name of the node; empty before the process has read its settings.
     #[serde(default)]
     pub node: String,
-    /// Names one life of a process; drawn at its start.
+    /// Random id of one run of a process.
     #[serde(rename = "life")]
     pub run_id: String,
-    /// Place among the lines of this life. A gap means lines that were left out or dropped.
+    /// Sequence number within the run. A gap means suppressed or dropped lines.
     pub sequence: u64,
-    /// What happened.
+    /// Text of the event.
     pub payload: String,
-    /// The event's own fields.
+    /// Fields of the event.
     #[serde(default)]
     pub kv: Map<String, Value>,
 }
 
-/// What all lines of this process share.
+/// State shared by all log lines of this process.
 #[derive(Debug)]
 pub struct Process {
     started: Instant,
@@ -46,10 +46,10 @@
 }
 
 impl Process {
-    /// This process.
-    pub fn this() -> &'static Self {
-        static THIS: OnceLock<Process> = OnceLock::new();
-        THIS.get_or_init(|| Self {
+    /// Returns the state of this process.
+    pub fn current() -> &'static Self {
+        static CURRENT: OnceLock<Process> = OnceLock::new();
+        CURRENT.get_or_init(|| Self {
             started: Instant::now(),
             run_id: format!("{:08x}", rand::random::<u32>()),
             node: OnceLock::new(),
@@ -57,35 +57,35 @@
         })
     }
 
-    /// Names the machine; the first name counts.
+    /// Sets the node name. Only the first call has an effect.
     pub fn set_node(&self, node: &str) {
         let _ = self.node.set(node.to_owned());
     }
 
-    /// Time since the start, microseconds.
+    /// Monotonic time since the process started, microseconds.
     pub fn uptime_us(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
     }
 
-    /// The next place in the sequence, used up also by lines that are not written.
+    /// Returns the next sequence number. Lines that are not written use one as well.
     pub fn next_sequence(&self) -> u64 {
         self.sequence.fetch_add(1, Ordering::Relaxed)
     }
 }
 
-/// A line before it has its place.
-pub struct Draft<'a, F> {
+/// A line without its sequence number and process fields.
+pub struct LogEntry<'a, F> {
     /// Severity.
     pub level: Level,
-    /// Time of day.
+    /// Wall clock time.
     pub time: SystemTime,
-    /// What happened.
+    /// Text of the event.
     pub payload: &'a str,
-    /// The event's own fields.
+    /// Fields of the event.
     pub fields: F,
 }
 
-/// The fields of a record.
+/// Serializes the fields of a record as a map.
 pub struct RecordFields<'a, 'r>(pub &'a Record<'r>);
 
 impl Serialize for RecordFields<'_, '_> {
@@ -99,9 +99,9 @@
     }
 }
 
-/// What is written of a line; the counterpart of [`LogLine`].
+/// Serialized form of a line; the counterpart of [`LogLine`].
 #[derive(Serialize)]
-struct Written<'a, F> {
+struct SerializedLine<'a, F> {
     level: &'a str,
     timestamp: u64,
     uptime_us: u64,
@@ -113,23 +113,23 @@
     kv: F,
 }
 
-/// A line of JSON with its end; `None` if a field cannot be written.
-pub fn write<F: Serialize>(
-    draft: Draft<'_, F>,
+/// Serializes a line as JSON with a final newline. Returns `None` if a field cannot be serialized.
+pub fn serialize<F: Serialize>(
+    entry: LogEntry<'_, F>,
     process: &Process,
     sequence: u64,
 ) -> Option<Vec<u8>> {
-    let written = Written {
-        level: draft.level.as_str(),
-        timestamp: unix_ms(draft.time),
+    let serialized = SerializedLine {
+        level: entry.level.as_str(),
+        timestamp: unix_ms(entry.time),
         uptime_us: process.uptime_us(),
         node: process.node.get().map_or("", String::as_str),
         run_id: &process.run_id,
         sequence,
-        payload: draft.payload,
-        kv: draft.fields,
+        payload: entry.payload,
+        kv: entry.fields,
     };
-    let mut line = serde_json::to_vec(&written).ok()?;
+    let mut line = serde_json::to_vec(&serialized).ok()?;
     line.push(b'\n');
     Some(line)
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of a process's own logs, and its memory.
+//! Metrics of a process's logs and memory.
 
 use std::{fmt, fs};
 
@@ -9,24 +9,24 @@
     registry::Registry,
 };
 
-/// Where the kernel tells a process's memory, in pages; the second number is what is resident.
+/// Memory usage of the process, in pages; the second field is the resident set size.
 const MEMORY_FILE: &str = "/proc/self/statm";
-/// Size of a page, bytes; the machines that this runs on have no other.
+/// Page size, bytes; all supported machines have this size.
 const PAGE_BYTES: u64 = 4_096;
 
-/// How many lines went where.
+/// Counters of log lines.
 #[derive(Clone, Debug, Default)]
 pub struct LogMetrics {
-    /// Lines that went into the queue.
+    /// Lines put into the queue.
     pub written: Counter,
-    /// Lines beyond the budget of their event.
+    /// Lines suppressed by the budget of their event.
     pub suppressed: Counter,
-    /// Lines that found the queue full: the reader of standard output is too slow.
+    /// Lines dropped because the queue was full, or that could not be serialized.
     pub dropped: Counter,
 }
 
 impl LogMetrics {
-    /// Adds the counters to a registry.
+    /// Registers the counters and the resident memory.
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "log_lines",
@@ -47,7 +47,7 @@
     }
 }
 
-/// The memory that the process takes, read when it is asked for.
+/// Collector of the resident set size, which is read at each scrape.
 #[derive(Debug)]
 struct ResidentMemory;
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// `None` where the kernel does not tell.
+/// Returns the resident set size, bytes; `None` if the kernel does not provide it.
 fn resident_bytes() -> Option<u64> {
     let text = fs::read_to_string(MEMORY_FILE).ok()?;
     let pages: u64 = text.split_whitespace().nth(1)?.parse().ok()?;
--- a/crates/telemetry/src/sink.rs
+++ b/crates/telemetry/src/sink.rs
@@ -1,4 +1,4 @@
-//! The queue between the log macros and standard output.
+//! Bounded queue between the log macros and standard output.
 
 use std::{
     io::Write,
@@ -18,38 +18,38 @@
 
 use crate::{
     budget::LineBudget,
-    line::{self, Draft, Process, RecordFields},
+    line::{self, LogEntry, Process, RecordFields},
     metrics::LogMetrics,
 };
 
-/// Lines that may wait for a slow reader; more are dropped.
+/// Capacity of the queue, lines; further lines are dropped.
 const QUEUE_LINES: usize = 4_096;
-/// Longest time for which a flush waits for the reader.
+/// Maximum time that a flush waits for the writer.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Event of the line that tells what was left out.
-const LEFT_OUT_EVENT: &str = "log lines left out";
+/// Event that reports the suppressed lines of a window.
+const SUPPRESSED_EVENT: &str = "log lines left out";
 
-/// What the thread is handed.
-enum Job {
-    /// A line to write.
+/// Message to the writer thread.
+enum Message {
+    /// Write the line.
     Line(Vec<u8>),
-    /// Tell when everything before is written.
+    /// Signal that all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
-/// A sink that never waits for its writer.
+/// Log sink that never blocks on its writer.
 pub struct BoundedSink {
     prop: SinkProp,
-    queue: SyncSender<Job>,
+    queue: SyncSender<Message>,
     budget: Mutex<LineBudget>,
     metrics: LogMetrics,
 }
 
 impl BoundedSink {
-    /// Starts the thread that writes to `writer`.
+    /// Creates the sink and starts the thread that writes to `writer`.
     pub fn start(writer: Box<dyn Write + Send>, metrics: LogMetrics) -> Self {
-        let (queue, jobs) = sync_channel(QUEUE_LINES);
-        thread::spawn(move || write_all(writer, &jobs));
+        let (queue, messages) = sync_channel(QUEUE_LINES);
+        thread::spawn(move || write_all(writer, &messages));
         Self {
             prop: SinkProp::default(),
             queue,
@@ -58,44 +58,44 @@
         }
     }
 
-    /// Queues a line if its event may still write.
-    fn offer(&self, record: &Record<'_>) {
-        // Used up also by a line that is not written, so that a reader sees the gap.
-        let sequence = Process::this().next_sequence();
-        let now_ms = Process::this().uptime_us() / 1_000;
+    /// Queues a line if its event is within its budget.
+    fn submit(&self, record: &Record<'_>) {
+        // A suppressed line uses a sequence number too, so that readers see the gap.
+        let sequence = Process::current().next_sequence();
+        let now_ms = Process::current().uptime_us() / 1_000;
         if !self.is_within_budget(record.payload(), now_ms) {
             self.metrics.suppressed.inc();
             return;
         }
-        let draft = Draft {
+        let entry = LogEntry {
             level: record.level(),
             time: record.time(),
             payload: record.payload(),
             fields: RecordFields(record),
         };
-        self.queue(draft, sequence);
+        self.queue(entry, sequence);
     }
 
     fn is_within_budget(&self, event: &str, now_ms: u64) -> bool {
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-        let ended = budget.ended(now_ms);
-        let is_within = budget.takes(event, now_ms);
+        let suppressed_lines = budget.take_suppressed(now_ms);
+        let is_within = budget.try_acquire(event, now_ms);
         drop(budget);
-        for left_out in ended {
-            let draft = Draft {
+        for lines in suppressed_lines {
+            let entry = LogEntry {
                 level: Level::Warn,
                 time: SystemTime::now(),
-                payload: LEFT_OUT_EVENT,
-                fields: left_out,
+                payload: SUPPRESSED_EVENT,
+                fields: lines,
             };
-            self.queue(draft, Process::this().next_sequence());
+            self.queue(entry, Process::current().next_sequence());
         }
         is_within
     }
 
-    fn queue<F: Serialize>(&self, draft: Draft<'_, F>, sequence: u64) {
-        let line = line::write(draft, Process::this(), sequence);
-        let queued = line.is_some_and(|line| self.queue.try_send(Job::Line(line)).is_ok());
+    fn queue<F: Serialize>(&self, entry: LogEntry<'_, F>, sequence: u64) {
+        let line = line::serialize(entry, Process::current(), sequence);
+        let queued = line.is_some_and(|line| self.queue.try_send(Message::Line(line)).is_ok());
         if queued {
             self.metrics.written.inc();
         } else {
@@ -112,28 +112,28 @@
 
 impl Sink for BoundedSink {
     fn log(&self, record: &Record<'_>) -> spdlog::Result<()> {
-        self.offer(record);
+        self.submit(record);
         Ok(())
     }
 
-    /// Waits a little until what is queued is written; a reader that stands still is left alone.
+    /// Waits until all queued lines are written, but no longer than [`FLUSH_TIMEOUT`].
     fn flush(&self) -> spdlog::Result<()> {
         let (sender, written) = sync_channel(1);
-        if self.queue.try_send(Job::Flush(sender)).is_ok() {
+        if self.queue.try_send(Message::Flush(sender)).is_ok() {
             let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
 }
 
-fn write_all(mut writer: Box<dyn Write + Send>, jobs: &Receiver<Job>) {
-    for job in jobs {
-        match job {
-            // A closed standard output must not end the process.
-            Job::Line(line) => {
+fn write_all(mut writer: Box<dyn Write + Send>, messages: &Receiver<Message>) {
+    for message in messages {
+        match message {
+            // Errors are ignored: a closed standard output must not stop the process.
+            Message::Line(line) => {
                 let _ = writer.write_all(&line).and_then(|()| writer.flush());
             }
-            Job::Flush(done) => {
+            Message::Flush(done) => {
                 let _ = done.send(());
             }
         }
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs never block and never lose track of what they leave out.
+//! Logging never blocks, and all suppressed and dropped lines are counted.
 
 use std::{
     io::{self, Write},
@@ -15,13 +15,13 @@
 };
 use spdlog::Logger;
 
-/// A writer that keeps what it gets.
+/// A writer into a shared buffer.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.0.lock().expect("kept").extend_from_slice(bytes);
+        self.0.lock().expect("buffer lock").extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -30,10 +30,10 @@
     }
 }
 
-/// A writer whose reader stands still until the test ends.
-struct Stuck(mpsc::Receiver<()>);
+/// A writer that blocks until the test ends.
+struct BlockedWriter(mpsc::Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.0.recv();
         Ok(bytes.len())
@@ -48,21 +48,21 @@
     let metrics = LogMetrics::default();
     let sink = BoundedSink::start(writer, metrics.clone());
     let logger = Logger::builder().sink(Arc::new(sink)).build();
-    (logger.expect("a logger"), metrics)
+    (logger.expect("valid logger"), metrics)
 }
 
 #[test]
-fn a_line_says_who_wrote_it_when_and_in_which_place() {
-    let kept = Kept::default();
-    let (logger, _) = logger(Box::new(kept.clone()));
+fn line_has_run_time_and_sequence_number() {
+    let buffer = SharedBuffer::default();
+    let (logger, _) = logger(Box::new(buffer.clone()));
     spdlog::info!(logger: logger, "first", kv: { request = "r1", attempts = 2 });
     spdlog::warn!(logger: logger, "second");
     logger.flush();
-    let written = kept.0.lock().expect("kept").clone();
+    let written = buffer.0.lock().expect("buffer lock").clone();
     let lines: Vec<LogLine> = String::from_utf8(written)
-        .expect("text")
+        .expect("UTF-8")
         .lines()
-        .map(|line| serde_json::from_str(line).expect("a line"))
+        .map(|line| serde_json::from_str(line).expect("valid log line"))
         .collect();
     assert_eq!(lines.len(), 2);
     assert_eq!(lines[0].payload, "first");
@@ -76,19 +76,19 @@
 }
 
 #[test]
-fn a_reader_that_stands_still_slows_nobody_and_drops_are_counted() {
-    let (release, stuck) = mpsc::channel();
-    let (logger, metrics) = logger(Box::new(Stuck(stuck)));
-    let began = Instant::now();
+fn blocked_writer_does_not_block_logging_and_drops_are_counted() {
+    let (release, blocked) = mpsc::channel();
+    let (logger, metrics) = logger(Box::new(BlockedWriter(blocked)));
+    let started = Instant::now();
     let lines = 20_000_u32;
     for number in 0..lines {
-        // Different events, so that no budget is used up.
+        // Different events, so that no budget is exhausted.
         let event = format!("event {}", number % 400);
         spdlog::info!(logger: logger, "{event}");
     }
     logger.flush();
-    // Far below what one blocked write would take.
-    assert!(began.elapsed() < Duration::from_secs(10));
+    // A logger that waits for the blocked writer would hang until the test ends.
+    assert!(started.elapsed() < Duration::from_secs(10));
     let counted = metrics.written.get() + metrics.dropped.get();
     assert_eq!(counted, u64::from(lines));
     assert!(metrics.dropped.get() > 0);
@@ -96,30 +96,33 @@
 }
 
 #[test]
-fn an_event_beyond_its_budget_is_left_out_and_told_once() {
+fn lines_beyond_the_budget_are_suppressed_and_reported_once() {
     let mut budget = LineBudget::default();
-    let taken = (0..LINES_PER_SECOND + 50)
-        .filter(|_| budget.takes("request", 1_200))
+    let accepted = (0..LINES_PER_SECOND + 50)
+        .filter(|_| budget.try_acquire("request", 1_200))
         .count();
-    assert_eq!(taken, LINES_PER_SECOND as usize);
-    assert!(budget.takes("leader changed", 1_300));
-    assert!(budget.ended(1_999).is_empty());
-    let ended = budget.ended(2_000);
-    assert_eq!(ended.len(), 1);
-    assert_eq!((ended[0].event.as_str(), ended[0].lines), ("request", 50));
-    assert!(budget.ended(2_000).is_empty());
-    assert!(budget.takes("request", 2_001));
+    assert_eq!(accepted, LINES_PER_SECOND as usize);
+    assert!(budget.try_acquire("leader changed", 1_300));
+    assert!(budget.take_suppressed(1_999).is_empty());
+    let suppressed = budget.take_suppressed(2_000);
+    assert_eq!(suppressed.len(), 1);
+    assert_eq!(
+        (suppressed[0].event.as_str(), suppressed[0].lines),
+        ("request", 50)
+    );
+    assert!(budget.take_suppressed(2_000).is_empty());
+    assert!(budget.try_acquire("request", 2_001));
 }
 
 quickcheck! {
-    /// Whatever comes when, no event writes more in a second than it may.
-    fn no_event_exceeds_its_budget(steps: Vec<u16>) -> bool {
+    /// No event exceeds its lines per second, for any arrival times.
+    fn event_never_exceeds_its_budget(steps: Vec<u16>) -> bool {
         let mut budget = LineBudget::default();
         let mut now_ms = 0;
         let mut written = std::collections::HashMap::new();
         for step in steps {
             now_ms += u64::from(step % 7);
-            if budget.takes("e", now_ms) {
+            if budget.try_acquire("e", now_ms) {
                 *written.entry(now_ms / 1_000).or_insert(0) += 1;
             }
         }
@@ -128,11 +131,11 @@
 }
 
 #[test]
-fn the_page_tells_the_memory_and_the_lines() {
+fn metrics_contain_log_lines_and_memory() {
     let mut registry = prometheus_client::registry::Registry::default();
     LogMetrics::default().register(&mut registry);
     let mut page = String::new();
-    prometheus_client::encoding::text::encode(&mut page, &registry).expect("a page");
+    prometheus_client::encoding::text::encode(&mut page, &registry).expect("encoded metrics");
     assert!(page.contains("log_lines_dropped_total 0"), "{page}");
     let memory = page
         .lines()
