--- a/crates/telemetry/src/sink.rs
+++ b/crates/telemetry/src/sink.rs
@@ -27,7 +27,7 @@
 /// Maximum time that a flush waits for the writer.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 /// Event that reports the suppressed lines of a window.
-const SUPPRESSED_EVENT: &str = "log lines left out";
+const SUPPRESSED_EVENT: &str = "log lines suppressed";
 
 /// Message to the writer thread.
 enum Message {
