--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -71,12 +71,12 @@
         self.count
     }
 
-    /// Records the outcome of an attempt. `spend_retry` takes a retry from the tenant's budget; it is
+    /// Records the outcome of an attempt. `withdraw_retry` withdraws a retry from the tenant's budget; it is
     /// called only if the request may already have run on an engine.
     pub fn record(
         &mut self,
         outcome: AttemptOutcome,
-        spend_retry: impl FnOnce() -> bool,
+        withdraw_retry: impl FnOnce() -> bool,
     ) -> NextStep {
         self.count += 1;
         let may_repeat = match outcome {
@@ -91,7 +91,7 @@
                 self.may_have_run = true;
                 self.lost += 1;
                 // After this many failures, the request itself is the likely cause.
-                self.lost < CRASHES_TO_QUARANTINE && spend_retry()
+                self.lost < CRASHES_TO_QUARANTINE && withdraw_retry()
             }
         };
         if may_repeat && self.count < ATTEMPT_LIMIT {
--- a/crates/router/src/control_link.rs
+++ b/crates/router/src/control_link.rs
@@ -112,7 +112,7 @@
         attempts.outcome_at_deadline()
     }
 
-    /// Reports a rate limit to the leader and requests a permit if `request` asks for one. Follows
+    /// Reports a rate limit to the leader and, if `request.wants_permit`, requests a permit. Follows
     /// redirects to the leader within `timeout`. Returns `None` if no leader replied.
     pub async fn request_permit(
         &self,
@@ -205,8 +205,8 @@
 /// Polls all replicas at the configured interval, indefinitely.
 ///
 /// The first round starts immediately, so that a restarted router serves as soon as a majority has
-/// replied. One replica per round is asked for updates; the router id selects the first, which
-/// spreads routers that restart together over the replicas.
+/// replied. In each round, only one replica sends configuration updates. The router id selects the
+/// replica of the first round, which spreads routers that restart together over the replicas.
 pub async fn poll_replicas(state: Arc<RouterState>) {
     let interval = Duration::from_millis(state.settings.lease.confirm_interval_ms);
     let mut round = state.settings.router_id.0 as usize;
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -134,7 +134,9 @@
             let outcome = self.attempt(&decision, permit).await;
             self.log.record_attempt(&outcome);
             let (state, tenant) = (self.state, &self.job.tenant);
-            let next_step = self.attempts.record(outcome, || spend_retry(state, tenant));
+            let next_step = self
+                .attempts
+                .record(outcome, || withdraw_retry(state, tenant));
             if next_step != NextStep::Retry {
                 return final_event(next_step);
             }
@@ -370,8 +372,8 @@
     }
 }
 
-/// Takes one retry from the tenant's budget; returns false if it is exhausted.
-fn spend_retry(state: &RouterState, tenant: &TenantName) -> bool {
+/// Withdraws one retry from the tenant's budget; returns false if it is exhausted.
+fn withdraw_retry(state: &RouterState, tenant: &TenantName) -> bool {
     let mut budgets = lock(&state.retry_budgets);
     budgets.entry(tenant.clone()).or_default().withdraw()
 }
--- a/crates/router/src/engine_link.rs
+++ b/crates/router/src/engine_link.rs
@@ -86,11 +86,11 @@
         }
     }
     update_listed(state, list, &leaving);
-    let mut known = lock(&state.services);
-    known.retain(|name, _| services.contains_key(name));
+    let mut current = lock(&state.services);
+    current.retain(|name, _| services.contains_key(name));
     for (name, live) in services {
-        let next = known.get(&name).map_or(0, |backends| backends.next);
-        known.insert(name, ServiceBackends { live, next });
+        let next = current.get(&name).map_or(0, |backends| backends.next);
+        current.insert(name, ServiceBackends { live, next });
     }
 }
 
@@ -184,7 +184,7 @@
         .contains(&status.engine);
     let now = state.now_us();
     let mut scheduler = lock(&state.scheduler);
-    let (slot, knowledge) = scheduler.engines.update(EngineDescription {
+    let (slot, cache_validity) = scheduler.engines.update(EngineDescription {
         id: status.engine,
         incarnation: status.incarnation,
         zone: status.zone,
@@ -194,7 +194,7 @@
         },
         available: !status.draining && !status.loading && !drained,
     });
-    if knowledge == CacheValidity::Invalidated {
+    if cache_validity == CacheValidity::Invalidated {
         scheduler.index.remove_engine(slot);
     }
     scheduler.engines.report(slot, status.load, now);
@@ -293,8 +293,8 @@
 pub async fn wait_until_silent(state: &RouterState, engine: EngineSlot) {
     loop {
         sleep(SILENCE_CHECK_INTERVAL).await;
-        let heard_at = lock(&state.scheduler).engines.view(engine).last_seen_at;
-        if state.now_us().saturating_sub(heard_at) > ENGINE_SILENCE_TIMEOUT_US {
+        let last_seen_at = lock(&state.scheduler).engines.view(engine).last_seen_at;
+        if state.now_us().saturating_sub(last_seen_at) > ENGINE_SILENCE_TIMEOUT_US {
             return;
         }
     }
--- a/crates/router/src/prompt.rs
+++ b/crates/router/src/prompt.rs
@@ -63,10 +63,10 @@
     parameters: &BTreeMap<String, String>,
 ) -> Result<(), Refusal> {
     for (name, value) in parameters {
-        let known = template
+        let declared = template
             .parameter(name)
             .filter(|parameter| parameter.scope == ParameterScope::Request);
-        let Some(parameter) = known else {
+        let Some(parameter) = declared else {
             return Err(Refusal::not_run(
                 RefusalCode::UnexpectedParameter,
                 name.as_str(),
--- a/crates/router/src/resolved.rs
+++ b/crates/router/src/resolved.rs
@@ -57,7 +57,10 @@
     }
 
     fn new(applied: LogIndex, configuration: Configuration) -> Self {
-        let tenants = configuration.tenants.values().map(|known| &known.document);
+        let tenants = configuration
+            .tenants
+            .values()
+            .map(|tenant| &tenant.document);
         let tenants_by_key = tenants
             .flat_map(|tenant| {
                 let keys = tenant.key_hashes.iter();
@@ -92,7 +95,7 @@
     ) -> Result<ResolvedService<'a>, Refusal> {
         let unknown = || Refusal::not_run(RefusalCode::UnknownTemplate, template.as_str());
         let service = tenant.service(template).ok_or_else(unknown)?;
-        let known = self
+        let definition = self
             .configuration
             .templates
             .get(template)
@@ -100,14 +103,14 @@
         Ok(ResolvedService {
             tenant,
             service,
-            template: &known.document,
+            template: &definition.document,
         })
     }
 
     /// Returns the target weights version of a model.
     pub fn weights_version(&self, model: &ModelName) -> WeightsVersion {
         let target = self.configuration.models.get(model);
-        target.map_or(FIRST_WEIGHTS, |known| known.document.weights_version)
+        target.map_or(FIRST_WEIGHTS, |target| target.document.weights_version)
     }
 }
 
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -191,7 +191,7 @@
         fingerprint(forwarded),
         AttemptId(rand::random()),
     );
-    // Runs in a task of its own, so that the claim is settled even if the caller disconnects.
+    // Runs in a separate task, so that the claim is settled even if the caller disconnects.
     let state = Arc::clone(state);
     let request = forwarded.request.clone();
     let tenant = forwarded.tenant.clone();
--- a/crates/telemetry/src/sink.rs
+++ b/crates/telemetry/src/sink.rs
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Waits until all queued lines are written, but no longer than [`FLUSH_TIMEOUT`].
+    /// Waits until all queued lines are written, but no longer than a fixed timeout.
     fn flush(&self) -> spdlog::Result<()> {
         let (sender, written) = sync_channel(1);
         if self.queue.try_send(Message::Flush(sender)).is_ok() {
