--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -20,7 +20,6 @@
 
 /// Maximum size of a JSON response, bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
-/// Maximum idle connections per address.
 const MAX_IDLE_PER_HOST: usize = 64;
 
 /// HTTP client with a connection pool.
--- a/crates/http/src/observability.rs
+++ b/crates/http/src/observability.rs
@@ -5,7 +5,6 @@
 
 use crate::body::{Body, full, with_content_type};
 
-/// Content type of `/metrics`.
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Returns the response to a request for `path`; `None` for other paths.
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -5,7 +5,6 @@
 use railtack_core::TemplateName;
 use serde::Deserialize;
 
-/// Default maximum length of a response, tokens.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// Body of `POST /v1/completions`.
--- a/crates/router/src/control_link.rs
+++ b/crates/router/src/control_link.rs
@@ -22,13 +22,10 @@
     state::{RouterState, lock},
 };
 
-/// Timeout for connecting to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Timeout of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Delay before the next poll while reported entries are not applied yet.
 const CATCH_UP_DELAY: Duration = Duration::from_millis(20);
-/// Timeout of one proposal to one replica.
 const PROPOSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Maximum number of replicas tried for one permit request, including redirects to the leader.
 const PERMIT_ATTEMPTS: usize = 3;
--- a/crates/router/src/decisions.rs
+++ b/crates/router/src/decisions.rs
@@ -5,7 +5,6 @@
 use railtack_core::{EngineId, TemplateName, TenantName};
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of decisions kept.
 const MAX_DECISIONS: usize = 4_096;
 
 /// One scheduling decision with the candidates considered.
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -23,13 +23,9 @@
 
 /// Attempts to resume a broken stream on the same engine.
 const RESUME_ATTEMPTS: u32 = 2;
-/// Delay before each attempt to resume a stream.
 const RESUME_DELAY: Duration = Duration::from_millis(30);
-/// Timeout of the request that cancels an attempt.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeout for reading the body of an engine's refusal.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum body size of an engine's refusal, bytes.
 const MAX_REFUSAL_BYTES: usize = 16 * 1024;
 
 impl Dispatch<'_> {
--- a/crates/router/src/engine_link.rs
+++ b/crates/router/src/engine_link.rs
@@ -24,14 +24,12 @@
 /// Time without a status or event after which an engine counts as lost. Must exceed the polling
 /// interval [`LIST_INTERVAL`] by a wide margin.
 const ENGINE_SILENCE_TIMEOUT_US: u64 = 2_500_000;
-/// Interval at which an engine is checked for silence.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Polling interval of the machine list and of each engine's status.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of one request to the platform or an engine.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay before reconnecting to an engine.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// Time without an event after which an event stream counts as broken. Engines report their load
 /// several times per second.
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -29,18 +29,14 @@
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Header with the name of the tenant, sent to the service.
 const TENANT_HEADER: &str = "x-railtack-tenant";
-/// Maximum length of an idempotency key, bytes.
 const MAX_KEY_BYTES: usize = 255;
-/// Maximum attempts of a repeatable request.
 const MAX_REPEATABLE_ATTEMPTS: u32 = 3;
 /// Retry delay returned if no back end of the service is available, milliseconds.
 const NO_BACK_END_RETRY_MS: u64 = 1_000;
-/// Timeout for connecting to a back end.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum time of an exchange with a service. Must stay well below the age at which an unsettled
 /// claim counts as lost.
 const MAX_EXCHANGE_TIME: Duration = Duration::from_secs(300);
-/// Maximum body size of a service's response, bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A fully received request to an HTTP service.
@@ -215,7 +211,6 @@
     })
 }
 
-/// Executes the steps of an idempotent request.
 async fn run_steps(
     state: Arc<RouterState>,
     forwarded: &ForwardedRequest<'_>,
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -25,7 +25,6 @@
     quarantine::BackEndIncarnation, refusal::Refusal, resolved::ResolvedConfiguration,
 };
 
-/// Timeout for connecting to an engine.
 const ENGINE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Back ends of one HTTP service.
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -83,12 +83,10 @@
     pub quota_slack: f64,
 }
 
-/// Default of [`BoundsSettings::reuse_window_s`].
 fn default_reuse_window_s() -> f64 {
     10.0
 }
 
-/// Default of [`BoundsSettings::quota_window_s`].
 fn default_quota_window_s() -> f64 {
     10.0
 }
--- a/crates/settings/src/documents.rs
+++ b/crates/settings/src/documents.rs
@@ -10,7 +10,6 @@
 use speedy::{Readable, Writable};
 use thiserror::Error;
 
-/// Maximum length of a name, bytes.
 const MAX_NAME_BYTES: usize = 128;
 /// Maximum length of a template segment, bytes.
 const MAX_TEXT_BYTES: usize = 1024 * 1024;
--- a/crates/telemetry/src/budget.rs
+++ b/crates/telemetry/src/budget.rs
@@ -7,7 +7,6 @@
 /// Maximum lines of one event per second; further lines are only counted.
 pub const LINES_PER_SECOND: u32 = 300;
 
-/// Length of a counting window, milliseconds.
 const WINDOW_MS: u64 = 1_000;
 
 /// Counts the lines of each event in windows of one second.
