--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -27,25 +27,25 @@
                 .default_value("table")
                 .help("How to print"),
         )
-        .subcommand(documents("template", "Templates"))
-        .subcommand(documents("tenant", "Tenants"))
-        .subcommand(documents("model", "Weights wanted for each model"))
+        .subcommand(document_command("template", "Templates"))
+        .subcommand(document_command("tenant", "Tenants"))
+        .subcommand(document_command("model", "Weights wanted for each model"))
         .subcommand(Command::new("status").about("State of the control replicas and routers"))
-        .subcommand(members())
+        .subcommand(members_command())
         .subcommand(
             Command::new("engines")
                 .about("Engines, as the platform lists them")
-                .arg(platform()),
+                .arg(platform_argument()),
         )
-        .subcommand(drain())
-        .subcommand(quarantine())
-        .subcommand(explain())
-        .subcommand(outcomes())
+        .subcommand(drain_command())
+        .subcommand(quarantine_command())
+        .subcommand(explain_command())
+        .subcommand(outcomes_command())
         .subcommand(Command::new("snapshot").about("Make every control replica write a snapshot"))
 }
 
 /// Checks what the shape alone does not say: some commands ask no control replica.
-pub fn check(matches: &ArgMatches) -> Result<(), clap::Error> {
+pub fn validate(matches: &ArgMatches) -> Result<(), clap::Error> {
     let needs_control = !matches!(matches.subcommand_name(), Some("explain" | "outcomes"));
     if needs_control && !matches.contains_id("control") {
         return Err(command().error(
@@ -56,12 +56,12 @@
     Ok(())
 }
 
-fn documents(name: &'static str, about: &'static str) -> Command {
-    let changing = |verb: &'static str, about: &'static str| {
+fn document_command(name: &'static str, about: &'static str) -> Command {
+    let write_command = |verb: &'static str, about: &'static str| {
         Command::new(verb)
             .about(about)
-            .arg(file())
-            .arg(operation_id())
+            .arg(file_argument())
+            .arg(operation_id_argument())
             .arg(
                 Arg::new("expect-revision")
                     .long("expect-revision")
@@ -73,23 +73,23 @@
     Command::new(name)
         .about(about)
         .subcommand_required(true)
-        .subcommand(changing("submit", "Store a new document"))
-        .subcommand(changing("revise", "Replace a document"))
+        .subcommand(write_command("submit", "Store a new document"))
+        .subcommand(write_command("revise", "Replace a document"))
         .subcommand(
             Command::new("show")
                 .about("Print a document")
-                .arg(document_name()),
+                .arg(document_name_argument()),
         )
         .subcommand(Command::new("list").about("List documents"))
         .subcommand(
             Command::new("diff")
                 .about("Compare a file with the stored document")
-                .arg(file()),
+                .arg(file_argument()),
         )
 }
 
-fn members() -> Command {
-    let replica = || {
+fn members_command() -> Command {
+    let replica_argument = || {
         Arg::new("replica")
             .value_name("REPLICA")
             .required(true)
@@ -114,11 +114,11 @@
         .subcommand(
             Command::new("remove")
                 .about("Remove a replica")
-                .arg(replica()),
+                .arg(replica_argument()),
         )
 }
 
-fn drain() -> Command {
+fn drain_command() -> Command {
     Command::new("drain")
         .about("Give an engine no new work")
         .arg(
@@ -134,10 +134,10 @@
                 .action(ArgAction::SetTrue)
                 .help("Give it work again"),
         )
-        .arg(operation_id())
+        .arg(operation_id_argument())
 }
 
-fn quarantine() -> Command {
+fn quarantine_command() -> Command {
     Command::new("quarantine")
         .about("Requests under which back ends ended")
         .subcommand_required(true)
@@ -149,17 +149,17 @@
                     Arg::new("content")
                         .value_name("CONTENT")
                         .required(true)
-                        .value_parser(content_key)
+                        .value_parser(parse_content_key)
                         .help("The request's content, as the list and the logs name it"),
                 ),
         )
 }
 
-fn content_key(text: &str) -> Result<ContentKey, std::num::ParseIntError> {
+fn parse_content_key(text: &str) -> Result<ContentKey, std::num::ParseIntError> {
     u128::from_str_radix(text, 16).map(ContentKey)
 }
 
-fn explain() -> Command {
+fn explain_command() -> Command {
     Command::new("explain")
         .about("Why a request went to its engine")
         .arg(
@@ -188,7 +188,7 @@
         )
 }
 
-fn outcomes() -> Command {
+fn outcomes_command() -> Command {
     Command::new("outcomes")
         .about("What became of all requests in a set of logs, and what decided it")
         .arg(
@@ -202,7 +202,7 @@
         )
 }
 
-fn platform() -> Arg {
+fn platform_argument() -> Arg {
     Arg::new("platform")
         .long("platform")
         .value_name("ADDRESS")
@@ -211,7 +211,7 @@
         .help("The platform's list of machines")
 }
 
-fn file() -> Arg {
+fn file_argument() -> Arg {
     Arg::new("file")
         .value_name("FILE")
         .required(true)
@@ -219,14 +219,14 @@
         .help("Document (TOML)")
 }
 
-fn document_name() -> Arg {
+fn document_name_argument() -> Arg {
     Arg::new("name")
         .value_name("NAME")
         .required(true)
         .help("The document's name")
 }
 
-fn operation_id() -> Arg {
+fn operation_id_argument() -> Arg {
     Arg::new("operation-id")
         .long("operation-id")
         .value_name("ID")
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -18,7 +18,7 @@
 /// Runs the program with the given arguments, the first of which is its name.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let matches = arguments::command().get_matches_from(arguments);
-    if let Err(error) = arguments::check(&matches) {
+    if let Err(error) = arguments::validate(&matches) {
         error.exit();
     }
     match start(&matches) {
@@ -54,13 +54,13 @@
     };
     match matches.subcommand() {
         Some(("template", matches)) => {
-            documents::documents(&client, format, DocumentKind::Template, matches).await
+            documents::run(&client, format, DocumentKind::Template, matches).await
         }
         Some(("tenant", matches)) => {
-            documents::documents(&client, format, DocumentKind::Tenant, matches).await
+            documents::run(&client, format, DocumentKind::Tenant, matches).await
         }
         Some(("model", matches)) => {
-            documents::documents(&client, format, DocumentKind::Model, matches).await
+            documents::run(&client, format, DocumentKind::Model, matches).await
         }
         Some(("status", _)) => commands::status(&client, format).await,
         Some(("members", matches)) => commands::members(&client, format, matches).await,
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -23,7 +23,7 @@
 /// Time for a change, over all replicas.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause before the next replica is tried.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Connections to the control replicas.
 pub struct ControlClient {
@@ -44,14 +44,14 @@
     /// Commits an operator's change.
     pub async fn configure(
         &self,
-        operation: &OperationId,
+        operation_id: &OperationId,
         change: ConfigurationChange,
     ) -> Result<Outcome, Report<CtlError>> {
         let command = Command::Configure {
-            operation: operation.clone(),
+            operation: operation_id.clone(),
             change,
         };
-        self.propose(command, operation.as_str()).await
+        self.propose(command, operation_id.as_str()).await
     }
 
     /// The configuration, no older than this call.
@@ -65,9 +65,9 @@
                     |client| async move { client.configuration(call_context(CALL_TIMEOUT)).await },
                 )
                 .await;
-            let known: Option<&Configuration> = newest.as_ref();
+            let current: Option<&Configuration> = newest.as_ref();
             match configuration {
-                Ok(found) if known.is_none_or(|known| found.revision > known.revision) => {
+                Ok(found) if current.is_none_or(|current| found.revision > current.revision) => {
                     newest = Some(found);
                 }
                 _ => {}
@@ -94,15 +94,15 @@
         self.propose(Command::Barrier, "").await?;
         let mut newest: Option<(u64, Vec<SuspectStatus>)> = None;
         for connection in &self.connections {
-            let asked = connection
+            let result = connection
                 .call(|client| async move {
                     let commit = client.status(call_context(CALL_TIMEOUT)).await?.commit;
                     let suspects = client.suspects(call_context(CALL_TIMEOUT)).await?;
                     Ok((commit, suspects))
                 })
                 .await;
-            if let Ok(found) = asked
-                && newest.as_ref().is_none_or(|known| found.0 > known.0)
+            if let Ok(found) = result
+                && newest.as_ref().is_none_or(|current| found.0 > current.0)
             {
                 newest = Some(found);
             }
@@ -160,7 +160,7 @@
                     Ok(MembershipReply::NotLeader { .. }) | Err(_) => {}
                 }
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
         Err(Report::new(CtlError::MembershipRefused { reason }))
     }
@@ -169,7 +169,7 @@
     pub async fn propose(
         &self,
         command: Command,
-        operation: &str,
+        operation_id: &str,
     ) -> Result<Outcome, Report<CtlError>> {
         let deadline = Instant::now() + CHANGE_TIMEOUT;
         let mut maybe_changed = false;
@@ -189,16 +189,16 @@
                     Ok(ProposeReply::NotLeader { .. } | ProposeReply::LevelMismatch { .. }) => {}
                     Ok(ProposeReply::Unknown) => maybe_changed = true,
                     Err(report) => {
-                        let reached = report.current_context();
-                        maybe_changed |= matches!(reached, ConnectionError::NoResponse { .. });
+                        let error = report.current_context();
+                        maybe_changed |= matches!(error, ConnectionError::NoResponse { .. });
                     }
                 }
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
         let error = if maybe_changed {
-            CtlError::Unknown {
-                operation: operation.to_owned(),
+            CtlError::OutcomeUnknown {
+                operation: operation_id.to_owned(),
             }
         } else {
             CtlError::Unavailable
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -31,17 +31,17 @@
         "address", "replica", "term", "leader", "commit", "log", "revision", "claims", "routers",
         "level", "builds",
     ]);
-    let mut answered = 0;
+    let mut reachable = 0;
     for (address, status) in statuses {
         let Some(status) = status else {
-            table.row([address.to_string(), "unreachable".to_owned()]);
+            table.add_row([address.to_string(), "unreachable".to_owned()]);
             continue;
         };
-        answered += 1;
+        reachable += 1;
         let leader = status
             .leader
             .map_or("none".to_owned(), |leader| leader.to_string());
-        table.row([
+        table.add_row([
             address.to_string(),
             status.identity.replica.to_string(),
             status.term.to_string(),
@@ -52,18 +52,18 @@
             status.claims.to_string(),
             status.routers.len().to_string(),
             status.group_level.0.to_string(),
-            builds(&status.member_levels),
+            format_member_levels(&status.member_levels),
         ]);
     }
     table.print(format);
-    if answered == 0 {
+    if reachable == 0 {
         return Err(Report::new(CtlError::Unavailable));
     }
     Ok(())
 }
 
 /// What each member's build can do, as one replica has heard it.
-fn builds(levels: &[(ReplicaId, FeatureLevel)]) -> String {
+fn format_member_levels(levels: &[(ReplicaId, FeatureLevel)]) -> String {
     let levels = levels.iter();
     let levels = levels.map(|(member, level)| format!("{member}:{}", level.0));
     levels.collect::<Vec<_>>().join(",")
@@ -103,8 +103,8 @@
         return Ok(());
     };
     let identity = ControlClient::identify(address).await?;
-    let known = newest_members(client).await?;
-    let known = known
+    let members = newest_members(client).await?;
+    let existing = members
         .iter()
         .find(|member| member.replica == identity.replica && member.disk == identity.disk);
     let member = Member {
@@ -114,11 +114,11 @@
         voter: false,
     };
     // Each step is skipped if an earlier, interrupted command has done it.
-    if known.is_none() {
+    if existing.is_none() {
         let add = MembershipChange::AddLearner(member);
         client.change_membership(&add).await?;
     }
-    if known.is_none_or(|member| !member.voter) {
+    if existing.is_none_or(|member| !member.voter) {
         let promote = MembershipChange::Promote(identity.replica);
         client.change_membership(&promote).await?;
     }
@@ -144,7 +144,7 @@
     let mut table = Table::new(["replica", "address", "role", "disk"]);
     for member in newest_members(client).await? {
         let role = if member.voter { "voter" } else { "learner" };
-        table.row([
+        table.add_row([
             member.replica.to_string(),
             member.address,
             role.to_owned(),
@@ -182,20 +182,20 @@
             .await
             .ok();
         let state = engine_state(machine.leaving, drained.contains(&engine), status.as_ref());
-        let of = |field: fn(&EngineStatus) -> u32| {
+        let format_field = |field: fn(&EngineStatus) -> u32| {
             status
                 .as_ref()
                 .map_or("-".to_owned(), |status| field(status).to_string())
         };
-        table.row([
+        table.add_row([
             engine.to_string(),
             machine.address.to_string(),
             machine.zone.to_string(),
             model.to_string(),
-            of(|status| status.weights_version.0),
+            format_field(|status| status.weights_version.0),
             state.to_owned(),
-            of(|status| status.load.running),
-            of(|status| status.load.waiting),
+            format_field(|status| status.load.running),
+            format_field(|status| status.load.waiting),
         ]);
     }
     table.print(format);
@@ -226,7 +226,7 @@
         drained,
     };
     let outcome = client.configure(&operation, change).await?;
-    let revision = accepted(outcome)?;
+    let revision = accepted_revision(outcome)?;
     println!("accepted at revision {revision} (operation {operation})");
     Ok(())
 }
@@ -235,7 +235,7 @@
 pub fn outcomes(format: OutputFormat, matches: &ArgMatches) -> Result<(), Report<CtlError>> {
     let files = matches.get_many::<PathBuf>("logs").unwrap_or_default();
     let files: Vec<PathBuf> = files.cloned().collect();
-    logs::outcomes_from(format, &files)
+    logs::print_outcomes(format, &files)
 }
 
 /// Prints why a request went to its engine.
@@ -246,16 +246,16 @@
         .unwrap_or_default();
     if let Some(files) = matches.get_many::<PathBuf>("logs") {
         let files: Vec<PathBuf> = files.cloned().collect();
-        return logs::explain_from(format, &request, &files);
+        return logs::print_explanation(format, &request, &files);
     }
     let routers = matches.get_many::<SocketAddr>("router").unwrap_or_default();
     let http = HttpClient::new(HTTP_TIMEOUT);
     for router in routers.copied() {
         let path = format!("/explain/{request}");
-        let found = http
+        let response = http
             .get_json::<Vec<DecisionRecord>>(router, &path, HTTP_TIMEOUT)
             .await;
-        if let Ok(records) = found {
+        if let Ok(records) = response {
             print_decisions(format, &records);
             return Ok(());
         }
@@ -281,7 +281,7 @@
     for record in records {
         for candidate in &record.candidates {
             let chosen = candidate.engine == record.engine;
-            table.row([
+            table.add_row([
                 record.attempt.to_string(),
                 candidate.engine.to_string(),
                 if chosen { "yes" } else { "" }.to_owned(),
@@ -303,25 +303,25 @@
 ) -> Result<(), Report<CtlError>> {
     let mut table = Table::new(["address", "position"]);
     for (address, position) in client.snapshots().await {
-        let position = position.map_or("unreachable".to_owned(), |known| known.to_string());
-        table.row([address.to_string(), position]);
+        let position = position.map_or("unreachable".to_owned(), |position| position.to_string());
+        table.add_row([address.to_string(), position]);
     }
     table.print(format);
     Ok(())
 }
 
 /// The revision of an accepted change.
-pub fn accepted(outcome: Outcome) -> Result<Revision, Report<CtlError>> {
+pub fn accepted_revision(outcome: Outcome) -> Result<Revision, Report<CtlError>> {
     match outcome {
         Outcome::Accepted { revision } => Ok(revision),
         Outcome::Conflict { current } => Err(Report::new(CtlError::Conflict { current })),
         Outcome::Rejected(error) => Err(Report::new(CtlError::Rejected(error))),
-        _ => Err(Report::new(CtlError::OperationReused)),
+        _ => Err(Report::new(CtlError::OperationIdReused)),
     }
 }
 
 /// The operation id that was given, or a new one.
 pub fn operation_id(matches: &ArgMatches) -> OperationId {
-    let given = matches.get_one::<String>("operation-id").cloned();
-    OperationId(given.unwrap_or_else(|| format!("{:032x}", rand::random::<u128>())))
+    let provided = matches.get_one::<String>("operation-id").cloned();
+    OperationId(provided.unwrap_or_else(|| format!("{:032x}", rand::random::<u128>())))
 }
--- a/crates/ctl/src/documents.rs
+++ b/crates/ctl/src/documents.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     client::ControlClient,
-    commands::{accepted, operation_id},
+    commands::{accepted_revision, operation_id},
     errors::CtlError,
     output::{OutputFormat, Table, print_json},
 };
@@ -36,15 +36,15 @@
 }
 
 /// Runs a command on documents.
-pub async fn documents(
+pub async fn run(
     client: &ControlClient,
     format: OutputFormat,
     kind: DocumentKind,
     matches: &ArgMatches,
 ) -> Result<(), Report<CtlError>> {
     match matches.subcommand() {
-        Some(("submit", matches)) => put(client, kind, matches, Some(Revision(0))).await,
-        Some(("revise", matches)) => put(client, kind, matches, None).await,
+        Some(("submit", matches)) => put_document(client, kind, matches, Some(Revision(0))).await,
+        Some(("revise", matches)) => put_document(client, kind, matches, None).await,
         Some(("show", matches)) => show(client, kind, matches).await,
         Some(("list", _)) => list(client, format, kind).await,
         Some(("diff", matches)) => diff(client, kind, matches).await,
@@ -52,36 +52,36 @@
     }
 }
 
-async fn put(
+async fn put_document(
     client: &ControlClient,
     kind: DocumentKind,
     matches: &ArgMatches,
     default_expected: Option<Revision>,
 ) -> Result<(), Report<CtlError>> {
     let document = read_document(kind, matches)?;
-    let named = matches.get_one::<u64>("expect-revision").copied();
-    let expected = match named.map(Revision).or(default_expected) {
+    let explicit = matches.get_one::<u64>("expect-revision").copied();
+    let expected = match explicit.map(Revision).or(default_expected) {
         Some(expected) => expected,
-        None => present_revision(client, &document).await?,
+        None => current_revision(client, &document).await?,
     };
     let operation = operation_id(matches);
     let change = ConfigurationChange::Put { expected, document };
     let outcome = client.configure(&operation, change).await?;
-    let revision = accepted(outcome)?;
+    let revision = accepted_revision(outcome)?;
     println!("accepted at revision {revision} (operation {operation})");
     Ok(())
 }
 
-async fn present_revision(
+async fn current_revision(
     client: &ControlClient,
     document: &Document,
 ) -> Result<Revision, Report<CtlError>> {
-    let name = name_of(document);
-    let kind = kind_of(document);
+    let name = document_name(document);
+    let kind = document_kind(document);
     let configuration = client.configuration().await?;
-    let stored = stored(&configuration, kind).into_iter();
-    let known = stored.into_iter().find(|stored| stored.name == name);
-    known
+    let documents = stored_documents(&configuration, kind).into_iter();
+    let stored = documents.into_iter().find(|stored| stored.name == name);
+    stored
         .map(|stored| stored.revision)
         .ok_or_else(|| Report::new(CtlError::NotFound { name }))
 }
@@ -96,7 +96,7 @@
         .cloned()
         .unwrap_or_default();
     let configuration = client.configuration().await?;
-    let found = stored(&configuration, kind)
+    let found = stored_documents(&configuration, kind)
         .into_iter()
         .find(|stored| stored.name == name)
         .ok_or_else(|| Report::new(CtlError::NotFound { name }))?;
@@ -111,8 +111,8 @@
 ) -> Result<(), Report<CtlError>> {
     let configuration = client.configuration().await?;
     let mut table = Table::new(["name", "revision"]);
-    for stored in stored(&configuration, kind) {
-        table.row([stored.name, stored.revision.to_string()]);
+    for stored in stored_documents(&configuration, kind) {
+        table.add_row([stored.name, stored.revision.to_string()]);
     }
     table.print(format);
     Ok(())
@@ -124,15 +124,15 @@
     matches: &ArgMatches,
 ) -> Result<(), Report<CtlError>> {
     let document = read_document(kind, matches)?;
-    let name = name_of(&document);
+    let name = document_name(&document);
     let configuration = client.configuration().await?;
-    let known = stored(&configuration, kind)
+    let stored = stored_documents(&configuration, kind)
         .into_iter()
         .find(|stored| stored.name == name);
-    let old = known
-        .map(|stored| pretty(&stored.document))
+    let old = stored
+        .map(|stored| to_pretty_json(&stored.document))
         .unwrap_or_default();
-    let new = pretty(&document);
+    let new = to_pretty_json(&document);
     for line in old
         .lines()
         .filter(|line| !new.lines().any(|other| other == *line))
@@ -162,48 +162,48 @@
 
 fn parse_file<T: DeserializeOwned>(file: &Path) -> Result<T, Report<CtlError>> {
     let name = file.display().to_string();
-    let bad_file = |reason: String| CtlError::BadFile {
+    let file_error = |reason: String| CtlError::InvalidFile {
         file: name.clone(),
         reason,
     };
     let text = fs::read_to_string(file).map_err(|error| {
-        let reason = bad_file(error.to_string());
-        Report::new(error).change_context(reason)
+        let context = file_error(error.to_string());
+        Report::new(error).change_context(context)
     })?;
-    toml::from_str(&text).map_err(|error| Report::new(bad_file(error.to_string())))
+    toml::from_str(&text).map_err(|error| Report::new(file_error(error.to_string())))
 }
 
-fn stored(configuration: &Configuration, kind: DocumentKind) -> Vec<StoredDocument> {
+fn stored_documents(configuration: &Configuration, kind: DocumentKind) -> Vec<StoredDocument> {
     match kind {
         DocumentKind::Template => configuration
             .templates
             .values()
-            .map(|known| {
-                stored_document(known.revision, Document::Template(known.document.clone()))
+            .map(|entry| {
+                stored_document(entry.revision, Document::Template(entry.document.clone()))
             })
             .collect(),
         DocumentKind::Tenant => configuration
             .tenants
             .values()
-            .map(|known| stored_document(known.revision, Document::Tenant(known.document.clone())))
+            .map(|entry| stored_document(entry.revision, Document::Tenant(entry.document.clone())))
             .collect(),
         DocumentKind::Model => configuration
             .models
             .values()
-            .map(|known| stored_document(known.revision, Document::Model(known.document.clone())))
+            .map(|entry| stored_document(entry.revision, Document::Model(entry.document.clone())))
             .collect(),
     }
 }
 
 fn stored_document(revision: Revision, document: Document) -> StoredDocument {
     StoredDocument {
-        name: name_of(&document),
+        name: document_name(&document),
         revision,
         document,
     }
 }
 
-fn name_of(document: &Document) -> String {
+fn document_name(document: &Document) -> String {
     match document {
         Document::Template(template) => template.name.0.clone(),
         Document::Tenant(tenant) => tenant.name.0.clone(),
@@ -211,7 +211,7 @@
     }
 }
 
-fn kind_of(document: &Document) -> DocumentKind {
+fn document_kind(document: &Document) -> DocumentKind {
     match document {
         Document::Template(_) => DocumentKind::Template,
         Document::Tenant(_) => DocumentKind::Tenant,
@@ -219,6 +219,6 @@
     }
 }
 
-fn pretty(document: &Document) -> String {
+fn to_pretty_json(document: &Document) -> String {
     serde_json::to_string_pretty(document).unwrap_or_default()
 }
--- a/crates/ctl/src/errors.rs
+++ b/crates/ctl/src/errors.rs
@@ -18,13 +18,13 @@
     Rejected(DocumentError),
     /// The operation id was used for another change.
     #[error("the operation id was used for another change; nothing was changed")]
-    OperationReused,
+    OperationIdReused,
     /// No control replica took the request.
     #[error("no control replica could be reached; nothing was changed")]
     Unavailable,
     /// The change may or may not be in force.
     #[error("no answer: resend with --operation-id {operation} to learn the outcome")]
-    Unknown {
+    OutcomeUnknown {
         /// The operation's id.
         operation: String,
     },
@@ -36,7 +36,7 @@
     },
     /// A file cannot be read or is not a document.
     #[error("{file}: {reason}")]
-    BadFile {
+    InvalidFile {
         /// The file.
         file: String,
         /// What is wrong, with the line if known.
@@ -57,11 +57,11 @@
     /// The process's exit code.
     pub fn exit_code(&self) -> u8 {
         match self {
-            Self::BadFile { .. } | Self::Runtime => 1,
-            Self::Conflict { .. } | Self::OperationReused => 3,
+            Self::InvalidFile { .. } | Self::Runtime => 1,
+            Self::Conflict { .. } | Self::OperationIdReused => 3,
             Self::Rejected(_) | Self::MembershipRefused { .. } => 4,
             Self::Unavailable => 5,
-            Self::Unknown { .. } => 6,
+            Self::OutcomeUnknown { .. } => 6,
             Self::NotFound { .. } => 7,
         }
     }
--- a/crates/ctl/src/logs/explanation.rs
+++ b/crates/ctl/src/logs/explanation.rs
@@ -7,12 +7,12 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use super::timeline::{PlacedLine, Timeline};
+use super::timeline::{TimedLine, Timeline};
 
 /// The line that ends a request.
 const REQUEST_EVENT: &str = "request";
 /// Events that change what a process believes, besides its view.
-const BELIEF_EVENTS: &[&str] = &[
+const PROCESS_STATE_EVENTS: &[&str] = &[
     "starting",
     "lease gained",
     "lease lost",
@@ -43,33 +43,34 @@
     "suspected request ran well",
 ];
 /// Lines about the content that are shown.
-const LINES_PER_CONTENT: usize = 12;
+const MAX_LINES_PER_CONTENT: usize = 12;
 /// The event of a new leader of the control group.
 const LEADER_EVENT: &str = "leader changed";
 /// Lines about one back end that are shown.
-const LINES_PER_REPLICA: usize = 4;
+const MAX_LINES_PER_REPLICA: usize = 4;
 /// Time before a request in which failures of others at the same back end are shown, microseconds.
-const FAILURES_SHOWN_US: i64 = 5_000_000;
+const FAILURE_WINDOW_US: i64 = 5_000_000;
 
 /// What a line tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum About {
+pub enum Subject {
     /// A decision about the request.
     Request,
     /// What the process that decided believed.
-    Belief,
+    #[serde(rename = "belief")]
+    ProcessState,
     /// What was known of a back end that the request was sent to.
     Replica,
     /// What became of other requests with the same content.
     Content,
 }
 
-impl fmt::Display for About {
+impl fmt::Display for Subject {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Request => "request",
-            Self::Belief => "belief",
+            Self::ProcessState => "belief",
             Self::Replica => "replica",
             Self::Content => "content",
         })
@@ -84,7 +85,8 @@
     /// The machine.
     pub node: String,
     /// What the line tells.
-    pub about: About,
+    #[serde(rename = "about")]
+    pub subject: Subject,
     /// What happened.
     pub event: String,
     /// The event's own fields.
@@ -115,178 +117,188 @@
 
 /// Explains a request; `None` if no line names it.
 pub fn explain(timeline: &Timeline, request: &str) -> Option<Explanation> {
-    let own: Vec<&PlacedLine> = timeline
+    let request_lines: Vec<&TimedLine> = timeline
         .lines()
         .iter()
-        .filter(|placed| field(&placed.line, "request") == Some(request))
+        .filter(|timed| str_field(&timed.line, "request") == Some(request))
         .collect();
-    let arrived_us = own.iter().map(|placed| arrival_us(placed)).min()?;
-    let ended_us = own.last()?.at_us;
-    let lives: BTreeSet<&str> = own
+    let arrived_us = request_lines.iter().map(|timed| arrival_us(timed)).min()?;
+    let ended_us = request_lines.last()?.at_us;
+    let run_ids: BTreeSet<&str> = request_lines
         .iter()
-        .map(|placed| placed.line.run_id.as_str())
+        .map(|timed| timed.line.run_id.as_str())
         .collect();
-    let replicas: BTreeSet<&str> = own
+    let replicas: BTreeSet<&str> = request_lines
         .iter()
-        .filter_map(|placed| field(&placed.line, "replica"))
+        .filter_map(|timed| str_field(&timed.line, "replica"))
         .filter(|replica| !replica.is_empty())
         .collect();
 
-    let mut found: Vec<(&PlacedLine, About)> = Vec::new();
-    found.extend(own.iter().map(|placed| (*placed, About::Request)));
-    for life in &lives {
-        let beliefs = beliefs(timeline, life, &own);
-        found.extend(beliefs.into_iter().map(|placed| (placed, About::Belief)));
+    let mut found: Vec<(&TimedLine, Subject)> = Vec::new();
+    found.extend(request_lines.iter().map(|timed| (*timed, Subject::Request)));
+    for run_id in &run_ids {
+        let states = process_state(timeline, run_id, &request_lines);
+        found.extend(
+            states
+                .into_iter()
+                .map(|timed| (timed, Subject::ProcessState)),
+        );
     }
     let leader = last_before(timeline, ended_us, |line| line.payload == LEADER_EVENT);
-    found.extend(leader.map(|placed| (placed, About::Belief)));
+    found.extend(leader.map(|timed| (timed, Subject::ProcessState)));
     for replica in &replicas {
-        let known = about_replica(timeline, replica, request, arrived_us, ended_us);
-        found.extend(known.into_iter().map(|placed| (placed, About::Replica)));
+        let events = replica_events(timeline, replica, request, arrived_us, ended_us);
+        found.extend(events.into_iter().map(|timed| (timed, Subject::Replica)));
     }
-    let contents: BTreeSet<&str> = own
+    let contents: BTreeSet<&str> = request_lines
         .iter()
-        .filter_map(|placed| field(&placed.line, "content"))
+        .filter_map(|timed| str_field(&timed.line, "content"))
         .collect();
     for content in &contents {
-        let told = about_content(timeline, content, request, ended_us);
-        found.extend(told.into_iter().map(|placed| (placed, About::Content)));
+        let events = content_events(timeline, content, request, ended_us);
+        found.extend(events.into_iter().map(|timed| (timed, Subject::Content)));
     }
-    found.sort_by_key(|(placed, _)| (placed.at_us, placed.line.sequence));
+    found.sort_by_key(|(timed, _)| (timed.at_us, timed.line.sequence));
     let entries = found
         .into_iter()
-        .map(|(placed, about)| entry(placed, about, arrived_us));
+        .map(|(timed, subject)| to_entry(timed, subject, arrived_us));
     Some(Explanation {
         request: request.to_owned(),
         entries: entries.collect(),
-        missing_lines: lives
+        missing_lines: run_ids
             .iter()
-            .map(|life| missing(timeline, life, ended_us))
+            .map(|run_id| count_missing_lines(timeline, run_id, ended_us))
             .sum(),
     })
 }
 
 /// The beliefs of one process that were in force when it decided.
-fn beliefs<'a>(timeline: &'a Timeline, life: &str, own: &[&PlacedLine]) -> Vec<&'a PlacedLine> {
-    let decided: Vec<&LogLine> = own
+fn process_state<'a>(
+    timeline: &'a Timeline,
+    run_id: &str,
+    request_lines: &[&TimedLine],
+) -> Vec<&'a TimedLine> {
+    let decided: Vec<&LogLine> = request_lines
         .iter()
-        .map(|placed| &placed.line)
-        .filter(|line| line.run_id == life)
+        .map(|timed| &timed.line)
+        .filter(|line| line.run_id == run_id)
         .collect();
     let Some(last) = decided.iter().map(|line| line.sequence).max() else {
         return Vec::new();
     };
-    let known = decided
+    let view_position = decided
         .iter()
-        .filter_map(|line| number(line, "known"))
+        .filter_map(|line| u64_field(line, "known"))
         .max();
-    let before: Vec<&PlacedLine> = timeline
-        .of_life(life)
+    let before: Vec<&TimedLine> = timeline
+        .lines_of_run(run_id)
         .into_iter()
-        .filter(|placed| placed.line.sequence < last)
+        .filter(|timed| timed.line.sequence < last)
         .collect();
-    let newest = |wanted: &dyn Fn(&LogLine) -> bool| {
-        let found = before.iter().rev().find(|placed| wanted(&placed.line));
+    let newest = |matches: &dyn Fn(&LogLine) -> bool| {
+        let found = before.iter().rev().find(|timed| matches(&timed.line));
         found.copied()
     };
-    let mut beliefs: Vec<&PlacedLine> = BELIEF_EVENTS
+    let mut states: Vec<&TimedLine> = PROCESS_STATE_EVENTS
         .iter()
         .filter_map(|event| newest(&|line| line.payload == *event))
         .collect();
-    beliefs.extend(newest(&|line| {
-        line.payload == VIEW_EVENT && number(line, "known") <= known
+    states.extend(newest(&|line| {
+        line.payload == VIEW_EVENT && u64_field(line, "known") <= view_position
     }));
-    beliefs
+    states
 }
 
 /// The newest lines about a back end, and the newest failure of another request there.
-fn about_replica<'a>(
+fn replica_events<'a>(
     timeline: &'a Timeline,
     replica: &str,
     request: &str,
     arrived_us: i64,
     ended_us: i64,
-) -> Vec<&'a PlacedLine> {
-    let of_replica = |line: &LogLine| field(line, "replica") == Some(replica);
-    let mut known: Vec<&PlacedLine> = timeline
+) -> Vec<&'a TimedLine> {
+    let is_about_replica = |line: &LogLine| str_field(line, "replica") == Some(replica);
+    let mut events: Vec<&TimedLine> = timeline
         .lines()
         .iter()
         .rev()
-        .filter(|placed| placed.at_us <= ended_us && of_replica(&placed.line))
-        .filter(|placed| REPLICA_EVENTS.contains(&placed.line.payload.as_str()))
-        .take(LINES_PER_REPLICA)
+        .filter(|timed| timed.at_us <= ended_us && is_about_replica(&timed.line))
+        .filter(|timed| REPLICA_EVENTS.contains(&timed.line.payload.as_str()))
+        .take(MAX_LINES_PER_REPLICA)
         .collect();
     let failure = last_before(timeline, ended_us, |line| {
-        line.payload == FAILURE_EVENT && of_replica(line) && field(line, "request") != Some(request)
+        line.payload == FAILURE_EVENT
+            && is_about_replica(line)
+            && str_field(line, "request") != Some(request)
     });
-    known.extend(failure.filter(|placed| placed.at_us >= arrived_us - FAILURES_SHOWN_US));
-    known
+    events.extend(failure.filter(|timed| timed.at_us >= arrived_us - FAILURE_WINDOW_US));
+    events
 }
 
 /// The newest lines about a content, other than the request's own.
-fn about_content<'a>(
+fn content_events<'a>(
     timeline: &'a Timeline,
     content: &str,
     request: &str,
     ended_us: i64,
-) -> Vec<&'a PlacedLine> {
-    let of_content = |line: &LogLine| {
-        field(line, "content") == Some(content) && field(line, "request") != Some(request)
+) -> Vec<&'a TimedLine> {
+    let has_content = |line: &LogLine| {
+        str_field(line, "content") == Some(content) && str_field(line, "request") != Some(request)
     };
     let before = timeline.lines().iter().rev();
     before
-        .filter(|placed| placed.at_us <= ended_us && of_content(&placed.line))
-        .filter(|placed| CONTENT_EVENTS.contains(&placed.line.payload.as_str()))
-        .take(LINES_PER_CONTENT)
+        .filter(|timed| timed.at_us <= ended_us && has_content(&timed.line))
+        .filter(|timed| CONTENT_EVENTS.contains(&timed.line.payload.as_str()))
+        .take(MAX_LINES_PER_CONTENT)
         .collect()
 }
 
 fn last_before(
     timeline: &Timeline,
     at_us: i64,
-    wanted: impl Fn(&LogLine) -> bool,
-) -> Option<&PlacedLine> {
+    matches: impl Fn(&LogLine) -> bool,
+) -> Option<&TimedLine> {
     let before = timeline.lines().iter().rev();
     before
-        .filter(|placed| placed.at_us <= at_us)
-        .find(|placed| wanted(&placed.line))
+        .filter(|timed| timed.at_us <= at_us)
+        .find(|timed| matches(&timed.line))
 }
 
-/// Lines of a life up to a moment that should be there by its sequence and are not.
-fn missing(timeline: &Timeline, life: &str, until_us: i64) -> u64 {
+/// Lines of a run_id up to a moment that should be there by its sequence and are not.
+fn count_missing_lines(timeline: &Timeline, run_id: &str, until_us: i64) -> u64 {
     let present: Vec<u64> = timeline
-        .of_life(life)
+        .lines_of_run(run_id)
         .iter()
-        .filter(|placed| placed.at_us <= until_us)
-        .map(|placed| placed.line.sequence)
+        .filter(|timed| timed.at_us <= until_us)
+        .map(|timed| timed.line.sequence)
         .collect();
     let expected = present.last().map_or(0, |last| last + 1);
     expected.saturating_sub(present.len() as u64)
 }
 
 /// When the request arrived: the line that ends it tells how long it took.
-fn arrival_us(placed: &PlacedLine) -> i64 {
-    if placed.line.payload != REQUEST_EVENT {
-        return placed.at_us;
+fn arrival_us(timed: &TimedLine) -> i64 {
+    if timed.line.payload != REQUEST_EVENT {
+        return timed.at_us;
     }
-    let took_ms = number(&placed.line, "total_ms").unwrap_or(0);
-    placed.at_us - took_ms as i64 * 1_000
+    let total_ms = u64_field(&timed.line, "total_ms").unwrap_or(0);
+    timed.at_us - total_ms as i64 * 1_000
 }
 
-fn entry(placed: &PlacedLine, about: About, arrived_us: i64) -> Entry {
+fn to_entry(timed: &TimedLine, subject: Subject, arrived_us: i64) -> Entry {
     Entry {
-        at_ms: (placed.at_us - arrived_us) as f64 / 1_000.0,
-        node: placed.line.node.clone(),
-        about,
-        event: placed.line.payload.clone(),
-        fields: placed.line.kv.clone(),
+        at_ms: (timed.at_us - arrived_us) as f64 / 1_000.0,
+        node: timed.line.node.clone(),
+        subject,
+        event: timed.line.payload.clone(),
+        fields: timed.line.kv.clone(),
     }
 }
 
-fn field<'a>(line: &'a LogLine, name: &str) -> Option<&'a str> {
+fn str_field<'a>(line: &'a LogLine, name: &str) -> Option<&'a str> {
     line.kv.get(name)?.as_str()
 }
 
-fn number(line: &LogLine, name: &str) -> Option<u64> {
+fn u64_field(line: &LogLine, name: &str) -> Option<u64> {
     line.kv.get(name)?.as_u64()
 }
--- a/crates/ctl/src/logs/mod.rs
+++ b/crates/ctl/src/logs/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! | module | job |
 //! |---|---|
-//! | [`read`] | lines out of files that may be cut, mixed or partly garbage |
+//! | [`parser`] | lines out of files that may be cut, mixed or partly garbage |
 //! | [`timeline`] | lines of several processes in one order |
 //! | [`explanation`] | the lines that explain one request |
 //! | [`outcomes`] | what became of all requests, and what decided it |
 
 pub mod explanation;
 pub mod outcomes;
-pub mod read;
+pub mod parser;
 pub mod timeline;
 
 use std::{fs, path::PathBuf};
@@ -22,7 +22,7 @@
     logs::{
         explanation::{Explanation, explain},
         outcomes::OutcomeGroup,
-        read::Skipped,
+        parser::SkippedLines,
         timeline::Timeline,
     },
     output::{OutputFormat, Table, print_json},
@@ -30,21 +30,21 @@
 
 /// What is printed for programs.
 #[derive(Serialize)]
-struct Answer<'a> {
+struct ExplanationOutput<'a> {
     #[serde(flatten)]
     explanation: &'a Explanation,
-    skipped: Skipped,
+    skipped: SkippedLines,
 }
 
 /// All requests in a set of logs, printed for programs.
 #[derive(Serialize)]
-struct OutcomesAnswer {
+struct OutcomesOutput {
     groups: Vec<OutcomeGroup>,
-    skipped: Skipped,
+    skipped: SkippedLines,
 }
 
 /// Prints the lines of `files` that explain a request.
-pub fn explain_from(
+pub fn print_explanation(
     format: OutputFormat,
     request: &str,
     files: &[PathBuf],
@@ -55,16 +55,16 @@
             name: request.to_owned(),
         }));
     };
-    print(format, &explanation, skipped);
+    print_entries(format, &explanation, skipped);
     Ok(())
 }
 
 /// Prints what became of the requests in `files`.
-pub fn outcomes_from(format: OutputFormat, files: &[PathBuf]) -> Result<(), Report<CtlError>> {
+pub fn print_outcomes(format: OutputFormat, files: &[PathBuf]) -> Result<(), Report<CtlError>> {
     let (timeline, skipped) = read_files(files)?;
-    let groups = outcomes::outcomes(&timeline);
+    let groups = outcomes::group_by_outcome(&timeline);
     if format == OutputFormat::Json {
-        print_json(&OutcomesAnswer { groups, skipped });
+        print_json(&OutcomesOutput { groups, skipped });
         return Ok(());
     }
     let mut table = Table::new([
@@ -79,7 +79,7 @@
         "presumed_kept_tokens",
     ]);
     for group in groups {
-        table.row([
+        table.add_row([
             group.route,
             group.outcome,
             group.cause,
@@ -88,37 +88,37 @@
             group.first_byte_median_ms.to_string(),
             group.first_byte_p99_ms.to_string(),
             group.shared_tokens.to_string(),
-            group.presumed_kept_tokens.to_string(),
+            group.presumed_cached_tokens.to_string(),
         ]);
     }
     table.print(format);
-    println!("{}", skipped_text(skipped));
+    println!("{}", format_skipped(skipped));
     Ok(())
 }
 
-fn read_files(files: &[PathBuf]) -> Result<(Timeline, Skipped), Report<CtlError>> {
+fn read_files(files: &[PathBuf]) -> Result<(Timeline, SkippedLines), Report<CtlError>> {
     let mut lines = Vec::new();
-    let mut skipped = Skipped::default();
+    let mut skipped = SkippedLines::default();
     for file in files {
-        let content = fs::read(file).map_err(|error| CtlError::BadFile {
+        let content = fs::read(file).map_err(|error| CtlError::InvalidFile {
             file: file.display().to_string(),
             reason: error.to_string(),
         })?;
-        skipped += read::lines(&content, &mut lines);
+        skipped += parser::parse_lines(&content, &mut lines);
     }
     Ok((Timeline::new(lines), skipped))
 }
 
-fn skipped_text(skipped: Skipped) -> String {
+fn format_skipped(skipped: SkippedLines) -> String {
     format!(
         "skipped: {} without structure, {} damaged",
         skipped.unstructured, skipped.damaged
     )
 }
 
-fn print(format: OutputFormat, explanation: &Explanation, skipped: Skipped) {
+fn print_entries(format: OutputFormat, explanation: &Explanation, skipped: SkippedLines) {
     if format == OutputFormat::Json {
-        print_json(&Answer {
+        print_json(&ExplanationOutput {
             explanation,
             skipped,
         });
@@ -126,10 +126,10 @@
     }
     let mut table = Table::new(["at_ms", "node", "about", "event", "fields"]);
     for entry in &explanation.entries {
-        table.row([
+        table.add_row([
             format!("{:.1}", entry.at_ms),
             entry.node.clone(),
-            entry.about.to_string(),
+            entry.subject.to_string(),
             entry.event.clone(),
             entry.fields_text(),
         ]);
@@ -138,6 +138,6 @@
     println!(
         "missing lines: {}; {}",
         explanation.missing_lines,
-        skipped_text(skipped)
+        format_skipped(skipped)
     );
 }
--- a/crates/ctl/src/logs/outcomes.rs
+++ b/crates/ctl/src/logs/outcomes.rs
@@ -28,20 +28,21 @@
     /// Tokens of their prompts that others share.
     pub shared_tokens: u64,
     /// Of these, tokens that the router knew it had sent to the same replica before.
-    pub presumed_kept_tokens: u64,
+    #[serde(rename = "presumed_kept_tokens")]
+    pub presumed_cached_tokens: u64,
 }
 
 /// What a router logged of a request before its last line.
 #[derive(Debug, Default)]
-struct Tries {
+struct AttemptHistory {
     last_failure: Option<String>,
-    was_denied: bool,
+    retry_denied: bool,
 }
 
-impl Tries {
+impl AttemptHistory {
     fn cause(&self) -> String {
         let failure = self.last_failure.as_deref().unwrap_or_default();
-        match (self.was_denied, failure) {
+        match (self.retry_denied, failure) {
             (true, "") => "retry denied by the budget".to_owned(),
             (true, failure) => format!("{failure}; retry denied by the budget"),
             (false, failure) => failure.to_owned(),
@@ -50,88 +51,88 @@
 }
 
 #[derive(Debug, Default)]
-struct Collected {
+struct GroupBuilder {
     group: OutcomeGroup,
     first_bytes_ms: Vec<u64>,
 }
 
 /// Groups the requests whose last line is among `timeline`, the largest groups first.
-pub fn outcomes(timeline: &Timeline) -> Vec<OutcomeGroup> {
-    let mut tries: HashMap<String, Tries> = HashMap::new();
-    let mut collected: BTreeMap<(String, String, String), Collected> = BTreeMap::new();
-    for placed in timeline.lines() {
-        let line = &placed.line;
-        let Some(request) = text(line, "request") else {
+pub fn group_by_outcome(timeline: &Timeline) -> Vec<OutcomeGroup> {
+    let mut histories: HashMap<String, AttemptHistory> = HashMap::new();
+    let mut builders: BTreeMap<(String, String, String), GroupBuilder> = BTreeMap::new();
+    for timed in timeline.lines() {
+        let line = &timed.line;
+        let Some(request) = str_field(line, "request") else {
             continue;
         };
         match line.payload.as_str() {
             "exchange failed" => {
-                tries.entry(request).or_default().last_failure = text(line, "cause");
+                histories.entry(request).or_default().last_failure = str_field(line, "cause");
             }
             "retry" => {
-                let denied = line.kv.get("in_budget") == Some(&Value::Bool(false));
-                tries.entry(request).or_default().was_denied = denied;
+                let is_denied = line.kv.get("in_budget") == Some(&Value::Bool(false));
+                histories.entry(request).or_default().retry_denied = is_denied;
             }
             "request" => {
-                let cause = tries.remove(&request).unwrap_or_default().cause();
-                note(&mut collected, line, cause);
+                let cause = histories.remove(&request).unwrap_or_default().cause();
+                add_request(&mut builders, line, cause);
             }
             _ => {}
         }
     }
-    let mut groups: Vec<OutcomeGroup> = collected.into_values().map(finished).collect();
+    let mut groups: Vec<OutcomeGroup> = builders.into_values().map(build_group).collect();
     groups.sort_by_key(|group| std::cmp::Reverse(group.requests));
     groups
 }
 
-fn note(
-    collected: &mut BTreeMap<(String, String, String), Collected>,
+fn add_request(
+    builders: &mut BTreeMap<(String, String, String), GroupBuilder>,
     line: &LogLine,
     cause: String,
 ) {
-    let route = text(line, "route").unwrap_or_default();
-    let outcome = text(line, "outcome").unwrap_or_default();
+    let route = str_field(line, "route").unwrap_or_default();
+    let outcome = str_field(line, "outcome").unwrap_or_default();
     let key = (route.clone(), outcome.clone(), cause.clone());
-    let entry = collected.entry(key).or_default();
-    entry.group.route = route;
-    entry.group.outcome = outcome;
-    entry.group.cause = cause;
-    entry.group.requests += 1;
-    entry.group.further_attempts += number(line, "attempts").saturating_sub(1);
-    let shared = number(line, "shared_tokens");
-    entry.group.shared_tokens += shared;
-    entry.group.presumed_kept_tokens += number(line, "kept_tokens").min(shared);
-    let first_byte_ms = number(line, "first_byte_ms");
+    let builder = builders.entry(key).or_default();
+    builder.group.route = route;
+    builder.group.outcome = outcome;
+    builder.group.cause = cause;
+    builder.group.requests += 1;
+    builder.group.further_attempts += u64_field(line, "attempts").saturating_sub(1);
+    let shared = u64_field(line, "shared_tokens");
+    builder.group.shared_tokens += shared;
+    builder.group.presumed_cached_tokens += u64_field(line, "kept_tokens").min(shared);
+    let first_byte_ms = u64_field(line, "first_byte_ms");
     if first_byte_ms > 0 {
-        entry.first_bytes_ms.push(first_byte_ms);
+        builder.first_bytes_ms.push(first_byte_ms);
     }
 }
 
-fn finished(mut collected: Collected) -> OutcomeGroup {
-    collected.first_bytes_ms.sort_unstable();
-    let at = |percent: usize| {
-        let last = collected.first_bytes_ms.len().saturating_sub(1);
-        let position = (collected.first_bytes_ms.len() * percent / 100).min(last);
-        collected
+fn build_group(mut builder: GroupBuilder) -> OutcomeGroup {
+    builder.first_bytes_ms.sort_unstable();
+    let percentile = |percent: usize| {
+        let last = builder.first_bytes_ms.len().saturating_sub(1);
+        let position = (builder.first_bytes_ms.len() * percent / 100).min(last);
+        builder
             .first_bytes_ms
             .get(position)
             .copied()
             .unwrap_or_default()
     };
     OutcomeGroup {
-        first_byte_median_ms: at(50),
-        first_byte_p99_ms: at(99),
-        ..collected.group
+        first_byte_median_ms: percentile(50),
+        first_byte_p99_ms: percentile(99),
+        ..builder.group
     }
 }
 
-fn text(line: &LogLine, field: &str) -> Option<String> {
-    line.kv.get(field)?.as_str().map(str::to_owned)
+fn str_field(line: &LogLine, name: &str) -> Option<String> {
+    line.kv.get(name)?.as_str().map(str::to_owned)
 }
 
-fn number(line: &LogLine, field: &str) -> u64 {
+fn u64_field(line: &LogLine, name: &str) -> u64 {
     line.kv
-        .get(field)
+        .get(name)
         .and_then(Value::as_u64)
         .unwrap_or_default()
 }
--- a/crates/ctl/src/logs/read.rs
+++ b/crates/ctl/src/logs/parser.rs
@@ -6,18 +6,18 @@
 use serde::Serialize;
 
 /// Places in one line at which an object is looked for: other output may stand before it.
-const OBJECTS_TRIED: usize = 8;
+const MAX_OBJECT_STARTS: usize = 8;
 
 /// Lines that could not be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Skipped {
+pub struct SkippedLines {
     /// Lines that hold no object: other output.
     pub unstructured: usize,
     /// Lines that hold the beginning of an object, but no log line.
     pub damaged: usize,
 }
 
-impl AddAssign for Skipped {
+impl AddAssign for SkippedLines {
     fn add_assign(&mut self, other: Self) {
         self.unstructured += other.unstructured;
         self.damaged += other.damaged;
@@ -25,13 +25,13 @@
 }
 
 /// Adds the log lines in `content` to `lines`; tells what was skipped.
-pub fn lines(content: &[u8], lines: &mut Vec<LogLine>) -> Skipped {
-    let mut skipped = Skipped::default();
+pub fn parse_lines(content: &[u8], lines: &mut Vec<LogLine>) -> SkippedLines {
+    let mut skipped = SkippedLines::default();
     for text in content.split(|byte| *byte == b'\n') {
         if text.trim_ascii().is_empty() {
             continue;
         }
-        match line(text) {
+        match parse_line(text) {
             Some(line) => lines.push(line),
             None if text.contains(&b'{') => skipped.damaged += 1,
             None => skipped.unstructured += 1,
@@ -40,13 +40,13 @@
     skipped
 }
 
-fn line(text: &[u8]) -> Option<LogLine> {
+fn parse_line(text: &[u8]) -> Option<LogLine> {
     let starts = text
         .iter()
         .enumerate()
         .filter(|(_, byte)| **byte == b'{')
         .map(|(position, _)| position);
-    starts.take(OBJECTS_TRIED).find_map(|start| {
+    starts.take(MAX_OBJECT_STARTS).find_map(|start| {
         // Whatever follows a whole object is passed over.
         let objects = serde_json::Deserializer::from_slice(&text[start..]);
         objects.into_iter::<LogLine>().next()?.ok()
--- a/crates/ctl/src/logs/timeline.rs
+++ b/crates/ctl/src/logs/timeline.rs
@@ -10,7 +10,7 @@
 
 /// A line with its place in time.
 #[derive(Clone, Debug)]
-pub struct PlacedLine {
+pub struct TimedLine {
     /// Time of day by the life's median, microseconds since 1970.
     pub at_us: i64,
     /// The line.
@@ -20,54 +20,54 @@
 /// All lines that were read, each once, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
-    lines: Vec<PlacedLine>,
+    lines: Vec<TimedLine>,
 }
 
 impl Timeline {
     /// Orders lines; a line that was read twice counts once.
     pub fn new(lines: Vec<LogLine>) -> Self {
-        let mut lives: BTreeMap<String, BTreeMap<u64, LogLine>> = BTreeMap::new();
+        let mut runs: BTreeMap<String, BTreeMap<u64, LogLine>> = BTreeMap::new();
         for line in lines {
-            let life = lives.entry(line.run_id.clone()).or_default();
-            life.insert(line.sequence, line);
+            let run = runs.entry(line.run_id.clone()).or_default();
+            run.insert(line.sequence, line);
         }
-        let mut placed: Vec<PlacedLine> = lives.into_values().flat_map(place).collect();
-        placed.sort_by(|left, right| {
-            let place = |line: &PlacedLine| (line.at_us, line.line.sequence);
-            place(left)
-                .cmp(&place(right))
+        let mut timed: Vec<TimedLine> = runs.into_values().flat_map(align_clock).collect();
+        timed.sort_by(|left, right| {
+            let sort_key = |line: &TimedLine| (line.at_us, line.line.sequence);
+            sort_key(left)
+                .cmp(&sort_key(right))
                 .then_with(|| left.line.run_id.cmp(&right.line.run_id))
         });
-        Self { lines: placed }
+        Self { lines: timed }
     }
 
     /// The lines, in order.
-    pub fn lines(&self) -> &[PlacedLine] {
+    pub fn lines(&self) -> &[TimedLine] {
         &self.lines
     }
 
     /// The lines of one life, in the order of their sequence.
-    pub fn of_life(&self, life: &str) -> Vec<&PlacedLine> {
-        let mut lines: Vec<&PlacedLine> = self
+    pub fn lines_of_run(&self, run_id: &str) -> Vec<&TimedLine> {
+        let mut lines: Vec<&TimedLine> = self
             .lines
             .iter()
-            .filter(|placed| placed.line.run_id == life)
+            .filter(|timed| timed.line.run_id == run_id)
             .collect();
-        lines.sort_by_key(|placed| placed.line.sequence);
+        lines.sort_by_key(|timed| timed.line.sequence);
         lines
     }
 }
 
-fn place(life: BTreeMap<u64, LogLine>) -> Vec<PlacedLine> {
-    let mut differences: Vec<i64> = life.values().map(clock_difference_us).collect();
+fn align_clock(run: BTreeMap<u64, LogLine>) -> Vec<TimedLine> {
+    let mut differences: Vec<i64> = run.values().map(clock_difference_us).collect();
     let middle = differences.len() / 2;
     let (_, median, _) = differences.select_nth_unstable(middle);
     let median = *median;
-    let placed = life.into_values().map(|line| PlacedLine {
+    let timed = run.into_values().map(|line| TimedLine {
         at_us: median + line.uptime_us as i64,
         line,
     });
-    placed.collect()
+    timed.collect()
 }
 
 fn clock_difference_us(line: &LogLine) -> i64 {
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -29,20 +29,20 @@
     }
 
     /// Adds a row.
-    pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
+    pub fn add_row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
     /// Prints the table in the wanted format.
     pub fn print(&self, format: OutputFormat) {
         match format {
-            OutputFormat::Table => print!("{}", self.text()),
-            OutputFormat::Json => print_json(&self.objects()),
+            OutputFormat::Table => print!("{}", self.to_text()),
+            OutputFormat::Json => print_json(&self.to_json()),
         }
     }
 
     /// The table as aligned text.
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         let mut widths: Vec<usize> = self.headings.iter().map(|heading| heading.len()).collect();
         for row in &self.rows {
             for (width, cell) in widths.iter_mut().zip(row) {
@@ -50,14 +50,14 @@
             }
         }
         let headings = self.headings.iter().map(|heading| heading.to_uppercase());
-        let mut text = line(headings, &widths);
+        let mut text = format_row(headings, &widths);
         for row in &self.rows {
-            text.push_str(&line(row.iter().cloned(), &widths));
+            text.push_str(&format_row(row.iter().cloned(), &widths));
         }
         text
     }
 
-    fn objects(&self) -> Value {
+    fn to_json(&self) -> Value {
         let objects = self.rows.iter().map(|row| {
             let fields = self.headings.iter().zip(row);
             let fields = fields.map(|(heading, cell)| (heading.to_string(), cell.clone().into()));
@@ -76,7 +76,7 @@
     );
 }
 
-fn line(cells: impl Iterator<Item = String>, widths: &[usize]) -> String {
+fn format_row(cells: impl Iterator<Item = String>, widths: &[usize]) -> String {
     let padded: Vec<String> = cells
         .zip(widths)
         .map(|(cell, &width)| format!("{cell:<width$}"))
--- a/crates/ctl/src/quarantine.rs
+++ b/crates/ctl/src/quarantine.rs
@@ -33,7 +33,7 @@
     suspects.sort_by_key(|suspect| Reverse((suspect.is_quarantined, suspect.crashes)));
     let mut table = Table::new(["content", "quarantined", "ends", "changed_at"]);
     for suspect in suspects {
-        table.row([
+        table.add_row([
             suspect.content.to_string(),
             suspect.is_quarantined.to_string(),
             suspect.crashes.to_string(),
--- a/crates/ctl/tests/logs.rs
+++ b/crates/ctl/tests/logs.rs
@@ -4,14 +4,14 @@
 use railtack_ctl::{
     arguments,
     logs::{
-        explanation::{About, Explanation, explain},
-        outcomes::outcomes,
-        read::{self, Skipped},
+        explanation::{Explanation, Subject, explain},
+        outcomes::group_by_outcome,
+        parser::{self, SkippedLines},
         timeline::Timeline,
     },
 };
 
-fn line(life: &str, sequence: u64, uptime_ms: u64, payload: &str, fields: &str) -> String {
+fn line(run_id: &str, sequence: u64, uptime_ms: u64, payload: &str, fields: &str) -> String {
     let started_ms = 1_000_000;
     format!(
         concat!(
@@ -20,8 +20,8 @@
         ),
         started_ms + uptime_ms,
         uptime_ms * 1_000,
-        life,
-        life,
+        run_id,
+        run_id,
         sequence,
         payload,
         fields
@@ -94,31 +94,32 @@
     ]
 }
 
-fn explained(content: &[u8]) -> (Option<Explanation>, Skipped) {
+fn explain_log(content: &[u8]) -> (Option<Explanation>, SkippedLines) {
     let mut lines = Vec::new();
-    let skipped = read::lines(content, &mut lines);
+    let skipped = parser::parse_lines(content, &mut lines);
     (explain(&Timeline::new(lines), "q"), skipped)
 }
 
-fn events(explanation: &Explanation, about: About) -> Vec<(&str, f64)> {
-    let of = explanation
+fn events(explanation: &Explanation, subject: Subject) -> Vec<(&str, f64)> {
+    let matching = explanation
         .entries
         .iter()
-        .filter(|entry| entry.about == about);
-    of.map(|entry| (entry.event.as_str(), entry.at_ms))
+        .filter(|entry| entry.subject == subject);
+    matching
+        .map(|entry| (entry.event.as_str(), entry.at_ms))
         .collect()
 }
 
 #[test]
-fn a_request_is_told_in_order_with_the_beliefs_in_force() {
+fn explanation_lists_events_in_order_with_the_process_state() {
     let mut all = control_log();
     all.extend(router_log());
-    let (explanation, skipped) = explained(all.join("\n").as_bytes());
+    let (explanation, skipped) = explain_log(all.join("\n").as_bytes());
     let explanation = explanation.expect("an explanation");
-    assert_eq!(skipped, Skipped::default());
+    assert_eq!(skipped, SkippedLines::default());
     assert_eq!(explanation.missing_lines, 0);
     assert_eq!(
-        events(&explanation, About::Request),
+        events(&explanation, Subject::Request),
         vec![
             ("exchange failed", 400.0),
             ("retry", 401.0),
@@ -126,9 +127,9 @@
         ]
     );
     // The view of position 9 decided, not the newer one that came before the last line.
-    let beliefs = events(&explanation, About::Belief);
+    let states = events(&explanation, Subject::ProcessState);
     assert_eq!(
-        beliefs,
+        states,
         vec![
             ("starting", -4_600.0),
             ("leader changed", -4_550.0),
@@ -138,13 +139,13 @@
     );
     // Not the order that came after the request, nor one at another back end.
     assert_eq!(
-        events(&explanation, About::Replica),
+        events(&explanation, Subject::Replica),
         vec![("order given", -1_600.0), ("exchange failed", -600.0)]
     );
 }
 
 #[test]
-fn prefixes_garbage_and_cut_lines_are_passed_over_and_counted() {
+fn malformed_lines_are_skipped_and_counted() {
     let mut lines = router_log();
     lines[3] = format!("   5.4000 front-a-1 {{odd}} {} and more", lines[3]);
     let cut = lines[7].clone();
@@ -152,21 +153,21 @@
     lines.insert(2, "no structure at all".to_owned());
     let mut content = lines.join("\n").into_bytes();
     content.extend_from_slice(b"\n\xff\xfe\x00\n\n");
-    let (explanation, skipped) = explained(&content);
+    let (explanation, skipped) = explain_log(&content);
     let explanation = explanation.expect("an explanation");
     assert_eq!(
         skipped,
-        Skipped {
+        SkippedLines {
             unstructured: 2,
             damaged: 1
         }
     );
     assert_eq!(explanation.missing_lines, 1);
-    assert_eq!(events(&explanation, About::Request).len(), 3);
+    assert_eq!(events(&explanation, Subject::Request).len(), 3);
 }
 
 #[test]
-fn lines_that_are_read_twice_count_once_and_a_jump_of_the_clock_moves_nothing() {
+fn duplicate_lines_and_clock_jumps_do_not_change_the_explanation() {
     let mut lines = router_log();
     lines.extend(router_log());
     // The time of day jumps by an hour for one line; the steady clock goes on.
@@ -177,10 +178,10 @@
             .into_iter()
             .filter(|line| !line.contains(r#""sequence":5,"#)),
     );
-    let (explanation, _) = explained(lines.join("\n").as_bytes());
+    let (explanation, _) = explain_log(lines.join("\n").as_bytes());
     let explanation = explanation.expect("an explanation");
     assert_eq!(
-        events(&explanation, About::Request),
+        events(&explanation, Subject::Request),
         vec![
             ("exchange failed", 400.0),
             ("retry", 401.0),
@@ -190,21 +191,28 @@
 }
 
 #[test]
-fn an_unknown_request_is_not_explained() {
+fn unknown_request_has_no_explanation() {
     let mut lines = Vec::new();
-    read::lines(router_log().join("\n").as_bytes(), &mut lines);
+    parser::parse_lines(router_log().join("\n").as_bytes(), &mut lines);
     assert!(explain(&Timeline::new(lines), "unknown").is_none());
 }
 
 #[test]
-fn only_commands_that_read_logs_go_without_control_replicas() {
-    let parsed = |arguments: &[&str]| {
+fn only_log_commands_run_without_control_addresses() {
+    let is_accepted = |arguments: &[&str]| {
         let matches = arguments::command().get_matches_from(arguments);
-        arguments::check(&matches).is_ok()
+        arguments::validate(&matches).is_ok()
     };
-    assert!(parsed(&["railtackctl", "explain", "q", "--logs", "a", "b"]));
-    assert!(!parsed(&["railtackctl", "status"]));
-    assert!(parsed(&[
+    assert!(is_accepted(&[
+        "railtackctl",
+        "explain",
+        "q",
+        "--logs",
+        "a",
+        "b"
+    ]));
+    assert!(!is_accepted(&["railtackctl", "status"]));
+    assert!(is_accepted(&[
         "railtackctl",
         "--control",
         "127.0.0.1:1",
@@ -214,9 +222,9 @@
 
 quickcheck! {
     /// Any bytes are read to their end, and every line that is not blank is either read or counted.
-    fn any_content_is_read_to_its_end(content: Vec<u8>) -> bool {
+    fn every_nonblank_line_is_parsed_or_counted(content: Vec<u8>) -> bool {
         let mut lines = Vec::new();
-        let skipped = read::lines(&content, &mut lines);
+        let skipped = parser::parse_lines(&content, &mut lines);
         let expected = content
             .split(|byte| *byte == b'\n')
             .filter(|text| !text.trim_ascii().is_empty())
@@ -226,41 +234,42 @@
 }
 
 #[test]
-fn requests_are_grouped_by_route_outcome_and_what_decided() {
-    let ended = |sequence, request: &str, outcome: &str, attempts: u64, first_byte_ms: u64| {
-        let fields = format!(
-            concat!(
-                r#""request":"{}","route":"read","outcome":"{}","attempts":{},"#,
-                r#""first_byte_ms":{},"shared_tokens":100,"kept_tokens":40"#
-            ),
-            request, outcome, attempts, first_byte_ms
-        );
-        line("r", sequence, sequence, "request", &fields)
-    };
-    let failed = |sequence, request: &str| {
+fn requests_are_grouped_by_route_outcome_and_cause() {
+    let request_line =
+        |sequence, request: &str, outcome: &str, attempts: u64, first_byte_ms: u64| {
+            let fields = format!(
+                concat!(
+                    r#""request":"{}","route":"read","outcome":"{}","attempts":{},"#,
+                    r#""first_byte_ms":{},"shared_tokens":100,"kept_tokens":40"#
+                ),
+                request, outcome, attempts, first_byte_ms
+            );
+            line("r", sequence, sequence, "request", &fields)
+        };
+    let failure_line = |sequence, request: &str| {
         let fields = format!(r#""request":"{request}","cause":"declined""#);
         line("r", sequence, sequence, "exchange failed", &fields)
     };
-    let retried = |sequence, request: &str, in_budget: bool| {
+    let retry_line = |sequence, request: &str, in_budget: bool| {
         let fields = format!(r#""request":"{request}","in_budget":{in_budget}"#);
         line("r", sequence, sequence, "retry", &fields)
     };
     let log = [
-        ended(1, "a", "streamed", 1, 50),
-        ended(2, "b", "streamed", 1, 70),
-        failed(3, "c"),
-        retried(4, "c", false),
-        ended(5, "c", "declined", 1, 0),
-        failed(6, "d"),
-        retried(7, "d", true),
-        ended(8, "d", "streamed", 2, 90),
+        request_line(1, "a", "streamed", 1, 50),
+        request_line(2, "b", "streamed", 1, 70),
+        failure_line(3, "c"),
+        retry_line(4, "c", false),
+        request_line(5, "c", "declined", 1, 0),
+        failure_line(6, "d"),
+        retry_line(7, "d", true),
+        request_line(8, "d", "streamed", 2, 90),
         "not a line".to_owned(),
     ];
     let mut lines = Vec::new();
-    let skipped = read::lines(log.join("\n").as_bytes(), &mut lines);
+    let skipped = parser::parse_lines(log.join("\n").as_bytes(), &mut lines);
     let timeline = Timeline::new(lines);
     assert_eq!(skipped.unstructured, 1);
-    let groups = outcomes(&timeline);
+    let groups = group_by_outcome(&timeline);
     let found: Vec<(&str, &str, u64, u64)> = groups
         .iter()
         .map(|group| {
@@ -274,11 +283,11 @@
     assert!(found.contains(&("declined", denied, 1, 0)));
     assert_eq!(groups[0].first_byte_median_ms, 70);
     assert_eq!(groups[0].shared_tokens, 200);
-    assert_eq!(groups[0].presumed_kept_tokens, 80);
+    assert_eq!(groups[0].presumed_cached_tokens, 80);
 }
 
 #[test]
-fn a_quarantined_request_is_told_with_what_became_of_its_content_elsewhere() {
+fn explanation_includes_events_of_other_requests_with_the_same_content() {
     let other = r#""request":"p","content":"c1","replica":"i-1""#;
     let lines = [
         line("r", 0, 0, "starting", ""),
@@ -293,10 +302,10 @@
             r#""request":"q","content":"c1","outcome":"quarantined","total_ms":0"#,
         ),
     ];
-    let (explanation, _) = explained(lines.join("\n").as_bytes());
+    let (explanation, _) = explain_log(lines.join("\n").as_bytes());
     let explanation = explanation.expect("an explanation");
     assert_eq!(
-        events(&explanation, About::Content),
+        events(&explanation, Subject::Content),
         vec![
             ("exchange failed", -1_100.0),
             ("request quarantined", -1_050.0)
