--- a/crates/backend-api/src/lib.rs
+++ b/crates/backend-api/src/lib.rs
@@ -258,7 +258,8 @@
     pub output_tokens: u64,
     /// Requests that arrived while the engine had asked for none.
     #[serde(default)]
-    pub unwanted: u64,
+    #[serde(rename = "unwanted")]
+    pub requests_in_back_off: u64,
     /// Requests beyond what the limit that it names allows in the first window that holds more.
     #[serde(default)]
     pub over_limit: u64,
@@ -303,7 +304,8 @@
     pub by_key: std::collections::BTreeMap<String, u64>,
     /// Requests that arrived while the service had asked for none.
     #[serde(default)]
-    pub unwanted: u64,
+    #[serde(rename = "unwanted")]
+    pub requests_in_back_off: u64,
     /// Requests beyond what the limit that it names allows in the first window that holds more.
     #[serde(default)]
     pub over_limit: u64,
--- a/crates/emulator/src/back_off.rs
+++ b/crates/emulator/src/back_off.rs
@@ -10,7 +10,7 @@
 
 /// A stand-in that is to run a request with this text turns it away and asks for no more for
 /// [`BACK_OFF`].
-pub const BACK_OFF_TEXT: &str = "emulator: ask for no requests for a while";
+pub const BACK_OFF_TRIGGER: &str = "emulator: ask for no requests for a while";
 /// Time that it asks for.
 pub const BACK_OFF: Duration = Duration::from_secs(2);
 /// Time in which an answer reaches its caller, and what was on its way before arrives.
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackOff {
     asked_at: Option<Instant>,
-    unwanted: u64,
+    requests_in_back_off: u64,
 }
 
 impl BackOff {
@@ -29,9 +29,9 @@
         let now = Instant::now();
         let age = self.asked_at.map(|at| now.saturating_duration_since(at));
         if age.is_some_and(|age| age > ON_THE_WAY && age < BACK_OFF) {
-            self.unwanted += 1;
+            self.requests_in_back_off += 1;
         }
-        let asks = holds(content, BACK_OFF_TEXT);
+        let asks = holds(content, BACK_OFF_TRIGGER);
         if asks {
             self.asked_at = Some(now);
         }
@@ -39,8 +39,8 @@
     }
 
     /// Requests that arrived though none were wanted.
-    pub fn unwanted(&self) -> u64 {
-        self.unwanted
+    pub fn requests_in_back_off(&self) -> u64 {
+        self.requests_in_back_off
     }
 }
 
--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -61,7 +61,7 @@
 
     /// The same by bisection: evictions take the deepest blocks first, so what is cached of a
     /// chain is its beginning.
-    pub fn matched_by_bisection(&self, chain: &[BlockHash]) -> usize {
+    pub fn cached_prefix_len_by_bisection(&self, chain: &[BlockHash]) -> usize {
         chain.partition_point(|hash| self.blocks.contains_key(hash))
     }
 
--- a/crates/emulator/src/answer.rs
+++ b/crates/emulator/src/completion.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::{xxh3_64_with_seed, xxh3_128};
 
 /// Identity of a prompt's answer.
-pub fn answer_seed(prompt: &str) -> u64 {
+pub fn completion_seed(prompt: &str) -> u64 {
     xxh3_128(prompt.as_bytes()) as u64
 }
 
@@ -15,7 +15,7 @@
 }
 
 /// The whole answer.
-pub fn whole_answer(prompt: &str, tokens: u32) -> String {
-    let seed = answer_seed(prompt);
+pub fn completion_text(prompt: &str, tokens: u32) -> String {
+    let seed = completion_seed(prompt);
     (0..tokens).map(|index| token_text(seed, index)).collect()
 }
--- a/crates/emulator/src/engine_server.rs
+++ b/crates/emulator/src/engine_server.rs
@@ -17,8 +17,8 @@
 use tokio::sync::Notify;
 
 use crate::{
-    answer::answer_seed,
     back_off::{BackOff, asking_for_rest},
+    completion::completion_seed,
     end_under,
     engine::{EngineModel, NewSequence, StepOutcome, TokenOutput},
     engine_server::streams::query_number,
@@ -208,7 +208,7 @@
             self.settings.costs.block_tokens,
         );
         let stream = Stream {
-            seed: answer_seed(&request.prompt),
+            seed: completion_seed(&request.prompt),
             delivered_tokens: request.delivered_tokens,
             produced: request.delivered_tokens,
             end: None,
@@ -264,7 +264,7 @@
             block_tokens: self.settings.costs.block_tokens,
             load: shared.model.load(),
             totals: EngineTotals {
-                unwanted: shared.back_off.unwanted(),
+                requests_in_back_off: shared.back_off.requests_in_back_off(),
                 over_limit: shared.limit.over_limit(),
                 ..shared.model.totals()
             },
@@ -295,7 +295,7 @@
         };
         let (taken, must_load) = {
             let mut shared = self.lock();
-            let taken = shared.gate.take_order(&order);
+            let taken = shared.gate.accept_order(&order);
             (taken, shared.gate.loading)
         };
         if let Err(refusal) = taken {
@@ -323,7 +323,7 @@
         }
         let changes = shared.model.clear_cache();
         shared.feed.publish(&changes, now_us);
-        shared.gate.loaded(order);
+        shared.gate.finish_loading(order);
     }
 
     async fn wait_for_weights(&self, platform: std::net::SocketAddr) {
--- a/crates/emulator/src/engine_server/streams.rs
+++ b/crates/emulator/src/engine_server/streams.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 
 use super::EngineStandIn;
-use crate::answer::token_text;
+use crate::completion::token_text;
 
 impl EngineStandIn {
     pub(super) fn stream_from(&self, attempt: u128, from: u32) -> Response<Body> {
--- a/crates/emulator/src/gate.rs
+++ b/crates/emulator/src/gate.rs
@@ -81,8 +81,8 @@
     }
 
     /// Takes an order whose token is above every token before. Requests are refused until
-    /// [`Gate::loaded`], unless the weights are in place already.
-    pub fn take_order(&mut self, order: &OrderRequest) -> Result<(), EngineRefusal> {
+    /// [`Gate::finish_loading`], unless the weights are in place already.
+    pub fn accept_order(&mut self, order: &OrderRequest) -> Result<(), EngineRefusal> {
         if self.checks.fencing && order.token <= self.last_order_token {
             return Err(EngineRefusal::StaleToken);
         }
@@ -99,7 +99,7 @@
     }
 
     /// Notes that an order's weights are in place.
-    pub fn loaded(&mut self, order: OrderRequest) {
+    pub fn finish_loading(&mut self, order: OrderRequest) {
         self.model = order.model;
         self.weights_version = order.weights_version;
         self.loading = false;
--- a/crates/emulator/src/limit.rs
+++ b/crates/emulator/src/limit.rs
@@ -16,7 +16,7 @@
 
 /// A stand-in that gets a request with this text names a limit in its answers from then on, of
 /// [`LIMIT_PER_S`].
-pub const LIMIT_TEXT: &str = "emulator: name a limit on requests";
+pub const LIMIT_TRIGGER: &str = "emulator: name a limit on requests";
 /// Requests a second that it names.
 pub const LIMIT_PER_S: f64 = 1.0;
 
@@ -27,76 +27,76 @@
 /// Requests that may arrive beyond that.
 const SLACK: f64 = 5.0;
 /// Time after the first answer with a limit, or with a lower one, from which it binds all callers together.
-pub const BINDS_AFTER: Duration = Duration::from_secs(3);
+pub const ENFORCEMENT_DELAY: Duration = Duration::from_secs(3);
 
 /// What a back end named and what arrived there; moments are times since a start.
 #[derive(Clone, Debug, Default)]
-pub struct LimitRecord {
+pub struct LimitMonitor {
     /// What the next answer names, requests a second; `None` for nothing.
-    names: Option<f64>,
+    next: Option<f64>,
     /// What was named, each with the moment of the first answer that did.
-    named: Vec<(Duration, Option<f64>)>,
+    advertised: Vec<(Duration, Option<f64>)>,
     arrivals: Vec<Duration>,
 }
 
 /// A window in which more arrived than the limit allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BrokenWindow {
+pub struct LimitViolation {
     /// When its first request arrived.
-    pub begins_at: Duration,
+    pub starts_at: Duration,
     /// Requests in it.
     pub arrived: usize,
     /// Requests that were allowed in it.
     pub allowed: f64,
 }
 
-impl LimitRecord {
+impl LimitMonitor {
     /// Has answers name this limit from now on, or none.
-    pub fn names(&mut self, limit_per_s: Option<f64>) {
-        self.names = limit_per_s;
+    pub fn advertise(&mut self, limit_per_s: Option<f64>) {
+        self.next = limit_per_s;
     }
 
     /// What the next answer names, requests a second; `None` for nothing.
-    pub fn next_named(&self) -> Option<f64> {
-        self.names
+    pub fn next_advertised(&self) -> Option<f64> {
+        self.next
     }
 
     /// Whether a limit was ever named, or is with the next answer.
-    pub fn names_any(&self) -> bool {
-        self.names.is_some() || !self.named.is_empty()
+    pub fn advertises_any(&self) -> bool {
+        self.next.is_some() || !self.advertised.is_empty()
     }
 
     /// Notes a request that arrives, and is answered.
-    pub fn arrived(&mut self, now: Duration) {
+    pub fn record_arrival(&mut self, now: Duration) {
         self.arrivals.push(now);
-        let named = self.named.last().and_then(|(_, limit)| *limit);
-        if named != self.names {
-            self.named.push((now, self.names));
+        let named = self.advertised.last().and_then(|(_, limit)| *limit);
+        if named != self.next {
+            self.advertised.push((now, self.next));
         }
     }
 
     /// Requests that arrived since a moment.
-    pub fn arrived_since(&self, since: Duration) -> usize {
+    pub fn arrivals_since(&self, since: Duration) -> usize {
         self.arrivals.iter().filter(|at| **at >= since).count()
     }
 
     /// The first window in which more arrived than is allowed.
-    pub fn broken_window(&self) -> Option<BrokenWindow> {
-        if self.named.is_empty() {
+    pub fn first_violation(&self) -> Option<LimitViolation> {
+        if self.advertised.is_empty() {
             return None;
         }
         let mut arrivals = self.arrivals.clone();
         arrivals.sort();
         let mut end = 0;
-        for (begin, begins_at) in arrivals.iter().enumerate() {
-            while end < arrivals.len() && arrivals[end] < *begins_at + WINDOW {
+        for (begin, starts_at) in arrivals.iter().enumerate() {
+            while end < arrivals.len() && arrivals[end] < *starts_at + WINDOW {
                 end += 1;
             }
             let arrived = end - begin;
-            let allowed = self.allowed_from(*begins_at);
+            let allowed = self.allowed_from(*starts_at);
             if allowed.is_some_and(|allowed| arrived as f64 > allowed) {
-                return Some(BrokenWindow {
-                    begins_at: *begins_at,
+                return Some(LimitViolation {
+                    starts_at: *starts_at,
                     arrived,
                     allowed: allowed.unwrap_or_default(),
                 });
@@ -107,20 +107,21 @@
 
     /// Requests that are allowed in the window that begins at a moment; `None` for any number. What was named
     /// before counts as long as what replaced it does not bind yet.
-    fn allowed_from(&self, begins_at: Duration) -> Option<f64> {
-        let ends_at = begins_at + WINDOW;
+    fn allowed_from(&self, starts_at: Duration) -> Option<f64> {
+        let end_at = starts_at + WINDOW;
         let mut largest: Option<f64> = Some(0.0);
-        let mut until = self.named.iter().skip(1).map(|(from, _)| *from);
+        let mut until = self.advertised.iter().skip(1).map(|(from, _)| *from);
         if self
-            .named
+            .advertised
             .first()
-            .is_none_or(|(from, _)| begins_at < *from + BINDS_AFTER)
+            .is_none_or(|(from, _)| starts_at < *from + ENFORCEMENT_DELAY)
         {
             return None;
         }
-        for (from, limit) in &self.named {
+        for (from, limit) in &self.advertised {
             let replaced_at = until.next().unwrap_or(Duration::MAX);
-            let counts = *from < ends_at && replaced_at.saturating_add(BINDS_AFTER) > begins_at;
+            let counts =
+                *from < end_at && replaced_at.saturating_add(ENFORCEMENT_DELAY) > starts_at;
             if counts {
                 largest = largest.zip(*limit).map(|(known, limit)| known.max(limit));
             }
@@ -133,14 +134,14 @@
 #[derive(Clone, Debug)]
 pub struct LimitSpeaker {
     started: Instant,
-    record: LimitRecord,
+    record: LimitMonitor,
 }
 
 impl Default for LimitSpeaker {
     fn default() -> Self {
         Self {
             started: Instant::now(),
-            record: LimitRecord::default(),
+            record: LimitMonitor::default(),
         }
     }
 }
@@ -148,17 +149,17 @@
 impl LimitSpeaker {
     /// Notes a request that arrives; those before the first limit count for nothing.
     pub fn arrived(&mut self, content: &[u8]) {
-        if holds(content, LIMIT_TEXT) {
-            self.record.names(Some(LIMIT_PER_S));
+        if holds(content, LIMIT_TRIGGER) {
+            self.record.advertise(Some(LIMIT_PER_S));
         }
-        if self.record.names_any() {
-            self.record.arrived(self.started.elapsed());
+        if self.record.advertises_any() {
+            self.record.record_arrival(self.started.elapsed());
         }
     }
 
     /// Names the limit in an answer, if there is one.
     pub fn named_in(&self, mut response: Response<Body>) -> Response<Body> {
-        let named = self.record.next_named().map(|per_s| per_s.to_string());
+        let named = self.record.next_advertised().map(|per_s| per_s.to_string());
         if let Some(value) = named.and_then(|text| HeaderValue::from_str(&text).ok()) {
             let name = HeaderName::from_static(REQUEST_LIMIT_HEADER);
             response.headers_mut().insert(name, value);
@@ -168,7 +169,7 @@
 
     /// Requests beyond what is allowed in the first window that holds more.
     pub fn over_limit(&self) -> u64 {
-        let broken = self.record.broken_window();
+        let broken = self.record.first_violation();
         broken.map_or(0, |window| {
             (window.arrived as f64 - window.allowed).ceil() as u64
         })
--- a/crates/emulator/src/service_server.rs
+++ b/crates/emulator/src/service_server.rs
@@ -97,7 +97,7 @@
         let mut back_off = self.back_off.lock().unwrap_or_else(PoisonError::into_inner);
         let turns_away = back_off.turns_away(content);
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
-        counts.unwanted = back_off.unwanted();
+        counts.requests_in_back_off = back_off.requests_in_back_off();
         turns_away
     }
 
--- a/crates/emulator/tests/engine.rs
+++ b/crates/emulator/tests/engine.rs
@@ -3,8 +3,8 @@
 use quickcheck::quickcheck;
 use railtack_core::{CacheNamespace, PrefixChain, WeightsVersion};
 use railtack_emulator::{
-    answer::{token_text, whole_answer},
     cache::BlockCache,
+    completion::{completion_text, token_text},
     engine::{EngineModel, NewSequence},
 };
 use railtack_settings::emulator::EngineCosts;
@@ -82,8 +82,8 @@
 #[test]
 fn a_continued_answer_has_the_same_text() {
     let prompt = "some prompt";
-    let whole = whole_answer(prompt, 10);
-    let seed = railtack_emulator::answer::answer_seed(prompt);
+    let whole = completion_text(prompt, 10);
+    let seed = railtack_emulator::completion::completion_seed(prompt);
     let rest: String = (4..10).map(|index| token_text(seed, index)).collect();
     assert!(whole.ends_with(&rest));
 }
--- a/crates/lab/src/experiment/fleet.rs
+++ b/crates/lab/src/experiment/fleet.rs
@@ -434,7 +434,10 @@
 
 fn exact_engines(engines: &[VirtualEngine], chain: &PrefixChain) -> Vec<ExactEngine> {
     let exact = engines.iter().map(|engine| ExactEngine {
-        held_blocks: engine.model.cache().matched_by_bisection(&chain.blocks) as u32,
+        held_blocks: engine
+            .model
+            .cache()
+            .cached_prefix_len_by_bisection(&chain.blocks) as u32,
         load: engine.model.load(),
         up: engine.up,
     });
--- a/crates/lab/src/fleet/running.rs
+++ b/crates/lab/src/fleet/running.rs
@@ -316,7 +316,7 @@
             for (key, count) in counts.by_key {
                 *total.by_key.entry(key).or_default() += count;
             }
-            total.unwanted += counts.unwanted;
+            total.requests_in_back_off += counts.requests_in_back_off;
             total.over_limit += counts.over_limit;
         }
         Ok(total)
--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::{Request, Response, body::Incoming};
 use railtack_core::{Execution, RefusalCode};
-use railtack_emulator::answer::whole_answer;
+use railtack_emulator::completion::completion_text;
 use railtack_http::{HttpClient, lines, read_body};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -100,7 +100,7 @@
         if let Some(file) = &question.file {
             body["parameters"] = json!({ "file": file });
         }
-        let expected = whole_answer(&question.prompt, question.max_tokens);
+        let expected = completion_text(&question.prompt, question.max_tokens);
         let started = Instant::now();
         let exchange = async {
             let response = match self.post(router, "/v1/completions", &body, None).await {
--- a/crates/lab/src/simulate/control/engines.rs
+++ b/crates/lab/src/simulate/control/engines.rs
@@ -160,7 +160,7 @@
             return Ok(());
         };
         let token = order.token;
-        if engine.gate.take_order(&order).is_err() {
+        if engine.gate.accept_order(&order).is_err() {
             return Ok(());
         }
         self.trace
@@ -188,7 +188,7 @@
             return;
         };
         if engine.life == life && engine.gate.is_current(&order) {
-            engine.gate.loaded(order);
+            engine.gate.finish_loading(order);
             self.activity.completed += 1;
         }
     }
--- a/crates/lab/src/simulate/streams/engines.rs
+++ b/crates/lab/src/simulate/streams/engines.rs
@@ -7,7 +7,7 @@
     BlockHash, CacheNamespace, EngineIncarnation, ModelName, PrefixChain, WeightsVersion,
 };
 use railtack_emulator::{
-    answer::{answer_seed, token_text},
+    completion::{completion_seed, token_text},
     engine::{EngineModel, NewSequence, StepOutcome},
     gate::{Gate, GateChecks},
 };
@@ -161,7 +161,7 @@
         let stream = SimStream {
             request: dispatch.request,
             channel: dispatch.channel,
-            seed: answer_seed(&dispatch.prompt),
+            seed: completion_seed(&dispatch.prompt),
             first: dispatch.delivered,
             produced: dispatch.delivered,
             end: None,
@@ -349,7 +349,7 @@
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
-        if engine.gate.take_order(&order).is_err() || !engine.gate.loading {
+        if engine.gate.accept_order(&order).is_err() || !engine.gate.loading {
             return;
         }
         let event = Event::LoadWhenIdle {
@@ -379,7 +379,7 @@
         }
         engine.model.clear_cache();
         engine.cached.clear();
-        engine.gate.loaded(order);
+        engine.gate.finish_loading(order);
     }
 
     /// Cancels an attempt whose answer nobody waits for.
--- a/crates/lab/src/simulate/streams/requests.rs
+++ b/crates/lab/src/simulate/streams/requests.rs
@@ -5,7 +5,7 @@
     AttemptId, BlockHash, CacheNamespace, ModelName, PrefixChain, TenantName, WeightsVersion,
     prefix::BYTES_PER_TOKEN,
 };
-use railtack_emulator::answer::whole_answer;
+use railtack_emulator::completion::completion_text;
 use railtack_router::{
     attempts::{AttemptOutcome, Attempts, NextStep},
     relay::{EndMarker, FrameAction, Relay},
@@ -197,7 +197,7 @@
             }
             FrameAction::Deliver(text) => {
                 request.text.push_str(&text);
-                let whole = whole_answer(&request.prompt, request.max_tokens);
+                let whole = completion_text(&request.prompt, request.max_tokens);
                 if whole.starts_with(&request.text) {
                     return Ok(());
                 }
@@ -307,7 +307,7 @@
                     return Ok(());
                 };
                 self.activity.completed += 1;
-                let whole = whole_answer(&request.prompt, request.max_tokens);
+                let whole = completion_text(&request.prompt, request.max_tokens);
                 if request.text == whole {
                     return Ok(());
                 }
--- a/crates/lab/tests/back_off.rs
+++ b/crates/lab/tests/back_off.rs
@@ -4,7 +4,7 @@
 
 use std::{path::Path, time::Duration};
 
-use railtack_emulator::{BACK_OFF, BACK_OFF_TEXT};
+use railtack_emulator::{BACK_OFF, BACK_OFF_TRIGGER};
 use railtack_lab::demo::PreparedFleet;
 use serde_json::{Value, json};
 use support::{key, post, routers};
@@ -47,7 +47,7 @@
     let harmless = prompt("harmless");
     assert_eq!(send(&prepared, "/v1/completions", &harmless).await.0, 200);
     // Each engine that it reaches asks for rest.
-    send(&prepared, "/v1/completions", &prompt(BACK_OFF_TEXT)).await;
+    send(&prepared, "/v1/completions", &prompt(BACK_OFF_TRIGGER)).await;
     let asked_at = Instant::now();
     while asked_at.elapsed() < BACK_OFF - SLACK {
         let (status, pause) = send(&prepared, "/v1/completions", &harmless).await;
@@ -59,8 +59,11 @@
         sleep(PACE).await;
     }
     let statuses = prepared.fleet.engine_statuses().await;
-    let unwanted: u64 = statuses.iter().map(|engine| engine.totals.unwanted).sum();
-    assert_eq!(unwanted, 0);
+    let requests_in_back_off: u64 = statuses
+        .iter()
+        .map(|engine| engine.totals.requests_in_back_off)
+        .sum();
+    assert_eq!(requests_in_back_off, 0);
     sleep(SLACK * 2).await;
     assert_eq!(send(&prepared, "/v1/completions", &harmless).await.0, 200);
 }
@@ -72,7 +75,7 @@
     let path = "/services/register-lookup/parcel/7";
     let harmless = json!({ "text": "harmless" });
     assert_eq!(send(&prepared, path, &harmless).await.0, 200);
-    let (status, _) = send(&prepared, path, &json!({ "text": BACK_OFF_TEXT })).await;
+    let (status, _) = send(&prepared, path, &json!({ "text": BACK_OFF_TRIGGER })).await;
     assert_eq!(status, 503);
     let asked_at = Instant::now();
     while asked_at.elapsed() < BACK_OFF - SLACK {
@@ -80,5 +83,5 @@
         sleep(PACE).await;
     }
     let counted = prepared.fleet.executions().await.expect("counts");
-    assert_eq!(counted.unwanted, 0);
+    assert_eq!(counted.requests_in_back_off, 0);
 }
--- a/crates/lab/tests/fatal_requests.rs
+++ b/crates/lab/tests/fatal_requests.rs
@@ -4,7 +4,7 @@
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
-use railtack_emulator::FATAL_TEXT;
+use railtack_emulator::CRASH_TRIGGER;
 use railtack_http::{HttpClient, read_body};
 use railtack_lab::{
     demo::PreparedFleet,
@@ -69,7 +69,7 @@
 async fn a_prompt_that_ends_engines_is_refused_by_every_router() {
     let folder = tempfile::tempdir().expect("a folder");
     let prepared = fleet(folder.path(), 21).await;
-    let fatal = json!({ "template": "counter-answer", "prompt": FATAL_TEXT, "max_tokens": 4 });
+    let fatal = json!({ "template": "counter-answer", "prompt": CRASH_TRIGGER, "max_tokens": 4 });
     until_quarantined(&prepared, "/v1/completions", &fatal).await;
     operators_see_and_release_it(&prepared).await;
     let left = prepared.fleet.engine_statuses().await.len();
@@ -107,7 +107,7 @@
 async fn a_call_that_ends_back_ends_is_refused_by_every_router() {
     let folder = tempfile::tempdir().expect("a folder");
     let prepared = fleet(folder.path(), 22).await;
-    let fatal = json!({ "text": FATAL_TEXT });
+    let fatal = json!({ "text": CRASH_TRIGGER });
     until_quarantined(&prepared, "/services/register-lookup/parcel/7", &fatal).await;
     let harmless = json!({ "text": "harmless" });
     for router in routers(&prepared) {
--- a/crates/lab/tests/limits.rs
+++ b/crates/lab/tests/limits.rs
@@ -7,7 +7,7 @@
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
-use railtack_emulator::{LIMIT_TEXT, limit::BINDS_AFTER};
+use railtack_emulator::{LIMIT_TRIGGER, limit::ENFORCEMENT_DELAY};
 use railtack_lab::demo::PreparedFleet;
 use serde_json::{Value, json};
 use support::{key, post, routers};
@@ -73,7 +73,7 @@
     let router = routers(prepared)[0];
     assert_eq!(status(key, router, path, &make(0)).await, 200);
     assert_eq!(status(key, router, path, &naming).await, 200);
-    let refused = ask_for(prepared, RUN + BINDS_AFTER, path, make).await;
+    let refused = ask_for(prepared, RUN + ENFORCEMENT_DELAY, path, make).await;
     assert_eq!(refused, 0, "the other one serves");
 }
 
@@ -81,7 +81,7 @@
 async fn all_routers_together_keep_to_the_limit_of_an_engine() {
     let folder = tempfile::tempdir().expect("a folder");
     let prepared = fleet(folder.path(), 41).await;
-    let naming = json!({ "template": "counter-answer", "prompt": LIMIT_TEXT, "max_tokens": 4 });
+    let naming = json!({ "template": "counter-answer", "prompt": LIMIT_TRIGGER, "max_tokens": 4 });
     exceed(&prepared, "/v1/completions", naming, |number| {
         json!({ "template": "counter-answer", "prompt": format!("harmless {number}"), "max_tokens": 4 })
     })
@@ -95,7 +95,7 @@
 async fn all_routers_together_keep_to_the_limit_of_a_back_end() {
     let folder = tempfile::tempdir().expect("a folder");
     let prepared = fleet(folder.path(), 42).await;
-    let naming = json!({ "text": LIMIT_TEXT });
+    let naming = json!({ "text": LIMIT_TRIGGER });
     exceed(
         &prepared,
         "/services/register-lookup/parcel/7",
