--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line's shape.
+//! Definition of the command line's subcommands and arguments.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -6,7 +6,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, error::ErrorKind, value_parser};
 
-/// The whole command line.
+/// Returns the definition of all subcommands and arguments.
 pub fn command() -> Command {
     Command::new("railtackctl")
         .about("Operates railtack")
@@ -44,7 +44,8 @@
         .subcommand(Command::new("snapshot").about("Make every control replica write a snapshot"))
 }
 
-/// Checks what the shape alone does not say: some commands ask no control replica.
+/// Checks that `--control` is present for every subcommand except `explain` and `outcomes`, which
+/// need no control replica.
 pub fn validate(matches: &ArgMatches) -> Result<(), clap::Error> {
     let needs_control = !matches!(matches.subcommand_name(), Some("explain" | "outcomes"));
     if needs_control && !matches.contains_id("control") {
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -15,7 +15,7 @@
     quarantine,
 };
 
-/// Runs the program with the given arguments, the first of which is its name.
+/// Runs the program. The first argument is the program name.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let matches = arguments::command().get_matches_from(arguments);
     if let Err(error) = arguments::validate(&matches) {
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the control replicas, wherever the leader is.
+//! RPC client of the control replicas. Tries each replica until the leader replies.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,22 +16,22 @@
 
 use crate::errors::CtlError;
 
-/// Time for connecting to a replica.
+/// Timeout for connecting to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for one call.
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for a change, over all replicas.
+/// Time after which a change is given up, over all replicas and retries.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause before the next replica is tried.
+/// Delay after all replicas were tried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Connections to the control replicas.
+/// Client with one lazily opened connection per control replica.
 pub struct ControlClient {
     connections: Vec<ControlConnection>,
 }
 
 impl ControlClient {
-    /// Connections that are made when needed.
+    /// Creates a client. Each connection is opened by its first call.
     pub fn new(addresses: impl IntoIterator<Item = SocketAddr>) -> Self {
         let connections = addresses
             .into_iter()
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Commits an operator's change.
+    /// Commits a configuration change. A resend with the same `operation_id` returns the first
+    /// outcome.
     pub async fn configure(
         &self,
         operation_id: &OperationId,
@@ -54,9 +55,10 @@
         self.propose(command, operation_id.as_str()).await
     }
 
-    /// The configuration, no older than this call.
+    /// Returns the configuration, at least as new as the start of this call.
     pub async fn configuration(&self) -> Result<Configuration, Report<CtlError>> {
-        // The barrier is applied by the leader, which then has everything accepted before it.
+        // The leader replies once it has applied the barrier, and hence every change committed
+        // before it.
         self.propose(Command::Barrier, "").await?;
         let mut newest = None;
         for connection in &self.connections {
@@ -76,7 +78,7 @@
         newest.ok_or_else(|| Report::new(CtlError::Unavailable))
     }
 
-    /// State of each replica that answers.
+    /// Returns the status of each replica; `None` for a replica that cannot be reached.
     pub async fn statuses(&self) -> Vec<(SocketAddr, Option<StatusReply>)> {
         let mut statuses = Vec::new();
         for connection in &self.connections {
@@ -88,9 +90,11 @@
         statuses
     }
 
-    /// The requests under which back ends have ended, no older than this call.
+    /// Returns the requests under which back-end replicas crashed, at least as new as the start of
+    /// this call.
     pub async fn suspects(&self) -> Result<Vec<SuspectStatus>, Report<CtlError>> {
-        // The barrier is applied by the leader; who has applied the most knows it.
+        // The leader replies once it has applied the barrier, so the replica with the highest
+        // commit position has applied it too.
         self.propose(Command::Barrier, "").await?;
         let mut newest: Option<(u64, Vec<SuspectStatus>)> = None;
         for connection in &self.connections {
@@ -111,7 +115,8 @@
         Ok(suspects)
     }
 
-    /// Makes each replica write a snapshot; answers with the positions covered.
+    /// Makes each replica write a snapshot. Returns the log position that each snapshot covers;
+    /// `None` for a replica that cannot be reached.
     pub async fn snapshots(&self) -> Vec<(SocketAddr, Option<u64>)> {
         let mut positions = Vec::new();
         for connection in &self.connections {
@@ -123,7 +128,7 @@
         positions
     }
 
-    /// Who runs at an address.
+    /// Returns the identity of the replica that runs at an address.
     pub async fn identify(address: SocketAddr) -> Result<ReplicaIdentity, Report<CtlError>> {
         let connection = ControlConnection::new(address, CONNECT_TIMEOUT);
         let identity = connection
@@ -132,7 +137,8 @@
         identity.map_err(|report| report.change_context(CtlError::Unavailable))
     }
 
-    /// Changes the control replicas, waiting while an earlier change is under way.
+    /// Changes the group's members. Retries while an earlier change is pending or the learner is
+    /// behind.
     pub async fn change_membership(
         &self,
         change: &MembershipChange,
@@ -165,7 +171,7 @@
         Err(Report::new(CtlError::MembershipRefused { reason }))
     }
 
-    /// Commits a command; `operation` names it to the operator if its outcome stays unknown.
+    /// Commits a command. `operation_id` appears in the error if the outcome stays unknown.
     pub async fn propose(
         &self,
         command: Command,
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! Commands on the cluster: status, members, engines, drain, explain, snapshot.
+//! Cluster subcommands: status, members, engines, drain, explain, outcomes, snapshot.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -21,7 +21,7 @@
     output::{OutputFormat, Table, print_json},
 };
 
-/// Time for one call to the platform, an engine or a router.
+/// Timeout of one call to the platform, an engine or a router.
 const HTTP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Prints the state of the control replicas and routers.
@@ -62,14 +62,14 @@
     Ok(())
 }
 
-/// What each member's build can do, as one replica has heard it.
+/// Formats the feature level of each member's build, as reported by one replica.
 fn format_member_levels(levels: &[(ReplicaId, FeatureLevel)]) -> String {
     let levels = levels.iter();
     let levels = levels.map(|(member, level)| format!("{member}:{}", level.0));
     levels.collect::<Vec<_>>().join(",")
 }
 
-/// Runs a command on the control replicas.
+/// Runs `members list`, `members add` or `members remove`.
 pub async fn members(
     client: &ControlClient,
     format: OutputFormat,
@@ -94,7 +94,8 @@
     }
 }
 
-/// Adds a replica as a learner first: a voter that lacks entries could not replace a second loss.
+/// Adds a replica as a learner, then promotes it: a voter that lacks log entries could not replace
+/// another voter that fails.
 async fn add_member(
     client: &ControlClient,
     address: Option<SocketAddr>,
@@ -113,7 +114,7 @@
         address: address.to_string(),
         voter: false,
     };
-    // Each step is skipped if an earlier, interrupted command has done it.
+    // Skips each step that an earlier, interrupted command has completed.
     if existing.is_none() {
         let add = MembershipChange::AddLearner(member);
         client.change_membership(&add).await?;
@@ -126,7 +127,7 @@
     Ok(())
 }
 
-/// Members as the replica that is furthest ahead knows them.
+/// Returns the members known to the replica with the highest term and commit position.
 async fn newest_members(client: &ControlClient) -> Result<Vec<Member>, Report<CtlError>> {
     let statuses = client.statuses().await;
     let newest = statuses
@@ -155,7 +156,7 @@
     Ok(())
 }
 
-/// Prints the engines.
+/// Prints the engines in the platform's machine list with their state and load.
 pub async fn engines(
     client: &ControlClient,
     format: OutputFormat,
@@ -213,7 +214,7 @@
     }
 }
 
-/// Takes an engine out of service, or back in.
+/// Sets or clears the drain mark of an engine.
 pub async fn drain(client: &ControlClient, matches: &ArgMatches) -> Result<(), Report<CtlError>> {
     let engine = matches
         .get_one::<u32>("engine")
@@ -231,14 +232,14 @@
     Ok(())
 }
 
-/// Prints what became of the requests in logs.
+/// Prints the outcomes of the requests in log files, grouped by cause.
 pub fn outcomes(format: OutputFormat, matches: &ArgMatches) -> Result<(), Report<CtlError>> {
     let files = matches.get_many::<PathBuf>("logs").unwrap_or_default();
     let files: Vec<PathBuf> = files.cloned().collect();
     logs::print_outcomes(format, &files)
 }
 
-/// Prints why a request went to its engine.
+/// Prints the routing decisions of a request, from log files or from the routers.
 pub async fn explain(format: OutputFormat, matches: &ArgMatches) -> Result<(), Report<CtlError>> {
     let request = matches
         .get_one::<String>("request")
@@ -310,7 +311,7 @@
     Ok(())
 }
 
-/// The revision of an accepted change.
+/// Returns the revision of an accepted change, or the error that the outcome stands for.
 pub fn accepted_revision(outcome: Outcome) -> Result<Revision, Report<CtlError>> {
     match outcome {
         Outcome::Accepted { revision } => Ok(revision),
@@ -320,7 +321,7 @@
     }
 }
 
-/// The operation id that was given, or a new one.
+/// Returns the operation id of the command line, or a new random one.
 pub fn operation_id(matches: &ArgMatches) -> OperationId {
     let provided = matches.get_one::<String>("operation-id").cloned();
     OperationId(provided.unwrap_or_else(|| format!("{:032x}", rand::random::<u128>())))
--- a/crates/ctl/src/documents.rs
+++ b/crates/ctl/src/documents.rs
@@ -1,4 +1,4 @@
-//! Commands on templates, tenants and models.
+//! Subcommands on templates, tenants and models.
 
 use std::{fs, path::Path};
 
@@ -16,18 +16,18 @@
     output::{OutputFormat, Table, print_json},
 };
 
-/// The kinds of document that have the same commands.
+/// Kind of document. All kinds have the same subcommands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentKind {
-    /// Templates.
+    /// Template.
     Template,
-    /// Tenants.
+    /// Tenant.
     Tenant,
-    /// Weights wanted for a model.
+    /// Target weights of a model.
     Model,
 }
 
-/// A stored document, for printing.
+/// Stored document as printed by `show`.
 #[derive(Clone, Debug, Serialize)]
 pub struct StoredDocument {
     name: String,
@@ -35,7 +35,7 @@
     document: Document,
 }
 
-/// Runs a command on documents.
+/// Runs a subcommand on documents of one kind.
 pub async fn run(
     client: &ControlClient,
     format: OutputFormat,
--- a/crates/ctl/src/errors.rs
+++ b/crates/ctl/src/errors.rs
@@ -1,60 +1,60 @@
-//! Why a command failed, each with its exit code.
+//! Errors of commands and their exit codes.
 
 use railtack_core::Revision;
 use railtack_settings::DocumentError;
 use thiserror::Error;
 
-/// A failed command.
+/// Error of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CtlError {
-    /// The document was changed since the operator looked.
+    /// The document does not have the expected revision.
     #[error("conflict: the document is at revision {current}; nothing was changed")]
     Conflict {
-        /// Present revision; 0 if there is no document.
+        /// Current revision; 0 if the document does not exist.
         current: Revision,
     },
     /// The document is not valid.
     #[error("rejected: {0}; nothing was changed")]
     Rejected(DocumentError),
-    /// The operation id was used for another change.
+    /// The operation id belongs to another change.
     #[error("the operation id was used for another change; nothing was changed")]
     OperationIdReused,
-    /// No control replica took the request.
+    /// No control replica accepted the request.
     #[error("no control replica could be reached; nothing was changed")]
     Unavailable,
-    /// The change may or may not be in force.
+    /// The change may or may not have been committed.
     #[error("no answer: resend with --operation-id {operation} to learn the outcome")]
     OutcomeUnknown {
-        /// The operation's id.
+        /// Operation id to resend the change with.
         operation: String,
     },
     /// No such document, engine or request.
     #[error("{name} was not found")]
     NotFound {
-        /// What was looked for.
+        /// Name or id of the missing object.
         name: String,
     },
-    /// A file cannot be read or is not a document.
+    /// A file cannot be read or is not a valid document.
     #[error("{file}: {reason}")]
     InvalidFile {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What is wrong, with the line if known.
+        /// Description of the error, with the line if known.
         reason: String,
     },
-    /// A change of the control replicas was refused.
+    /// A membership change was refused or did not complete in time.
     #[error("the membership change was refused: {reason}")]
     MembershipRefused {
-        /// Why.
+        /// Reason of the last refusal.
         reason: &'static str,
     },
-    /// The runtime cannot be started.
+    /// The async runtime cannot be started.
     #[error("the runtime cannot be started")]
     Runtime,
 }
 
 impl CtlError {
-    /// The process's exit code.
+    /// Returns the process's exit code for this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::InvalidFile { .. } | Self::Runtime => 1,
--- a/crates/ctl/src/logs/explanation.rs
+++ b/crates/ctl/src/logs/explanation.rs
@@ -1,5 +1,5 @@
-//! The lines that explain one request: its own, the beliefs of the processes that decided, and what
-//! was known of the back ends that it was sent to. Pure.
+//! Selects the log lines that explain one request: the request's own lines, the state of the
+//! processes that handled it, and events about the back-end replicas that it was sent to. Performs no I/O.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -9,9 +9,9 @@
 
 use super::timeline::{TimedLine, Timeline};
 
-/// The line that ends a request.
+/// Final event of a request.
 const REQUEST_EVENT: &str = "request";
-/// Events that change what a process believes, besides its view.
+/// Events that change the state of a process, other than updates of its view.
 const PROCESS_STATE_EVENTS: &[&str] = &[
     "starting",
     "lease gained",
@@ -21,9 +21,9 @@
     "reloading",
     "stopping",
 ];
-/// The event of a new view; the request's own lines name the one in force.
+/// Event of a view update. The `known` field of the request's lines gives the view in use.
 const VIEW_EVENT: &str = "view updated";
-/// Events about one back end.
+/// Events about one back-end replica.
 const REPLICA_EVENTS: &[&str] = &[
     "replica recorded",
     "replica removed",
@@ -33,36 +33,37 @@
     "replica looked at after a connection broke",
     "order given",
 ];
-/// The event of a failed exchange with a back end.
+/// Event of a failed exchange with a replica.
 const FAILURE_EVENT: &str = "exchange failed";
-/// Events about a request's content: whoever sends the same again has the same.
+/// Events about a request's content. Requests with equal content have the same content key.
 const CONTENT_EVENTS: &[&str] = &[
     FAILURE_EVENT,
     "request quarantined",
     "request released",
     "suspected request ran well",
 ];
-/// Lines about the content that are shown.
+/// Maximum number of lines shown about one content key.
 const MAX_LINES_PER_CONTENT: usize = 12;
-/// The event of a new leader of the control group.
+/// Event of a new leader of the control replicas.
 const LEADER_EVENT: &str = "leader changed";
-/// Lines about one back end that are shown.
+/// Maximum number of lines shown about one replica.
 const MAX_LINES_PER_REPLICA: usize = 4;
-/// Time before a request in which failures of others at the same back end are shown, microseconds.
+/// Time before a request's arrival from which failures of other requests at the same replica are
+/// shown, microseconds.
 const FAILURE_WINDOW_US: i64 = 5_000_000;
 
-/// What a line tells.
+/// Subject of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Subject {
-    /// A decision about the request.
+    /// The request itself.
     Request,
-    /// What the process that decided believed.
+    /// State of a process that handled the request.
     #[serde(rename = "belief")]
     ProcessState,
-    /// What was known of a back end that the request was sent to.
+    /// A replica that the request was sent to.
     Replica,
-    /// What became of other requests with the same content.
+    /// Other requests with the same content.
     Content,
 }
 
@@ -82,19 +83,19 @@
 pub struct Entry {
     /// Time after the request arrived, milliseconds; negative before.
     pub at_ms: f64,
-    /// The machine.
+    /// Machine that logged the line.
     pub node: String,
-    /// What the line tells.
+    /// Subject of the line.
     #[serde(rename = "about")]
     pub subject: Subject,
-    /// What happened.
+    /// Event text.
     pub event: String,
-    /// The event's own fields.
+    /// Fields of the event.
     pub fields: Map<String, Value>,
 }
 
 impl Entry {
-    /// The fields as `name=value`.
+    /// Returns the fields as `name=value`, separated by spaces.
     pub fn fields_text(&self) -> String {
         let fields = self.fields.iter().map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
@@ -104,18 +105,19 @@
     }
 }
 
-/// What the logs say of a request.
+/// Log lines that explain one request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Explanation {
-    /// The request.
+    /// Id of the request.
     pub request: String,
-    /// Lines, in order.
+    /// Lines in time order.
     pub entries: Vec<Entry>,
-    /// Lines of the deciding processes, up to the request's last, that are not in the files.
+    /// Number of lines of the processes that handled the request that are missing from the files,
+    /// by gaps in their sequence up to the request's final line.
     pub missing_lines: u64,
 }
 
-/// Explains a request; `None` if no line names it.
+/// Explains a request. Returns `None` if no line has its id.
 pub fn explain(timeline: &Timeline, request: &str) -> Option<Explanation> {
     let request_lines: Vec<&TimedLine> = timeline
         .lines()
@@ -172,7 +174,7 @@
     })
 }
 
-/// The beliefs of one process that were in force when it decided.
+/// Returns the lines that give the state of one process when it handled the request.
 fn process_state<'a>(
     timeline: &'a Timeline,
     run_id: &str,
@@ -209,7 +211,7 @@
     states
 }
 
-/// The newest lines about a back end, and the newest failure of another request there.
+/// Returns the newest lines about a replica, and the newest failure of another request there.
 fn replica_events<'a>(
     timeline: &'a Timeline,
     replica: &str,
@@ -235,7 +237,7 @@
     events
 }
 
-/// The newest lines about a content, other than the request's own.
+/// Returns the newest lines about a content key, other than the request's own.
 fn content_events<'a>(
     timeline: &'a Timeline,
     content: &str,
@@ -264,7 +266,7 @@
         .find(|timed| matches(&timed.line))
 }
 
-/// Lines of a run_id up to a moment that should be there by its sequence and are not.
+/// Counts the gaps in a run's sequence numbers up to `until_us`.
 fn count_missing_lines(timeline: &Timeline, run_id: &str, until_us: i64) -> u64 {
     let present: Vec<u64> = timeline
         .lines_of_run(run_id)
@@ -276,7 +278,7 @@
     expected.saturating_sub(present.len() as u64)
 }
 
-/// When the request arrived: the line that ends it tells how long it took.
+/// Returns the arrival time of a request. The final line is dated back by its `total_ms`.
 fn arrival_us(timed: &TimedLine) -> i64 {
     if timed.line.payload != REQUEST_EVENT {
         return timed.at_us;
--- a/crates/ctl/src/logs/mod.rs
+++ b/crates/ctl/src/logs/mod.rs
@@ -1,11 +1,11 @@
-//! Explaining requests from logs: no process is asked.
+//! Offline analysis of log files.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | [`parser`] | lines out of files that may be cut, mixed or partly garbage |
-//! | [`timeline`] | lines of several processes in one order |
-//! | [`explanation`] | the lines that explain one request |
-//! | [`outcomes`] | what became of all requests, and what decided it |
+//! | [`parser`] | parses log lines from files that may be truncated, interleaved or corrupt |
+//! | [`timeline`] | merges the lines of several processes into one order |
+//! | [`explanation`] | selects the lines that explain one request |
+//! | [`outcomes`] | groups all requests by route, outcome and cause |
 
 pub mod explanation;
 pub mod outcomes;
@@ -28,7 +28,7 @@
     output::{OutputFormat, Table, print_json},
 };
 
-/// What is printed for programs.
+/// JSON output of `explain --logs`.
 #[derive(Serialize)]
 struct ExplanationOutput<'a> {
     #[serde(flatten)]
@@ -36,7 +36,7 @@
     skipped: SkippedLines,
 }
 
-/// All requests in a set of logs, printed for programs.
+/// JSON output of `outcomes`.
 #[derive(Serialize)]
 struct OutcomesOutput {
     groups: Vec<OutcomeGroup>,
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// Prints what became of the requests in `files`.
+/// Prints the outcomes of the requests in `files`, grouped by cause.
 pub fn print_outcomes(format: OutputFormat, files: &[PathBuf]) -> Result<(), Report<CtlError>> {
     let (timeline, skipped) = read_files(files)?;
     let groups = outcomes::group_by_outcome(&timeline);
--- a/crates/ctl/src/logs/outcomes.rs
+++ b/crates/ctl/src/logs/outcomes.rs
@@ -1,4 +1,4 @@
-//! What became of all requests in a set of logs, and what decided it. Pure.
+//! Groups the requests in a set of logs by route, outcome and cause. Performs no I/O.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,31 +8,31 @@
 
 use crate::logs::timeline::Timeline;
 
-/// Requests of one route that ended alike for the same reason.
+/// Requests with the same route, outcome and cause.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct OutcomeGroup {
-    /// Name of the route; empty if none was found.
+    /// Name of the route; empty if none was logged.
     pub route: String,
-    /// How the requests ended, as their router logged it.
+    /// Outcome as logged by the router.
     pub outcome: String,
-    /// What decided it: the last failed exchange, a retry that the budget denied, or nothing.
+    /// Cause of the last failed exchange, a retry denied by the budget, or both; empty for neither.
     pub cause: String,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Replicas that they were sent to, beyond the first of each.
+    /// Attempts beyond the first one of each request.
     pub further_attempts: u64,
-    /// Time to the first byte at the median of those that brought one, milliseconds.
+    /// Median time to first byte, milliseconds. Requests without a response byte are left out.
     pub first_byte_median_ms: u64,
-    /// The same for the slowest of a hundred, milliseconds.
+    /// 99th percentile of the time to first byte, milliseconds.
     pub first_byte_p99_ms: u64,
-    /// Tokens of their prompts that others share.
+    /// Prompt tokens in prefixes that are shared with other requests.
     pub shared_tokens: u64,
-    /// Of these, tokens that the router knew it had sent to the same replica before.
+    /// Part of `shared_tokens` that the router had sent to the same replica before.
     #[serde(rename = "presumed_kept_tokens")]
     pub presumed_cached_tokens: u64,
 }
 
-/// What a router logged of a request before its last line.
+/// Failures and retries logged for a request before its final line.
 #[derive(Debug, Default)]
 struct AttemptHistory {
     last_failure: Option<String>,
@@ -56,7 +56,7 @@
     first_bytes_ms: Vec<u64>,
 }
 
-/// Groups the requests whose last line is among `timeline`, the largest groups first.
+/// Groups the requests whose final line is in `timeline`. The largest group comes first.
 pub fn group_by_outcome(timeline: &Timeline) -> Vec<OutcomeGroup> {
     let mut histories: HashMap<String, AttemptHistory> = HashMap::new();
     let mut builders: BTreeMap<(String, String, String), GroupBuilder> = BTreeMap::new();
--- a/crates/ctl/src/logs/parser.rs
+++ b/crates/ctl/src/logs/parser.rs
@@ -1,19 +1,20 @@
-//! Log lines out of a file that may be cut, mixed with other output, or partly garbage. Pure.
+//! Parser of log files that may be truncated, mixed with other output, or partly corrupt. Performs
+//! no I/O.
 
 use std::ops::AddAssign;
 
 use railtack_telemetry::line::LogLine;
 use serde::Serialize;
 
-/// Places in one line at which an object is looked for: other output may stand before it.
+/// Opening braces of one line at which a JSON object is tried; other output may precede the object.
 const MAX_OBJECT_STARTS: usize = 8;
 
-/// Lines that could not be read.
+/// Counts of lines that could not be parsed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SkippedLines {
-    /// Lines that hold no object: other output.
+    /// Lines without an opening brace, such as output of other programs.
     pub unstructured: usize,
-    /// Lines that hold the beginning of an object, but no log line.
+    /// Lines with an opening brace but no valid log line.
     pub damaged: usize,
 }
 
@@ -24,7 +25,8 @@
     }
 }
 
-/// Adds the log lines in `content` to `lines`; tells what was skipped.
+/// Appends the log lines in `content` to `lines`. Returns the counts of skipped lines; blank lines
+/// are not counted.
 pub fn parse_lines(content: &[u8], lines: &mut Vec<LogLine>) -> SkippedLines {
     let mut skipped = SkippedLines::default();
     for text in content.split(|byte| *byte == b'\n') {
@@ -47,7 +49,7 @@
         .filter(|(_, byte)| **byte == b'{')
         .map(|(position, _)| position);
     starts.take(MAX_OBJECT_STARTS).find_map(|start| {
-        // Whatever follows a whole object is passed over.
+        // Ignores anything after the object.
         let objects = serde_json::Deserializer::from_slice(&text[start..]);
         objects.into_iter::<LogLine>().next()?.ok()
     })
--- a/crates/ctl/src/logs/timeline.rs
+++ b/crates/ctl/src/logs/timeline.rs
@@ -1,30 +1,30 @@
-//! Lines of several processes in one order. Pure.
+//! Merges the log lines of several process runs into one order. Performs no I/O.
 //!
-//! Within one life of a process the steady clock and the sequence order the lines. Between
-//! processes the times of day do; since those jump now and then, each life is placed by the median
-//! difference of its two clocks.
+//! Within one run, lines are ordered by the monotonic clock and the sequence number. Runs are aligned
+//! by wall-clock time. As the wall clock may jump, each run is offset by the median difference
+//! between its wall clock and its monotonic clock.
 
 use std::collections::BTreeMap;
 
 use railtack_telemetry::line::LogLine;
 
-/// A line with its place in time.
+/// Log line with its aligned time.
 #[derive(Clone, Debug)]
 pub struct TimedLine {
-    /// Time of day by the life's median, microseconds since 1970.
+    /// Wall-clock time by the run's median clock difference, microseconds since the Unix epoch.
     pub at_us: i64,
-    /// The line.
+    /// Line as logged.
     pub line: LogLine,
 }
 
-/// All lines that were read, each once, in order.
+/// All parsed lines in time order, without duplicates.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     lines: Vec<TimedLine>,
 }
 
 impl Timeline {
-    /// Orders lines; a line that was read twice counts once.
+    /// Creates a timeline. Drops duplicates, which have the same run id and sequence number.
     pub fn new(lines: Vec<LogLine>) -> Self {
         let mut runs: BTreeMap<String, BTreeMap<u64, LogLine>> = BTreeMap::new();
         for line in lines {
@@ -41,12 +41,12 @@
         Self { lines: timed }
     }
 
-    /// The lines, in order.
+    /// Returns all lines in time order.
     pub fn lines(&self) -> &[TimedLine] {
         &self.lines
     }
 
-    /// The lines of one life, in the order of their sequence.
+    /// Returns the lines of one run in sequence order.
     pub fn lines_of_run(&self, run_id: &str) -> Vec<&TimedLine> {
         let mut lines: Vec<&TimedLine> = self
             .lines
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,9 +1,9 @@
-//! Printing: tables for people, JSON for programs.
+//! Output as aligned tables or JSON.
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// How results are printed.
+/// Output format of results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
     /// Aligned columns.
@@ -12,7 +12,7 @@
     Json,
 }
 
-/// Rows with a heading.
+/// Table with a heading row.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     headings: Vec<&'static str>,
@@ -20,7 +20,7 @@
 }
 
 impl Table {
-    /// A table without rows.
+    /// Creates a table without rows.
     pub fn new(headings: impl IntoIterator<Item = &'static str>) -> Self {
         Self {
             headings: headings.into_iter().collect(),
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Adds a row.
+    /// Adds a row, which may have fewer cells than the table has headings.
     pub fn add_row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// Prints the table in the wanted format.
+    /// Prints the table to standard output.
     pub fn print(&self, format: OutputFormat) {
         match format {
             OutputFormat::Table => print!("{}", self.to_text()),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The table as aligned text.
+    /// Returns the table as text with aligned columns.
     pub fn to_text(&self) -> String {
         let mut widths: Vec<usize> = self.headings.iter().map(|heading| heading.len()).collect();
         for row in &self.rows {
@@ -67,9 +67,9 @@
     }
 }
 
-/// Prints a value as JSON.
+/// Prints a value to standard output as indented JSON.
 pub fn print_json<T: Serialize>(value: &T) {
-    // Printing our own types cannot fail: they have string keys only.
+    // Serialization cannot fail: all maps in printed types have string keys.
     println!(
         "{}",
         serde_json::to_string_pretty(value).unwrap_or_default()
--- a/crates/ctl/src/quarantine.rs
+++ b/crates/ctl/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Commands on requests under which back ends ended.
+//! Subcommands on requests under which back-end replicas crashed.
 
 use std::cmp::Reverse;
 
--- a/crates/ctl/tests/logs.rs
+++ b/crates/ctl/tests/logs.rs
@@ -1,4 +1,4 @@
-//! A request explained from logs that are mixed, cut and partly garbage.
+//! Explanations and outcomes from logs that are interleaved, truncated and partly corrupt.
 
 use quickcheck::quickcheck;
 use railtack_ctl::{
@@ -126,7 +126,7 @@
             ("request", 800.0)
         ]
     );
-    // The view of position 9 decided, not the newer one that came before the last line.
+    // The request used the view at position 9, not the newer one logged before its final line.
     let states = events(&explanation, Subject::ProcessState);
     assert_eq!(
         states,
@@ -137,7 +137,7 @@
             ("view updated", -2_600.0),
         ]
     );
-    // Not the order that came after the request, nor one at another back end.
+    // Leaves out orders after the request and orders to other replicas.
     assert_eq!(
         events(&explanation, Subject::Replica),
         vec![("order given", -1_600.0), ("exchange failed", -600.0)]
@@ -170,7 +170,7 @@
 fn duplicate_lines_and_clock_jumps_do_not_change_the_explanation() {
     let mut lines = router_log();
     lines.extend(router_log());
-    // The time of day jumps by an hour for one line; the steady clock goes on.
+    // The wall clock of one line jumps by an hour; the monotonic clock does not.
     lines[5] = lines[5].replace(r#""timestamp":1005000"#, r#""timestamp":4605000"#);
     lines.truncate(10);
     lines.extend(
@@ -221,7 +221,7 @@
 }
 
 quickcheck! {
-    /// Any bytes are read to their end, and every line that is not blank is either read or counted.
+    /// For any bytes, every line that is not blank is either parsed or counted as skipped.
     fn every_nonblank_line_is_parsed_or_counted(content: Vec<u8>) -> bool {
         let mut lines = Vec::new();
         let skipped = parser::parse_lines(&content, &mut lines);
