--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -9,7 +9,7 @@
     /// Order of last use; unique.
     stamp: u64,
     /// Requests that are using the block; it cannot be evicted meanwhile.
-    users: u32,
+    ref_count: u32,
     /// When it was last used, microseconds.
     used_at: u64,
 }
@@ -52,7 +52,7 @@
     }
 
     /// Number of leading blocks that are cached.
-    pub fn matched(&self, chain: &[BlockHash]) -> usize {
+    pub fn cached_prefix_len(&self, chain: &[BlockHash]) -> usize {
         chain
             .iter()
             .take_while(|hash| self.blocks.contains_key(hash))
@@ -70,7 +70,7 @@
         self.touch(chain, now_us);
         for hash in chain {
             if let Some(block) = self.blocks.get_mut(hash) {
-                block.users += 1;
+                block.ref_count += 1;
                 self.evictable.remove(&block.stamp);
             }
         }
@@ -80,7 +80,7 @@
     pub fn release(&mut self, chain: &[BlockHash], now_us: u64) {
         for hash in chain {
             if let Some(block) = self.blocks.get_mut(hash) {
-                block.users = block.users.saturating_sub(1);
+                block.ref_count = block.ref_count.saturating_sub(1);
             }
         }
         self.touch(chain, now_us);
@@ -92,7 +92,7 @@
     pub fn store(&mut self, chain: &[BlockHash], now_us: u64) -> usize {
         let mut stored = 0;
         for hash in chain {
-            if !self.hold(*hash, now_us) {
+            if !self.pin(*hash, now_us) {
                 break;
             }
             stored += 1;
@@ -102,19 +102,19 @@
     }
 
     /// Makes sure that a block is cached and cannot be evicted; false if there is no place for it.
-    fn hold(&mut self, hash: BlockHash, now_us: u64) -> bool {
+    fn pin(&mut self, hash: BlockHash, now_us: u64) -> bool {
         if let Some(block) = self.blocks.get_mut(&hash) {
-            block.users += 1;
+            block.ref_count += 1;
             self.evictable.remove(&block.stamp);
             return true;
         }
         if self.blocks.len() >= self.capacity && !self.evict_one(now_us) {
             return false;
         }
-        self.note_change(hash, false);
+        self.record_change(hash, false);
         let block = Block {
-            stamp: self.take_stamp(),
-            users: 1,
+            stamp: self.allocate_stamp(),
+            ref_count: 1,
             used_at: now_us,
         };
         self.blocks.insert(hash, block);
@@ -122,7 +122,7 @@
     }
 
     /// Notes, at the first change of a block since changes were taken, whether it was cached.
-    fn note_change(&mut self, hash: BlockHash, was_cached: bool) {
+    fn record_change(&mut self, hash: BlockHash, was_cached: bool) {
         if let Entry::Vacant(entry) = self.was_cached.entry(hash) {
             entry.insert(was_cached);
             self.changed.push(hash);
@@ -154,7 +154,7 @@
         let dropped: Vec<BlockHash> = self.blocks.drain().map(|(hash, _)| hash).collect();
         self.evictable.clear();
         for hash in dropped {
-            self.note_change(hash, true);
+            self.record_change(hash, true);
         }
     }
 
@@ -185,7 +185,7 @@
             self.evictable.remove(&block.stamp);
             block.stamp = stamp;
             block.used_at = now_us;
-            if block.users == 0 {
+            if block.ref_count == 0 {
                 self.evictable.insert(stamp, *hash);
             }
         }
@@ -198,11 +198,11 @@
         if let Some(block) = self.blocks.remove(&hash) {
             self.last_eviction_age_us = now_us.saturating_sub(block.used_at);
         }
-        self.note_change(hash, true);
+        self.record_change(hash, true);
         true
     }
 
-    fn take_stamp(&mut self) -> u64 {
+    fn allocate_stamp(&mut self) -> u64 {
         self.next_stamp += 1;
         self.next_stamp - 1
     }
--- a/crates/emulator/src/cli.rs
+++ b/crates/emulator/src/cli.rs
@@ -3,8 +3,8 @@
 use std::{ffi::OsString, net::SocketAddr, process::ExitCode, time::Duration};
 
 use crate::{
-    EmulatorError, engine_server::EngineStandIn, platform_server::PlatformStandIn,
-    service_server::ServiceStandIn,
+    EmulatorError, engine_server::EngineServer, platform_server::PlatformServer,
+    service_server::ServiceServer,
 };
 use clap::{Arg, Command, value_parser};
 use error_stack::{Report, ResultExt};
@@ -72,14 +72,14 @@
     let options = ServeOptions::default();
     match settings.role {
         EmulatorRole::Engine(engine) => {
-            let engine = EngineStandIn::new(engine, platform);
+            let engine = EngineServer::new(engine, platform);
             tokio::spawn(engine.clone().run());
-            tokio::spawn(drain_when_stopping(shutdown.clone(), engine.clone()));
+            tokio::spawn(drain_on_shutdown(shutdown.clone(), engine.clone()));
             let handler = move |request| engine.clone().handle(request);
             serve(listener, options, shutdown, handler).await;
         }
         EmulatorRole::Service { service, answer_ms } => {
-            let service = ServiceStandIn::new(service, Duration::from_millis(answer_ms));
+            let service = ServiceServer::new(service, Duration::from_millis(answer_ms));
             let handler = move |request| service.clone().handle(request);
             serve(listener, options, shutdown, handler).await;
         }
@@ -88,7 +88,7 @@
             weight_bytes_per_second,
         } => {
             let platform =
-                PlatformStandIn::new(Duration::from_millis(lag_ms), weight_bytes_per_second);
+                PlatformServer::new(Duration::from_millis(lag_ms), weight_bytes_per_second);
             let handler = move |request| platform.clone().handle(request);
             serve(listener, options, shutdown, handler).await;
         }
@@ -97,7 +97,7 @@
 }
 
 /// A planned stop: an engine refuses new work at once and ends what it has.
-async fn drain_when_stopping(shutdown: CancellationToken, engine: EngineStandIn) {
+async fn drain_on_shutdown(shutdown: CancellationToken, engine: EngineServer) {
     shutdown.cancelled().await;
     engine.begin_drain();
 }
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -64,18 +64,18 @@
 }
 
 #[derive(Clone, Debug)]
-struct Running {
+struct RunningSequence {
     request: NewSequence,
-    prefill_left: u32,
-    import_left: u32,
+    prefill_remaining: u32,
+    import_remaining: u32,
     cached_tokens: u32,
     acquired_blocks: usize,
     produced: u32,
 }
 
-impl Running {
+impl RunningSequence {
     fn is_decoding(&self) -> bool {
-        self.prefill_left == 0 && self.import_left == 0
+        self.prefill_remaining == 0 && self.import_remaining == 0
     }
 }
 
@@ -84,7 +84,7 @@
 
 /// A request that waits for a place in the batch.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct WaitingSequence {
     request: NewSequence,
     /// Prompt tokens that were not cached when it arrived; what the load report counts.
     uncached_tokens: u64,
@@ -93,21 +93,21 @@
 /// Prompt tokens still to be computed.
 #[derive(Clone, Copy, Debug, Default)]
 struct QueuedTokens {
-    all: u64,
+    total: u64,
     /// Those above the lowest priority.
     urgent: u64,
 }
 
 impl QueuedTokens {
     fn add(&mut self, priority: u8, tokens: u64) {
-        self.all += tokens;
+        self.total += tokens;
         if priority > 0 {
             self.urgent += tokens;
         }
     }
 
     fn remove(&mut self, priority: u8, tokens: u64) {
-        self.all -= tokens;
+        self.total -= tokens;
         if priority > 0 {
             self.urgent -= tokens;
         }
@@ -119,10 +119,10 @@
 pub struct EngineModel {
     costs: EngineCosts,
     cache: BlockCache,
-    waiting: BTreeMap<QueueKey, Waiting>,
+    waiting: BTreeMap<QueueKey, WaitingSequence>,
     waiting_tokens: QueuedTokens,
     queue_keys: HashMap<u128, QueueKey>,
-    running: Vec<Running>,
+    running: Vec<RunningSequence>,
     arrivals: u64,
     last_step_us: u64,
     totals: EngineTotals,
@@ -151,9 +151,9 @@
         self.arrivals += 1;
         let key = (std::cmp::Reverse(request.priority), self.arrivals);
         self.queue_keys.insert(request.attempt, key);
-        let uncached_tokens = self.uncached(&request);
+        let uncached_tokens = self.uncached_tokens(&request);
         self.waiting_tokens.add(request.priority, uncached_tokens);
-        let waiting = Waiting {
+        let waiting = WaitingSequence {
             request,
             uncached_tokens,
         };
@@ -215,7 +215,7 @@
         LoadReport {
             running: self.running.len() as u32,
             waiting: self.waiting.len() as u32,
-            queued_prefill_tokens: queued.all,
+            queued_prefill_tokens: queued.total,
             urgent_prefill_tokens: queued.urgent,
             batch_limit: self.costs.batch_limit as u32,
             step_us: self.last_step_us,
@@ -226,7 +226,10 @@
     fn queued_prefill(&self) -> QueuedTokens {
         let mut queued = self.waiting_tokens;
         for running in &self.running {
-            queued.add(running.request.priority, u64::from(running.prefill_left));
+            queued.add(
+                running.request.priority,
+                u64::from(running.prefill_remaining),
+            );
         }
         queued
     }
@@ -235,12 +238,16 @@
     pub fn step(&mut self, now_us: u64) -> StepOutcome {
         let mut outcome = StepOutcome::default();
         self.admit(now_us, &mut outcome);
-        let decoding: Vec<bool> = self.running.iter().map(Running::is_decoding).collect();
+        let decoding: Vec<bool> = self
+            .running
+            .iter()
+            .map(RunningSequence::is_decoding)
+            .collect();
         let decode_count = decoding.iter().filter(|decodes| **decodes).count();
         let (prefill_tokens, import_tokens) = self.advance_prefill();
         outcome.duration_us = self.step_duration(decode_count, prefill_tokens, import_tokens);
         let end_us = now_us + outcome.duration_us;
-        self.produce(&decoding, end_us, &mut outcome);
+        self.emit_tokens(&decoding, end_us, &mut outcome);
         outcome.changes = self.cache.take_changes();
         self.last_step_us = outcome.duration_us;
         outcome
@@ -255,7 +262,7 @@
             self.waiting_tokens
                 .remove(request.priority, waiting.uncached_tokens);
             self.queue_keys.remove(&request.attempt);
-            let running = self.begin(request, now_us);
+            let running = self.start_sequence(request, now_us);
             outcome
                 .admitted
                 .push((running.request.attempt, running.cached_tokens));
@@ -263,26 +270,26 @@
         }
     }
 
-    fn begin(&mut self, request: NewSequence, now_us: u64) -> Running {
+    fn start_sequence(&mut self, request: NewSequence, now_us: u64) -> RunningSequence {
         let chain = &request.chain;
-        let matched = self.cache.matched(&chain.blocks);
-        self.cache.acquire(&chain.blocks[..matched], now_us);
+        let cached_blocks = self.cache.cached_prefix_len(&chain.blocks);
+        self.cache.acquire(&chain.blocks[..cached_blocks], now_us);
         // The last token is always computed: its output is the first token of the answer.
         let cached_tokens = chain
-            .tokens_at(matched)
+            .tokens_at(cached_blocks)
             .min(chain.total_tokens.saturating_sub(1));
-        let imported_to = chain
-            .tokens_at(request.importable_blocks.max(matched))
+        let importable_tokens = chain
+            .tokens_at(request.importable_blocks.max(cached_blocks))
             .min(chain.total_tokens.saturating_sub(1));
-        let import_left = imported_to.saturating_sub(cached_tokens);
-        let wanted = chain.total_tokens + request.delivered_tokens;
+        let import_remaining = importable_tokens.saturating_sub(cached_tokens);
+        let total_tokens = chain.total_tokens + request.delivered_tokens;
         self.totals.prompt_tokens += u64::from(chain.total_tokens);
         self.totals.cached_tokens += u64::from(cached_tokens);
-        Running {
-            prefill_left: wanted - cached_tokens - import_left,
-            import_left,
+        RunningSequence {
+            prefill_remaining: total_tokens - cached_tokens - import_remaining,
+            import_remaining,
             cached_tokens,
-            acquired_blocks: matched,
+            acquired_blocks: cached_blocks,
             produced: request.delivered_tokens,
             request,
         }
@@ -294,16 +301,17 @@
         let mut budget = self.costs.step_prefill_tokens;
         let mut computed = 0;
         let mut imported = 0;
-        let mut order: Vec<usize> = (0..self.running.len()).collect();
-        order.sort_by_key(|&position| std::cmp::Reverse(self.running[position].request.priority));
-        for position in order {
+        let mut positions: Vec<usize> = (0..self.running.len()).collect();
+        positions
+            .sort_by_key(|&position| std::cmp::Reverse(self.running[position].request.priority));
+        for position in positions {
             let running = &mut self.running[position];
-            imported += running.import_left;
-            running.import_left = 0;
-            let share = running.prefill_left.min(budget);
-            running.prefill_left -= share;
-            budget -= share;
-            computed += share;
+            imported += running.import_remaining;
+            running.import_remaining = 0;
+            let tokens = running.prefill_remaining.min(budget);
+            running.prefill_remaining -= tokens;
+            budget -= tokens;
+            computed += tokens;
         }
         (computed, imported)
     }
@@ -316,7 +324,7 @@
     }
 
     /// Requests that were decoding yield a token, and so do those whose prompt was finished.
-    fn produce(&mut self, decoding: &[bool], end_us: u64, outcome: &mut StepOutcome) {
+    fn emit_tokens(&mut self, decoding: &[bool], end_us: u64, outcome: &mut StepOutcome) {
         let mut finished = Vec::new();
         for (position, &was_decoding) in decoding.iter().enumerate() {
             if !self.running[position].is_decoding() {
@@ -349,19 +357,19 @@
         }
     }
 
-    fn release(&mut self, running: &Running, now_us: u64) {
+    fn release(&mut self, running: &RunningSequence, now_us: u64) {
         let blocks = &running.request.chain.blocks[..running.acquired_blocks];
         self.cache.release(blocks, now_us);
     }
 
-    fn uncached(&self, request: &NewSequence) -> u64 {
-        let matched = self.cache.matched(&request.chain.blocks);
-        let cached = request.chain.tokens_at(matched);
+    fn uncached_tokens(&self, request: &NewSequence) -> u64 {
+        let cached_blocks = self.cache.cached_prefix_len(&request.chain.blocks);
+        let cached = request.chain.tokens_at(cached_blocks);
         u64::from(request.chain.total_tokens.saturating_sub(cached))
     }
 }
 
-fn next_token(running: &mut Running) -> TokenOutput {
+fn next_token(running: &mut RunningSequence) -> TokenOutput {
     let index = running.produced;
     running.produced += 1;
     let end = (running.produced >= running.request.max_tokens).then_some(SequenceEnd {
--- a/crates/emulator/src/engine_server.rs
+++ b/crates/emulator/src/engine_server.rs
@@ -17,14 +17,14 @@
 use tokio::sync::Notify;
 
 use crate::{
-    back_off::{BackOff, asking_for_rest},
+    back_off::{BackOffMonitor, with_retry_after},
     completion::completion_seed,
-    end_under,
+    crash_if_triggered,
     engine::{EngineModel, NewSequence, StepOutcome, TokenOutput},
     engine_server::streams::query_number,
     event_feed::EventFeed,
     gate::{Gate, GateChecks},
-    limit::LimitSpeaker,
+    limit::LimitAdvertiser,
 };
 
 mod streams;
@@ -34,16 +34,16 @@
 /// Time for a body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Requests that may wait; more are refused.
-const QUEUE_LIMIT: u32 = 1_024;
+const MAX_WAITING: u32 = 1_024;
 /// How long a finished stream can still be resumed.
-const STREAM_KEPT: Duration = Duration::from_secs(30);
+const STREAM_RETENTION: Duration = Duration::from_secs(30);
 /// Time between looks at whether running answers have ended.
-const IDLE_CHECK: Duration = Duration::from_millis(5);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Bytes of one model's weights. Assumed: 13 billion parameters at two bytes.
 const WEIGHT_BYTES: u64 = 26_000_000_000;
 
 /// One answer, kept from its first token until some time after its last.
-struct Stream {
+struct CompletionStream {
     seed: u64,
     delivered_tokens: u32,
     produced: u32,
@@ -52,27 +52,27 @@
     changed: Arc<Notify>,
 }
 
-struct Shared {
+struct State {
     model: EngineModel,
     gate: Gate,
-    streams: HashMap<u128, Stream>,
+    streams: HashMap<u128, CompletionStream>,
     feed: EventFeed,
-    back_off: BackOff,
-    limit: LimitSpeaker,
+    back_off: BackOffMonitor,
+    limit: LimitAdvertiser,
 }
 
 /// A running engine.
 #[derive(Clone)]
-pub struct EngineStandIn {
+pub struct EngineServer {
     settings: Arc<EngineSettings>,
     incarnation: EngineIncarnation,
     started: Instant,
-    shared: Arc<Mutex<Shared>>,
-    work: Arc<Notify>,
+    state: Arc<Mutex<State>>,
+    work_available: Arc<Notify>,
     platform: Option<std::net::SocketAddr>,
 }
 
-impl EngineStandIn {
+impl EngineServer {
     /// A new life of the engine, with an empty cache.
     pub fn new(settings: EngineSettings, platform: Option<std::net::SocketAddr>) -> Self {
         let incarnation = EngineIncarnation(rand::random());
@@ -83,7 +83,7 @@
             reporting.event_loss,
             incarnation.0,
         );
-        let shared = Shared {
+        let state = State {
             model: EngineModel::new(settings.costs.clone()),
             gate: Gate::new(
                 incarnation,
@@ -93,15 +93,15 @@
             ),
             streams: HashMap::new(),
             feed,
-            back_off: BackOff::default(),
-            limit: LimitSpeaker::default(),
+            back_off: BackOffMonitor::default(),
+            limit: LimitAdvertiser::default(),
         };
         Self {
             settings: Arc::new(settings),
             incarnation,
             started: Instant::now(),
-            shared: Arc::new(Mutex::new(shared)),
-            work: Arc::new(Notify::new()),
+            state: Arc::new(Mutex::new(state)),
+            work_available: Arc::new(Notify::new()),
             platform,
         }
     }
@@ -111,7 +111,7 @@
         loop {
             let step = self.begin_step();
             let Some((outcome, wait)) = step else {
-                self.work.notified().await;
+                self.work_available.notified().await;
                 continue;
             };
             tokio::time::sleep(wait).await;
@@ -129,50 +129,52 @@
         let path = request.uri().path().to_owned();
         let method = request.method().clone();
         match (method, path.as_str()) {
-            (Method::POST, "/v1/completions") => self.complete(request).await,
+            (Method::POST, "/v1/completions") => self.handle_completion(request).await,
             (Method::GET, "/status") => body::json(200, &self.status()),
-            (Method::GET, "/cache") => body::json(200, &self.listing()),
+            (Method::GET, "/cache") => body::json(200, &self.cache_listing()),
             (Method::GET, "/events") => self.events(request.uri()),
-            (Method::POST, "/orders") => self.order(request).await,
+            (Method::POST, "/orders") => self.handle_order(request).await,
             (Method::POST, "/drain") => {
                 self.begin_drain();
                 body::json(200, &self.status())
             }
             (method, path) => match path.strip_prefix("/v1/streams/").and_then(parse_attempt) {
-                Some(attempt) if method == Method::GET => self.resume(attempt, request.uri()),
-                Some(attempt) if method == Method::DELETE => self.cancel(attempt),
+                Some(attempt) if method == Method::GET => {
+                    self.resume_stream(attempt, request.uri())
+                }
+                Some(attempt) if method == Method::DELETE => self.cancel_stream(attempt),
                 _ => self.refuse(404, EngineRefusal::UnknownStream),
             },
         }
     }
 
     fn begin_step(&self) -> Option<(StepOutcome, Duration)> {
-        let mut shared = self.lock();
-        if !shared.model.has_work() {
+        let mut state = self.lock();
+        if !state.model.has_work() {
             return None;
         }
-        let outcome = shared.model.step(self.now_us());
+        let outcome = state.model.step(self.now_us());
         let wait = Duration::from_micros(outcome.duration_us);
         Some((outcome, wait))
     }
 
     fn finish_step(&self, outcome: &StepOutcome) {
         let now_us = self.now_us();
-        let mut shared = self.lock();
-        shared.feed.publish(&outcome.changes, now_us);
+        let mut state = self.lock();
+        state.feed.publish(&outcome.changes, now_us);
         for output in &outcome.outputs {
-            if let Some(stream) = shared.streams.get_mut(&output.attempt) {
-                stream.take(output);
+            if let Some(stream) = state.streams.get_mut(&output.attempt) {
+                stream.record_output(output);
             }
         }
-        shared.streams.retain(|_, stream| {
+        state.streams.retain(|_, stream| {
             stream
                 .ended_at
-                .is_none_or(|ended| ended.elapsed() < STREAM_KEPT)
+                .is_none_or(|ended| ended.elapsed() < STREAM_RETENTION)
         });
     }
 
-    async fn complete(self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle_completion(self, request: Request<Incoming>) -> Response<Body> {
         let content = read_body(request.into_body(), BODY_LIMIT, BODY_TIMEOUT).await;
         let parsed = content
             .ok()
@@ -181,33 +183,33 @@
             return self.refuse(400, EngineRefusal::Malformed);
         };
         let prompt = request.prompt.as_bytes();
-        self.lock().limit.arrived(prompt);
+        self.lock().limit.record_request(prompt);
         let response = self.run_or_refuse(&request);
-        self.lock().limit.named_in(response)
+        self.lock().limit.with_limit_header(response)
     }
 
     fn run_or_refuse(&self, request: &EngineRequest) -> Response<Body> {
         let prompt = request.prompt.as_bytes();
-        if self.lock().back_off.turns_away(prompt) {
-            return asking_for_rest(self.refuse(503, EngineRefusal::QueueFull));
+        if self.lock().back_off.should_reject(prompt) {
+            return with_retry_after(self.refuse(503, EngineRefusal::QueueFull));
         }
         if let Err(refusal) = self.submit(request) {
             return self.refuse(409, refusal);
         }
-        self.work.notify_one();
+        self.work_available.notify_one();
         self.stream_from(request.attempt.0, request.delivered_tokens)
     }
 
     fn submit(&self, request: &EngineRequest) -> Result<(), EngineRefusal> {
-        let mut shared = self.lock();
-        shared.admits(request)?;
-        end_under(request.prompt.as_bytes());
+        let mut state = self.lock();
+        state.check_admission(request)?;
+        crash_if_triggered(request.prompt.as_bytes());
         let chain = PrefixChain::from_text(
             CacheNamespace(request.cache_namespace.0),
             &request.prompt,
             self.settings.costs.block_tokens,
         );
-        let stream = Stream {
+        let stream = CompletionStream {
             seed: completion_seed(&request.prompt),
             delivered_tokens: request.delivered_tokens,
             produced: request.delivered_tokens,
@@ -215,8 +217,8 @@
             ended_at: None,
             changed: Arc::new(Notify::new()),
         };
-        shared.streams.insert(request.attempt.0, stream);
-        shared.model.submit(NewSequence {
+        state.streams.insert(request.attempt.0, stream);
+        state.model.submit(NewSequence {
             attempt: request.attempt.0,
             chain,
             delivered_tokens: request.delivered_tokens,
@@ -227,56 +229,56 @@
         Ok(())
     }
 
-    fn resume(&self, attempt: u128, uri: &Uri) -> Response<Body> {
+    fn resume_stream(&self, attempt: u128, uri: &Uri) -> Response<Body> {
         let from = query_number(uri, "from").unwrap_or(0) as u32;
-        let known = self
+        let exists = self
             .lock()
             .streams
             .get(&attempt)
             .is_some_and(|stream| from >= stream.delivered_tokens);
-        if !known {
+        if !exists {
             return self.refuse(404, EngineRefusal::UnknownStream);
         }
         self.stream_from(attempt, from)
     }
 
-    fn cancel(&self, attempt: u128) -> Response<Body> {
+    fn cancel_stream(&self, attempt: u128) -> Response<Body> {
         let now_us = self.now_us();
-        let mut shared = self.lock();
-        shared.model.cancel(attempt, now_us);
-        if let Some(stream) = shared.streams.remove(&attempt) {
+        let mut state = self.lock();
+        state.model.cancel(attempt, now_us);
+        if let Some(stream) = state.streams.remove(&attempt) {
             stream.changed.notify_waiters();
         }
         body::json(200, &serde_json::json!({}))
     }
 
     fn status(&self) -> EngineStatus {
-        let shared = self.lock();
+        let state = self.lock();
         EngineStatus {
             engine: self.settings.engine_id,
             incarnation: self.incarnation,
             zone: self.settings.zone.clone(),
-            model: shared.gate.model.clone(),
-            weights_version: shared.gate.weights_version,
-            loading: shared.gate.loading,
-            draining: shared.gate.draining,
-            last_order_token: shared.gate.last_order_token,
+            model: state.gate.model.clone(),
+            weights_version: state.gate.weights_version,
+            loading: state.gate.loading,
+            draining: state.gate.draining,
+            last_order_token: state.gate.last_order_token,
             block_tokens: self.settings.costs.block_tokens,
-            load: shared.model.load(),
+            load: state.model.load(),
             totals: EngineTotals {
-                requests_in_back_off: shared.back_off.requests_in_back_off(),
-                over_limit: shared.limit.over_limit(),
-                ..shared.model.totals()
+                requests_in_back_off: state.back_off.requests_in_back_off(),
+                over_limit: state.limit.over_limit(),
+                ..state.model.totals()
             },
         }
     }
 
-    fn listing(&self) -> CacheListing {
-        let shared = self.lock();
+    fn cache_listing(&self) -> CacheListing {
+        let state = self.lock();
         CacheListing {
             incarnation: self.incarnation,
-            sequence: shared.feed.sequence(),
-            blocks: shared
+            sequence: state.feed.sequence(),
+            blocks: state
                 .model
                 .cache()
                 .hashes()
@@ -285,7 +287,7 @@
         }
     }
 
-    async fn order(self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle_order(self, request: Request<Incoming>) -> Response<Body> {
         let content = read_body(request.into_body(), BODY_LIMIT, BODY_TIMEOUT).await;
         let parsed = content
             .ok()
@@ -293,12 +295,12 @@
         let Some(order) = parsed else {
             return self.refuse(400, EngineRefusal::Malformed);
         };
-        let (taken, must_load) = {
-            let mut shared = self.lock();
-            let taken = shared.gate.accept_order(&order);
-            (taken, shared.gate.loading)
+        let (accepted, must_load) = {
+            let mut state = self.lock();
+            let accepted = state.gate.accept_order(&order);
+            (accepted, state.gate.loading)
         };
-        if let Err(refusal) = taken {
+        if let Err(refusal) = accepted {
             return self.refuse(409, refusal);
         }
         let token = order.token;
@@ -311,19 +313,19 @@
     /// Waits for running answers, then for the weight store, then starts with an empty cache.
     async fn load_weights(self, order: OrderRequest) {
         while self.lock().model.has_work() {
-            tokio::time::sleep(IDLE_CHECK).await;
+            tokio::time::sleep(IDLE_POLL_INTERVAL).await;
         }
         if let Some(platform) = self.platform {
             self.wait_for_weights(platform).await;
         }
         let now_us = self.now_us();
-        let mut shared = self.lock();
-        if !shared.gate.is_current(&order) {
+        let mut state = self.lock();
+        if !state.gate.is_current(&order) {
             return;
         }
-        let changes = shared.model.clear_cache();
-        shared.feed.publish(&changes, now_us);
-        shared.gate.finish_loading(order);
+        let changes = state.model.clear_cache();
+        state.feed.publish(&changes, now_us);
+        state.gate.finish_loading(order);
     }
 
     async fn wait_for_weights(&self, platform: std::net::SocketAddr) {
@@ -354,24 +356,24 @@
         self.started.elapsed().as_micros() as u64
     }
 
-    fn lock(&self) -> MutexGuard<'_, Shared> {
-        self.shared.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Shared {
-    fn admits(&self, request: &EngineRequest) -> Result<(), EngineRefusal> {
+impl State {
+    fn check_admission(&self, request: &EngineRequest) -> Result<(), EngineRefusal> {
         self.gate
             .admit(request.incarnation, &request.model, request.weights_version)?;
-        if self.model.load().waiting >= QUEUE_LIMIT {
+        if self.model.load().waiting >= MAX_WAITING {
             return Err(EngineRefusal::QueueFull);
         }
         Ok(())
     }
 }
 
-impl Stream {
-    fn take(&mut self, output: &TokenOutput) {
+impl CompletionStream {
+    fn record_output(&mut self, output: &TokenOutput) {
         self.produced = output.index + 1;
         if let Some(end) = output.end {
             self.end = Some(StreamEnd {
--- a/crates/emulator/src/engine_server/streams.rs
+++ b/crates/emulator/src/engine_server/streams.rs
@@ -10,10 +10,10 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-use super::EngineStandIn;
+use super::EngineServer;
 use crate::completion::token_text;
 
-impl EngineStandIn {
+impl EngineServer {
     pub(super) fn stream_from(&self, attempt: u128, from: u32) -> Response<Body> {
         let (sender, stream_body) = streaming();
         tokio::spawn(self.clone().write_stream(attempt, from, sender));
@@ -23,7 +23,7 @@
     async fn write_stream(self, attempt: u128, from: u32, mut sender: BodySender) {
         let mut next = from;
         loop {
-            let Some((frames, changed, ended)) = self.frames_from(attempt, next) else {
+            let Some((frames, changed, has_ended)) = self.frames_from(attempt, next) else {
                 return;
             };
             // Asked for before the frames are sent, so that no change in between is missed.
@@ -32,11 +32,11 @@
             notified.as_mut().enable();
             for frame in frames {
                 next = frame.sequence + 1;
-                if sender.send(event_line(&frame)).await.is_err() {
+                if sender.send(sse_event(&frame)).await.is_err() {
                     return;
                 }
             }
-            if ended {
+            if has_ended {
                 return;
             }
             if self.has_frames_from(attempt, next) {
@@ -47,8 +47,8 @@
     }
 
     fn has_frames_from(&self, attempt: u128, next: u32) -> bool {
-        let shared = self.lock();
-        shared
+        let state = self.lock();
+        state
             .streams
             .get(&attempt)
             .is_none_or(|stream| stream.produced > next || stream.end.is_some())
@@ -59,8 +59,8 @@
         attempt: u128,
         next: u32,
     ) -> Option<(Vec<StreamFrame>, Arc<Notify>, bool)> {
-        let shared = self.lock();
-        let stream = shared.streams.get(&attempt)?;
+        let state = self.lock();
+        let stream = state.streams.get(&attempt)?;
         let mut frames: Vec<StreamFrame> = (next..stream.produced)
             .map(|sequence| StreamFrame {
                 attempt: Hex(attempt),
@@ -91,7 +91,7 @@
     async fn write_events(self, mut after: u64, mut sender: BodySender) {
         let interval = Duration::from_millis(self.settings.reporting.load_interval_ms);
         loop {
-            let mut events = self.lock().feed.after(after, self.now_us());
+            let mut events = self.lock().feed.events_after(after, self.now_us());
             after = events.last().map_or(after, |event| event.sequence);
             events.push(self.load_event(after));
             for event in events {
@@ -108,8 +108,8 @@
 
     /// Readers of events must not hold up a planned stop.
     fn is_idle_and_draining(&self) -> bool {
-        let shared = self.lock();
-        shared.gate.draining && !shared.model.has_work()
+        let state = self.lock();
+        state.gate.draining && !state.model.has_work()
     }
 
     fn load_event(&self, sequence: u64) -> EngineEvent {
@@ -122,7 +122,7 @@
     }
 }
 
-fn event_line(frame: &StreamFrame) -> Bytes {
+fn sse_event(frame: &StreamFrame) -> Bytes {
     let text = serde_json::to_string(frame).unwrap_or_default();
     Bytes::from(format!("data: {text}\n\n"))
 }
--- a/crates/emulator/src/event_feed.rs
+++ b/crates/emulator/src/event_feed.rs
@@ -10,10 +10,10 @@
 use crate::cache::CacheChanges;
 
 /// Events kept for readers that are behind; a reader further behind finds a gap.
-const EVENTS_KEPT: usize = 16_384;
+const EVENT_CAPACITY: usize = 16_384;
 
 #[derive(Clone, Debug)]
-struct Published {
+struct PublishedEvent {
     visible_at_us: u64,
     event: EngineEvent,
 }
@@ -23,20 +23,25 @@
 pub struct EventFeed {
     incarnation: EngineIncarnation,
     delay_us: u64,
-    loss: f64,
-    generator: ChaCha8Rng,
+    loss_probability: f64,
+    rng: ChaCha8Rng,
     sequence: u64,
-    events: VecDeque<Published>,
+    events: VecDeque<PublishedEvent>,
 }
 
 impl EventFeed {
     /// An empty feed. `loss` is the share of events that are never published.
-    pub fn new(incarnation: EngineIncarnation, delay_us: u64, loss: f64, seed: u64) -> Self {
+    pub fn new(
+        incarnation: EngineIncarnation,
+        delay_us: u64,
+        loss_probability: f64,
+        seed: u64,
+    ) -> Self {
         Self {
             incarnation,
             delay_us,
-            loss,
-            generator: ChaCha8Rng::seed_from_u64(seed),
+            loss_probability,
+            rng: ChaCha8Rng::seed_from_u64(seed),
             sequence: 0,
             events: VecDeque::new(),
         }
@@ -60,7 +65,7 @@
     }
 
     /// Events after `sequence` that are visible by now.
-    pub fn after(&self, sequence: u64, now_us: u64) -> Vec<EngineEvent> {
+    pub fn events_after(&self, sequence: u64, now_us: u64) -> Vec<EngineEvent> {
         self.events
             .iter()
             .filter(|published| published.event.sequence > sequence)
@@ -71,10 +76,10 @@
 
     fn push(&mut self, event: EngineEventKind, now_us: u64) {
         self.sequence += 1;
-        if self.generator.random_bool(self.loss) {
+        if self.rng.random_bool(self.loss_probability) {
             return;
         }
-        self.events.push_back(Published {
+        self.events.push_back(PublishedEvent {
             visible_at_us: now_us + self.delay_us,
             event: EngineEvent {
                 sequence: self.sequence,
@@ -82,7 +87,7 @@
                 event,
             },
         });
-        if self.events.len() > EVENTS_KEPT {
+        if self.events.len() > EVENT_CAPACITY {
             self.events.pop_front();
         }
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -24,18 +24,18 @@
 /// cannot bear.
 pub const CRASH_TRIGGER: &str = "emulator: end the process that runs this";
 /// Exit code of a stand-in that ended under a request.
-const FATAL_EXIT: i32 = 70;
+const CRASH_EXIT_CODE: i32 = 70;
 
 /// Ends the process if a request that it is to run holds [`CRASH_TRIGGER`].
-fn end_under(content: &[u8]) {
-    if holds(content, CRASH_TRIGGER) {
+fn crash_if_triggered(content: &[u8]) {
+    if contains_text(content, CRASH_TRIGGER) {
         eprintln!("ends under a request");
-        std::process::exit(FATAL_EXIT);
+        std::process::exit(CRASH_EXIT_CODE);
     }
 }
 
 /// Whether a request has a stand-in do something, as a text in it says.
-fn holds(content: &[u8], text: &str) -> bool {
-    let mut places = content.windows(text.len());
-    places.any(|place| place == text.as_bytes())
+fn contains_text(content: &[u8], text: &str) -> bool {
+    let mut windows = content.windows(text.len());
+    windows.any(|window| window == text.as_bytes())
 }
--- a/crates/emulator/src/limit.rs
+++ b/crates/emulator/src/limit.rs
@@ -12,7 +12,7 @@
 use railtack_http::Body;
 use tokio::time::Instant;
 
-use crate::holds;
+use crate::contains_text;
 
 /// A stand-in that gets a request with this text names a limit in its answers from then on, of
 /// [`LIMIT_PER_S`].
@@ -23,9 +23,9 @@
 /// Span in which arrivals are counted; each one counts, wherever it begins.
 pub const WINDOW: Duration = Duration::from_secs(4);
 /// What may arrive in a window, as a multiple of what the limit allows in it.
-const LEEWAY: f64 = 1.5;
+const TOLERANCE_FACTOR: f64 = 1.5;
 /// Requests that may arrive beyond that.
-const SLACK: f64 = 5.0;
+const TOLERANCE_REQUESTS: f64 = 5.0;
 /// Time after the first answer with a limit, or with a lower one, from which it binds all callers together.
 pub const ENFORCEMENT_DELAY: Duration = Duration::from_secs(3);
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LimitMonitor {
     /// What the next answer names, requests a second; `None` for nothing.
-    next: Option<f64>,
+    next_limit: Option<f64>,
     /// What was named, each with the moment of the first answer that did.
     advertised: Vec<(Duration, Option<f64>)>,
     arrivals: Vec<Duration>,
@@ -45,7 +45,7 @@
     /// When its first request arrived.
     pub starts_at: Duration,
     /// Requests in it.
-    pub arrived: usize,
+    pub arrivals: usize,
     /// Requests that were allowed in it.
     pub allowed: f64,
 }
@@ -53,25 +53,25 @@
 impl LimitMonitor {
     /// Has answers name this limit from now on, or none.
     pub fn advertise(&mut self, limit_per_s: Option<f64>) {
-        self.next = limit_per_s;
+        self.next_limit = limit_per_s;
     }
 
     /// What the next answer names, requests a second; `None` for nothing.
     pub fn next_advertised(&self) -> Option<f64> {
-        self.next
+        self.next_limit
     }
 
     /// Whether a limit was ever named, or is with the next answer.
     pub fn advertises_any(&self) -> bool {
-        self.next.is_some() || !self.advertised.is_empty()
+        self.next_limit.is_some() || !self.advertised.is_empty()
     }
 
     /// Notes a request that arrives, and is answered.
     pub fn record_arrival(&mut self, now: Duration) {
         self.arrivals.push(now);
-        let named = self.advertised.last().and_then(|(_, limit)| *limit);
-        if named != self.next {
-            self.advertised.push((now, self.next));
+        let last_advertised = self.advertised.last().and_then(|(_, limit)| *limit);
+        if last_advertised != self.next_limit {
+            self.advertised.push((now, self.next_limit));
         }
     }
 
@@ -88,16 +88,16 @@
         let mut arrivals = self.arrivals.clone();
         arrivals.sort();
         let mut end = 0;
-        for (begin, starts_at) in arrivals.iter().enumerate() {
+        for (start, starts_at) in arrivals.iter().enumerate() {
             while end < arrivals.len() && arrivals[end] < *starts_at + WINDOW {
                 end += 1;
             }
-            let arrived = end - begin;
-            let allowed = self.allowed_from(*starts_at);
-            if allowed.is_some_and(|allowed| arrived as f64 > allowed) {
+            let count = end - start;
+            let allowed = self.allowed_in_window(*starts_at);
+            if allowed.is_some_and(|allowed| count as f64 > allowed) {
                 return Some(LimitViolation {
                     starts_at: *starts_at,
-                    arrived,
+                    arrivals: count,
                     allowed: allowed.unwrap_or_default(),
                 });
             }
@@ -107,10 +107,10 @@
 
     /// Requests that are allowed in the window that begins at a moment; `None` for any number. What was named
     /// before counts as long as what replaced it does not bind yet.
-    fn allowed_from(&self, starts_at: Duration) -> Option<f64> {
-        let end_at = starts_at + WINDOW;
+    fn allowed_in_window(&self, starts_at: Duration) -> Option<f64> {
+        let ends_at = starts_at + WINDOW;
         let mut largest: Option<f64> = Some(0.0);
-        let mut until = self.advertised.iter().skip(1).map(|(from, _)| *from);
+        let mut replacements = self.advertised.iter().skip(1).map(|(from, _)| *from);
         if self
             .advertised
             .first()
@@ -119,48 +119,53 @@
             return None;
         }
         for (from, limit) in &self.advertised {
-            let replaced_at = until.next().unwrap_or(Duration::MAX);
-            let counts =
-                *from < end_at && replaced_at.saturating_add(ENFORCEMENT_DELAY) > starts_at;
-            if counts {
-                largest = largest.zip(*limit).map(|(known, limit)| known.max(limit));
+            let replaced_at = replacements.next().unwrap_or(Duration::MAX);
+            let is_in_force =
+                *from < ends_at && replaced_at.saturating_add(ENFORCEMENT_DELAY) > starts_at;
+            if is_in_force {
+                largest = largest
+                    .zip(*limit)
+                    .map(|(largest, limit)| largest.max(limit));
             }
         }
-        largest.map(|limit| LEEWAY * limit * WINDOW.as_secs_f64() + SLACK)
+        largest.map(|limit| TOLERANCE_FACTOR * limit * WINDOW.as_secs_f64() + TOLERANCE_REQUESTS)
     }
 }
 
 /// A stand-in's limit: what its answers name, and whether its callers keep to it.
 #[derive(Clone, Debug)]
-pub struct LimitSpeaker {
+pub struct LimitAdvertiser {
     started: Instant,
-    record: LimitMonitor,
+    monitor: LimitMonitor,
 }
 
-impl Default for LimitSpeaker {
+impl Default for LimitAdvertiser {
     fn default() -> Self {
         Self {
             started: Instant::now(),
-            record: LimitMonitor::default(),
+            monitor: LimitMonitor::default(),
         }
     }
 }
 
-impl LimitSpeaker {
+impl LimitAdvertiser {
     /// Notes a request that arrives; those before the first limit count for nothing.
-    pub fn arrived(&mut self, content: &[u8]) {
-        if holds(content, LIMIT_TRIGGER) {
-            self.record.advertise(Some(LIMIT_PER_S));
+    pub fn record_request(&mut self, content: &[u8]) {
+        if contains_text(content, LIMIT_TRIGGER) {
+            self.monitor.advertise(Some(LIMIT_PER_S));
         }
-        if self.record.advertises_any() {
-            self.record.record_arrival(self.started.elapsed());
+        if self.monitor.advertises_any() {
+            self.monitor.record_arrival(self.started.elapsed());
         }
     }
 
     /// Names the limit in an answer, if there is one.
-    pub fn named_in(&self, mut response: Response<Body>) -> Response<Body> {
-        let named = self.record.next_advertised().map(|per_s| per_s.to_string());
-        if let Some(value) = named.and_then(|text| HeaderValue::from_str(&text).ok()) {
+    pub fn with_limit_header(&self, mut response: Response<Body>) -> Response<Body> {
+        let limit = self
+            .monitor
+            .next_advertised()
+            .map(|per_s| per_s.to_string());
+        if let Some(value) = limit.and_then(|text| HeaderValue::from_str(&text).ok()) {
             let name = HeaderName::from_static(REQUEST_LIMIT_HEADER);
             response.headers_mut().insert(name, value);
         }
@@ -169,9 +174,9 @@
 
     /// Requests beyond what is allowed in the first window that holds more.
     pub fn over_limit(&self) -> u64 {
-        let broken = self.record.first_violation();
-        broken.map_or(0, |window| {
-            (window.arrived as f64 - window.allowed).ceil() as u64
+        let violation = self.monitor.first_violation();
+        violation.map_or(0, |violation| {
+            (violation.arrivals as f64 - violation.allowed).ceil() as u64
         })
     }
 }
--- a/crates/emulator/src/platform_server.rs
+++ b/crates/emulator/src/platform_server.rs
@@ -17,34 +17,34 @@
 /// Time for a body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-struct Shared {
-    truth: MachineList,
+struct State {
+    current: MachineList,
     /// Past lists, each with the moment from which it is shown.
-    shown: VecDeque<(Instant, MachineList)>,
+    published: VecDeque<(Instant, MachineList)>,
     weights_free_at: Instant,
 }
 
 /// The platform's state. Only the lab changes the list, by `PUT /machines`.
 #[derive(Clone)]
-pub struct PlatformStandIn {
+pub struct PlatformServer {
     lag: Duration,
     weight_rate: u64,
-    shared: Arc<Mutex<Shared>>,
+    state: Arc<Mutex<State>>,
 }
 
-impl PlatformStandIn {
+impl PlatformServer {
     /// A platform whose list lags by `lag` and whose weight store gives `weight_rate` bytes per
     /// second over all readers.
     pub fn new(lag: Duration, weight_rate: u64) -> Self {
-        let shared = Shared {
-            truth: MachineList::default(),
-            shown: VecDeque::new(),
+        let state = State {
+            current: MachineList::default(),
+            published: VecDeque::new(),
             weights_free_at: Instant::now(),
         };
         Self {
             lag,
             weight_rate,
-            shared: Arc::new(Mutex::new(shared)),
+            state: Arc::new(Mutex::new(state)),
         }
     }
 
@@ -53,63 +53,63 @@
         let method = request.method().clone();
         let path = request.uri().path().to_owned();
         match (method, path.as_str()) {
-            (Method::GET, "/machines") => body::json(200, &self.shown()),
-            (Method::PUT, "/machines") => match parse::<Vec<Machine>>(request).await {
-                Some(machines) => self.replace(machines),
-                None => malformed(),
+            (Method::GET, "/machines") => body::json(200, &self.visible_list()),
+            (Method::PUT, "/machines") => match parse_body::<Vec<Machine>>(request).await {
+                Some(machines) => self.replace_machines(machines),
+                None => malformed_response(),
             },
-            (Method::POST, "/weights") => match parse::<WeightsRequest>(request).await {
-                Some(wanted) => body::json(200, &self.grant(wanted)),
-                None => malformed(),
+            (Method::POST, "/weights") => match parse_body::<WeightsRequest>(request).await {
+                Some(weights_request) => body::json(200, &self.grant_weights(weights_request)),
+                None => malformed_response(),
             },
             _ => body::json(404, &json!({ "error": "unknown_path" })),
         }
     }
 
-    fn replace(&self, machines: Vec<Machine>) -> Response<Body> {
-        let mut shared = self.lock();
-        let version = shared.truth.version + 1;
-        shared.truth = MachineList { version, machines };
+    fn replace_machines(&self, machines: Vec<Machine>) -> Response<Body> {
+        let mut state = self.lock();
+        let version = state.current.version + 1;
+        state.current = MachineList { version, machines };
         let visible_at = Instant::now() + self.lag;
-        let list = shared.truth.clone();
-        shared.shown.push_back((visible_at, list));
+        let list = state.current.clone();
+        state.published.push_back((visible_at, list));
         body::json(200, &json!({ "version": version }))
     }
 
-    fn shown(&self) -> MachineList {
-        let mut shared = self.lock();
+    fn visible_list(&self) -> MachineList {
+        let mut state = self.lock();
         let now = Instant::now();
-        while shared.shown.len() > 1 && shared.shown[1].0 <= now {
-            shared.shown.pop_front();
+        while state.published.len() > 1 && state.published[1].0 <= now {
+            state.published.pop_front();
         }
-        match shared.shown.front() {
+        match state.published.front() {
             Some((visible_at, list)) if *visible_at <= now => list.clone(),
             _ => MachineList::default(),
         }
     }
 
     /// Readers queue: the store's rate is shared by all of them.
-    fn grant(&self, wanted: WeightsRequest) -> WeightsGrant {
-        let mut shared = self.lock();
+    fn grant_weights(&self, weights_request: WeightsRequest) -> WeightsGrant {
+        let mut state = self.lock();
         let now = Instant::now();
-        let seconds = wanted.bytes as f64 / self.weight_rate as f64;
-        shared.weights_free_at = shared.weights_free_at.max(now) + Duration::from_secs_f64(seconds);
-        let ready_in = shared.weights_free_at - now;
+        let seconds = weights_request.bytes as f64 / self.weight_rate as f64;
+        state.weights_free_at = state.weights_free_at.max(now) + Duration::from_secs_f64(seconds);
+        let ready_in = state.weights_free_at - now;
         WeightsGrant {
             ready_in_ms: ready_in.as_millis() as u64,
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Shared> {
-        self.shared.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-async fn parse<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
+async fn parse_body<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
     let content = read_body(request.into_body(), BODY_LIMIT, BODY_TIMEOUT).await;
     serde_json::from_slice(&content.ok()?).ok()
 }
 
-fn malformed() -> Response<Body> {
+fn malformed_response() -> Response<Body> {
     body::json(400, &json!({ "error": "malformed" }))
 }
--- a/crates/emulator/tests/engine.rs
+++ b/crates/emulator/tests/engine.rs
@@ -41,13 +41,13 @@
 #[test]
 fn a_second_request_reuses_the_prefix_of_the_first() {
     let mut engine = EngineModel::new(EngineCosts::default());
-    let opening = "the same opening ".repeat(100);
-    engine.submit(sequence(1, &format!("{opening}first"), 4));
+    let prefix = "the same opening ".repeat(100);
+    engine.submit(sequence(1, &format!("{prefix}first"), 4));
     let (first_time, _) = run(&mut engine);
-    engine.submit(sequence(2, &format!("{opening}second"), 4));
+    engine.submit(sequence(2, &format!("{prefix}second"), 4));
     let (second_time, admitted) = run(&mut engine);
-    let opening_blocks = opening.len() / 64;
-    assert_eq!(admitted, [(2, opening_blocks as u32 * 16)]);
+    let prefix_blocks = prefix.len() / 64;
+    assert_eq!(admitted, [(2, prefix_blocks as u32 * 16)]);
     assert!(second_time < first_time);
 }
 
@@ -80,12 +80,12 @@
 }
 
 #[test]
-fn a_continued_answer_has_the_same_text() {
+fn resumed_completion_has_the_same_text() {
     let prompt = "some prompt";
-    let whole = completion_text(prompt, 10);
+    let complete = completion_text(prompt, 10);
     let seed = railtack_emulator::completion::completion_seed(prompt);
     let rest: String = (4..10).map(|index| token_text(seed, index)).collect();
-    assert!(whole.ends_with(&rest));
+    assert!(complete.ends_with(&rest));
 }
 
 quickcheck! {
@@ -94,14 +94,14 @@
         for (now, text) in texts.iter().enumerate() {
             let chain = chain(&text.repeat(30));
             let stored = cache.store(&chain.blocks, now as u64);
-            if cache.len() > 20 || cache.matched(&chain.blocks) < stored {
+            if cache.len() > 20 || cache.cached_prefix_len(&chain.blocks) < stored {
                 return false;
             }
         }
         true
     }
 
-    fn events_tell_exactly_what_is_cached(texts: Vec<String>) -> bool {
+    fn change_events_match_the_cached_blocks(texts: Vec<String>) -> bool {
         let mut cache = BlockCache::new(20);
         let mut seen = std::collections::BTreeSet::new();
         for (now, text) in texts.iter().enumerate() {
@@ -117,7 +117,7 @@
         cached == seen
     }
 
-    fn every_request_gets_exactly_its_tokens(lengths: Vec<u8>) -> bool {
+    fn every_request_yields_exactly_its_tokens(lengths: Vec<u8>) -> bool {
         let mut engine = EngineModel::new(EngineCosts { batch_limit: 4, ..EngineCosts::default() });
         for (attempt, length) in lengths.iter().enumerate() {
             engine.submit(sequence(attempt as u128, "prompt", u32::from(*length).max(1)));
--- a/crates/emulator/tests/limit.rs
+++ b/crates/emulator/tests/limit.rs
@@ -9,84 +9,86 @@
 }
 
 /// A record of arrivals, the first of which is answered with the first limit, and so on.
-fn record(named: &[(f64, Option<f64>)], arrivals: impl Iterator<Item = f64>) -> LimitMonitor {
-    let mut record = LimitMonitor::default();
-    let mut arrivals: Vec<f64> = arrivals.chain(named.iter().map(|(at, _)| *at)).collect();
+fn monitor(advertised: &[(f64, Option<f64>)], arrivals: impl Iterator<Item = f64>) -> LimitMonitor {
+    let mut monitor = LimitMonitor::default();
+    let mut arrivals: Vec<f64> = arrivals
+        .chain(advertised.iter().map(|(at, _)| *at))
+        .collect();
     arrivals.sort_by(f64::total_cmp);
     for arrival in arrivals {
-        let last = named.iter().rfind(|(from, _)| *from <= arrival);
-        record.advertise(last.and_then(|(_, limit)| *limit));
-        record.record_arrival(at(arrival));
+        let last = advertised.iter().rfind(|(from, _)| *from <= arrival);
+        monitor.advertise(last.and_then(|(_, limit)| *limit));
+        monitor.record_arrival(at(arrival));
     }
-    record
+    monitor
 }
 
 /// So many arrivals at equal distances from a moment on.
-fn arrivals(begin: f64, each: f64, count: usize) -> impl Iterator<Item = f64> {
-    (0..count).map(move |number| begin + number as f64 * each)
+fn arrivals(start: f64, interval: f64, count: usize) -> impl Iterator<Item = f64> {
+    (0..count).map(move |number| start + number as f64 * interval)
 }
 
 #[test]
-fn eleven_in_four_seconds_are_allowed_at_one_a_second_and_twelve_are_not() {
-    let named = [(0.0, Some(1.0))];
-    let kept = record(&named, arrivals(5.0, 0.1, 11));
-    assert_eq!(kept.first_violation(), None);
-    let broken = record(&named, arrivals(5.0, 0.1, 12));
-    let window = broken.first_violation().expect("a broken window");
-    assert_eq!((window.arrived, window.allowed), (12, 11.0));
+fn window_tolerates_eleven_arrivals_at_one_per_second_but_not_twelve() {
+    let advertised = [(0.0, Some(1.0))];
+    let within_limit = monitor(&advertised, arrivals(5.0, 0.1, 11));
+    assert_eq!(within_limit.first_violation(), None);
+    let over_limit = monitor(&advertised, arrivals(5.0, 0.1, 12));
+    let violation = over_limit.first_violation().expect("a violation");
+    assert_eq!((violation.arrivals, violation.allowed), (12, 11.0));
 }
 
 #[test]
-fn a_limit_binds_three_seconds_after_it_was_named() {
-    let named = [(0.0, Some(1.0))];
+fn limit_is_enforced_three_seconds_after_it_was_advertised() {
+    let advertised = [(0.0, Some(1.0))];
     assert_eq!(
-        record(&named, arrivals(0.0, 0.01, 290)).first_violation(),
+        monitor(&advertised, arrivals(0.0, 0.01, 290)).first_violation(),
         None
     );
     assert!(
-        record(&named, arrivals(3.0, 0.01, 290))
+        monitor(&advertised, arrivals(3.0, 0.01, 290))
             .first_violation()
             .is_some()
     );
 }
 
 #[test]
-fn a_lower_limit_binds_three_seconds_later_and_a_higher_one_allows_more_at_once() {
+fn lowered_limit_is_enforced_after_three_seconds_and_raised_limit_at_once() {
     let lowered = [(0.0, Some(40.0)), (10.0, Some(1.0))];
     assert_eq!(
-        record(&lowered, arrivals(8.0, 0.03, 150)).first_violation(),
+        monitor(&lowered, arrivals(8.0, 0.03, 150)).first_violation(),
         None
     );
     assert!(
-        record(&lowered, arrivals(13.0, 0.1, 12))
+        monitor(&lowered, arrivals(13.0, 0.1, 12))
             .first_violation()
             .is_some()
     );
     let raised = [(0.0, Some(1.0)), (10.0, Some(40.0))];
     assert_eq!(
-        record(&raised, arrivals(10.0, 0.03, 150)).first_violation(),
+        monitor(&raised, arrivals(10.0, 0.03, 150)).first_violation(),
         None
     );
 }
 
 #[test]
-fn nothing_is_counted_while_no_limit_is_named() {
-    let named = [(0.0, Some(1.0)), (10.0, None), (20.0, Some(0.0))];
+fn no_violation_while_no_limit_is_advertised() {
+    let advertised = [(0.0, Some(1.0)), (10.0, None), (20.0, Some(0.0))];
     assert_eq!(
-        record(&named, arrivals(11.0, 0.01, 1_000)).first_violation(),
+        monitor(&advertised, arrivals(11.0, 0.01, 1_000)).first_violation(),
         None
     );
     assert_eq!(
-        record(&named, arrivals(24.0, 0.1, 5)).first_violation(),
+        monitor(&advertised, arrivals(24.0, 0.1, 5)).first_violation(),
         None
     );
     assert!(
-        record(&named, arrivals(24.0, 0.1, 6))
+        monitor(&advertised, arrivals(24.0, 0.1, 6))
             .first_violation()
             .is_some()
     );
     assert_eq!(
-        record(&[], arrivals(0.0, 0.01, 1_000)).first_violation(),
+        monitor(&[], arrivals(0.0, 0.01, 1_000)).first_violation(),
         None
     );
 }
