--- a/crates/ctl/src/logs/explanation.rs
+++ b/crates/ctl/src/logs/explanation.rs
@@ -1,5 +1,6 @@
 //! Selects the log lines that explain one request: the request's own lines, the state of the
-//! processes that handled it, and events about the back-end replicas that it was sent to. Performs no I/O.
+//! processes that handled it, and events about the back-end replicas that it was sent to. Performs
+//! no I/O.
 
 use std::{collections::BTreeSet, fmt};
 
--- a/crates/ctl/src/logs/timeline.rs
+++ b/crates/ctl/src/logs/timeline.rs
@@ -1,8 +1,8 @@
 //! Merges the log lines of several process runs into one order. Performs no I/O.
 //!
-//! Within one run, lines are ordered by the monotonic clock and the sequence number. Runs are aligned
-//! by wall-clock time. As the wall clock may jump, each run is offset by the median difference
-//! between its wall clock and its monotonic clock.
+//! Within one run, lines are ordered by the monotonic clock and the sequence number. Runs are
+//! aligned by wall-clock time. As the wall clock may jump, each run is offset by the median
+//! difference between its wall clock and its monotonic clock.
 
 use std::collections::BTreeMap;
 
--- a/crates/emulator/src/back_off.rs
+++ b/crates/emulator/src/back_off.rs
@@ -1,4 +1,5 @@
-//! Asking callers for no requests for a time, as a back end that sheds load does.
+//! Emulation of a back end that sheds load: rejects a request with `Retry-After` and counts
+//! requests that arrive during the back-off.
 
 use std::time::Duration;
 
@@ -8,15 +9,16 @@
 
 use crate::contains_text;
 
-/// A stand-in that is to run a request with this text turns it away and asks for no more for
-/// [`BACK_OFF`].
+/// Text in a request that makes an emulated engine or service reject it and ask its callers to back
+/// off for [`BACK_OFF`].
 pub const BACK_OFF_TRIGGER: &str = "emulator: ask for no requests for a while";
-/// Time that it asks for.
+/// Advertised back-off time.
 pub const BACK_OFF: Duration = Duration::from_secs(2);
-/// Time in which an answer reaches its caller, and what was on its way before arrives.
+/// Time after the rejection in which arrivals are not counted: the response may not have reached
+/// all callers, and earlier requests may still be in flight.
 const IN_FLIGHT_GRACE: Duration = Duration::from_millis(200);
 
-/// What a stand-in asked of its callers, and whether they keep to it.
+/// Counts requests that arrive during an advertised back-off.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackOffMonitor {
     advertised_at: Option<Instant>,
@@ -24,7 +26,7 @@
 }
 
 impl BackOffMonitor {
-    /// Notes a request that arrives; true if it is to be turned away.
+    /// Records an arriving request. Returns whether to reject it with a back-off.
     pub fn should_reject(&mut self, content: &[u8]) -> bool {
         let now = Instant::now();
         let age = self
@@ -40,13 +42,13 @@
         is_triggered
     }
 
-    /// Requests that arrived though none were wanted.
+    /// Returns the number of requests that arrived during a back-off.
     pub fn requests_in_back_off(&self) -> u64 {
         self.requests_in_back_off
     }
 }
 
-/// Adds the time to an answer that turns a request away.
+/// Adds a `Retry-After` header of [`BACK_OFF`] to a response.
 pub fn with_retry_after(mut response: Response<Body>) -> Response<Body> {
     let seconds = BACK_OFF.as_secs().into();
     response.headers_mut().insert(RETRY_AFTER, seconds);
--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -1,4 +1,4 @@
-//! An engine's prefix cache: blocks of limited number, evicted least recently used first.
+//! An engine's prefix cache: a bounded number of blocks with least-recently-used eviction.
 
 use std::collections::{BTreeMap, HashMap, hash_map::Entry};
 
@@ -6,15 +6,15 @@
 
 #[derive(Clone, Debug)]
 struct Block {
-    /// Order of last use; unique.
+    /// Position in the order of last use; unique.
     stamp: u64,
-    /// Requests that are using the block; it cannot be evicted meanwhile.
+    /// Number of requests that use the block. It can be evicted only at 0.
     ref_count: u32,
-    /// When it was last used, microseconds.
+    /// Time of last use, microseconds.
     used_at: u64,
 }
 
-/// Blocks stored and evicted since the changes were last taken.
+/// Net changes of the cache since the last call of [`BlockCache::take_changes`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheChanges {
     /// Newly cached blocks.
@@ -23,22 +23,22 @@
     pub removed: Vec<BlockHash>,
 }
 
-/// The cache.
+/// Prefix cache of one engine.
 #[derive(Clone, Debug)]
 pub struct BlockCache {
     capacity: usize,
     blocks: HashMap<BlockHash, Block>,
     evictable: BTreeMap<u64, BlockHash>,
     next_stamp: u64,
-    /// Blocks changed since changes were taken, in order of their first change.
+    /// Blocks changed since the last call of `take_changes`, in order of their first change.
     changed: Vec<BlockHash>,
-    /// Whether each of them was cached before.
+    /// Whether each changed block was cached before its first change.
     was_cached: HashMap<BlockHash, bool>,
     last_eviction_age_us: u64,
 }
 
 impl BlockCache {
-    /// An empty cache of `capacity` blocks.
+    /// Creates an empty cache of `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Number of leading blocks that are cached.
+    /// Returns the number of leading blocks that are cached.
     pub fn cached_prefix_len(&self, chain: &[BlockHash]) -> usize {
         chain
             .iter()
@@ -59,13 +59,13 @@
             .count()
     }
 
-    /// The same by bisection: evictions take the deepest blocks first, so what is cached of a
-    /// chain is its beginning.
+    /// Returns the same as [`BlockCache::cached_prefix_len`], by bisection. Eviction removes the
+    /// deepest blocks of a chain first, so the cached blocks of a chain are always a prefix.
     pub fn cached_prefix_len_by_bisection(&self, chain: &[BlockHash]) -> usize {
         chain.partition_point(|hash| self.blocks.contains_key(hash))
     }
 
-    /// Protects blocks from eviction until they are released, and marks them as used.
+    /// Protects blocks from eviction until [`BlockCache::release`], and marks them as used.
     pub fn acquire(&mut self, chain: &[BlockHash], now_us: u64) {
         self.touch(chain, now_us);
         for hash in chain {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Ends the protection given by [`BlockCache::acquire`].
+    /// Releases blocks acquired by [`BlockCache::acquire`].
     pub fn release(&mut self, chain: &[BlockHash], now_us: u64) {
         for hash in chain {
             if let Some(block) = self.blocks.get_mut(hash) {
@@ -86,9 +86,9 @@
         self.touch(chain, now_us);
     }
 
-    /// Caches the blocks of a chain that are missing, evicting others; returns how many leading
-    /// blocks are cached afterwards. Blocks in use, and the chain's own, are never evicted, so a
-    /// full cache may refuse.
+    /// Caches the missing blocks of a chain, evicting others. Returns the number of leading blocks
+    /// that are cached afterwards; fewer than all if every block of a full cache is in use or
+    /// belongs to the chain.
     pub fn store(&mut self, chain: &[BlockHash], now_us: u64) -> usize {
         let mut stored = 0;
         for hash in chain {
@@ -101,7 +101,8 @@
         stored
     }
 
-    /// Makes sure that a block is cached and cannot be evicted; false if there is no place for it.
+    /// Caches a block if missing and protects it from eviction. Returns false if the cache is full
+    /// and no block can be evicted.
     fn pin(&mut self, hash: BlockHash, now_us: u64) -> bool {
         if let Some(block) = self.blocks.get_mut(&hash) {
             block.ref_count += 1;
@@ -121,7 +122,7 @@
         true
     }
 
-    /// Notes, at the first change of a block since changes were taken, whether it was cached.
+    /// Records whether a block was cached before its first change.
     fn record_change(&mut self, hash: BlockHash, was_cached: bool) {
         if let Entry::Vacant(entry) = self.was_cached.entry(hash) {
             entry.insert(was_cached);
@@ -129,27 +130,28 @@
         }
     }
 
-    /// Cached blocks.
+    /// Returns the number of cached blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether nothing is cached.
+    /// Returns whether no block is cached.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// All cached blocks, in no order.
+    /// Returns all cached blocks in arbitrary order.
     pub fn hashes(&self) -> impl Iterator<Item = &BlockHash> {
         self.blocks.keys()
     }
 
-    /// How long ago the block last evicted had been used, microseconds; 0 before any eviction.
+    /// Returns the time between last use and eviction of the block evicted last, microseconds; 0
+    /// before the first eviction.
     pub fn last_eviction_age_us(&self) -> u64 {
         self.last_eviction_age_us
     }
 
-    /// Drops every block, as loading other weights does.
+    /// Removes all blocks, as when other weights are loaded.
     pub fn clear(&mut self) {
         let dropped: Vec<BlockHash> = self.blocks.drain().map(|(hash, _)| hash).collect();
         self.evictable.clear();
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Takes what changed since the last call.
+    /// Returns the net changes since the last call.
     pub fn take_changes(&mut self) -> CacheChanges {
         let mut changes = CacheChanges::default();
         let was_cached = std::mem::take(&mut self.was_cached);
@@ -173,8 +175,8 @@
         changes
     }
 
-    /// Stamps a chain from its deepest block to its shallowest: a block is useless without those
-    /// before it, so the deepest goes first.
+    /// Marks the blocks of a chain as used, the deepest first, so that the deepest is evicted
+    /// first: a block is useless without the blocks before it.
     fn touch(&mut self, chain: &[BlockHash], now_us: u64) {
         for hash in chain.iter().rev() {
             let stamp = self.next_stamp;
--- a/crates/emulator/src/cli.rs
+++ b/crates/emulator/src/cli.rs
@@ -31,7 +31,7 @@
     )
 }
 
-/// Runs the program with the given arguments, the first of which is its name.
+/// Runs the program. The first argument is the program name.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     railtack_telemetry::initialize();
     match start(arguments) {
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// A planned stop: an engine refuses new work at once and ends what it has.
+/// Drains the engine on shutdown: it refuses new requests and completes the running ones.
 async fn drain_on_shutdown(shutdown: CancellationToken, engine: EngineServer) {
     shutdown.cancelled().await;
     engine.begin_drain();
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,7 +1,8 @@
-//! Continuous batching with a prefix cache, as a pure model.
+//! Model of an engine with continuous batching and a prefix cache. Performs no I/O and reads no
+//! clock.
 //!
-//! The caller steps it: a step takes [`StepOutcome::duration_us`] and its outputs become visible
-//! when that time has passed.
+//! The caller steps the model. A step takes [`StepOutcome::duration_us`]; its outputs are visible
+//! after that time.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,38 +12,38 @@
 
 use crate::cache::{BlockCache, CacheChanges};
 
-/// A request to an engine.
+/// Request to an engine.
 #[derive(Clone, Debug)]
 pub struct NewSequence {
-    /// Names the request within the engine.
+    /// Id of the request, unique within the engine.
     pub attempt: u128,
-    /// The prompt.
+    /// Block hashes and length of the prompt.
     pub chain: PrefixChain,
-    /// Answer tokens that were delivered before; they are computed like prompt tokens.
+    /// Output tokens delivered by an earlier attempt. They are prefilled like prompt tokens.
     pub delivered_tokens: u32,
-    /// Length of the whole answer, the delivered tokens included.
+    /// Length of the complete output in tokens, including the delivered ones.
     pub max_tokens: u32,
-    /// Higher goes first.
+    /// Higher values are served first.
     pub priority: u8,
-    /// Leading blocks offered by the store of kept cache; importing costs less than computing.
+    /// Leading blocks that can be imported from a cache store; cheaper than computing them.
     pub importable_blocks: usize,
 }
 
-/// A token, visible at the end of the step.
+/// Output token, visible at the end of the step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenOutput {
-    /// The request.
+    /// Id of the request.
     pub attempt: u128,
-    /// Position in the whole answer.
+    /// Position in the complete output, from 0.
     pub index: u32,
-    /// Present with the last token.
+    /// Present for the last token only.
     pub end: Option<SequenceEnd>,
 }
 
-/// What a finished request took.
+/// Token counts of a finished request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SequenceEnd {
-    /// Tokens of the whole answer.
+    /// Tokens of the complete output.
     pub tokens: u32,
     /// Prompt tokens.
     pub prompt_tokens: u32,
@@ -50,16 +51,16 @@
     pub cached_tokens: u32,
 }
 
-/// What one step brought.
+/// Result of one step.
 #[derive(Clone, Debug, Default)]
 pub struct StepOutcome {
-    /// How long the step takes, microseconds.
+    /// Duration of the step, microseconds.
     pub duration_us: u64,
-    /// Tokens computed.
+    /// Output tokens.
     pub outputs: Vec<TokenOutput>,
-    /// Requests that were admitted, with the prompt tokens found in the cache.
+    /// Requests admitted to the batch, each with its cached prompt tokens.
     pub admitted: Vec<(u128, u32)>,
-    /// Changes of the cache.
+    /// Changes of the cache in this step.
     pub changes: CacheChanges,
 }
 
@@ -79,22 +80,22 @@
     }
 }
 
-/// Order of the queue: higher priority first, then earlier arrival.
+/// Sort key of the queue: higher priority first, then earlier arrival.
 type QueueKey = (std::cmp::Reverse<u8>, u64);
 
-/// A request that waits for a place in the batch.
+/// Request that waits for a slot in the batch.
 #[derive(Clone, Debug)]
 struct WaitingSequence {
     request: NewSequence,
-    /// Prompt tokens that were not cached when it arrived; what the load report counts.
+    /// Prompt tokens that were not cached on arrival, as counted by the load report.
     uncached_tokens: u64,
 }
 
-/// Prompt tokens still to be computed.
+/// Pending prefill tokens.
 #[derive(Clone, Copy, Debug, Default)]
 struct QueuedTokens {
     total: u64,
-    /// Those above the lowest priority.
+    /// Tokens of requests above the lowest priority.
     urgent: u64,
 }
 
@@ -114,7 +115,7 @@
     }
 }
 
-/// One engine.
+/// Model of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     costs: EngineCosts,
@@ -129,7 +130,7 @@
 }
 
 impl EngineModel {
-    /// An engine with an empty cache.
+    /// Creates an engine with an empty cache.
     pub fn new(costs: EngineCosts) -> Self {
         let cache = BlockCache::new(costs.cache_blocks);
         Self {
@@ -160,7 +161,7 @@
         self.waiting.insert(key, waiting);
     }
 
-    /// Drops a request wherever it is; false if it is not here.
+    /// Cancels a waiting or running request. Returns false if it is neither.
     pub fn cancel(&mut self, attempt: u128, now_us: u64) -> bool {
         if let Some(key) = self.queue_keys.remove(&attempt) {
             if let Some(waiting) = self.waiting.remove(&key) {
@@ -183,33 +184,34 @@
         true
     }
 
-    /// Whether a step would do anything.
+    /// Returns whether any request is waiting or running.
     pub fn has_work(&self) -> bool {
         !self.waiting.is_empty() || !self.running.is_empty()
     }
 
-    /// The cache.
+    /// Returns the prefix cache.
     pub fn cache(&self) -> &BlockCache {
         &self.cache
     }
 
-    /// The costs.
+    /// Returns the cost settings.
     pub fn costs(&self) -> &EngineCosts {
         &self.costs
     }
 
-    /// Totals since start.
+    /// Returns the totals since the start.
     pub fn totals(&self) -> EngineTotals {
         self.totals
     }
 
-    /// Empties the cache, as loading other weights does.
+    /// Clears the cache, as when other weights are loaded. Returns the removed blocks and any
+    /// earlier changes not yet returned by a step.
     pub fn clear_cache(&mut self) -> CacheChanges {
         self.cache.clear();
         self.cache.take_changes()
     }
 
-    /// The present load.
+    /// Returns the current load.
     pub fn load(&self) -> LoadReport {
         let queued = self.queued_prefill();
         LoadReport {
@@ -274,7 +276,7 @@
         let chain = &request.chain;
         let cached_blocks = self.cache.cached_prefix_len(&chain.blocks);
         self.cache.acquire(&chain.blocks[..cached_blocks], now_us);
-        // The last token is always computed: its output is the first token of the answer.
+        // The last prompt token is always computed, as its step yields the first output token.
         let cached_tokens = chain
             .tokens_at(cached_blocks)
             .min(chain.total_tokens.saturating_sub(1));
@@ -295,8 +297,8 @@
         }
     }
 
-    /// Spends the step's budget on prompts, the most urgent first; returns computed and imported
-    /// tokens.
+    /// Spends the step's prefill budget, on the highest priority first. Returns the computed and
+    /// the imported tokens.
     fn advance_prefill(&mut self) -> (u32, u32) {
         let mut budget = self.costs.step_prefill_tokens;
         let mut computed = 0;
@@ -323,7 +325,8 @@
         costs.step_base_us + costs.step_request_us * decoding as u64 + (prefill + import) as u64
     }
 
-    /// Requests that were decoding yield a token, and so do those whose prompt was finished.
+    /// Emits a token for each request that was decoding before the step or finished its prefill in
+    /// it.
     fn emit_tokens(&mut self, decoding: &[bool], end_us: u64, outcome: &mut StepOutcome) {
         let mut finished = Vec::new();
         for (position, &was_decoding) in decoding.iter().enumerate() {
--- a/crates/emulator/src/engine_server.rs
+++ b/crates/emulator/src/engine_server.rs
@@ -1,4 +1,4 @@
-//! An engine as a process: the pure model stepped in real time behind HTTP.
+//! HTTP server of an emulated engine. Steps [`EngineModel`] in real time.
 
 use std::{
     collections::HashMap,
@@ -31,18 +31,19 @@
 
 /// Largest request body, bytes.
 const BODY_LIMIT: usize = 64 * 1024 * 1024;
-/// Time for a body to arrive.
+/// Timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Requests that may wait; more are refused.
+/// Maximum number of waiting requests; further requests are refused.
 const MAX_WAITING: u32 = 1_024;
-/// How long a finished stream can still be resumed.
+/// Time for which a finished stream can be resumed.
 const STREAM_RETENTION: Duration = Duration::from_secs(30);
-/// Time between looks at whether running answers have ended.
+/// Interval of checks whether all running requests have finished.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Bytes of one model's weights. Assumed: 13 billion parameters at two bytes.
+/// Size of one model's weights, bytes: 13 billion parameters of two bytes each.
 const WEIGHT_BYTES: u64 = 26_000_000_000;
 
-/// One answer, kept from its first token until some time after its last.
+/// Output of one request. Kept from submission until [`STREAM_RETENTION`] after its last token, or
+/// until cancelled.
 struct CompletionStream {
     seed: u64,
     delivered_tokens: u32,
@@ -61,7 +62,7 @@
     limit: LimitAdvertiser,
 }
 
-/// A running engine.
+/// HTTP server of one emulated engine.
 #[derive(Clone)]
 pub struct EngineServer {
     settings: Arc<EngineSettings>,
@@ -73,7 +74,7 @@
 }
 
 impl EngineServer {
-    /// A new life of the engine, with an empty cache.
+    /// Creates a new incarnation of the engine with an empty cache.
     pub fn new(settings: EngineSettings, platform: Option<std::net::SocketAddr>) -> Self {
         let incarnation = EngineIncarnation(rand::random());
         let reporting = &settings.reporting;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Steps the model for as long as the process lives.
+    /// Steps the model until the process exits.
     pub async fn run(self) {
         loop {
             let step = self.begin_step();
@@ -119,12 +120,12 @@
         }
     }
 
-    /// Stops taking requests; answers that are under way go on.
+    /// Starts draining: refuses new requests and completes the running ones.
     pub fn begin_drain(&self) {
         self.lock().gate.draining = true;
     }
 
-    /// Answers one HTTP request.
+    /// Handles one HTTP request.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path().to_owned();
         let method = request.method().clone();
@@ -310,7 +311,9 @@
         body::json(200, &OrderReply { token })
     }
 
-    /// Waits for running answers, then for the weight store, then starts with an empty cache.
+    /// Waits until running requests have finished and the weight store has delivered the weights,
+    /// then clears the cache and accepts requests for the new weights. Does nothing if a newer
+    /// order was accepted meanwhile.
     async fn load_weights(self, order: OrderRequest) {
         while self.lock().model.has_work() {
             tokio::time::sleep(IDLE_POLL_INTERVAL).await;
--- a/crates/emulator/src/engine_server/streams.rs
+++ b/crates/emulator/src/engine_server/streams.rs
@@ -1,4 +1,4 @@
-//! What an engine sends bit by bit: the frames of answers, and its events.
+//! Streaming responses: completion frames as server-sent events, and engine events as JSON lines.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,7 +26,7 @@
             let Some((frames, changed, has_ended)) = self.frames_from(attempt, next) else {
                 return;
             };
-            // Asked for before the frames are sent, so that no change in between is missed.
+            // Registers for notification before sending, so that no change in between is missed.
             let notified = changed.notified();
             tokio::pin!(notified);
             notified.as_mut().enable();
@@ -87,7 +87,8 @@
         body::with_content_type(200, "application/x-ndjson", stream_body)
     }
 
-    /// Sends new events and a load report at every interval, until the reader goes away.
+    /// Sends new events and a load report at every interval, until the reader disconnects or the
+    /// engine has drained.
     async fn write_events(self, mut after: u64, mut sender: BodySender) {
         let interval = Duration::from_millis(self.settings.reporting.load_interval_ms);
         loop {
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Readers of events must not hold up a planned stop.
+    /// Returns whether the engine has drained. Event streams end then, so that they do not delay
+    /// shutdown.
     fn is_idle_and_draining(&self) -> bool {
         let state = self.lock();
         state.gate.draining && !state.model.has_work()
--- a/crates/emulator/src/errors.rs
+++ b/crates/emulator/src/errors.rs
@@ -1,22 +1,22 @@
-//! Why a stand-in cannot start.
+//! Startup errors.
 
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// A failure to start.
+/// Startup error.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EmulatorError {
-    /// The settings were refused.
+    /// The settings are not valid.
     #[error("the settings were refused")]
     Settings,
-    /// The listener cannot be opened.
+    /// The listen address cannot be bound.
     #[error("cannot listen on {address}")]
     Listen {
-        /// The address.
+        /// Listen address.
         address: SocketAddr,
     },
-    /// The runtime cannot be started.
+    /// The async runtime cannot be started.
     #[error("the runtime cannot be started")]
     Runtime,
 }
--- a/crates/emulator/src/event_feed.rs
+++ b/crates/emulator/src/event_feed.rs
@@ -1,4 +1,4 @@
-//! An engine's published events: numbered, late, and with gaps.
+//! An engine's published cache events: numbered, delayed, and with random losses.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 
 use crate::cache::CacheChanges;
 
-/// Events kept for readers that are behind; a reader further behind finds a gap.
+/// Maximum number of retained events. A reader that lags further behind sees a gap.
 const EVENT_CAPACITY: usize = 16_384;
 
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     event: EngineEvent,
 }
 
-/// The recent events of one life of an engine.
+/// Recent events of one incarnation of an engine.
 #[derive(Clone, Debug)]
 pub struct EventFeed {
     incarnation: EngineIncarnation,
@@ -30,7 +30,8 @@
 }
 
 impl EventFeed {
-    /// An empty feed. `loss` is the share of events that are never published.
+    /// Creates an empty feed. Each event is lost with `loss_probability` (0 to 1), drawn from a
+    /// generator seeded with `seed`.
     pub fn new(
         incarnation: EngineIncarnation,
         delay_us: u64,
@@ -47,12 +48,12 @@
         }
     }
 
-    /// Sequence of the last cache event, published or lost.
+    /// Returns the sequence number of the last cache event, published or lost.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Publishes changes of the cache.
+    /// Publishes cache changes. They become visible after the delay.
     pub fn publish(&mut self, changes: &CacheChanges, now_us: u64) {
         if !changes.stored.is_empty() {
             let blocks = changes.stored.iter().map(|hash| Hex(hash.0)).collect();
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Events after `sequence` that are visible by now.
+    /// Returns the events after `sequence` that are visible at `now_us`.
     pub fn events_after(&self, sequence: u64, now_us: u64) -> Vec<EngineEvent> {
         self.events
             .iter()
--- a/crates/emulator/src/gate.rs
+++ b/crates/emulator/src/gate.rs
@@ -1,16 +1,17 @@
-//! What an engine lets in: requests meant for its present life and weights, and newer orders.
+//! Admission checks of an engine: requests must match its incarnation and weights, and orders must
+//! have a newer fencing token.
 //!
-//! Pure: the engine process and the simulator use the same checks.
+//! Performs no I/O. The engine server and the simulator share these checks.
 
 use railtack_backend_api::{EngineRefusal, OrderRequest};
 use railtack_core::{EngineIncarnation, ModelName, WeightsVersion};
 
-/// Checks that a deliberately broken build leaves out.
+/// Checks that can be disabled to test that the simulator detects their absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GateChecks {
-    /// Whether a request for another life is refused.
+    /// Whether to refuse requests for another incarnation.
     pub incarnation: bool,
-    /// Whether an order with an old token is refused.
+    /// Whether to refuse orders with a stale fencing token.
     pub fencing: bool,
 }
 
@@ -23,26 +24,26 @@
     }
 }
 
-/// An engine's identity and what it has loaded.
+/// An engine's identity, loaded weights and drain state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gate {
-    /// This life.
+    /// Current incarnation.
     pub incarnation: EngineIncarnation,
-    /// Model loaded.
+    /// Loaded model.
     pub model: ModelName,
-    /// Weights loaded.
+    /// Loaded weights.
     pub weights_version: WeightsVersion,
     /// Whether weights are being loaded.
     pub loading: bool,
-    /// Whether a planned stop has begun.
+    /// Whether the engine is draining.
     pub draining: bool,
-    /// Token of the last order taken.
+    /// Fencing token of the last accepted order.
     pub last_order_token: u64,
     checks: GateChecks,
 }
 
 impl Gate {
-    /// A new life with weights loaded.
+    /// Creates a new incarnation with loaded weights.
     pub fn new(
         incarnation: EngineIncarnation,
         model: ModelName,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Whether a request may run here now.
+    /// Checks whether a request for this incarnation, model and weights may run now.
     pub fn admit(
         &self,
         incarnation: EngineIncarnation,
@@ -80,8 +81,8 @@
         Ok(())
     }
 
-    /// Takes an order whose token is above every token before. Requests are refused until
-    /// [`Gate::finish_loading`], unless the weights are in place already.
+    /// Accepts an order whose token is above the tokens of all accepted orders. Requests are
+    /// refused until [`Gate::finish_loading`], unless the weights are already loaded.
     pub fn accept_order(&mut self, order: &OrderRequest) -> Result<(), EngineRefusal> {
         if self.checks.fencing && order.token <= self.last_order_token {
             return Err(EngineRefusal::StaleToken);
@@ -93,12 +94,12 @@
         Ok(())
     }
 
-    /// Whether an order is still the last one taken.
+    /// Returns whether an order is the last accepted one.
     pub fn is_current(&self, order: &OrderRequest) -> bool {
         self.last_order_token == order.token
     }
 
-    /// Notes that an order's weights are in place.
+    /// Records that an order's weights are loaded.
     pub fn finish_loading(&mut self, order: OrderRequest) {
         self.model = order.model;
         self.weights_version = order.weights_version;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the platform: model engines, services and the machine list.
+//! Emulators of model engines, services and the platform's machine list.
 //!
-//! The engine's batching and cache are a pure model in [`engine`], stepped in virtual time by the
-//! simulator and in real time by [`engine_server`].
+//! [`engine`] models an engine's batching and prefix cache without I/O. The simulator steps the
+//! model in virtual time, [`engine_server`] in real time.
 
 pub mod back_off;
 pub mod cache;
@@ -20,13 +20,12 @@
 pub use errors::EmulatorError;
 pub use limit::LIMIT_TRIGGER;
 
-/// A stand-in that runs a request with this text ends, as a back end does under a request that it
-/// cannot bear.
+/// Text in a request that makes an emulated engine or service crash when it runs the request.
 pub const CRASH_TRIGGER: &str = "emulator: end the process that runs this";
-/// Exit code of a stand-in that ended under a request.
+/// Exit code after a triggered crash.
 const CRASH_EXIT_CODE: i32 = 70;
 
-/// Ends the process if a request that it is to run holds [`CRASH_TRIGGER`].
+/// Exits the process if the request contains [`CRASH_TRIGGER`].
 fn crash_if_triggered(content: &[u8]) {
     if contains_text(content, CRASH_TRIGGER) {
         eprintln!("ends under a request");
@@ -34,7 +33,6 @@
     }
 }
 
-/// Whether a request has a stand-in do something, as a text in it says.
 fn contains_text(content: &[u8], text: &str) -> bool {
     let mut windows = content.windows(text.len());
     windows.any(|window| window == text.as_bytes())
--- a/crates/emulator/src/limit.rs
+++ b/crates/emulator/src/limit.rs
@@ -1,6 +1,8 @@
-//! Naming a limit on requests, as a back end in need does, and judging whether its callers keep to it.
+//! Emulation of a back end that advertises a request rate limit, and a check that its callers keep
+//! to it.
 //!
-//! The judge sees what the back end sees: when it named what, and when requests arrived, whoever sent them.
+//! The check uses only what the back end observes: when each limit was advertised and when requests
+//! arrived, from all callers together.
 
 use std::time::Duration;
 
@@ -14,59 +16,60 @@
 
 use crate::contains_text;
 
-/// A stand-in that gets a request with this text names a limit in its answers from then on, of
-/// [`LIMIT_PER_S`].
+/// Text in a request that makes an emulated engine or service advertise [`LIMIT_PER_S`] in this and
+/// all later responses.
 pub const LIMIT_TRIGGER: &str = "emulator: name a limit on requests";
-/// Requests a second that it names.
+/// Advertised limit, requests per second.
 pub const LIMIT_PER_S: f64 = 1.0;
 
-/// Span in which arrivals are counted; each one counts, wherever it begins.
+/// Length of the sliding window in which arrivals are counted. A window starts at each arrival.
 pub const WINDOW: Duration = Duration::from_secs(4);
-/// What may arrive in a window, as a multiple of what the limit allows in it.
+/// Tolerated arrivals in a window, as a multiple of those that the limit allows.
 const TOLERANCE_FACTOR: f64 = 1.5;
-/// Requests that may arrive beyond that.
+/// Tolerated arrivals in a window on top of the multiple.
 const TOLERANCE_REQUESTS: f64 = 5.0;
-/// Time after the first answer with a limit, or with a lower one, from which it binds all callers together.
+/// Time after the first response with a new or lower limit before it is enforced on all callers
+/// together.
 pub const ENFORCEMENT_DELAY: Duration = Duration::from_secs(3);
 
-/// What a back end named and what arrived there; moments are times since a start.
+/// Advertised limits and arrivals of one back end. All times are relative to a common start.
 #[derive(Clone, Debug, Default)]
 pub struct LimitMonitor {
-    /// What the next answer names, requests a second; `None` for nothing.
+    /// Limit in the next response, requests per second; `None` for no limit.
     next_limit: Option<f64>,
-    /// What was named, each with the moment of the first answer that did.
+    /// Advertised limits, each with the time of its first response.
     advertised: Vec<(Duration, Option<f64>)>,
     arrivals: Vec<Duration>,
 }
 
-/// A window in which more arrived than the limit allows.
+/// Window with more arrivals than allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitViolation {
-    /// When its first request arrived.
+    /// Time of the first arrival in the window.
     pub starts_at: Duration,
-    /// Requests in it.
+    /// Arrivals in the window.
     pub arrivals: usize,
-    /// Requests that were allowed in it.
+    /// Allowed arrivals in the window, tolerance included.
     pub allowed: f64,
 }
 
 impl LimitMonitor {
-    /// Has answers name this limit from now on, or none.
+    /// Sets the limit of all later responses, requests per second; `None` for no limit.
     pub fn advertise(&mut self, limit_per_s: Option<f64>) {
         self.next_limit = limit_per_s;
     }
 
-    /// What the next answer names, requests a second; `None` for nothing.
+    /// Returns the limit of the next response, requests per second; `None` for no limit.
     pub fn next_advertised(&self) -> Option<f64> {
         self.next_limit
     }
 
-    /// Whether a limit was ever named, or is with the next answer.
+    /// Returns whether any limit was advertised or will be in the next response.
     pub fn advertises_any(&self) -> bool {
         self.next_limit.is_some() || !self.advertised.is_empty()
     }
 
-    /// Notes a request that arrives, and is answered.
+    /// Records the arrival of a request whose response advertises the current limit.
     pub fn record_arrival(&mut self, now: Duration) {
         self.arrivals.push(now);
         let last_advertised = self.advertised.last().and_then(|(_, limit)| *limit);
@@ -75,12 +78,12 @@
         }
     }
 
-    /// Requests that arrived since a moment.
+    /// Returns the number of arrivals at or after `since`.
     pub fn arrivals_since(&self, since: Duration) -> usize {
         self.arrivals.iter().filter(|at| **at >= since).count()
     }
 
-    /// The first window in which more arrived than is allowed.
+    /// Returns the first window with more arrivals than allowed.
     pub fn first_violation(&self) -> Option<LimitViolation> {
         if self.advertised.is_empty() {
             return None;
@@ -105,8 +108,9 @@
         None
     }
 
-    /// Requests that are allowed in the window that begins at a moment; `None` for any number. What was named
-    /// before counts as long as what replaced it does not bind yet.
+    /// Returns the allowed arrivals in the window that starts at `starts_at`; `None` if unlimited.
+    /// The largest limit in force in the window counts; a replaced limit stays in force until its
+    /// replacement is enforced.
     fn allowed_in_window(&self, starts_at: Duration) -> Option<f64> {
         let ends_at = starts_at + WINDOW;
         let mut largest: Option<f64> = Some(0.0);
@@ -132,7 +136,7 @@
     }
 }
 
-/// A stand-in's limit: what its answers name, and whether its callers keep to it.
+/// Advertises the limit of an emulated engine or service and checks its callers.
 #[derive(Clone, Debug)]
 pub struct LimitAdvertiser {
     started: Instant,
@@ -149,7 +153,7 @@
 }
 
 impl LimitAdvertiser {
-    /// Notes a request that arrives; those before the first limit count for nothing.
+    /// Records an arriving request. Requests before the first advertised limit are ignored.
     pub fn record_request(&mut self, content: &[u8]) {
         if contains_text(content, LIMIT_TRIGGER) {
             self.monitor.advertise(Some(LIMIT_PER_S));
@@ -159,7 +163,7 @@
         }
     }
 
-    /// Names the limit in an answer, if there is one.
+    /// Adds the limit header to a response if a limit is advertised.
     pub fn with_limit_header(&self, mut response: Response<Body>) -> Response<Body> {
         let limit = self
             .monitor
@@ -172,7 +176,7 @@
         response
     }
 
-    /// Requests beyond what is allowed in the first window that holds more.
+    /// Returns the excess arrivals in the first violating window; 0 without a violation.
     pub fn over_limit(&self) -> u64 {
         let violation = self.monitor.first_violation();
         violation.map_or(0, |violation| {
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `railtack-emulator`: one stand-in of the platform.
+//! `railtack-emulator`: emulates an engine, a service or the platform.
 
 use std::process::ExitCode;
 
--- a/crates/emulator/src/platform_server.rs
+++ b/crates/emulator/src/platform_server.rs
@@ -1,4 +1,4 @@
-//! The platform: a lagging list of machines, and the weight store's rate.
+//! HTTP server of the emulated platform: a delayed machine list and a rate-limited weight store.
 
 use std::{
     collections::VecDeque,
@@ -14,17 +14,17 @@
 
 /// Largest request body, bytes.
 const BODY_LIMIT: usize = 1024 * 1024;
-/// Time for a body to arrive.
+/// Timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 struct State {
     current: MachineList,
-    /// Past lists, each with the moment from which it is shown.
+    /// Published lists, each with the time from which it is visible.
     published: VecDeque<(Instant, MachineList)>,
     weights_free_at: Instant,
 }
 
-/// The platform's state. Only the lab changes the list, by `PUT /machines`.
+/// HTTP server of the emulated platform. The machine list is set by `PUT /machines`.
 #[derive(Clone)]
 pub struct PlatformServer {
     lag: Duration,
@@ -33,8 +33,8 @@
 }
 
 impl PlatformServer {
-    /// A platform whose list lags by `lag` and whose weight store gives `weight_rate` bytes per
-    /// second over all readers.
+    /// Creates a platform. Changes of the machine list are visible after `lag`; the weight store
+    /// delivers `weight_rate` bytes per second, shared by all readers.
     pub fn new(lag: Duration, weight_rate: u64) -> Self {
         let state = State {
             current: MachineList::default(),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Answers one request.
+    /// Handles one HTTP request.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         let method = request.method().clone();
         let path = request.uri().path().to_owned();
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Readers queue: the store's rate is shared by all of them.
+    /// Queues a read of the weight store behind all earlier reads.
     fn grant_weights(&self, weights_request: WeightsRequest) -> WeightsGrant {
         let mut state = self.lock();
         let now = Instant::now();
--- a/crates/emulator/src/service_server.rs
+++ b/crates/emulator/src/service_server.rs
@@ -1,4 +1,4 @@
-//! An ordinary service with side effects, which counts every execution by key.
+//! HTTP server of an emulated service with side effects. Counts executions by idempotency key.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -18,12 +18,12 @@
 
 /// Largest request body, bytes.
 const BODY_LIMIT: usize = 4 * 1024 * 1024;
-/// Time for a body to arrive.
+/// Timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Header that names a request that may not be repeated.
+/// Header with the idempotency key of a request that must run at most once.
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// The service's state.
+/// HTTP server of one emulated service.
 #[derive(Clone, Debug)]
 pub struct ServiceServer {
     name: String,
@@ -34,7 +34,7 @@
 }
 
 impl ServiceServer {
-    /// A service that takes `response_time` for each answer.
+    /// Creates a service that waits `response_time` before each response.
     pub fn new(name: String, response_time: Duration) -> Self {
         Self {
             name,
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Answers one request. Every request but a look at the counts is an execution.
+    /// Handles one HTTP request. `GET /executions` returns the counts; any other request that is
+    /// not rejected is an execution.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         if request.method() == Method::GET && request.uri().path() == "/executions" {
             return body::json(200, &self.execution_counts());
--- a/crates/emulator/tests/engine.rs
+++ b/crates/emulator/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine model: batching, cache, eviction, cancelling.
+//! Tests of the engine model: batching, prefix cache, eviction, cancellation.
 
 use quickcheck::quickcheck;
 use railtack_core::{CacheNamespace, PrefixChain, WeightsVersion};
@@ -26,7 +26,8 @@
     }
 }
 
-/// Steps until idle; answers with the virtual time taken and the tokens cached for each attempt.
+/// Steps until idle. Returns the virtual time taken, microseconds, and the cached prompt tokens of
+/// each attempt.
 fn run(engine: &mut EngineModel) -> (u64, Vec<(u128, u32)>) {
     let mut now = 0;
     let mut admitted = Vec::new();
@@ -107,7 +108,7 @@
         for (now, text) in texts.iter().enumerate() {
             cache.store(&chain(&text.repeat(30)).blocks, now as u64);
             let changes = cache.take_changes();
-            // A block may be evicted and stored again within one step, never the other way round.
+            // Changes are net, so no block is in both lists.
             for block in changes.removed {
                 seen.remove(&block);
             }
--- a/crates/emulator/tests/limit.rs
+++ b/crates/emulator/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The judge of limits, on records that keep and break them.
+//! Tests of the limit check on arrivals within and over advertised limits.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// A record of arrivals, the first of which is answered with the first limit, and so on.
+/// Returns a monitor of the given arrivals. A further request arrives at each time in `advertised`,
+/// and its response is the first with that limit.
 fn monitor(advertised: &[(f64, Option<f64>)], arrivals: impl Iterator<Item = f64>) -> LimitMonitor {
     let mut monitor = LimitMonitor::default();
     let mut arrivals: Vec<f64> = arrivals
@@ -23,7 +24,7 @@
     monitor
 }
 
-/// So many arrivals at equal distances from a moment on.
+/// Returns `count` arrival times from `start` on, `interval` seconds apart.
 fn arrivals(start: f64, interval: f64, count: usize) -> impl Iterator<Item = f64> {
     (0..count).map(move |number| start + number as f64 * interval)
 }
