--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -28,7 +28,7 @@
 /// Exits the process if the request contains [`CRASH_TRIGGER`].
 fn crash_if_triggered(content: &[u8]) {
     if contains_text(content, CRASH_TRIGGER) {
-        eprintln!("ends under a request");
+        eprintln!("exiting: the request contains the crash trigger");
         std::process::exit(CRASH_EXIT_CODE);
     }
 }
