--- a/crates/control/src/serving/daemon.rs
+++ b/crates/control/src/serving/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a control replica that finds its group by itself.
+//! Starts a control replica that forms or joins its group by itself.
 
 use std::{net::SocketAddr, path::PathBuf, sync::Arc, time::Duration};
 
@@ -32,49 +32,49 @@
     },
 };
 
-/// Name of the cluster; a group that forms by itself is told apart by its folders, not by names.
+/// Name of the cluster. Groups that form themselves are distinguished by their data folders.
 const CLUSTER: &str = "railtack";
-/// Time between heartbeats of the replicated log, milliseconds.
-const HEARTBEAT_MS: Millis = 100;
+/// Interval of the heartbeats of the replicated log, milliseconds.
+const HEARTBEAT_INTERVAL_MS: Millis = 100;
 /// Shortest election timeout, milliseconds.
 const ELECTION_TIMEOUT_MS: Millis = 400;
-/// Longest time between two rounds of the replica.
+/// Longest time between two rounds of the replica's thread.
 const TICK: Duration = Duration::from_millis(25);
-/// Entries after which a snapshot replaces the log.
+/// Log entries after which a snapshot replaces the log.
 const SNAPSHOT_ENTRIES: u64 = 1_000;
-/// Bytes of entries after which a snapshot replaces the log.
+/// Bytes of log entries after which a snapshot replaces the log.
 const SNAPSHOT_BYTES: usize = 1024 * 1024;
-/// How long the outcome of a request that may not be repeated is kept, milliseconds.
+/// Time for which the outcome of a request that must not be repeated is kept, milliseconds.
 const CLAIM_RETENTION_MS: u64 = 24 * 3_600_000;
-/// Pause before a folder that cannot be opened is tried again.
+/// Delay before a data folder that could not be opened is tried again.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Where a control replica runs and what it is told about its group.
+/// Options of a control replica and its group.
 #[derive(Clone, Debug)]
 pub struct GroupOptions {
     /// Name of the machine, for logs and orders.
     pub node: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Internal address; other replicas and routers reach this one here.
+    /// Internal address at which other replicas and routers reach this one.
     pub listen: SocketAddr,
-    /// The data folder.
+    /// Data folder.
     pub data: PathBuf,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole deployment starts for the first time.
     pub bootstrap: bool,
-    /// Internal addresses of some replicas.
+    /// Internal addresses of some control replicas.
     pub seeds: Vec<SocketAddr>,
-    /// Losses to be borne.
+    /// Failures that the group has to tolerate.
     pub tolerance: FaultTolerance,
     /// Bounds of the deployment.
     pub bounds: Bounds,
-    /// Time between heartbeats of back-end replicas.
+    /// Heartbeat interval of back-end replicas.
     pub replica_heartbeat: Duration,
-    /// Reads documents.
+    /// Parses configuration documents.
     pub parse_document: DocumentParser,
 }
 
-/// Starts the replica and its tasks; they run for as long as the process.
+/// Starts the replica and its tasks, which run until the process exits.
 pub async fn start(
     options: GroupOptions,
     channel: Arc<dyn OrderChannel>,
@@ -100,10 +100,10 @@
         parse_document: options.parse_document,
     };
     let (node, _) = node::start(replica, peers, metrics.clone(), started, node_options);
-    let link = Arc::new(LeaderClient::new(node.clone(), options.listen.to_string()));
+    let leader_client = Arc::new(LeaderClient::new(node.clone(), options.listen.to_string()));
     let liveness = Arc::new(Liveness::new(options.replica_heartbeat));
     let watch = Arc::new(WatchServer::new(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         Arc::clone(&liveness),
         options.zone.clone(),
         started,
@@ -116,38 +116,38 @@
         metrics.clone(),
     ));
     let registrar = Arc::new(Registrar::new(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         Arc::clone(&liveness),
         metrics.clone(),
     ));
     let permits = Arc::new(PermitServer::new(node.clone(), started, metrics.clone()));
     let service = ControlService::new(node, Arc::clone(&permits)).with_group(GroupServices {
-        link: Arc::clone(&link),
+        link: Arc::clone(&leader_client),
         watch: Arc::clone(&watch),
         liveness: Arc::clone(&liveness),
         quotas: Arc::clone(&quotas),
     });
     tokio::spawn(quota::run_ledgers(quotas));
     tokio::spawn(quarantine::run_release_timers(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         metrics.clone(),
     ));
     tokio::spawn(server::accept(listener, service));
     tokio::spawn(watch::run_confirmations(Arc::clone(&watch)));
     tokio::spawn(formation::run_join_loop(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         identity.replica,
         identity.disk,
         options.seeds.clone(),
     ));
     tokio::spawn(liveness::run_reports(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         Arc::clone(&liveness),
         permits,
     ));
     tokio::spawn(registrar::run(Arc::clone(&registrar)));
     tokio::spawn(rollout_driver::run(
-        Arc::clone(&link),
+        Arc::clone(&leader_client),
         watch,
         channel,
         options.node.clone(),
@@ -161,7 +161,7 @@
         bootstrap = options.bootstrap,
     });
     Ok(GroupHandle::new(
-        link,
+        leader_client,
         liveness,
         registrar,
         identity.replica,
@@ -170,13 +170,13 @@
     ))
 }
 
-/// Opens the folder, for as long as it takes: a full or broken disk may recover.
+/// Opens the data folder, and retries without end, since a full or broken disk may recover.
 async fn open_with_retries(options: &GroupOptions) -> Replica {
     loop {
         match open(options, 0) {
             Ok(replica) => return replica,
             Err(report) => {
-                spdlog::warn!("storage unusable", kv: { cause = format!("{report:?}") });
+                spdlog::warn!("cannot open the data folder; retrying", kv: { cause = format!("{report:?}") });
                 tokio::time::sleep(OPEN_RETRY_INTERVAL).await;
             }
         }
@@ -191,7 +191,7 @@
     if is_bootstrap_node {
         let address = options.listen.to_string();
         let initialized = Replica::initialize(&folder, &replica_options, &address);
-        // A folder that is in use was made before; it is opened as it is.
+        // A folder that is already in use is opened as it is.
         if let Err(report) = initialized
             && report.current_context() != &ControlError::AlreadyInitialized
         {
@@ -208,7 +208,7 @@
         accept_stored_id: true,
         new_disk: DiskId(rand::random()),
         election_timeout: ELECTION_TIMEOUT_MS,
-        heartbeat_interval: HEARTBEAT_MS,
+        heartbeat_interval: HEARTBEAT_INTERVAL_MS,
         snapshot_entries: SNAPSHOT_ENTRIES,
         snapshot_bytes: SNAPSHOT_BYTES,
         claim_retention_ms: CLAIM_RETENTION_MS,
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     attempt::Target,
-    health::ExchangeEnd,
+    health::ExchangeOutcome,
     pool::{PortState, ProbeConnection},
     quarantine::{REPORT_BATCH_DELAY, REPORT_TIMEOUT},
     state::{ProxyState, lock},
@@ -30,7 +30,7 @@
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time within which another replica must have responded before a crash report may remove a
 /// replica; a router of a large fleet receives several responses in it.
-const RECENT_RESPONSE: Duration = Duration::from_secs(3);
+const RECENT_RESPONSE_WINDOW: Duration = Duration::from_secs(3);
 /// Divisor of the objective that gives the longest wait of a request for a crash check. The
 /// remaining time must suffice for its response.
 const CRASH_CHECK_DIVISOR: u32 = 8;
@@ -64,7 +64,7 @@
 /// Records that the connection of a running request broke, and checks in the background whether the
 /// replica has crashed.
 pub fn connection_broken(state: &Arc<ProxyState>, target: &Target, content: ContentKey) {
-    if has_left(&state.view.load(), &target.record) {
+    if is_leaving(&state.view.load(), &target.record) {
         return;
     }
     let now = Instant::now();
@@ -87,7 +87,7 @@
 }
 
 /// Whether the replica announced its shutdown, or was removed without a successor.
-fn has_left(view: &ServingView, record: &ReplicaRecord) -> bool {
+fn is_leaving(view: &ServingView, record: &ReplicaRecord) -> bool {
     match view.replicas.get(&record.id) {
         Some(known) => known.state == ReplicaState::Leaving,
         None => !has_successor(view, record),
@@ -105,11 +105,11 @@
         // Stops sending to the replica until its next incarnation registers.
         target
             .handle
-            .record_outcome(ExchangeEnd::Unreachable, Instant::now());
+            .record_outcome(ExchangeOutcome::Unreachable, Instant::now());
         sleep(REPORT_BATCH_DELAY).await;
         report_crash(&state, &target.record.id, &format!("{proof:?}")).await;
     } else {
-        lock(&state.crash_tracker).forget(&target.record.id);
+        lock(&state.crash_tracker).remove(&target.record.id);
         state.crash_checks_done.notify_waiters();
     }
 }
@@ -119,8 +119,8 @@
     state.metrics.replica_ends.inc();
     // Without responses from other replicas, this router's own network may have failed.
     let hears_others =
-        lock(&state.replicas).any_other_responded(replica, RECENT_RESPONSE, Instant::now());
-    let witness = hears_others.then(|| state.options.node.clone());
+        lock(&state.replicas).any_other_responded(replica, RECENT_RESPONSE_WINDOW, Instant::now());
+    let reporter = hears_others.then(|| state.options.node.clone());
     let mut requests = 0;
     let mut has_reported = false;
     loop {
@@ -133,17 +133,17 @@
         let command = ServingCommand::RecordCrash {
             replica: ReplicaKey::of(replica),
             contents,
-            reporter: witness.clone(),
+            reporter: reporter.clone(),
         };
         propose_until_recorded(state, command).await;
     }
-    spdlog::info!("replica's end told", kv: {
+    spdlog::info!("replica crash reported", kv: {
         replica = replica.to_owned(),
         proof = proof.to_owned(),
         requests,
         hears_others,
     });
-    lock(&state.crash_tracker).forget(replica);
+    lock(&state.crash_tracker).remove(replica);
     state.crash_checks_done.notify_waiters();
 }
 
@@ -153,10 +153,10 @@
 pub async fn wait_for_crash_checks(state: &ProxyState, content: ContentKey, objective: Duration) {
     let started_at = Instant::now();
     loop {
-        let settled = state.crash_checks_done.notified();
-        tokio::pin!(settled);
+        let notified = state.crash_checks_done.notified();
+        tokio::pin!(notified);
         // Enabled before the state is read, so that no notification is missed.
-        settled.as_mut().enable();
+        notified.as_mut().enable();
         let is_pending = lock(&state.crash_tracker).is_crash_check_pending(content);
         let now = Instant::now();
         let (is_suspected, complete_at) = {
@@ -177,7 +177,7 @@
         }
         let wake_at = complete_at.map_or(until, |at| at.min(until));
         // The state is checked again after a notification as well as after a timeout.
-        let _ = timeout_at(wake_at, settled).await;
+        let _ = timeout_at(wake_at, notified).await;
     }
 }
 
@@ -275,11 +275,11 @@
 /// Proposes a command until it is recorded, following changes of leader. Recording is idempotent.
 async fn propose_until_recorded(state: &ProxyState, command: ServingCommand) {
     if !state.control_peers.supports_grants() {
-        spdlog::info!("report kept back: the group does not record it yet");
+        spdlog::info!("report skipped: not supported by the control group yet");
         return;
     }
     let Ok(_permit) = state.report_slots.try_acquire() else {
-        spdlog::warn!("report dropped", kv: { waiting = MAX_CONCURRENT_REPORTS });
+        spdlog::warn!("report dropped: too many pending reports", kv: { waiting = MAX_CONCURRENT_REPORTS });
         return;
     };
     let until = Instant::now() + REPORT_TIMEOUT;
@@ -289,7 +289,7 @@
         }
         sleep(PROPOSE_RETRY_INTERVAL).await;
     }
-    spdlog::warn!("report given up", kv: { after_s = REPORT_TIMEOUT.as_secs() });
+    spdlog::warn!("report timed out", kv: { after_s = REPORT_TIMEOUT.as_secs() });
 }
 
 async fn propose(state: &ProxyState, command: &ServingCommand) -> bool {
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -22,7 +22,7 @@
 /// Pause between calls while a leader is being elected.
 const GRANT_RETRY_INTERVAL: Duration = Duration::from_millis(30);
 /// Divisor of the objective that gives the longest wait for a grant.
-const WAIT_DIVISOR: u32 = 8;
+const MAX_WAIT_DIVISOR: u32 = 8;
 /// Divisor of the objective after which a request counts as late, for example after a restart.
 const LATE_DIVISOR: u32 = 2;
 /// Divisor of the remaining time that gives the longest wait of a late request. Late requests reach
@@ -59,7 +59,7 @@
         subject: QuotaSubject::Tenant {
             name: tenant.clone(),
         },
-        declared_tokens: request.stated_tokens,
+        declared_tokens: request.declared_tokens,
         longest_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
     };
     loop {
@@ -85,14 +85,14 @@
     }
 }
 
-/// Borrows a retry for `service` from the leader; returns false if it is denied or no leader
-/// replies in time. In a large fleet a router earns less than one local retry per window.
-pub async fn borrow_retry(state: &ProxyState, service: &str, objective: Duration) -> bool {
+/// Acquires a shared retry for `service` from the leader; returns false if it is denied or no leader
+/// replies in time. In a large fleet a router has less than one local retry per window.
+pub async fn acquire_shared_retry(state: &ProxyState, service: &str, objective: Duration) -> bool {
     // The group does not support grants, so a call could only delay the request.
     if !state.control_peers.supports_grants() {
         return false;
     }
-    let until = Instant::now() + objective / WAIT_DIVISOR;
+    let until = Instant::now() + objective / MAX_WAIT_DIVISOR;
     let grant_request = QuotaRequest {
         subject: QuotaSubject::Retries {
             service: service.to_owned(),
@@ -116,7 +116,7 @@
 fn max_wait(received: Instant, deadline: Instant, objective: Duration) -> Duration {
     let now = Instant::now();
     if now.saturating_duration_since(received) < objective / LATE_DIVISOR {
-        objective / WAIT_DIVISOR
+        objective / MAX_WAIT_DIVISOR
     } else {
         deadline.saturating_duration_since(now) / LATE_MAX_WAIT_DIVISOR
     }
@@ -135,12 +135,12 @@
     until: Instant,
 ) -> GrantOutcome {
     let requested_at = BootInstant::now();
-    let limit = GRANT_TIMEOUT.min(until.saturating_duration_since(Instant::now()));
+    let timeout = GRANT_TIMEOUT.min(until.saturating_duration_since(Instant::now()));
     let sent = grant_request.clone();
     let response = state
         .control_peers
         .call("quota", |client| async move {
-            client.take_quota(call_context(limit), sent).await
+            client.take_quota(call_context(timeout), sent).await
         })
         .await;
     let Some((reply, address)) = response else {
@@ -157,7 +157,7 @@
             level,
             term,
         } => {
-            spdlog::info!("quota used up", kv: {
+            spdlog::info!("quota exhausted", kv: {
                 subject = format!("{:?}", grant_request.subject),
                 stated_tokens = grant_request.declared_tokens.unwrap_or_default(),
                 rate_per_s,
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,7 +1,7 @@
-//! Relaying a stream of events, and continuing it at another replica.
+//! Relays event streams and resumes them at another replica.
 //!
-//! The caller gets whole events only, each once and in order. The answer ends as complete only
-//! when a replica ended it; otherwise the caller's connection is broken off.
+//! The caller receives complete events only, each exactly once and in order. The response ends
+//! normally only if a replica ended the stream; otherwise the caller's connection is aborted.
 
 use std::{io, time::Duration};
 
@@ -16,38 +16,37 @@
     attempt::FailedExchange,
     crash_detection,
     events::EventBuffer,
-    health::ExchangeEnd,
+    health::ExchangeOutcome,
     pipeline::{ActiveExchange, ExchangeStep, RequestRun},
     retry_decision::ExchangeProof,
 };
 
-/// Longest pauses that a route allows between events after which a stream that can be continued
-/// elsewhere is given up.
+/// Multiple of the route's gap objective after which a silent stream is resumed elsewhere.
 const SILENCE_TIMEOUT_GAPS: u64 = 4;
-/// Shortest time after which it is.
+/// Minimum time after which a silent stream is resumed.
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The first events of a stream, or its end.
+/// First events of a stream, or its end.
 pub struct FirstEvents {
     events: Bytes,
     buffer: EventBuffer,
     ended: bool,
 }
 
-/// Waits for the first whole events, so that a failure before them can be mended unseen.
+/// Waits for the first complete events, so that an earlier failure can be retried unnoticed.
 pub async fn first_events(
     run: &mut RequestRun,
-    mut answered: ActiveExchange,
+    mut active: ActiveExchange,
 ) -> Result<ExchangeStep, FailedExchange> {
     let mut buffer = EventBuffer::after(run.request.last_event);
-    let due = run.response_deadline();
+    let deadline = run.response_deadline();
     loop {
-        match next_chunk(&mut answered, due).await {
+        match next_chunk(&mut active, deadline).await {
             Chunk::Data(bytes) => {
                 let events = buffer.push(&bytes);
                 if !events.is_empty() {
-                    answered.open.prefill_done();
-                    let (backlog, waited) = (answered.target.backlog, answered.open.elapsed());
+                    active.open.prefill_done();
+                    let (backlog, waited) = (active.target.backlog, active.open.elapsed());
                     run.state.record_first_event(&run.service, backlog, waited);
                     run.log.record_first_byte();
                     let first = FirstEvents {
@@ -55,7 +54,7 @@
                         buffer,
                         ended: false,
                     };
-                    return Ok(ExchangeStep::Stream(Box::new((answered, first))));
+                    return Ok(ExchangeStep::Stream(Box::new((active, first))));
                 }
             }
             Chunk::End if !buffer.is_inside_event() => {
@@ -64,32 +63,32 @@
                     buffer,
                     ended: true,
                 };
-                return Ok(ExchangeStep::Stream(Box::new((answered, first))));
+                return Ok(ExchangeStep::Stream(Box::new((active, first))));
             }
             Chunk::End | Chunk::Broken => {
                 let failed =
-                    FailedExchange::connection_broke("stream broke before its first event");
-                return Err(run.record_failure(&answered.target, failed));
+                    FailedExchange::broken_connection("stream broke before its first event");
+                return Err(run.record_failure(&active.target, failed));
             }
             Chunk::TimedOut => {
                 let failed = FailedExchange::may_have_run("no event in time");
-                return Err(run.record_failure(&answered.target, failed));
+                return Err(run.record_failure(&active.target, failed));
             }
         }
     }
 }
 
-/// The response to the caller, whose body relays the rest.
-pub fn respond(run: RequestRun, answered: ActiveExchange, first: FirstEvents) -> Response<Body> {
-    let head = clone_head(&answered);
+/// Returns the response to the caller; its body relays the rest of the stream.
+pub fn respond(run: RequestRun, active: ActiveExchange, first: FirstEvents) -> Response<Body> {
+    let head = clone_head(&active);
     let relay = Relay {
         pending: Some(first.events).filter(|events| !events.is_empty()),
         ended: first.ended,
         buffer: first.buffer,
-        answered: Some(answered),
+        active: Some(active),
         run,
     };
-    let response = relay.run.response(head, railtack_http::empty());
+    let response = relay.run.build_response(head, railtack_http::empty());
     let chunks = futures_stream::unfold(relay, |mut relay| async move {
         let item = relay.next().await?;
         Some((item.map(Frame::data), relay))
@@ -98,14 +97,14 @@
     Response::from_parts(parts, BodyExt::boxed(SyncStream::wrap(chunks)))
 }
 
-fn clone_head(answered: &ActiveExchange) -> hyper::http::response::Parts {
+fn clone_head(active: &ActiveExchange) -> hyper::http::response::Parts {
     let mut response = Response::new(());
-    *response.status_mut() = answered.answer.head.status;
-    *response.headers_mut() = answered.answer.head.headers.clone();
+    *response.status_mut() = active.response.head.status;
+    *response.headers_mut() = active.response.head.headers.clone();
     response.into_parts().0
 }
 
-/// A boxed body must be `Sync`; a relay is polled by one task only, behind a lock that is free.
+/// Makes a stream `Sync`, as a boxed body requires. One task polls it, so the lock is uncontended.
 struct SyncStream;
 
 impl SyncStream {
@@ -130,16 +129,16 @@
     TimedOut,
 }
 
-async fn next_chunk(answered: &mut ActiveExchange, due: Instant) -> Chunk {
+async fn next_chunk(active: &mut ActiveExchange, deadline: Instant) -> Chunk {
     loop {
-        match timeout_at(due, answered.answer.body.frame()).await {
+        match timeout_at(deadline, active.response.body.frame()).await {
             Err(_) => return Chunk::TimedOut,
             Ok(None) => return Chunk::End,
             Ok(Some(Err(_))) => return Chunk::Broken,
             Ok(Some(Ok(frame))) => {
-                // Trailers carry nothing for callers.
+                // Trailers are not forwarded.
                 if let Ok(data) = frame.into_data() {
-                    answered.target.handle.record_response(Instant::now());
+                    active.target.handle.record_response(Instant::now());
                     return Chunk::Data(data);
                 }
             }
@@ -149,15 +148,16 @@
 
 struct Relay {
     run: RequestRun,
-    /// The exchange that brings the stream; `None` once the stream has ended.
-    answered: Option<ActiveExchange>,
+    /// The current exchange; `None` once the stream has ended.
+    active: Option<ActiveExchange>,
     buffer: EventBuffer,
     pending: Option<Bytes>,
     ended: bool,
 }
 
 impl Relay {
-    /// The next whole events; `None` at the complete end, an error if the stream cannot go on.
+    /// Returns the next complete events, `None` at the end of the stream, or an error if it cannot
+    /// be continued.
     async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
         if let Some(events) = self.pending.take() {
             return Some(Ok(events));
@@ -166,12 +166,12 @@
             return self.finish();
         }
         loop {
-            let due = self.silence_deadline();
-            let mut answered = self.answered.take()?;
-            match next_chunk(&mut answered, due).await {
+            let deadline = self.silence_deadline();
+            let mut active = self.active.take()?;
+            match next_chunk(&mut active, deadline).await {
                 Chunk::Data(bytes) => {
                     let events = self.buffer.push(&bytes);
-                    self.answered = Some(answered);
+                    self.active = Some(active);
                     if self.buffer.is_oversized() {
                         return self.abort("event too large");
                     }
@@ -180,25 +180,25 @@
                     }
                 }
                 Chunk::End if !self.buffer.is_inside_event() => {
-                    self.answered = Some(answered);
+                    self.active = Some(active);
                     return self.finish();
                 }
                 Chunk::End | Chunk::Broken => {
-                    let failed = FailedExchange::connection_broke("stream broke");
-                    self.resume(answered, failed).await?;
+                    let failed = FailedExchange::broken_connection("stream broke");
+                    self.resume(active, failed).await?;
                 }
                 Chunk::TimedOut => {
                     let failed = FailedExchange::may_have_run("stream fell silent");
-                    self.resume(answered, failed).await?;
+                    self.resume(active, failed).await?;
                 }
             }
-            if self.answered.is_none() {
+            if self.active.is_none() {
                 return self.abort("stream cut");
             }
         }
     }
 
-    /// When a silent stream is given up.
+    /// Returns the time at which a silent stream is abandoned.
     fn silence_deadline(&self) -> Instant {
         let deadline = self.run.admitted.deadline;
         if !self.run.can_resume() {
@@ -209,36 +209,37 @@
         deadline.min(Instant::now() + timeout)
     }
 
-    /// Ends the stream as complete.
+    /// Ends the response normally.
     fn finish(&mut self) -> Option<Result<Bytes, io::Error>> {
-        if let Some(answered) = self.answered.take() {
-            self.run.record_outcome(&answered.target, ExchangeEnd::Good);
+        if let Some(active) = self.active.take() {
+            self.run
+                .record_outcome(&active.target, ExchangeOutcome::Good);
             crash_detection::request_succeeded(&self.run.state, self.run.content);
-            if answered.answer.reusable {
-                let handle = &answered.target.handle;
-                handle.pool.release(answered.answer.connection);
+            if active.response.reusable {
+                let handle = &active.target.handle;
+                handle.pool.release(active.response.connection);
             }
         }
-        self.run.log.end("streamed".to_owned());
+        self.run.log.record_outcome("streamed".to_owned());
         None
     }
 
     fn abort(&mut self, outcome: &str) -> Option<Result<Bytes, io::Error>> {
-        self.answered = None;
-        self.run.log.end(outcome.replace(' ', "_"));
+        self.active = None;
+        self.run.log.record_outcome(outcome.replace(' ', "_"));
         Some(Err(io::Error::new(
             io::ErrorKind::UnexpectedEof,
             outcome.to_owned(),
         )))
     }
 
-    /// Continues the stream at another replica. The former connection is closed first, so that
+    /// Continues the stream at another replica. The previous connection is closed first, so that
     /// only one replica works on the stream.
-    async fn resume(&mut self, answered: ActiveExchange, failed: FailedExchange) -> Option<()> {
-        self.run.record_failure(&answered.target, failed);
-        drop(answered);
+    async fn resume(&mut self, active: ActiveExchange, failed: FailedExchange) -> Option<()> {
+        self.run.record_failure(&active.target, failed);
+        drop(active);
         self.buffer.discard_partial();
-        while self.run.acquire_resume().await {
+        while self.run.acquire_resume_retry().await {
             if !self
                 .run
                 .acquire_quota_for_retry(ExchangeProof::MayHaveRun)
@@ -250,16 +251,16 @@
                 return Some(());
             };
             let resumed = self.run.exchange(target, self.buffer.last_event()).await;
-            if let Ok(answered) = resumed
-                && answered.answer.head.status.is_success()
+            if let Ok(active) = resumed
+                && active.response.head.status.is_success()
             {
                 self.run.state.metrics.resumed.inc();
                 spdlog::info!("stream resumed", kv: {
                     request = self.run.request.id.clone(),
-                    replica = answered.target.record.id.clone(),
+                    replica = active.target.record.id.clone(),
                     last_event = self.buffer.last_event().unwrap_or_default(),
                 });
-                self.answered = Some(answered);
+                self.active = Some(active);
                 return Some(());
             }
         }
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -1,4 +1,4 @@
-//! What this router serves from: the configuration in force and the replicas it knows.
+//! The configuration and replicas that a router serves from.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -11,24 +11,23 @@
 
 use crate::homes::Ring;
 
-/// One consistent state; a newer one replaces it as a whole. It never goes back.
+/// A consistent state, replaced as a whole by newer ones. Log positions never decrease.
 #[derive(Clone, Debug, Default)]
 pub struct ServingView {
-    /// Positions in the control group's log up to which it is known what is served from.
+    /// Positions in the control group's log up to which the view is complete.
     pub known: WatchPosition,
-    /// Routes, services and tenants; `None` before the first configuration.
+    /// Routes, services and tenants; `None` until the first configuration is received.
     pub table: Option<Arc<RouteTable>>,
-    /// Replicas by identity. Views share what did not change: a copy for each news would take a time
-    /// that grows with the fleet. Not measured by itself.
+    /// Replicas by incarnation id. A persistent map: views share unchanged records.
     pub replicas: RedBlackTreeMapSync<String, Arc<ReplicaRecord>>,
-    /// The version of weights that operators named for each model.
+    /// Target version of the weights of each model.
     pub weights: BTreeMap<String, u64>,
-    /// Replicas that take work, by service: found once for a view and not for each request.
+    /// Ready replicas by service, computed once per view.
     ready: OnceLock<HashMap<String, Ring>>,
 }
 
 impl ServingView {
-    /// The state after an update; `None` if the update brings nothing new.
+    /// Returns the view after an update; `None` if the update is not newer.
     pub fn updated(&self, update: ServingUpdate) -> Option<Self> {
         let received = update.known;
         let is_older = received.state < self.known.state;
@@ -52,30 +51,30 @@
             next.replicas
                 .insert_mut(record.id.clone(), Arc::new(record));
         }
-        for named in update.weights {
-            next.weights.insert(named.model, named.version);
+        for target in update.weights {
+            next.weights.insert(target.model, target.version);
         }
         Some(next)
     }
 
-    /// Forgets a life of a replica and those before it, which are over with it: nothing else is told of them.
-    fn remove_incarnations_up_to(&mut self, name: &str) {
-        let last = Incarnation::parse(name);
-        let lives = Incarnation::id_range(last.replica);
-        let known = self.replicas.range(lives).map(|(name, _)| name);
-        let ended = known.filter(|known| {
-            let life = Incarnation::parse(known);
-            life.replica == last.replica && life.started_ms <= last.started_ms
+    /// Removes an incarnation of a replica and all older ones.
+    fn remove_incarnations_up_to(&mut self, id: &str) {
+        let last = Incarnation::parse(id);
+        let id_range = Incarnation::id_range(last.replica);
+        let known = self.replicas.range(id_range).map(|(id, _)| id);
+        let obsolete = known.filter(|known| {
+            let incarnation = Incarnation::parse(known);
+            incarnation.replica == last.replica && incarnation.started_ms <= last.started_ms
         });
-        let ended: Vec<String> = ended.cloned().collect();
-        for life in ended {
-            self.replicas.remove_mut(&life);
+        let obsolete: Vec<String> = obsolete.cloned().collect();
+        for id in obsolete {
+            self.replicas.remove_mut(&id);
         }
-        // One that does not say when it began is older than any that does.
+        // An id without a start time is older than any id with one.
         self.replicas.remove_mut(last.replica);
     }
 
-    /// Replicas of a service that take work; `None` if there are none.
+    /// Returns the ready replicas of a service; `None` if there are none.
     pub fn ready(&self, service: &str) -> Option<&Ring> {
         let ready = self.ready.get_or_init(|| self.ready_by_service());
         ready.get(service)
--- a/crates/proxy/tests/permits.rs
+++ b/crates/proxy/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Asking the leader for permits.
+//! Permits requested from the leader.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -15,7 +15,7 @@
 use railtack_serving::{AdvertisedLimit, LimitHeader, MonotonicTime, RequestLimit};
 use tokio::time::{Instant, advance};
 
-const LIFE: &str = "i-1";
+const INCARNATION: &str = "i-1";
 const OBJECTIVE: Duration = Duration::from_millis(800);
 const STAMP: PermitStamp = PermitStamp { term: 3, at_ms: 70 };
 
@@ -23,7 +23,7 @@
     RequestLimit::per_s(per_s).expect("a limit")
 }
 
-/// A router that knows of one limit, before a leader that answers as it is told.
+/// A router that knows one limit, with a stub of the leader.
 struct Router {
     started: Instant,
     state: Mutex<State>,
@@ -32,11 +32,11 @@
 #[derive(Default)]
 struct State {
     known: Option<RequestLimit>,
-    /// What the leader answers; nothing if it is away.
+    /// Reply of the leader; `None` if it is unavailable.
     reply: Option<PermitReply>,
-    asked: Vec<PermitRequest>,
+    requests: Vec<PermitRequest>,
     permit_requests_suspended_until: MonotonicTime,
-    room_at: Option<MonotonicTime>,
+    available_at: Option<MonotonicTime>,
 }
 
 impl Router {
@@ -81,103 +81,108 @@
         self.state().permit_requests_suspended_until = until;
     }
 
-    fn record_denied(&self, _: &str, _: RequestLimit, room_at: MonotonicTime) {
-        self.state().room_at = Some(room_at);
+    fn record_denied(&self, _: &str, _: RequestLimit, available_at: MonotonicTime) {
+        self.state().available_at = Some(available_at);
     }
 
     fn clear_limit(&self, _: &str, _: MonotonicTime) {
-        // Digests go on naming it for a while.
+        // Digests still contain the limit for a while.
     }
 
-    async fn ask_leader(&self, question: PermitRequest, _: Duration) -> Option<PermitReply> {
+    async fn call_leader(&self, request: PermitRequest, _: Duration) -> Option<PermitReply> {
         let mut state = self.state();
-        state.asked.push(question);
+        state.requests.push(request);
         state.reply.clone()
     }
 }
 
-fn given() -> Option<PermitReply> {
+fn granted() -> Option<PermitReply> {
     Some(PermitReply::Granted {
         limit: limit(2.0),
         stamp: STAMP,
     })
 }
 
-async fn taken(router: &Arc<Router>) -> Option<Permit> {
-    match acquire(&**router, LIFE, OBJECTIVE).await {
+async fn acquired(router: &Arc<Router>) -> Option<Permit> {
+    match acquire(&**router, INCARNATION, OBJECTIVE).await {
         PermitDecision::Granted(permit) => permit,
-        PermitDecision::Denied => panic!("withheld"),
+        PermitDecision::Denied => panic!("denied"),
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn where_no_limit_is_known_nobody_is_asked() {
+async fn no_permit_is_requested_without_a_limit() {
     let router = Router::new(None, None);
-    assert!(taken(&router).await.is_none());
-    assert!(!lacks_valid_permit(&*router, LIFE, None));
-    assert!(router.state().asked.is_empty());
+    assert!(acquired(&router).await.is_none());
+    assert!(!lacks_valid_permit(&*router, INCARNATION, None));
+    assert!(router.state().requests.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_permit_is_void_after_a_while() {
-    let router = Router::new(Some(limit(2.0)), given());
-    let permit = taken(&router).await;
-    assert!(lacks_valid_permit(&*router, LIFE, None));
-    assert!(!lacks_valid_permit(&*router, LIFE, permit));
+async fn a_permit_expires() {
+    let router = Router::new(Some(limit(2.0)), granted());
+    let permit = acquired(&router).await;
+    assert!(lacks_valid_permit(&*router, INCARNATION, None));
+    assert!(!lacks_valid_permit(&*router, INCARNATION, permit));
     advance(GRANT_TTL + Duration::from_millis(1)).await;
-    assert!(lacks_valid_permit(&*router, LIFE, permit));
-    let asked = router.state().asked[0].clone();
-    assert!(asked.wants_permit);
-    assert_eq!(asked.report.limit, Some(limit(2.0)));
-    assert_eq!(asked.report.age_ms, 40);
+    assert!(lacks_valid_permit(&*router, INCARNATION, permit));
+    let request = router.state().requests[0].clone();
+    assert!(request.wants_permit);
+    assert_eq!(request.report.limit, Some(limit(2.0)));
+    assert_eq!(request.report.age_ms, 40);
 }
 
-/// The leader knows that a limit is over before digests stop naming it. Taken for no permit, its word had the
-/// request chosen and withheld again and again until then.
+/// Guards against a loop of selections and denied permits between the removal of a limit at the
+/// leader and in the digests.
 #[tokio::test(start_paused = true)]
-async fn the_leaders_word_that_there_is_no_limit_lets_the_request_be_sent() {
+async fn a_request_is_sent_if_the_leader_replies_unlimited() {
     let router = Router::new(Some(limit(2.0)), Some(PermitReply::Unlimited));
-    let permit = taken(&router).await;
-    assert!(!lacks_valid_permit(&*router, LIFE, permit));
+    let permit = acquired(&router).await;
+    assert!(!lacks_valid_permit(&*router, INCARNATION, permit));
     advance(GRANT_TTL + Duration::from_millis(1)).await;
     assert!(
-        lacks_valid_permit(&*router, LIFE, permit),
-        "it may have one again"
+        lacks_valid_permit(&*router, INCARNATION, permit),
+        "a limit may exist again"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_leader_nothing_is_sent_and_others_do_not_ask_for_a_moment() {
+async fn without_a_leader_permits_are_denied_and_permit_requests_paused() {
     let router = Router::new(Some(limit(2.0)), None);
     for _ in 0..5 {
-        let permission = acquire(&*router, LIFE, OBJECTIVE).await;
-        assert!(matches!(permission, PermitDecision::Denied));
+        let decision = acquire(&*router, INCARNATION, OBJECTIVE).await;
+        assert!(matches!(decision, PermitDecision::Denied));
     }
-    assert_eq!(router.state().asked.len(), 1);
-    let room_at = router.state().room_at.expect("a moment");
-    assert!(room_at > router.uptime());
-    advance(room_at).await;
-    router.state().reply = given();
-    assert!(taken(&router).await.is_some());
+    assert_eq!(router.state().requests.len(), 1);
+    let available_at = router.state().available_at.expect("a time");
+    assert!(available_at > router.uptime());
+    advance(available_at).await;
+    router.state().reply = granted();
+    assert!(acquired(&router).await.is_some());
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_the_leader_knows_is_not_told_again_and_what_differs_is_at_once() {
-    let router = Router::new(Some(limit(2.0)), given());
-    let permit = taken(&router).await;
-    let told = async |stated, is_news| {
-        let before = router.state().asked.len();
-        handle_response(&router, LIFE, permit, stated, is_news);
+async fn only_changed_limits_are_reported_to_the_leader() {
+    let router = Router::new(Some(limit(2.0)), granted());
+    let permit = acquired(&router).await;
+    let report_for = async |header, is_new| {
+        let before = router.state().requests.len();
+        handle_response(&router, INCARNATION, permit, header, is_new);
         tokio::task::yield_now().await;
-        router.state().asked.get(before).cloned()
+        router.state().requests.get(before).cloned()
     };
-    assert_eq!(told(LimitHeader::Present(limit(2.0)), false).await, None);
-    let lower = told(LimitHeader::Present(limit(1.0)), true).await;
-    let statement = lower.expect("told").report;
-    assert_eq!(statement.limit, Some(limit(1.0)));
-    assert_eq!(statement.permit, Some(STAMP));
-    let none = told(LimitHeader::Absent, false).await.expect("told");
-    assert_eq!(none.report.limit, None);
-    assert_eq!(none.report.permit, Some(STAMP));
-    assert!(!none.wants_permit);
+    assert_eq!(
+        report_for(LimitHeader::Present(limit(2.0)), false).await,
+        None
+    );
+    let lowered = report_for(LimitHeader::Present(limit(1.0)), true).await;
+    let report = lowered.expect("a report").report;
+    assert_eq!(report.limit, Some(limit(1.0)));
+    assert_eq!(report.permit, Some(STAMP));
+    let removed = report_for(LimitHeader::Absent, false)
+        .await
+        .expect("a report");
+    assert_eq!(removed.report.limit, None);
+    assert_eq!(removed.report.permit, Some(STAMP));
+    assert!(!removed.wants_permit);
 }
--- a/crates/proxy/tests/pool.rs
+++ b/crates/proxy/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one replica.
+//! Connection pool of one replica.
 
 use std::net::SocketAddr;
 
@@ -11,35 +11,35 @@
     (listener, address)
 }
 
-/// With hundreds of routers before a replica each may open one connection to it. While that one is watched to
-/// see whether the replica has ended, requests were not sent there for up to a second.
+/// In a large fleet a router may open one connection per replica. Guards against a probe blocking
+/// requests to a live replica.
 #[tokio::test]
-async fn a_port_that_is_watched_takes_no_connection_from_requests() {
+async fn a_port_probe_does_not_count_against_the_connection_limit() {
     let (_listener, address) = listener().await;
     let pool = Pool::default();
     let PortState::Open(probe) = pool.probe_port(address).await else {
-        panic!("somebody listens");
+        panic!("the port is closed");
     };
-    assert!(pool.has_capacity(1), "the only connection is left");
-    let taken = pool.acquire(address, 1, true).await.expect("a connection");
+    assert!(pool.has_capacity(1), "the probe is not counted");
+    let acquired = pool.acquire(address, 1, true).await.expect("a connection");
     assert_eq!(pool.open_connections(), 1);
-    // Others took the last one meanwhile: the watched one is closed.
+    // The limit was reached in the meantime, so the probe connection is closed.
     pool.adopt(probe, 1);
     assert_eq!(pool.open_connections(), 1);
-    drop(taken);
+    drop(acquired);
     assert_eq!(pool.open_connections(), 0);
     let PortState::Open(probe) = pool.probe_port(address).await else {
-        panic!("somebody listens");
+        panic!("the port is closed");
     };
     pool.adopt(probe, 1);
     assert_eq!(pool.open_connections(), 1);
-    assert!(pool.has_capacity(1), "it rests");
+    assert!(pool.has_capacity(1), "the connection is idle");
 }
 
 #[tokio::test]
-async fn a_port_that_nobody_listens_at_refuses() {
+async fn a_probe_of_a_closed_port_is_refused() {
     let (listener, address) = listener().await;
     drop(listener);
-    let look = Pool::default().probe_port(address).await;
-    assert!(matches!(look, PortState::Refused), "{look:?}");
+    let state = Pool::default().probe_port(address).await;
+    assert!(matches!(state, PortState::Refused), "{state:?}");
 }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -23,7 +23,7 @@
     completions,
     decisions::{CandidateRecord, DecisionRecord},
     limits,
-    quarantine::{self, BackEndLife, engine_life},
+    quarantine::{self, BackEndIncarnation, engine_incarnation_id},
     relay::{EndMarker, Relay},
     request_log::RequestLog,
     responses::ResponseEvent,
@@ -108,7 +108,7 @@
     address: SocketAddr,
     uncached_tokens: u64,
     /// Leading blocks that the engine was known to have cached before the attempt.
-    held_blocks: u32,
+    cached_blocks: u32,
     awaiting_first_token: bool,
     /// Permit for this attempt, if the engine has a rate limit.
     permit: Option<Permit>,
@@ -124,19 +124,21 @@
                 return final_event(self.no_engine_outcome());
             };
             if let Some(refusal) = quarantine::refusal(self.state, self.job.content_key) {
-                return final_event(self.attempts.refused(refusal));
+                return final_event(self.attempts.fail_with(refusal));
             }
             let Some(permit) = self.acquire_permit(&decision).await else {
                 // The denial was recorded, so the next decision skips this engine.
                 continue;
             };
             self.record_decision(&decision);
-            let end = self.attempt(&decision, permit).await;
-            self.log.record_attempt(&end);
+            let outcome = self.attempt(&decision, permit).await;
+            self.log.record_attempt(&outcome);
             let (state, tenant) = (self.state, &self.job.tenant);
-            let after = self.attempts.record(end, || spend_retry(state, tenant));
-            if after != NextStep::Retry {
-                return final_event(after);
+            let next_step = self
+                .attempts
+                .record(outcome, || withdraw_retry(state, tenant));
+            if next_step != NextStep::Retry {
+                return final_event(next_step);
             }
             self.excluded.push(decision.chosen.engine);
             self.state.metrics.retries.inc();
@@ -144,14 +146,14 @@
     }
 
     fn choose(&self) -> Option<Decision> {
-        let shape = RoutingRequest {
+        let request = RoutingRequest {
             key: &self.job.model_key,
             chain: &self.job.chain,
             boundaries: &self.job.boundaries,
             priority: self.job.priority,
             excluded: &self.excluded,
         };
-        lock(&self.state.scheduler).choose(shape, self.state.now_us(), rand::random())
+        lock(&self.state.scheduler).choose(request, self.state.now_us(), rand::random())
     }
 
     /// Outcome when no engine accepts the request. Before the first attempt, the refusal includes the
@@ -161,22 +163,22 @@
             return self.attempts.fail_without_engine();
         }
         let refusal = completions::no_engine_refusal(self.state, &self.job.model_key);
-        self.attempts.refused(refusal)
+        self.attempts.fail_with(refusal)
     }
 
     /// Acquires a permit if the chosen engine has a rate limit. Returns `None` if the permit was
     /// denied, `Some(None)` if no permit is needed.
     async fn acquire_permit(&self, decision: &Decision) -> Option<Option<Permit>> {
-        let life = {
+        let incarnation_id = {
             let scheduler = lock(&self.state.scheduler);
             let view = scheduler.engines.view(decision.chosen.engine);
             let is_limited = view.advertised.limit().is_some();
-            is_limited.then(|| engine_life(view.id, view.incarnation))
+            is_limited.then(|| engine_incarnation_id(view.id, view.incarnation))
         };
-        let Some(life) = life else {
+        let Some(incarnation_id) = incarnation_id else {
             return Some(None);
         };
-        match limits::acquire_permit(self.state, &life).await {
+        match limits::acquire_permit(self.state, &incarnation_id).await {
             PermitDecision::Granted(permit) => Some(permit),
             PermitDecision::Denied => None,
         }
@@ -193,17 +195,17 @@
             incarnation: request.incarnation,
             address,
             uncached_tokens: u64::from(decision.chosen.uncached_tokens),
-            held_blocks: decision.chosen.held_tokens / self.job.chain.block_tokens.max(1),
+            cached_blocks: decision.chosen.held_tokens / self.job.chain.block_tokens.max(1),
             awaiting_first_token: true,
             permit,
         };
         self.relay.begin(attempt.id);
         self.on_attempt_started(&attempt);
-        let end = self.exchange(&mut attempt, &request).await;
-        self.on_attempt_finished(&attempt, &end);
-        self.report_back_end_health(&attempt, &end);
+        let outcome = self.exchange(&mut attempt, &request).await;
+        self.on_attempt_finished(&attempt, &outcome);
+        self.report_back_end_health(&attempt, &outcome);
         let may_still_run = matches!(
-            end,
+            outcome,
             AttemptOutcome::ClientDisconnected
                 | AttemptOutcome::DeadlineExceeded
                 | AttemptOutcome::Lost
@@ -211,18 +213,18 @@
         if may_still_run {
             self.cancel(&attempt);
         }
-        end
+        outcome
     }
 
     /// Reports to the quarantine whether the engine survived the request.
-    fn report_back_end_health(&self, attempt: &Attempt, end: &AttemptOutcome) {
-        match end {
+    fn report_back_end_health(&self, attempt: &Attempt, outcome: &AttemptOutcome) {
+        match outcome {
             AttemptOutcome::Completed(_) => {
                 quarantine::record_success(self.state, self.job.content_key)
             }
             AttemptOutcome::Lost => {
-                let life = self.life_of(attempt);
-                quarantine::record_broken_connection(self.state, life, self.job.content_key);
+                let incarnation = self.incarnation_of(attempt);
+                quarantine::record_broken_connection(self.state, incarnation, self.job.content_key);
             }
             _ => {}
         }
@@ -249,10 +251,10 @@
         Some((request, address))
     }
 
-    fn life_of(&self, attempt: &Attempt) -> BackEndLife {
+    fn incarnation_of(&self, attempt: &Attempt) -> BackEndIncarnation {
         let id = lock(&self.state.scheduler).engines.view(attempt.engine).id;
-        BackEndLife {
-            name: engine_life(id, attempt.incarnation),
+        BackEndIncarnation {
+            id: engine_incarnation_id(id, attempt.incarnation),
             address: attempt.address,
         }
     }
@@ -286,17 +288,17 @@
         view.breaker.record_success();
     }
 
-    fn on_attempt_finished(&self, attempt: &Attempt, end: &AttemptOutcome) {
+    fn on_attempt_finished(&self, attempt: &Attempt, outcome: &AttemptOutcome) {
         let now = self.state.now_us();
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
         view.record_closed();
-        if matches!(end, AttemptOutcome::Lost | AttemptOutcome::NotSent) {
+        if matches!(outcome, AttemptOutcome::Lost | AttemptOutcome::NotSent) {
             view.breaker.record_failure(now);
         }
         if attempt.awaiting_first_token {
             view.record_prefilled(attempt.uncached_tokens, self.is_interactive());
-            scheduler.withdraw_expectation(attempt.engine, &self.job.chain, attempt.held_blocks);
+            scheduler.withdraw_expectation(attempt.engine, &self.job.chain, attempt.cached_blocks);
         }
     }
 
@@ -362,16 +364,16 @@
 }
 
 /// Returns the event that ends a response; `None` if the caller disconnected.
-fn final_event(after: NextStep) -> Option<ResponseEvent> {
-    match after {
+fn final_event(next_step: NextStep) -> Option<ResponseEvent> {
+    match next_step {
         NextStep::Completed(end) => Some(ResponseEvent::Ended(end)),
         NextStep::Fail(refusal) => Some(ResponseEvent::Failed(refusal)),
         NextStep::Retry | NextStep::Abandon => None,
     }
 }
 
-/// Takes one retry from the tenant's budget; returns false if it is exhausted.
-fn spend_retry(state: &RouterState, tenant: &TenantName) -> bool {
+/// Withdraws one retry from the tenant's budget; returns false if it is exhausted.
+fn withdraw_retry(state: &RouterState, tenant: &TenantName) -> bool {
     let mut budgets = lock(&state.retry_budgets);
     budgets.entry(tenant.clone()).or_default().withdraw()
 }
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -23,13 +23,9 @@
 
 /// Attempts to resume a broken stream on the same engine.
 const RESUME_ATTEMPTS: u32 = 2;
-/// Delay before each attempt to resume a stream.
 const RESUME_DELAY: Duration = Duration::from_millis(30);
-/// Timeout of the request that cancels an attempt.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeout for reading the body of an engine's refusal.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum body size of an engine's refusal, bytes.
 const MAX_REFUSAL_BYTES: usize = 16 * 1024;
 
 impl Dispatch<'_> {
@@ -176,25 +172,30 @@
         AttemptOutcome::Refused
     }
 
-    /// Records the rate limit that the response headers announce.
+    /// Records the rate limit that the response headers advertise.
     fn record_limit(&self, attempt: &Attempt, response: &Response<Incoming>) {
-        let life = self.life_of(attempt);
-        limits::record_response(self.state, &life.name, attempt.permit, response.headers());
+        let incarnation = self.incarnation_of(attempt);
+        limits::record_response(
+            self.state,
+            &incarnation.id,
+            attempt.permit,
+            response.headers(),
+        );
     }
 
     /// Records the engine's `Retry-After` delay.
     fn record_back_off(&self, attempt: &Attempt, delay: Duration) {
         let now = self.state.uptime();
-        let notice = BackEndSignals {
+        let signals = BackEndSignals {
             back_off: Some(delay),
             ..BackEndSignals::default()
         };
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
         if view.incarnation == attempt.incarnation {
-            view.advertised.record(notice, now);
+            view.advertised.record(signals, now);
         }
-        spdlog::info!("engine asked for rest", kv: {
+        spdlog::info!("engine requested back-off", kv: {
             engine = view.id.to_string(),
             back_off_ms = delay.as_millis() as u64,
         });
--- a/crates/router/src/prompt.rs
+++ b/crates/router/src/prompt.rs
@@ -1,4 +1,4 @@
-//! From template, tenant values and request parameters to the prompt.
+//! Rendering of prompts from a template, the tenant's values and the request's parameters.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 /// A rendered prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// The whole text.
+    /// Segments followed by the caller's prompt.
     pub text: String,
-    /// Where each segment ends, bytes; the question follows the last.
+    /// End of each segment in `text`, bytes.
     pub segment_ends: Vec<usize>,
 }
 
 impl Prompt {
-    /// Segment ends in whole blocks of `block_bytes`.
+    /// Returns the segment ends in blocks of `block_bytes`, rounded down and without duplicates.
     pub fn boundaries(&self, block_bytes: usize) -> Vec<u32> {
         let mut blocks: Vec<u32> = self
             .segment_ends
@@ -29,7 +29,7 @@
     }
 }
 
-/// Checks the request's parameters against the template and renders the prompt.
+/// Validates the request's parameters against the template and renders the prompt.
 pub fn build(
     template: &Template,
     service: &Service,
@@ -63,10 +63,10 @@
     parameters: &BTreeMap<String, String>,
 ) -> Result<(), Refusal> {
     for (name, value) in parameters {
-        let known = template
+        let declared = template
             .parameter(name)
             .filter(|parameter| parameter.scope == ParameterScope::Request);
-        let Some(parameter) = known else {
+        let Some(parameter) = declared else {
             return Err(Refusal::not_run(
                 RefusalCode::UnexpectedParameter,
                 name.as_str(),
--- a/crates/router/src/request_log.rs
+++ b/crates/router/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What is logged of a model request; the same fields as the data plane for opaque requests uses.
+//! Log lines of model requests, with the same fields as those of opaque requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,68 +6,70 @@
 
 use crate::{attempts::AttemptOutcome, dispatch::Job, refusal::Refusal};
 
-/// Collects what decided a request and logs it when it ends, also if the caller goes away.
+/// Collects the fields of a request's log line and logs it when dropped, so that a request whose
+/// caller disconnects is logged too.
 pub struct RequestLog {
     job: Arc<Job>,
     replica: String,
-    kept_tokens: u32,
+    cached_tokens: u32,
     attempts: u32,
     first_byte: Option<Duration>,
     outcome: String,
 }
 
 impl RequestLog {
-    /// Begins the account of an admitted request.
+    /// Creates the log of an admitted request.
     pub fn new(job: Arc<Job>) -> Self {
         Self {
             job,
             replica: String::new(),
-            kept_tokens: 0,
+            cached_tokens: 0,
             attempts: 0,
             first_byte: None,
             outcome: "caller_gone".to_owned(),
         }
     }
 
-    /// Notes a choice of engine; the line at the end tells of the last one only.
-    pub fn record_choice(&mut self, engine: EngineId, held_tokens: u32) {
+    /// Records the choice of an engine. Repeated choices are logged at once, since the final line
+    /// contains only the last one.
+    pub fn record_choice(&mut self, engine: EngineId, cached_tokens: u32) {
         self.replica = engine.to_string();
-        self.kept_tokens = held_tokens;
+        self.cached_tokens = cached_tokens;
         self.attempts += 1;
         if self.attempts > 1 {
             spdlog::info!("chosen again", kv: {
                 request = format_id(self.job.request_id),
                 attempt = self.attempts,
                 replica = self.replica.clone(),
-                kept_tokens = held_tokens,
+                kept_tokens = cached_tokens,
             });
         }
     }
 
-    /// Notes how an attempt ended.
-    pub fn record_attempt(&self, end: &AttemptOutcome) {
-        if matches!(end, AttemptOutcome::Completed(_)) {
+    /// Logs an attempt that did not complete.
+    pub fn record_attempt(&self, outcome: &AttemptOutcome) {
+        if matches!(outcome, AttemptOutcome::Completed(_)) {
             return;
         }
         spdlog::info!("exchange failed", kv: {
             request = format_id(self.job.request_id),
             replica = self.replica.clone(),
-            cause = end.label().to_owned(),
+            cause = outcome.label().to_owned(),
             attempt = self.attempts,
         });
     }
 
-    /// Notes the first token.
+    /// Records the time to the first token.
     pub fn record_first_byte(&mut self) {
         self.first_byte = Some(self.job.received.elapsed());
     }
 
-    /// Notes that the answer is whole.
+    /// Records that the response is complete.
     pub fn record_completion(&mut self) {
         "streamed".clone_into(&mut self.outcome);
     }
 
-    /// Notes that the request failed.
+    /// Records that the request failed.
     pub fn record_failure(&mut self, refusal: &Refusal) {
         self.outcome = refusal.code.as_str().to_owned();
     }
@@ -85,7 +87,7 @@
             model = job.model_key.model.0.clone(),
             weights = job.model_key.weights_version.0,
             prompt_tokens = job.chain.total_tokens,
-            kept_tokens = self.kept_tokens,
+            kept_tokens = self.cached_tokens,
             attempts = self.attempts,
             first_byte_ms = self.first_byte.map_or(0, |elapsed| elapsed.as_millis() as u64),
             total_ms = job.received.elapsed().as_millis() as u64,
@@ -93,7 +95,7 @@
     }
 }
 
-/// Logs a model request that was refused before it was sent anywhere.
+/// Logs a model request that was refused before its first attempt.
 pub fn log_refusal(request_id: RequestId, template: &str, refusal: &Refusal) {
     spdlog::info!("request", kv: {
         request = format_id(request_id),
