--- a/crates/backend-api/src/lib.rs
+++ b/crates/backend-api/src/lib.rs
@@ -258,7 +258,8 @@
     pub output_tokens: u64,
     /// Requests that arrived during a back-off requested by the engine.
     #[serde(default)]
-    pub unwanted: u64,
+    #[serde(rename = "unwanted")]
+    pub requests_in_back_off: u64,
     /// Requests above the advertised limit in the first window that exceeds it.
     #[serde(default)]
     pub over_limit: u64,
@@ -303,7 +304,8 @@
     pub by_key: std::collections::BTreeMap<String, u64>,
     /// Requests that arrived during a back-off requested by the service.
     #[serde(default)]
-    pub unwanted: u64,
+    #[serde(rename = "unwanted")]
+    pub requests_in_back_off: u64,
     /// Requests above the advertised limit in the first window that exceeds it.
     #[serde(default)]
     pub over_limit: u64,
--- a/crates/ctl/src/logs/timeline.rs
+++ b/crates/ctl/src/logs/timeline.rs
@@ -1,73 +1,73 @@
-//! Lines of several processes in one order. Pure.
+//! Merges the log lines of several process runs into one order. Performs no I/O.
 //!
-//! Within one life of a process the steady clock and the sequence order the lines. Between
-//! processes the times of day do; since those jump now and then, each life is placed by the median
-//! difference of its two clocks.
+//! Within one run, lines are ordered by the monotonic clock and the sequence number. Runs are
+//! aligned by wall-clock time. As the wall clock may jump, each run is offset by the median
+//! difference between its wall clock and its monotonic clock.
 
 use std::collections::BTreeMap;
 
 use railtack_telemetry::line::LogLine;
 
-/// A line with its place in time.
+/// Log line with its aligned time.
 #[derive(Clone, Debug)]
-pub struct PlacedLine {
-    /// Time of day by the life's median, microseconds since 1970.
+pub struct TimedLine {
+    /// Wall-clock time by the run's median clock difference, microseconds since the Unix epoch.
     pub at_us: i64,
-    /// The line.
+    /// Line as logged.
     pub line: LogLine,
 }
 
-/// All lines that were read, each once, in order.
+/// All parsed lines in time order, without duplicates.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
-    lines: Vec<PlacedLine>,
+    lines: Vec<TimedLine>,
 }
 
 impl Timeline {
-    /// Orders lines; a line that was read twice counts once.
+    /// Creates a timeline. Drops duplicates, which have the same run id and sequence number.
     pub fn new(lines: Vec<LogLine>) -> Self {
-        let mut lives: BTreeMap<String, BTreeMap<u64, LogLine>> = BTreeMap::new();
+        let mut runs: BTreeMap<String, BTreeMap<u64, LogLine>> = BTreeMap::new();
         for line in lines {
-            let life = lives.entry(line.run_id.clone()).or_default();
-            life.insert(line.sequence, line);
+            let run = runs.entry(line.run_id.clone()).or_default();
+            run.insert(line.sequence, line);
         }
-        let mut placed: Vec<PlacedLine> = lives.into_values().flat_map(place).collect();
-        placed.sort_by(|left, right| {
-            let place = |line: &PlacedLine| (line.at_us, line.line.sequence);
-            place(left)
-                .cmp(&place(right))
+        let mut timed: Vec<TimedLine> = runs.into_values().flat_map(align_clock).collect();
+        timed.sort_by(|left, right| {
+            let sort_key = |line: &TimedLine| (line.at_us, line.line.sequence);
+            sort_key(left)
+                .cmp(&sort_key(right))
                 .then_with(|| left.line.run_id.cmp(&right.line.run_id))
         });
-        Self { lines: placed }
+        Self { lines: timed }
     }
 
-    /// The lines, in order.
-    pub fn lines(&self) -> &[PlacedLine] {
+    /// Returns all lines in time order.
+    pub fn lines(&self) -> &[TimedLine] {
         &self.lines
     }
 
-    /// The lines of one life, in the order of their sequence.
-    pub fn of_life(&self, life: &str) -> Vec<&PlacedLine> {
-        let mut lines: Vec<&PlacedLine> = self
+    /// Returns the lines of one run in sequence order.
+    pub fn lines_of_run(&self, run_id: &str) -> Vec<&TimedLine> {
+        let mut lines: Vec<&TimedLine> = self
             .lines
             .iter()
-            .filter(|placed| placed.line.run_id == life)
+            .filter(|timed| timed.line.run_id == run_id)
             .collect();
-        lines.sort_by_key(|placed| placed.line.sequence);
+        lines.sort_by_key(|timed| timed.line.sequence);
         lines
     }
 }
 
-fn place(life: BTreeMap<u64, LogLine>) -> Vec<PlacedLine> {
-    let mut differences: Vec<i64> = life.values().map(clock_difference_us).collect();
+fn align_clock(run: BTreeMap<u64, LogLine>) -> Vec<TimedLine> {
+    let mut differences: Vec<i64> = run.values().map(clock_difference_us).collect();
     let middle = differences.len() / 2;
     let (_, median, _) = differences.select_nth_unstable(middle);
     let median = *median;
-    let placed = life.into_values().map(|line| PlacedLine {
+    let timed = run.into_values().map(|line| TimedLine {
         at_us: median + line.uptime_us as i64,
         line,
     });
-    placed.collect()
+    timed.collect()
 }
 
 fn clock_difference_us(line: &LogLine) -> i64 {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,12 +1,12 @@
-//! Stand-ins for the platform: model engines, services and the machine list.
+//! Emulators of model engines, services and the platform's machine list.
 //!
-//! The engine's batching and cache are a pure model in [`engine`], stepped in virtual time by the
-//! simulator and in real time by [`engine_server`].
+//! [`engine`] models an engine's batching and prefix cache without I/O. The simulator steps the
+//! model in virtual time, [`engine_server`] in real time.
 
-pub mod answer;
 pub mod back_off;
 pub mod cache;
 pub mod cli;
+pub mod completion;
 pub mod engine;
 pub mod engine_server;
 pub mod errors;
@@ -16,26 +16,24 @@
 pub mod platform_server;
 pub mod service_server;
 
-pub use back_off::{BACK_OFF, BACK_OFF_TEXT};
+pub use back_off::{BACK_OFF, BACK_OFF_TRIGGER};
 pub use errors::EmulatorError;
-pub use limit::LIMIT_TEXT;
+pub use limit::LIMIT_TRIGGER;
 
-/// A stand-in that runs a request with this text ends, as a back end does under a request that it
-/// cannot bear.
-pub const FATAL_TEXT: &str = "emulator: end the process that runs this";
-/// Exit code of a stand-in that ended under a request.
-const FATAL_EXIT: i32 = 70;
+/// Text in a request that makes an emulated engine or service crash when it runs the request.
+pub const CRASH_TRIGGER: &str = "emulator: end the process that runs this";
+/// Exit code after a triggered crash.
+const CRASH_EXIT_CODE: i32 = 70;
 
-/// Ends the process if a request that it is to run holds [`FATAL_TEXT`].
-fn end_under(content: &[u8]) {
-    if holds(content, FATAL_TEXT) {
-        eprintln!("ends under a request");
-        std::process::exit(FATAL_EXIT);
+/// Exits the process if the request contains [`CRASH_TRIGGER`].
+fn crash_if_triggered(content: &[u8]) {
+    if contains_text(content, CRASH_TRIGGER) {
+        eprintln!("exiting: the request contains the crash trigger");
+        std::process::exit(CRASH_EXIT_CODE);
     }
 }
 
-/// Whether a request has a stand-in do something, as a text in it says.
-fn holds(content: &[u8], text: &str) -> bool {
-    let mut places = content.windows(text.len());
-    places.any(|place| place == text.as_bytes())
+fn contains_text(content: &[u8], text: &str) -> bool {
+    let mut windows = content.windows(text.len());
+    windows.any(|window| window == text.as_bytes())
 }
--- a/crates/emulator/src/limit.rs
+++ b/crates/emulator/src/limit.rs
@@ -1,6 +1,8 @@
-//! Naming a limit on requests, as a back end in need does, and judging whether its callers keep to it.
+//! Emulation of a back end that advertises a request rate limit, and a check that its callers keep
+//! to it.
 //!
-//! The judge sees what the back end sees: when it named what, and when requests arrived, whoever sent them.
+//! The check uses only what the back end observes: when each limit was advertised and when requests
+//! arrived, from all callers together.
 
 use std::time::Duration;
 
@@ -12,92 +14,93 @@
 use railtack_http::Body;
 use tokio::time::Instant;
 
-use crate::holds;
+use crate::contains_text;
 
-/// A stand-in that gets a request with this text names a limit in its answers from then on, of
-/// [`LIMIT_PER_S`].
-pub const LIMIT_TEXT: &str = "emulator: name a limit on requests";
-/// Requests a second that it names.
+/// Text in a request that makes an emulated engine or service advertise [`LIMIT_PER_S`] in this and
+/// all later responses.
+pub const LIMIT_TRIGGER: &str = "emulator: name a limit on requests";
+/// Advertised limit, requests per second.
 pub const LIMIT_PER_S: f64 = 1.0;
 
-/// Span in which arrivals are counted; each one counts, wherever it begins.
+/// Length of the sliding window in which arrivals are counted. A window starts at each arrival.
 pub const WINDOW: Duration = Duration::from_secs(4);
-/// What may arrive in a window, as a multiple of what the limit allows in it.
-const LEEWAY: f64 = 1.5;
-/// Requests that may arrive beyond that.
-const SLACK: f64 = 5.0;
-/// Time after the first answer with a limit, or with a lower one, from which it binds all callers together.
-pub const BINDS_AFTER: Duration = Duration::from_secs(3);
-
-/// What a back end named and what arrived there; moments are times since a start.
+/// Tolerated arrivals in a window, as a multiple of those that the limit allows.
+const TOLERANCE_FACTOR: f64 = 1.5;
+/// Tolerated arrivals in a window on top of the multiple.
+const TOLERANCE_REQUESTS: f64 = 5.0;
+/// Time after the first response with a new or lower limit before it is enforced on all callers
+/// together.
+pub const ENFORCEMENT_DELAY: Duration = Duration::from_secs(3);
+
+/// Advertised limits and arrivals of one back end. All times are relative to a common start.
 #[derive(Clone, Debug, Default)]
-pub struct LimitRecord {
-    /// What the next answer names, requests a second; `None` for nothing.
-    names: Option<f64>,
-    /// What was named, each with the moment of the first answer that did.
-    named: Vec<(Duration, Option<f64>)>,
+pub struct LimitMonitor {
+    /// Limit in the next response, requests per second; `None` for no limit.
+    next_limit: Option<f64>,
+    /// Advertised limits, each with the time of its first response.
+    advertised: Vec<(Duration, Option<f64>)>,
     arrivals: Vec<Duration>,
 }
 
-/// A window in which more arrived than the limit allows.
+/// Window with more arrivals than allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BrokenWindow {
-    /// When its first request arrived.
-    pub begins_at: Duration,
-    /// Requests in it.
-    pub arrived: usize,
-    /// Requests that were allowed in it.
+pub struct LimitViolation {
+    /// Time of the first arrival in the window.
+    pub starts_at: Duration,
+    /// Arrivals in the window.
+    pub arrivals: usize,
+    /// Allowed arrivals in the window, tolerance included.
     pub allowed: f64,
 }
 
-impl LimitRecord {
-    /// Has answers name this limit from now on, or none.
-    pub fn names(&mut self, limit_per_s: Option<f64>) {
-        self.names = limit_per_s;
+impl LimitMonitor {
+    /// Sets the limit of all later responses, requests per second; `None` for no limit.
+    pub fn advertise(&mut self, limit_per_s: Option<f64>) {
+        self.next_limit = limit_per_s;
     }
 
-    /// What the next answer names, requests a second; `None` for nothing.
-    pub fn next_named(&self) -> Option<f64> {
-        self.names
+    /// Returns the limit of the next response, requests per second; `None` for no limit.
+    pub fn next_advertised(&self) -> Option<f64> {
+        self.next_limit
     }
 
-    /// Whether a limit was ever named, or is with the next answer.
-    pub fn names_any(&self) -> bool {
-        self.names.is_some() || !self.named.is_empty()
+    /// Returns whether any limit was advertised or will be in the next response.
+    pub fn advertises_any(&self) -> bool {
+        self.next_limit.is_some() || !self.advertised.is_empty()
     }
 
-    /// Notes a request that arrives, and is answered.
-    pub fn arrived(&mut self, now: Duration) {
+    /// Records the arrival of a request whose response advertises the current limit.
+    pub fn record_arrival(&mut self, now: Duration) {
         self.arrivals.push(now);
-        let named = self.named.last().and_then(|(_, limit)| *limit);
-        if named != self.names {
-            self.named.push((now, self.names));
+        let last_advertised = self.advertised.last().and_then(|(_, limit)| *limit);
+        if last_advertised != self.next_limit {
+            self.advertised.push((now, self.next_limit));
         }
     }
 
-    /// Requests that arrived since a moment.
-    pub fn arrived_since(&self, since: Duration) -> usize {
+    /// Returns the number of arrivals at or after `since`.
+    pub fn arrivals_since(&self, since: Duration) -> usize {
         self.arrivals.iter().filter(|at| **at >= since).count()
     }
 
-    /// The first window in which more arrived than is allowed.
-    pub fn broken_window(&self) -> Option<BrokenWindow> {
-        if self.named.is_empty() {
+    /// Returns the first window with more arrivals than allowed.
+    pub fn first_violation(&self) -> Option<LimitViolation> {
+        if self.advertised.is_empty() {
             return None;
         }
         let mut arrivals = self.arrivals.clone();
         arrivals.sort();
         let mut end = 0;
-        for (begin, begins_at) in arrivals.iter().enumerate() {
-            while end < arrivals.len() && arrivals[end] < *begins_at + WINDOW {
+        for (start, starts_at) in arrivals.iter().enumerate() {
+            while end < arrivals.len() && arrivals[end] < *starts_at + WINDOW {
                 end += 1;
             }
-            let arrived = end - begin;
-            let allowed = self.allowed_from(*begins_at);
-            if allowed.is_some_and(|allowed| arrived as f64 > allowed) {
-                return Some(BrokenWindow {
-                    begins_at: *begins_at,
-                    arrived,
+            let count = end - start;
+            let allowed = self.allowed_in_window(*starts_at);
+            if allowed.is_some_and(|allowed| count as f64 > allowed) {
+                return Some(LimitViolation {
+                    starts_at: *starts_at,
+                    arrivals: count,
                     allowed: allowed.unwrap_or_default(),
                 });
             }
@@ -105,72 +108,79 @@
         None
     }
 
-    /// Requests that are allowed in the window that begins at a moment; `None` for any number. What was named
-    /// before counts as long as what replaced it does not bind yet.
-    fn allowed_from(&self, begins_at: Duration) -> Option<f64> {
-        let ends_at = begins_at + WINDOW;
+    /// Returns the allowed arrivals in the window that starts at `starts_at`; `None` if unlimited.
+    /// The largest limit in force in the window counts; a replaced limit stays in force until its
+    /// replacement is enforced.
+    fn allowed_in_window(&self, starts_at: Duration) -> Option<f64> {
+        let ends_at = starts_at + WINDOW;
         let mut largest: Option<f64> = Some(0.0);
-        let mut until = self.named.iter().skip(1).map(|(from, _)| *from);
+        let mut replacements = self.advertised.iter().skip(1).map(|(from, _)| *from);
         if self
-            .named
+            .advertised
             .first()
-            .is_none_or(|(from, _)| begins_at < *from + BINDS_AFTER)
+            .is_none_or(|(from, _)| starts_at < *from + ENFORCEMENT_DELAY)
         {
             return None;
         }
-        for (from, limit) in &self.named {
-            let replaced_at = until.next().unwrap_or(Duration::MAX);
-            let counts = *from < ends_at && replaced_at.saturating_add(BINDS_AFTER) > begins_at;
-            if counts {
-                largest = largest.zip(*limit).map(|(known, limit)| known.max(limit));
+        for (from, limit) in &self.advertised {
+            let replaced_at = replacements.next().unwrap_or(Duration::MAX);
+            let is_in_force =
+                *from < ends_at && replaced_at.saturating_add(ENFORCEMENT_DELAY) > starts_at;
+            if is_in_force {
+                largest = largest
+                    .zip(*limit)
+                    .map(|(largest, limit)| largest.max(limit));
             }
         }
-        largest.map(|limit| LEEWAY * limit * WINDOW.as_secs_f64() + SLACK)
+        largest.map(|limit| TOLERANCE_FACTOR * limit * WINDOW.as_secs_f64() + TOLERANCE_REQUESTS)
     }
 }
 
-/// A stand-in's limit: what its answers name, and whether its callers keep to it.
+/// Advertises the limit of an emulated engine or service and checks its callers.
 #[derive(Clone, Debug)]
-pub struct LimitSpeaker {
+pub struct LimitAdvertiser {
     started: Instant,
-    record: LimitRecord,
+    monitor: LimitMonitor,
 }
 
-impl Default for LimitSpeaker {
+impl Default for LimitAdvertiser {
     fn default() -> Self {
         Self {
             started: Instant::now(),
-            record: LimitRecord::default(),
+            monitor: LimitMonitor::default(),
         }
     }
 }
 
-impl LimitSpeaker {
-    /// Notes a request that arrives; those before the first limit count for nothing.
-    pub fn arrived(&mut self, content: &[u8]) {
-        if holds(content, LIMIT_TEXT) {
-            self.record.names(Some(LIMIT_PER_S));
+impl LimitAdvertiser {
+    /// Records an arriving request. Requests before the first advertised limit are ignored.
+    pub fn record_request(&mut self, content: &[u8]) {
+        if contains_text(content, LIMIT_TRIGGER) {
+            self.monitor.advertise(Some(LIMIT_PER_S));
         }
-        if self.record.names_any() {
-            self.record.arrived(self.started.elapsed());
+        if self.monitor.advertises_any() {
+            self.monitor.record_arrival(self.started.elapsed());
         }
     }
 
-    /// Names the limit in an answer, if there is one.
-    pub fn named_in(&self, mut response: Response<Body>) -> Response<Body> {
-        let named = self.record.next_named().map(|per_s| per_s.to_string());
-        if let Some(value) = named.and_then(|text| HeaderValue::from_str(&text).ok()) {
+    /// Adds the limit header to a response if a limit is advertised.
+    pub fn with_limit_header(&self, mut response: Response<Body>) -> Response<Body> {
+        let limit = self
+            .monitor
+            .next_advertised()
+            .map(|per_s| per_s.to_string());
+        if let Some(value) = limit.and_then(|text| HeaderValue::from_str(&text).ok()) {
             let name = HeaderName::from_static(REQUEST_LIMIT_HEADER);
             response.headers_mut().insert(name, value);
         }
         response
     }
 
-    /// Requests beyond what is allowed in the first window that holds more.
+    /// Returns the excess arrivals in the first violating window; 0 without a violation.
     pub fn over_limit(&self) -> u64 {
-        let broken = self.record.broken_window();
-        broken.map_or(0, |window| {
-            (window.arrived as f64 - window.allowed).ceil() as u64
+        let violation = self.monitor.first_violation();
+        violation.map_or(0, |violation| {
+            (violation.arrivals as f64 - violation.allowed).ceil() as u64
         })
     }
 }
