--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -1,4 +1,4 @@
-//! What the thread does for a group that serves routers: confirmed reads, members, its view.
+//! Linearizable reads, membership reconciliation and the published view.
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
 use super::{Node, PendingRead};
 use crate::members::{MembershipContext, next_membership};
 
-/// Time for which a request to join counts, milliseconds.
+/// Time for which a join request is valid, milliseconds; replicas repeat it.
 const JOIN_REQUEST_TTL_MS: Millis = 3_000;
-/// Time for which a notice to leave counts, milliseconds; after that, silence tells.
+/// Time for which a leave notice is valid, milliseconds; afterwards the silence limit applies.
 const LEAVE_NOTICE_TTL_MS: Millis = 3_000;
 
 impl Node {
@@ -33,11 +33,11 @@
         if self.pending_reads.is_empty() {
             return;
         }
-        let leads = self.replica.is_ready_leader();
+        let is_leader = self.replica.is_ready_leader();
         let confirmed_at = self.replica.raft().leadership_confirmed_at();
         let leader = self.leader_address();
         for read in std::mem::take(&mut self.pending_reads) {
-            let outcome = if !leads {
+            let outcome = if !is_leader {
                 ReadIndexReply::NotLeader {
                     leader: leader.clone(),
                 }
@@ -76,7 +76,7 @@
         JoinReply::Accepted
     }
 
-    /// While leading, brings the members closer to the replicas that are there.
+    /// As leader, proposes the next membership change, if one is needed.
     pub(super) fn reconcile_members(&mut self, now: Millis) {
         let Some(silence_limit) = self.options.voter_replacement_timeout else {
             return;
@@ -108,28 +108,28 @@
             return;
         };
         let description = describe(&next);
-        // A refusal means that an earlier change or a learner is not far enough; the next round
-        // looks again.
+        // Rejected while an earlier change is uncommitted or a learner has not caught up; retried in
+        // the next round.
         if self.replica.propose_membership(next).is_ok() {
-            spdlog::info!("membership proposed", kv: { members = description });
+            spdlog::info!("membership change proposed", kv: { members = description });
         }
     }
 
     pub(super) fn publish_view(&self) {
         let raft = self.replica.raft();
         let serving = self.replica.state().serving();
-        let own_member = raft.membership().member(raft.replica());
+        let local_member = raft.membership().member(raft.replica());
         let is_member =
-            own_member.is_some_and(|member| member.disk == self.replica.identity().disk);
+            local_member.is_some_and(|member| member.disk == self.replica.identity().disk);
         let leader = self.leader_address();
-        let leads = self.replica.is_ready_leader();
+        let is_leader = self.replica.is_ready_leader();
         let confirmed_at = raft.leadership_confirmed_at();
         self.view.send_if_modified(|view| {
             let same_state = view.serving.changed_at() == serving.changed_at()
                 && view.applied == raft.applied_index()
                 && view.term == raft.term();
             let same_role = view.leader == leader
-                && view.is_leader == leads
+                && view.is_leader == is_leader
                 && view.is_member == is_member
                 && view.leadership_confirmed_at == confirmed_at;
             if same_state && same_role {
@@ -141,7 +141,7 @@
             view.applied = raft.applied_index();
             view.term = raft.term();
             view.leader = leader;
-            view.is_leader = leads;
+            view.is_leader = is_leader;
             view.leadership_confirmed_at = confirmed_at;
             view.is_member = is_member;
             view.voters = raft
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! Sending messages of the replicated log to the other replicas.
+//! Transport of messages of the replicated log to other replicas.
 
 use std::{
     collections::{BTreeMap, btree_map::Entry},
@@ -12,11 +12,11 @@
 
 use crate::metrics::ControlMetrics;
 
-/// Messages that may wait for one peer; more are dropped, which the log tolerates.
+/// Capacity of a peer's queue. Further messages are dropped, which the log tolerates.
 const PEER_QUEUE_CAPACITY: usize = 64;
-/// Time for connecting to a peer.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for delivering one message; a snapshot is the largest.
+/// Timeout for delivering a message, including a snapshot.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 struct Peer {
@@ -24,35 +24,35 @@
     queue: mpsc::Sender<Message>,
 }
 
-/// One queue and one connection for each other replica.
+/// Connections to the other replicas, each with a queue.
 pub struct Peers {
     runtime: Handle,
     metrics: ControlMetrics,
-    own_address: String,
+    local_address: String,
     peers: BTreeMap<ReplicaId, Peer>,
-    /// Where each replica was last heard from. A replica that is not a member yet knows no
-    /// membership, and answers the leader there.
+    /// Address from which each replica last sent a message. Lets a replica that has no membership yet
+    /// reply to the leader.
     observed_addresses: BTreeMap<ReplicaId, String>,
 }
 
 impl Peers {
-    /// Queues that are drained by tasks on `runtime`.
-    pub fn new(runtime: Handle, metrics: ControlMetrics, own_address: SocketAddr) -> Self {
+    /// Creates peers whose messages are delivered by tasks on `runtime`.
+    pub fn new(runtime: Handle, metrics: ControlMetrics, local_address: SocketAddr) -> Self {
         Self {
             runtime,
             metrics,
-            own_address: own_address.to_string(),
+            local_address: local_address.to_string(),
             peers: BTreeMap::new(),
             observed_addresses: BTreeMap::new(),
         }
     }
 
-    /// Notes where a replica can be answered.
+    /// Records the address from which a replica sent a message.
     pub fn record_address(&mut self, replica: ReplicaId, address: String) {
         self.observed_addresses.insert(replica, address);
     }
 
-    /// Queues messages in order; those for replicas without a known address are dropped.
+    /// Queues messages in order. Drops those for replicas without a known address.
     pub fn send(&mut self, messages: Vec<Message>, membership: &Membership) {
         for message in messages {
             let address = membership
@@ -74,11 +74,11 @@
             return;
         };
         let new_peer = |address: String| {
-            let queue = spawn_delivery(&self.runtime, socket, self.own_address.clone());
+            let queue = spawn_delivery(&self.runtime, socket, self.local_address.clone());
             Peer { address, queue }
         };
         let peer = match self.peers.entry(message.to) {
-            Entry::Occupied(known) if known.get().address == address => known.into_mut(),
+            Entry::Occupied(current) if current.get().address == address => current.into_mut(),
             Entry::Occupied(mut moved) => {
                 moved.insert(new_peer(address));
                 moved.into_mut()
@@ -94,14 +94,14 @@
 fn spawn_delivery(
     runtime: &Handle,
     address: SocketAddr,
-    own_address: String,
+    local_address: String,
 ) -> mpsc::Sender<Message> {
     let (sender, mut receiver) = mpsc::channel::<Message>(PEER_QUEUE_CAPACITY);
     runtime.spawn(async move {
         let connection = ControlConnection::new(address, CONNECT_TIMEOUT);
         while let Some(message) = receiver.recv().await {
-            let sender = PeerInfo::local(own_address.clone());
-            // A lost message is sent again by the log's own timers.
+            let sender = PeerInfo::local(local_address.clone());
+            // The log's timers resend lost messages.
             let delivered = connection
                 .call(|client| async move {
                     client
@@ -110,7 +110,7 @@
                 })
                 .await;
             if delivered.is_err() {
-                // What waited for a peer that is away is out of date once it is back.
+                // Messages queued for an unreachable peer would be out of date on reconnect.
                 while receiver.try_recv().is_ok() {}
             }
         }
