--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -1,4 +1,4 @@
-//! What a router of opaque requests knows of the limits that replicas name, and how it reaches the leader.
+//! Access to advertised rate limits and to the leader, for [`permits`].
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
     state::{ProxyState, lock},
 };
 
-/// Time after a limit was heard in which the digest may not name it yet.
+/// Time after which the digest should contain an advertised limit.
 const DIGEST_LAG: Duration = Duration::from_secs(1);
 
 impl PermitClient for ProxyState {
@@ -22,15 +22,15 @@
         ProxyState::uptime(self)
     }
 
-    fn known_limit(&self, life: &str) -> Option<KnownLimit> {
-        let local = lock(&self.replicas).availability.limit(life);
-        let local = local.map(|named| KnownLimit {
-            limit: named.limit,
-            age: self.uptime().saturating_sub(named.advertised_at),
-            advertised_here: Some(named),
+    fn known_limit(&self, incarnation_id: &str) -> Option<KnownLimit> {
+        let local = lock(&self.replicas).availability.limit(incarnation_id);
+        let local = local.map(|advertised| KnownLimit {
+            limit: advertised.limit,
+            age: self.uptime().saturating_sub(advertised.advertised_at),
+            advertised_here: Some(advertised),
         });
         let now = Instant::now();
-        let digest = lock(&self.fleet).limit(ReplicaKey::of(life), now);
+        let digest = lock(&self.fleet).limit(ReplicaKey::of(incarnation_id), now);
         let digest = digest.map(|digest| KnownLimit {
             limit: digest.limit,
             age: now.saturating_duration_since(digest.advertised_at),
@@ -50,27 +50,34 @@
         *lock(&self.permit_requests_suspended_until) = until;
     }
 
-    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
+    fn record_denied(
+        &self,
+        incarnation_id: &str,
+        limit: RequestLimit,
+        available_at: MonotonicTime,
+    ) {
         self.metrics.permits_withheld.inc();
         let mut replicas = lock(&self.replicas);
         replicas
             .availability
-            .set_limited_until(life, limit, room_at);
+            .set_limited_until(incarnation_id, limit, available_at);
     }
 
-    fn clear_limit(&self, life: &str, named_at: MonotonicTime) {
+    fn clear_limit(&self, incarnation_id: &str, advertised_at: MonotonicTime) {
         let mut replicas = lock(&self.replicas);
-        replicas.availability.clear_limit(life, named_at);
+        replicas
+            .availability
+            .clear_limit(incarnation_id, advertised_at);
     }
 
-    async fn ask_leader(&self, question: PermitRequest, limit: Duration) -> Option<PermitReply> {
-        let asked = self
+    async fn call_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
+        let response = self
             .control_peers
             .call("permit", |client| async move {
-                client.take_permit(call_context(limit), question).await
+                client.take_permit(call_context(timeout), request).await
             })
             .await;
-        let (reply, address) = asked?;
+        let (reply, address) = response?;
         match &reply {
             PermitReply::NotLeader { leader } => {
                 self.control_peers.follow_redirect(address, leader.clone())
@@ -81,24 +88,24 @@
     }
 }
 
-/// Tells the leader of limits that were named to this router and that the digest does not name: it may not have
-/// heard of them, or know that they are over.
+/// Reports limits that the digest lacks to the leader again. The leader may not know them, or may
+/// reply that they no longer exist.
 pub fn resend_unknown_limits(state: &Arc<ProxyState>) {
     let uptime = state.uptime();
     let now = Instant::now();
     let unreported: Vec<(String, AdvertisedLimit)> = {
         let replicas = lock(&state.replicas);
         let fleet = lock(&state.fleet);
-        let named = replicas.availability.limits();
-        named
-            .filter(|(life, limit)| {
+        let advertised = replicas.availability.limits();
+        advertised
+            .filter(|(incarnation_id, limit)| {
                 limit.advertised_at + DIGEST_LAG < uptime
-                    && fleet.limit(ReplicaKey::of(life), now).is_none()
+                    && fleet.limit(ReplicaKey::of(incarnation_id), now).is_none()
             })
-            .map(|(life, limit)| (life.to_owned(), limit))
+            .map(|(incarnation_id, limit)| (incarnation_id.to_owned(), limit))
             .collect()
     };
-    for (life, limit) in unreported {
-        permits::resend_limit(state, life, limit);
+    for (incarnation_id, limit) in unreported {
+        permits::resend_limit(state, incarnation_id, limit);
     }
 }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! All that happens to one request, from its admission to the head of its answer.
+//! Processing of one request, from admission to the response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
     attempt::{self, FailedExchange, HeadDeadline, OpenResponse, Target},
     backend::Dispatch,
     crash_detection, entry,
-    health::ExchangeEnd,
+    health::ExchangeOutcome,
     quota,
     refusal::RefusalReason,
     replicas::{OpenRequest, Suspicion},
@@ -27,29 +27,30 @@
 
 mod final_response;
 
-/// Objectives after which an answer that may be had elsewhere is given up.
+/// Number of objectives after which a response is abandoned if another replica can be tried.
 const RESPONSE_TIMEOUT_OBJECTIVES: u64 = 2;
-/// Objectives after which a stream's first event is given up though its replica answers others.
+/// Number of objectives after which the first event of a stream is abandoned although the replica
+/// responds to other requests.
 const BUSY_TIMEOUT_OBJECTIVES: u32 = 4;
-/// Serves one request. Dropping the future, or the body of the response, cancels it.
+/// Serves one request. Dropping the future or the response body cancels it.
 pub async fn handle(state: Arc<ProxyState>, request: ProxiedRequest) -> Response<Body> {
     let mut log = RequestLog::begin(&state, &request);
     let admitted = match entry::admit(&state, &request).await {
         Ok(admitted) => admitted,
         Err(reason) => {
-            log.end(reason.to_string());
+            log.record_outcome(reason.to_string());
             return reason.response(entry::retry_after(reason));
         }
     };
-    log.admitted(&admitted);
+    log.record_admission(&admitted);
     log.content = content_key(&request, &admitted);
     if let Some(pause) = quarantine_retry_after(&state, &admitted, log.content).await {
         let reason = RefusalReason::Quarantined;
-        log.end(reason.to_string());
+        log.record_outcome(reason.to_string());
         return reason.response(Some(pause));
     }
     if let Err(refusal) = quota::acquire(&state, &request, &admitted).await {
-        log.end(refusal.reason.to_string());
+        log.record_outcome(refusal.reason.to_string());
         return refusal.reason.response(refusal.retry_after);
     }
     let seed = rand::random();
@@ -62,7 +63,7 @@
     run.run().await
 }
 
-/// When the caller of a quarantined request should come back; `None` if it may be sent.
+/// Returns the retry delay if the request is quarantined; waits for pending crash checks first.
 async fn quarantine_retry_after(
     state: &ProxyState,
     admitted: &Admitted,
@@ -73,37 +74,37 @@
     state.quarantine_retry_after(content)
 }
 
-/// A request on its way, with everything that was tried for it.
+/// A request in progress, with the state of its attempts.
 pub struct RequestRun {
-    /// The router.
+    /// Shared state of the router.
     pub state: Arc<ProxyState>,
-    /// The request.
+    /// The caller's request.
     pub request: ProxiedRequest,
-    /// How it was admitted.
+    /// Result of admission.
     pub admitted: Admitted,
-    /// The service that runs it.
+    /// Name of the service that runs the request.
     pub service: String,
-    /// The line that is logged when it ends.
+    /// Log record, written when the request ends.
     pub log: RequestLog,
-    /// Names what the caller sent, the same each time it sends it again.
+    /// Key of the request's content; identical for repeated requests.
     pub content: ContentKey,
-    /// Shared beginnings of its prompt.
+    /// Shared prefixes of the prompt.
     pub path: PrefixPath,
-    /// Replicas that it was sent to.
+    /// Ids of the replicas that were tried.
     pub tried: Vec<String>,
     replicas_used: u32,
     declined: u32,
-    /// Exchanges whose connection broke while the replica had the request.
+    /// Exchanges whose connection broke while the replica ran the request.
     broken_connections: u32,
 }
 
-/// An answer that may be passed on, and the account of its request.
+/// An exchange whose response is being received.
 pub struct ActiveExchange {
-    /// The answer.
-    pub answer: OpenResponse,
-    /// The replica.
+    /// The response.
+    pub response: OpenResponse,
+    /// The replica that responds.
     pub target: Target,
-    /// Closes the account of the request when dropped.
+    /// Load accounting of the request, released on drop.
     pub open: OpenRequest,
 }
 
@@ -146,9 +147,9 @@
             };
             let failed = match self.try_target(target).await {
                 Ok(ExchangeStep::Done(response)) => return response,
-                Ok(ExchangeStep::Stream(begun)) => {
-                    let (answered, first) = *begun;
-                    return stream::respond(self, answered, first);
+                Ok(ExchangeStep::Stream(started)) => {
+                    let (active, first) = *started;
+                    return stream::respond(self, active, first);
                 }
                 Ok(ExchangeStep::Failure(response)) => {
                     failure = Some(response);
@@ -160,7 +161,7 @@
                 NextStep::Retry if self.acquire_quota_for_retry(failed).await => {}
                 NextStep::Retry => return self.fail(failure),
                 NextStep::ForwardFailure => {
-                    self.log.end("replica_failure".to_owned());
+                    self.log.record_outcome("replica_failure".to_owned());
                     return failure.unwrap_or_else(|| RefusalReason::AnswerLost.response(None));
                 }
                 NextStep::RefuseNotRun => return self.refuse(RefusalReason::Declined),
@@ -169,51 +170,55 @@
         }
     }
 
-    /// One exchange and, for an answer that is no stream, the whole of it.
+    /// Runs one exchange and, unless the response is a stream, reads the complete body.
     async fn try_target(&mut self, target: Target) -> Result<ExchangeStep, FailedExchange> {
-        let answered = self.exchange(target, self.request.last_event).await?;
+        let active = self.exchange(target, self.request.last_event).await?;
         let is_stream = self.admitted.route.kind.is_stream();
-        if is_stream && answered.answer.head.status.is_success() {
-            return stream::first_events(self, answered).await;
+        if is_stream && active.response.head.status.is_success() {
+            return stream::first_events(self, active).await;
         }
         let ActiveExchange {
-            answer,
+            response,
             target,
             open,
-        } = answered;
-        let due = self.response_deadline();
-        let read = answer.read_body_whole(&target.handle, due).await;
+        } = active;
+        let deadline = self.response_deadline();
+        let read = response.read_complete(&target.handle, deadline).await;
         drop(open);
         let (head, content) = read.map_err(|failed| self.record_failure(&target, failed))?;
         let failed = head.status.is_server_error();
-        let end = if failed {
-            ExchangeEnd::Failed
+        let outcome = if failed {
+            ExchangeOutcome::Failed
         } else {
-            ExchangeEnd::Good
+            ExchangeOutcome::Good
         };
-        self.record_outcome(&target, end);
+        self.record_outcome(&target, outcome);
         crash_detection::request_succeeded(&self.state, self.content);
-        let response = self.response(head, railtack_http::full(content));
+        let response = self.build_response(head, railtack_http::full(content));
         if failed && self.admitted.route.kind.may_repeat() {
             return Ok(ExchangeStep::Failure(response));
         }
-        self.log.completed(&target, response.status().as_u16());
+        self.log
+            .record_response(&target, response.status().as_u16());
         Ok(ExchangeStep::Done(response))
     }
 
-    /// Sends the request to a replica and waits for the head of its answer.
+    /// Sends the request to a replica and waits for the head of the response.
     pub async fn exchange(
         &mut self,
         target: Target,
         last_event: Option<u64>,
     ) -> Result<ActiveExchange, FailedExchange> {
-        let kept = target.cached_tokens;
+        let cached_tokens = target.cached_tokens;
         let open = OpenRequest::begin(Arc::clone(&target.handle), target.backlog.uncached_tokens);
         self.state
             .metrics
             .prompt_tokens
             .inc_by(self.path.prompt_tokens);
-        self.state.metrics.presumed_cached_tokens.inc_by(kept);
+        self.state
+            .metrics
+            .presumed_cached_tokens
+            .inc_by(cached_tokens);
         self.tried.push(target.record.id.clone());
         let namespace = self.cache_namespace(&target.record);
         let dispatch = Dispatch {
@@ -232,13 +237,13 @@
             last_event,
         };
         let non_retryable = !self.admitted.route.kind.may_repeat();
-        let due = self.head_deadline();
+        let deadline = self.head_deadline();
         let sent = attempt::exchange(
             &self.state,
             &target,
             &dispatch,
             non_retryable,
-            due,
+            deadline,
             self.content,
         )
         .await;
@@ -249,51 +254,57 @@
             Err(ExchangeProof::NotRun) => self.declined += 1,
             _ => self.replicas_used += 1,
         }
-        let answer = sent.map_err(|failed| self.record_failure(&target, failed))?;
+        let response = sent.map_err(|failed| self.record_failure(&target, failed))?;
         if self.request.prompt.is_some() {
             let now = Instant::now();
             lock(&self.state.replicas).record_sent(&target.record.id, &self.path, now);
         }
         Ok(ActiveExchange {
-            answer,
+            response,
             target,
             open,
         })
     }
 
-    /// When an answer is given up: at the deadline, or earlier if another replica may be asked.
+    /// Returns the time at which a response is abandoned: the deadline, or earlier if another
+    /// replica can be tried.
     pub fn response_deadline(&self) -> Instant {
         let route = &self.admitted.route;
-        let may_go_on = route.kind.may_repeat() && self.replicas_used + 1 < route.max_attempts;
-        if !may_go_on {
+        let can_retry_elsewhere =
+            route.kind.may_repeat() && self.replicas_used + 1 < route.max_attempts;
+        if !can_retry_elsewhere {
             return self.admitted.deadline;
         }
         let timeout = Duration::from_millis(route.objective_ms * RESPONSE_TIMEOUT_OBJECTIVES);
         self.admitted.deadline.min(Instant::now() + timeout)
     }
 
-    /// When the head of an answer is given up. The head of a stream comes with its first event, and
-    /// a prompt that waits behind others would only be read once more elsewhere.
+    /// Returns the deadlines for the head of a response. The head of a stream arrives with its
+    /// first event; a prompt queued behind others would only be prefilled again elsewhere.
     fn head_deadline(&self) -> HeadDeadline {
-        let due = self.response_deadline();
+        let deadline = self.response_deadline();
         let objective = Duration::from_millis(self.admitted.route.objective_ms);
         let busy = Instant::now() + objective * BUSY_TIMEOUT_OBJECTIVES;
-        let waits = self.state.options.policy.busy_patience && self.admitted.route.kind.is_stream();
-        let if_responding = if waits {
-            busy.min(self.admitted.deadline).max(due)
+        let extends_deadline =
+            self.state.options.policy.busy_patience && self.admitted.route.kind.is_stream();
+        let if_responding = if extends_deadline {
+            busy.min(self.admitted.deadline).max(deadline)
         } else {
-            due
+            deadline
         };
-        HeadDeadline { due, if_responding }
+        HeadDeadline {
+            deadline,
+            if_responding,
+        }
     }
 
-    /// Whether another replica may continue a stream, and the budget allows it.
-    pub async fn acquire_resume(&mut self) -> bool {
+    /// Whether another replica may continue the stream. Withdraws a retry from the budget.
+    pub async fn acquire_resume_retry(&mut self) -> bool {
         self.state.options.policy.resume
             && self.next_step(ExchangeProof::MayHaveRun).await == NextStep::Retry
     }
 
-    /// Whether the route lets a stream be continued at one more replica.
+    /// Whether the route allows the stream to be continued at one more replica.
     pub fn can_resume(&self) -> bool {
         let route = &self.admitted.route;
         self.state.options.policy.resume
@@ -320,13 +331,13 @@
         if proof == ExchangeProof::Withheld {
             return step;
         }
-        let is_own = self.state.try_spend_retry(&self.service);
-        let in_budget = is_own || self.borrow_retry().await;
+        let is_local = self.state.try_withdraw_retry(&self.service);
+        let in_budget = is_local || self.acquire_shared_retry().await;
         spdlog::info!("retry", kv: {
             request = self.request.id.clone(),
             in_budget,
-            is_lent = in_budget && !is_own,
-            // The replica of the exchange that failed.
+            is_lent = in_budget && !is_local,
+            // The replica of the failed exchange.
             replica = self.tried.last().cloned().unwrap_or_default(),
             proof = format!("{proof:?}"),
             replicas_used = self.replicas_used,
@@ -340,9 +351,9 @@
         retry_decision::without_retry(facts)
     }
 
-    /// Borrows a retry from the leader. If connections broke under this request, first waits until it is
-    /// known whether their replicas ended: what is lent to all must not let one request end many of them.
-    async fn borrow_retry(&self) -> bool {
+    /// Acquires a shared retry from the leader. After a broken connection, first waits for the crash
+    /// check: shared retries must not let one request crash many replicas.
+    async fn acquire_shared_retry(&self) -> bool {
         let policy = self.state.options.policy;
         if !policy.retry || !policy.lent_retries {
             return false;
@@ -352,32 +363,31 @@
             crash_detection::wait_for_crash_checks(&self.state, self.content, objective).await;
         }
         !self.may_crash_another()
-            && quota::borrow_retry(&self.state, &self.service, objective).await
+            && quota::acquire_shared_retry(&self.state, &self.service, objective).await
     }
 
-    /// Whether the request must not be sent to one more replica: it is quarantined, or will be if those
-    /// at which its connections broke have ended, which is being looked into.
+    /// Whether the request must not be sent to another replica, because it is quarantined or its
+    /// connections broke so often that it would be if those replicas crashed.
     fn may_crash_another(&self) -> bool {
-        let broke_at_many = self.broken_connections >= CRASHES_TO_QUARANTINE;
-        broke_at_many || self.state.quarantine_retry_after(self.content).is_some()
+        let reached_crash_limit = self.broken_connections >= CRASHES_TO_QUARANTINE;
+        reached_crash_limit || self.state.quarantine_retry_after(self.content).is_some()
     }
 
-    /// Whether the tenant's quota allows one more run after an exchange that ended with `proof`:
-    /// what may have run was used, and is used once more.
+    /// Acquires quota for one more run. An attempt that did not run has not used its quota yet.
     pub async fn acquire_quota_for_retry(&self, proof: ExchangeProof) -> bool {
-        let is_paid = matches!(proof, ExchangeProof::Withheld | ExchangeProof::NotRun);
-        is_paid
+        let quota_unused = matches!(proof, ExchangeProof::Withheld | ExchangeProof::NotRun);
+        quota_unused
             || quota::acquire(&self.state, &self.request, &self.admitted)
                 .await
                 .is_ok()
     }
 
-    /// Notes how an exchange failed; logs it.
+    /// Records and logs the failure of an exchange.
     pub fn record_failure(&mut self, target: &Target, failed: FailedExchange) -> FailedExchange {
-        if let Some(end) = failed.end {
-            self.record_outcome(target, end);
+        if let Some(outcome) = failed.outcome {
+            self.record_outcome(target, outcome);
         }
-        if failed.end == Some(ExchangeEnd::ConnectionBroke) {
+        if failed.outcome == Some(ExchangeOutcome::ConnectionBroke) {
             self.broken_connections += 1;
             crash_detection::connection_broken(&self.state, target, self.content);
         }
@@ -388,16 +398,16 @@
             cause = failed.cause,
             proof = format!("{:?}", failed.proof),
             status = failed.status.unwrap_or_default(),
-            back_off_ms = failed.notice.back_off.map_or(0, |time| time.as_millis() as u64),
+            back_off_ms = failed.signals.back_off.map_or(0, |time| time.as_millis() as u64),
             known = self.state.view.load().known.state,
         });
         self.state.metrics.record_exchange_end(failed.cause);
         failed
     }
 
-    /// Notes what an exchange says of a replica.
-    pub fn record_outcome(&self, target: &Target, end: ExchangeEnd) {
-        let Some(suspicion) = target.handle.record_outcome(end, Instant::now()) else {
+    /// Records the outcome of an exchange in the replica's health.
+    pub fn record_outcome(&self, target: &Target, outcome: ExchangeOutcome) {
+        let Some(suspicion) = target.handle.record_outcome(outcome, Instant::now()) else {
             return;
         };
         let event = match suspicion {
@@ -407,12 +417,12 @@
         spdlog::info!("{event}", kv: {
             replica = target.record.id.clone(),
             address = target.record.address.clone(),
-            end = format!("{end:?}"),
+            end = format!("{outcome:?}"),
         });
     }
 
-    /// The head of a response to the caller, without what concerns only the replica's connection.
-    pub fn response(&self, head: hyper::http::response::Parts, body: Body) -> Response<Body> {
+    /// Builds the response to the caller, without the hop-by-hop headers of the replica.
+    pub fn build_response(&self, head: hyper::http::response::Parts, body: Body) -> Response<Body> {
         let mut response = Response::new(body);
         *response.status_mut() = head.status;
         for (name, value) in &head.headers {
@@ -434,12 +444,12 @@
     })
 }
 
-/// What an exchange brought.
+/// Progress made by an exchange.
 pub enum ExchangeStep {
-    /// The whole answer.
+    /// A complete response.
     Done(Response<Body>),
     /// A stream with its first events.
     Stream(Box<(ActiveExchange, stream::FirstEvents)>),
-    /// The replica's failure, which may be passed on if no other replica does better.
+    /// A server error, forwarded if no other replica succeeds.
     Failure(Response<Body>),
 }
--- a/crates/proxy/src/pipeline/final_response.rs
+++ b/crates/proxy/src/pipeline/final_response.rs
@@ -1,4 +1,4 @@
-//! The last answer to a request that no replica has served.
+//! Responses to requests that were not served by a replica.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::RequestRun;
 use crate::{refusal::RefusalReason, selection::NoTarget};
 
-/// Shortest pause that a refused caller is told, milliseconds.
+/// Minimum retry delay of a refused request, milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 150;
 
 impl RequestRun {
@@ -19,7 +19,7 @@
         cause: NoTarget,
     ) -> Response<Body> {
         if let Some(failure) = failure {
-            self.log.end("replica_failure".to_owned());
+            self.log.record_outcome("replica_failure".to_owned());
             return failure;
         }
         if self.replicas_used > 0 {
@@ -30,14 +30,14 @@
             NoTarget::BackingOff { available_in } => {
                 Some((RefusalReason::BackingOff, available_in))
             }
-            NoTarget::AtLimit(full) => {
-                let pause = self.state.limit_retry_after(&self.service, full);
+            NoTarget::AtLimit(exhausted) => {
+                let pause = self.state.limit_retry_after(&self.service, exhausted);
                 Some((RefusalReason::AtLimit, pause))
             }
             NoTarget::NoneAvailable => None,
         };
         if let Some((reason, pause)) = refusal {
-            self.log.end(reason.to_string());
+            self.log.record_outcome(reason.to_string());
             return reason.response(Some(pause));
         }
         let reason = if self.state.is_confirmed() {
@@ -54,13 +54,13 @@
             Some(pause) => (RefusalReason::Quarantined, pause),
             None => (reason, Duration::from_millis(pause_ms)),
         };
-        self.log.end(reason.to_string());
+        self.log.record_outcome(reason.to_string());
         reason.response(Some(pause))
     }
 
     pub(super) fn fail(mut self, failure: Option<Response<Body>>) -> Response<Body> {
         if let Some(failure) = failure {
-            self.log.end("replica_failure".to_owned());
+            self.log.record_outcome("replica_failure".to_owned());
             return failure;
         }
         let reason = if Instant::now() >= self.admitted.deadline {
@@ -68,7 +68,7 @@
         } else {
             RefusalReason::AnswerLost
         };
-        self.log.end(reason.to_string());
+        self.log.record_outcome(reason.to_string());
         reason.response(None)
     }
 }
--- a/crates/proxy/tests/feature_level.rs
+++ b/crates/proxy/tests/feature_level.rs
@@ -1,10 +1,10 @@
-//! A router beside a control group that has members of a former build, which grants nothing.
+//! A router and a control group with members of a previous build that does not support grants.
 
 mod support;
 
 use std::time::Duration;
 
-use railtack_proxy::quota::borrow_retry;
+use railtack_proxy::quota::acquire_shared_retry;
 use railtack_rpc::FeatureLevel;
 use support::router;
 use tokio::time::Instant;
@@ -12,21 +12,21 @@
 const OBJECTIVE: Duration = Duration::from_millis(800);
 
 #[tokio::test(start_paused = true)]
-async fn a_request_does_not_wait_for_a_retry_that_nobody_lends() {
+async fn acquiring_a_shared_retry_fails_immediately_without_support() {
     let state = router(Vec::new());
-    let began_at = Instant::now();
-    assert!(!borrow_retry(&state, "pool", OBJECTIVE).await);
-    assert_eq!(began_at.elapsed(), Duration::ZERO);
+    let started_at = Instant::now();
+    assert!(!acquire_shared_retry(&state, "pool", OBJECTIVE).await);
+    assert_eq!(started_at.elapsed(), Duration::ZERO);
 }
 
 #[test]
-fn the_level_that_a_router_knows_never_falls() {
+fn the_known_feature_level_never_decreases() {
     let state = router(Vec::new());
     assert!(!state.control_peers.supports_grants());
     state
         .control_peers
         .update_level(FeatureLevel::SHARED_GRANTS);
-    // Told by a control replica that is behind.
+    // Reported by a lagging control replica.
     state.control_peers.update_level(FeatureLevel::FIRST);
     assert!(state.control_peers.supports_grants());
 }
--- a/crates/proxy/tests/store_budget.rs
+++ b/crates/proxy/tests/store_budget.rs
@@ -1,4 +1,4 @@
-//! The bound on what routers send to the store.
+//! Budget for saving prompts to the store.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use tokio::time::Instant;
 
 fn prompt(shared: u64, own: u64) -> PrefixPath {
-    let shape = PromptInfo {
+    let info = PromptInfo {
         model: "m".to_owned(),
         prompt_tokens: shared + own,
-        answer_tokens: 10,
+        max_output_tokens: 10,
         segments: vec![
             PromptSegment {
                 id: 1,
@@ -23,7 +23,7 @@
             PromptSegment { id: 2, tokens: own },
         ],
     };
-    PrefixPath::new(&shape, "")
+    PrefixPath::new(&info, "")
 }
 
 fn store(capacity_tokens: u64, routers: u32) -> StoreCapacity {
@@ -34,10 +34,10 @@
     }
 }
 
-/// Whatever comes, all routers together fill at most the store in one window and a half, and what
-/// was kept for a burst.
+/// All routers together fill the store at most once in one and a half windows, plus the burst
+/// allowance.
 #[test]
-fn unshared_parts_do_not_turn_the_store_over_within_the_reuse_window() {
+fn unshared_tokens_do_not_fill_the_store_within_the_reuse_window() {
     fn property(gaps_ms: Vec<u8>, own: u16, routers: u8) -> TestResult {
         let routers = u32::from(routers % 80) + 1;
         let capacity = 600_000;
@@ -78,12 +78,12 @@
     };
     assert!(count(500) > 3 * count(5_000));
     assert!(count(5_000) > 0);
-    // Less than half of it is shared.
+    // Less than half of the prompt is shared.
     assert_eq!(count(7_000), 0);
 }
 
 #[test]
-fn a_store_of_unknown_size_takes_every_prompt_worth_saving() {
+fn a_store_of_unknown_capacity_accepts_every_prompt_worth_saving() {
     let now = Instant::now();
     let mut budget = SaveBudget::default();
     for _ in 0..100 {
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits announced by engines and back ends, and the permits that the control leader grants.
+//! Rate limits advertised by engines and back ends, and the permits that the control leader grants.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
 };
 
 use crate::{
-    quarantine::engine_life,
+    quarantine::engine_incarnation_id,
     state::{RouterState, lock},
 };
 
@@ -22,17 +22,21 @@
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl RouterState {
-    /// Calls `apply` with the announced state of an engine, given its incarnation name, or of a service's
+    /// Calls `apply` with the advertised state of an engine, given its incarnation id, or of a service's
     /// back end, given its address.
-    fn with_announced<T>(&self, life: &str, apply: impl FnOnce(&mut AdvertisedState) -> T) -> T {
-        if life.parse::<SocketAddr>().is_ok() {
-            return apply(lock(&self.back_end_availability).of(life));
+    fn with_advertised<T>(
+        &self,
+        incarnation_id: &str,
+        apply: impl FnOnce(&mut AdvertisedState) -> T,
+    ) -> T {
+        if incarnation_id.parse::<SocketAddr>().is_ok() {
+            return apply(lock(&self.back_end_availability).of(incarnation_id));
         }
         let mut scheduler = lock(&self.scheduler);
         let views = scheduler.engines.views();
         let position = views
             .iter()
-            .position(|view| engine_life(view.id, view.incarnation) == life);
+            .position(|view| engine_incarnation_id(view.id, view.incarnation) == incarnation_id);
         let slot = position.and_then(|position| {
             let id = scheduler.engines.views()[position].id;
             scheduler.engines.slot(id)
@@ -50,86 +54,99 @@
         RouterState::uptime(self)
     }
 
-    fn known_limit(&self, life: &str) -> Option<KnownLimit> {
-        let announced = match life.parse::<SocketAddr>() {
-            Ok(_) => lock(&self.back_end_availability).limit(life),
-            Err(_) => self.with_announced(life, |announced| announced.limit()),
+    fn known_limit(&self, incarnation_id: &str) -> Option<KnownLimit> {
+        let advertised = match incarnation_id.parse::<SocketAddr>() {
+            Ok(_) => lock(&self.back_end_availability).limit(incarnation_id),
+            Err(_) => self.with_advertised(incarnation_id, |advertised| advertised.limit()),
         }?;
         Some(KnownLimit {
-            limit: announced.limit,
-            age: self.uptime().saturating_sub(announced.advertised_at),
-            advertised_here: Some(announced),
+            limit: advertised.limit,
+            age: self.uptime().saturating_sub(advertised.advertised_at),
+            advertised_here: Some(advertised),
         })
     }
 
     fn permit_requests_suspended_until(&self) -> MonotonicTime {
-        *lock(&self.permit_requests_paused_until)
+        *lock(&self.permit_requests_suspended_until)
     }
 
     fn suspend_permit_requests(&self, until: MonotonicTime) {
-        *lock(&self.permit_requests_paused_until) = until;
+        *lock(&self.permit_requests_suspended_until) = until;
     }
 
-    fn record_denied(&self, life: &str, limit: RequestLimit, room_at: MonotonicTime) {
+    fn record_denied(
+        &self,
+        incarnation_id: &str,
+        limit: RequestLimit,
+        limited_until: MonotonicTime,
+    ) {
         self.metrics.permits_denied.inc();
-        self.with_announced(life, |announced| {
-            announced.set_limited_until(limit, room_at)
+        self.with_advertised(incarnation_id, |advertised| {
+            advertised.set_limited_until(limit, limited_until)
         });
     }
 
-    fn clear_limit(&self, life: &str, named_at: MonotonicTime) {
-        self.with_announced(life, |announced| announced.clear_limit(named_at));
+    fn clear_limit(&self, incarnation_id: &str, advertised_at: MonotonicTime) {
+        self.with_advertised(incarnation_id, |advertised| {
+            advertised.clear_limit(advertised_at)
+        });
     }
 
-    async fn ask_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
+    async fn call_leader(&self, request: PermitRequest, timeout: Duration) -> Option<PermitReply> {
         self.control.request_permit(request, timeout).await
     }
 }
 
 /// Acquires a permit for one request, if the engine or back end has a rate limit.
-pub async fn acquire_permit(state: &RouterState, life: &str) -> PermitDecision {
-    permits::acquire(state, life, PERMIT_TIMEOUT).await
+pub async fn acquire_permit(state: &RouterState, incarnation_id: &str) -> PermitDecision {
+    permits::acquire(state, incarnation_id, PERMIT_TIMEOUT).await
 }
 
-/// Records the rate limit that the response headers of an engine or back end announce.
+/// Records the rate limit that the response headers of an engine or back end advertise.
 pub fn record_response(
     state: &Arc<RouterState>,
-    life: &str,
+    incarnation_id: &str,
     permit: Option<Permit>,
     headers: &HeaderMap,
 ) {
-    let stated = parse_limit_header(headers, REQUEST_LIMIT_HEADER);
-    let news = match stated {
+    let header = parse_limit_header(headers, REQUEST_LIMIT_HEADER);
+    let changes = match header {
         LimitHeader::Absent => SignalChanges::default(),
         LimitHeader::Invalid(error) => {
-            state.metrics.unreadable_limits.inc();
-            spdlog::info!("limit not read", kv: {
-                replica = life.to_owned(),
+            state.metrics.invalid_limits.inc();
+            spdlog::info!("rate limit header invalid", kv: {
+                replica = incarnation_id.to_owned(),
                 cause = error.to_string(),
             });
             return;
         }
         LimitHeader::Present(_) => {
-            let notice = BackEndSignals {
-                limit: stated,
+            let signals = BackEndSignals {
+                limit: header,
                 ..BackEndSignals::default()
             };
             let now = state.uptime();
             log_new_limit(
-                life,
-                state.with_announced(life, |announced| announced.record(notice, now)),
+                incarnation_id,
+                state.with_advertised(incarnation_id, |advertised| advertised.record(signals, now)),
             )
         }
     };
-    permits::handle_response(state, life, permit, stated, news.limit.is_some());
+    permits::handle_response(
+        state,
+        incarnation_id,
+        permit,
+        header,
+        changes.limit.is_some(),
+    );
 }
 
-fn log_new_limit(life: &str, news: SignalChanges) -> SignalChanges {
-    if let Some(limit) = news.limit {
-        spdlog::info!("back end names a limit", kv: {
-            replica = life.to_owned(),
+fn log_new_limit(incarnation_id: &str, changes: SignalChanges) -> SignalChanges {
+    if let Some(limit) = changes.limit {
+        spdlog::info!("rate limit advertised", kv: {
+            replica = incarnation_id.to_owned(),
             per_s = limit.requests_per_s(),
         });
     }
-    news
+    changes
 }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -22,10 +22,9 @@
 
 use crate::{
     control_link::ControlLink, decisions::DecisionLog, lease::Lease, metrics::RouterMetrics,
-    quarantine::BackEndLife, refusal::Refusal, resolved::ResolvedConfiguration,
+    quarantine::BackEndIncarnation, refusal::Refusal, resolved::ResolvedConfiguration,
 };
 
-/// Timeout for connecting to an engine.
 const ENGINE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Back ends of one HTTP service.
@@ -47,11 +46,11 @@
     pub lease: Mutex<Lease>,
     /// Engine views, prefix index and engine selection.
     pub scheduler: Mutex<Scheduler>,
-    /// Addresses of the listed engines.
+    /// Latest address of every engine listed so far.
     pub engine_addresses: Mutex<HashMap<EngineId, SocketAddr>>,
     /// Back ends of HTTP services, by service name.
     pub services: Mutex<HashMap<String, ServiceBackends>>,
-    /// Availability announced by the back ends of HTTP services, by address. Separate from `services`,
+    /// Availability advertised by the back ends of HTTP services, by address. Separate from `services`,
     /// which is rebuilt with each machine list.
     pub back_end_availability: Mutex<Availability>,
     /// Tenant limits and fair shares.
@@ -63,7 +62,7 @@
     /// Requests that the control group has quarantined.
     pub quarantine: Mutex<QuarantineState>,
     /// Crashes and broken connections observed under this router's requests.
-    pub observed_failures: Mutex<CrashTracker>,
+    pub crash_tracker: Mutex<CrashTracker>,
     /// Metrics of this process.
     pub metrics: RouterMetrics,
     /// HTTP client for engines and the platform.
@@ -71,7 +70,7 @@
     /// Connections to the control replicas.
     pub control: ControlLink,
     /// Time before which no permit is requested, because no leader replied.
-    pub permit_requests_paused_until: Mutex<MonotonicTime>,
+    pub permit_requests_suspended_until: Mutex<MonotonicTime>,
     /// Size of a cache block as reported by the engines, tokens.
     pub block_tokens: std::sync::atomic::AtomicU32,
     /// Whether the platform's machine list was received at least once.
@@ -91,7 +90,7 @@
         let voters = settings
             .control
             .iter()
-            .map(|known| ReplicaId(known.replica_id));
+            .map(|replica| ReplicaId(replica.replica_id));
         let options = SchedulerOptions {
             zone: settings.zone.clone(),
             ..SchedulerOptions::default()
@@ -107,11 +106,11 @@
             retry_budgets: Mutex::default(),
             decisions: Mutex::default(),
             quarantine: Mutex::default(),
-            observed_failures: Mutex::default(),
+            crash_tracker: Mutex::default(),
             metrics: RouterMetrics::default(),
             client: HttpClient::new(ENGINE_CONNECT_TIMEOUT),
             control: ControlLink::new(&settings.control),
-            permit_requests_paused_until: Mutex::default(),
+            permit_requests_suspended_until: Mutex::default(),
             block_tokens: std::sync::atomic::AtomicU32::new(16),
             machine_list_received: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
@@ -171,10 +170,10 @@
     /// Returns the incarnation of a service's back end. Such back ends report no incarnation, so each
     /// crash that this router observes starts a new one. Two routers that observe the same crash count
     /// it twice.
-    pub fn back_end_life(&self, address: SocketAddr) -> BackEndLife {
-        let ends = self.metrics.back_end_failures.get();
-        BackEndLife {
-            name: format!("{address}#{}#{ends}", self.settings.router_id.0),
+    pub fn back_end_incarnation(&self, address: SocketAddr) -> BackEndIncarnation {
+        let crashes = self.metrics.back_end_crashes.get();
+        BackEndIncarnation {
+            id: format!("{address}#{}#{crashes}", self.settings.router_id.0),
             address,
         }
     }
