--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -67,7 +67,7 @@
                         .value_parser(value_parser!(Variation))
                         .default_value("ordinary"),
                 )
-                .arg(seed())
+                .arg(seed_argument())
                 .arg(number_argument("rate", "30", "Requests per second"))
                 .arg(number_argument("seconds", "15", "Length"))
                 .arg(path_argument("output", "TRACE", "Where to write").long("output")),
@@ -106,7 +106,7 @@
                 .default_value("brasov")
                 .help("Whose fleet to imitate"),
         )
-        .arg(seed())
+        .arg(seed_argument())
         .arg(
             Arg::new("data")
                 .long("data")
@@ -209,7 +209,7 @@
         .help(help)
 }
 
-fn path_of(matches: &ArgMatches, name: &str) -> PathBuf {
+fn path_value(matches: &ArgMatches, name: &str) -> PathBuf {
     matches
         .get_one::<PathBuf>(name)
         .cloned()
@@ -226,7 +226,7 @@
         number("seconds"),
     );
     let seed = matches.get_one::<u64>("seed").copied().unwrap_or_default();
-    trace::write(&path_of(matches, "output"), &workload.draw(seed))
+    trace::write(&path_value(matches, "output"), &workload.draw(seed))
 }
 
 fn experiment_command() -> Command {
@@ -301,7 +301,7 @@
     }
 }
 
-fn seed() -> Arg {
+fn seed_argument() -> Arg {
     Arg::new("seed")
         .long("seed")
         .value_parser(value_parser!(u64))
@@ -344,20 +344,21 @@
 
 fn dispatch(matches: &ArgMatches) -> Result<(), Report<LabError>> {
     match matches.subcommand() {
-        Some(("demo", matches)) => asynchronous(demo::run(fleet_options(matches))),
-        Some(("up", matches)) => asynchronous(demo::up(fleet_options(matches))),
+        Some(("demo", matches)) => block_on(demo::run(fleet_options(matches))),
+        Some(("up", matches)) => block_on(demo::up(fleet_options(matches))),
         Some(("fault", matches)) => {
             let case = matches.get_one::<FaultCase>("case").copied();
-            asynchronous(fault::command::run(case, fleet_options(matches)))
+            block_on(fault::command::run(case, fleet_options(matches)))
         }
-        Some(("soak", matches)) => asynchronous(soak::command::run(soak_options(matches))),
+        Some(("soak", matches)) => block_on(soak::command::run(soak_options(matches))),
         Some(("scale", matches)) => {
             let slope = matches.get_one::<Slope>("slope").copied();
-            asynchronous(scale::command::run(slope))
-        }
-        Some(("replay", matches)) => {
-            replay::command(&path_of(matches, "trace"), &path_of(matches, "expect"))
+            block_on(scale::command::run(slope))
         }
+        Some(("replay", matches)) => replay::command(
+            &path_value(matches, "trace"),
+            &path_value(matches, "expect"),
+        ),
         Some(("draw-trace", matches)) => draw_trace(matches),
         Some(("experiment", matches)) => experiment::command::compare(&experiment_options(matches)),
         Some(("simulate", matches)) => simulate::command::run(&simulate_options(matches)),
@@ -365,7 +366,7 @@
     }
 }
 
-fn asynchronous(
+fn block_on(
     work: impl Future<Output = Result<(), Report<LabError>>>,
 ) -> Result<(), Report<LabError>> {
     let runtime = tokio::runtime::Runtime::new().change_context(LabError::Runtime)?;
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -132,7 +132,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(0);
     let question = documents.question(0, &mut random);
     for place in &fleet.places.routers {
-        while !is_answered(&caller, place.listen, &question).await {
+        while !is_served(&caller, place.listen, &question).await {
             if started.elapsed() > limit {
                 return Err(Report::new(LabError::NotReady {
                     name: format!("router-{}", place.router),
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-async fn is_answered(
+async fn is_served(
     caller: &Caller,
     router: std::net::SocketAddr,
     question: &ModelQuestion,
@@ -159,7 +159,7 @@
 enum MixedRequest {
     Model(usize, Box<ModelQuestion>, AskShape),
     Lookup(usize, u64),
-    Once(usize, u64),
+    Keyed(usize, u64),
     WrongKey(Box<ModelQuestion>),
     UnknownTemplate(usize),
 }
@@ -178,7 +178,7 @@
                 Self::Model(tenant, Box::new(question), shape)
             }
             80..88 => Self::Lookup(tenant, random.random()),
-            88..96 => Self::Once(tenant, random.random()),
+            88..96 => Self::Keyed(tenant, random.random()),
             96..98 => Self::WrongKey(Box::new(documents.question(tenant, random))),
             _ => Self::UnknownTemplate(tenant),
         }
@@ -217,8 +217,8 @@
     let requests: Vec<MixedRequest> = (0..REQUESTS)
         .map(|_| MixedRequest::draw(&prepared.documents, &mut random))
         .collect();
-    let blocks = distinct_blocks(&prepared.documents, &requests);
-    let (summary, unexpected) = put_load(&prepared, requests).await;
+    let blocks = distinct_prompt_tokens(&prepared.documents, &requests);
+    let (summary, unexpected) = run_load(&prepared, requests).await;
     let work = EngineWork::read(&prepared.fleet).await.since(before);
     let executions = prepared.fleet.executions().await?;
     let repeated = executions
@@ -251,7 +251,7 @@
     Ok(())
 }
 
-async fn put_load(prepared: &PreparedFleet, requests: Vec<MixedRequest>) -> (Summary, u64) {
+async fn run_load(prepared: &PreparedFleet, requests: Vec<MixedRequest>) -> (Summary, u64) {
     let client = HttpClient::new(CONNECT_TIMEOUT);
     let callers = prepared
         .documents
@@ -260,7 +260,7 @@
         .map(|tenant| Caller::new(client.clone(), &tenant.key))
         .collect::<Vec<_>>();
     let callers = Arc::new(callers);
-    let stranger = Caller::new(client, "nobody's key");
+    let unknown_caller = Caller::new(client, "nobody's key");
     let routers = &prepared.fleet.places.routers;
     let documents = &prepared.documents;
     let total = requests.len();
@@ -268,9 +268,9 @@
         .map(|(number, request)| {
             let router = routers[number % routers.len()].listen;
             let callers = Arc::clone(&callers);
-            let stranger = stranger.clone();
+            let unknown_caller = unknown_caller.clone();
             async move {
-                let finding = send(&callers, &stranger, documents, router, &request).await;
+                let finding = send(&callers, &unknown_caller, documents, router, &request).await;
                 (request.expected_refusal(), finding)
             }
         })
@@ -293,12 +293,12 @@
 
 async fn send(
     callers: &[Caller],
-    stranger: &Caller,
+    unknown_caller: &Caller,
     documents: &LoadDocuments,
     router: std::net::SocketAddr,
     request: &MixedRequest,
 ) -> Finding {
-    let (lookup, once) = documents.service_names();
+    let (lookup, keyed) = documents.service_names();
     match request {
         MixedRequest::Model(tenant, question, shape) => {
             callers[*tenant].ask(router, question, *shape).await
@@ -307,12 +307,16 @@
             let path = format!("parcel/{number:x}");
             callers[*tenant].call(router, lookup, &path, None).await
         }
-        MixedRequest::Once(tenant, number) => {
+        MixedRequest::Keyed(tenant, number) => {
             let key = format!("{number:016x}");
             let path = format!("notice/{number:x}");
-            callers[*tenant].call(router, once, &path, Some(&key)).await
+            callers[*tenant]
+                .call(router, keyed, &path, Some(&key))
+                .await
+        }
+        MixedRequest::WrongKey(question) => {
+            unknown_caller.ask(router, question, AskShape::Whole).await
         }
-        MixedRequest::WrongKey(question) => stranger.ask(router, question, AskShape::Whole).await,
         MixedRequest::UnknownTemplate(tenant) => {
             let question = ModelQuestion {
                 template: "no-such-template",
@@ -330,14 +334,14 @@
 
 /// Blocks that the prompts have in all, each counted once, and the tokens after the last blocks.
 #[derive(Clone, Copy, Debug, Default)]
-struct DistinctPrompts {
+struct DistinctTokens {
     block_tokens: u64,
     tail_tokens: u64,
 }
 
-fn distinct_blocks(documents: &LoadDocuments, requests: &[MixedRequest]) -> DistinctPrompts {
+fn distinct_prompt_tokens(documents: &LoadDocuments, requests: &[MixedRequest]) -> DistinctTokens {
     let mut seen: HashSet<BlockHash> = HashSet::new();
-    let mut distinct = DistinctPrompts::default();
+    let mut distinct = DistinctTokens::default();
     for request in requests {
         let MixedRequest::Model(tenant, question, _) = request else {
             continue;
@@ -375,7 +379,7 @@
     }
 
     /// Prints hit rate and waste. What must be computed at least once is no waste.
-    fn print(self, distinct: DistinctPrompts) {
+    fn print(self, distinct: DistinctTokens) {
         let computed = self.prompt_tokens - self.cached_tokens;
         let needed = distinct.block_tokens + distinct.tail_tokens;
         let wasted = computed.saturating_sub(needed);
@@ -404,7 +408,7 @@
 
 fn print_directions(prepared: &PreparedFleet) {
     let places = &prepared.fleet.places;
-    let (lookup, once) = prepared.documents.service_names();
+    let (lookup, keyed) = prepared.documents.service_names();
     for place in &places.routers {
         println!(
             "router {}: http://{} (operators: http://{})",
@@ -417,7 +421,7 @@
         println!("bearer key of {}: {}", tenant.name, tenant.key);
     }
     println!("model templates: {LONG_TEMPLATE} (parameter file), counter-answer");
-    println!("service templates: {lookup}, and {once}, which needs an Idempotency-Key");
+    println!("service templates: {lookup}, and {keyed}, which needs an Idempotency-Key");
     println!(
         "settings, logs and data: {}",
         prepared.fleet.folder.display()
--- a/crates/lab/src/experiment/disturbances.rs
+++ b/crates/lab/src/experiment/disturbances.rs
@@ -20,33 +20,35 @@
 const ATTEMPTS: usize = 4;
 
 impl VirtualFleet<'_> {
-    pub(super) fn hear_event(
+    pub(super) fn apply_cache_event(
         &mut self,
         engine: u32,
-        life: u64,
+        incarnation: u64,
         sequence: u64,
         stored: &[BlockHash],
         removed: &[BlockHash],
     ) {
-        if self.engines[engine as usize].life != life || self.policy != Policy::Railtack {
+        if self.engines[engine as usize].incarnation != incarnation
+            || self.policy != Policy::Railtack
+        {
             return;
         }
         for router in 0..self.routers.len() {
-            let follows = self.routers[router].hear_event(engine, sequence, stored, removed);
+            let follows = self.routers[router].apply_cache_event(engine, sequence, stored, removed);
             if !follows {
                 let event = Event::Resync {
                     router,
                     engine,
-                    life,
+                    incarnation,
                 };
                 self.schedule.after(RESYNC_DELAY, event);
             }
         }
     }
 
-    pub(super) fn resync(&mut self, router: usize, number: u32, life: u64) {
+    pub(super) fn resync(&mut self, router: usize, number: u32, incarnation: u64) {
         let engine = &self.engines[number as usize];
-        if engine.life != life || !engine.up {
+        if engine.incarnation != incarnation || !engine.up {
             return;
         }
         let blocks: Vec<BlockHash> = engine.model.cache().hashes().copied().collect();
@@ -78,7 +80,7 @@
         for number in 0..count {
             let engine = &mut self.engines[number as usize];
             engine.up = false;
-            engine.life += 1;
+            engine.incarnation += 1;
             engine.stepping = false;
             engine.sequence = 0;
             engine.model = EngineModel::new(costs(self.conditions));
@@ -100,9 +102,9 @@
     /// Broken connections: answers are continued elsewhere, as far as the budget goes.
     pub(super) fn notice_crash(&mut self, number: u32, lost: Vec<usize>) {
         let engine = &self.engines[number as usize];
-        let (life, up) = (engine.life, engine.up);
+        let (incarnation, up) = (engine.incarnation, engine.up);
         for router in &mut self.routers {
-            router.hear_status(number, life, up);
+            router.update_engine(number, incarnation, up);
         }
         for open in lost {
             let state = &mut self.open[open];
@@ -125,9 +127,9 @@
     pub(super) fn restart(&mut self, number: u32) {
         let engine = &mut self.engines[number as usize];
         engine.up = true;
-        let life = engine.life;
+        let incarnation = engine.incarnation;
         for router in &mut self.routers {
-            router.hear_status(number, life, true);
+            router.update_engine(number, incarnation, true);
         }
     }
 
@@ -137,11 +139,11 @@
                 VirtualRouter::new(self.policy, self.conditions.engines, ROUTERS);
             for engine in 0..self.conditions.engines {
                 let state = &self.engines[engine as usize];
-                self.routers[number].hear_status(engine, state.life, state.up);
+                self.routers[number].update_engine(engine, state.incarnation, state.up);
                 let event = Event::Resync {
                     router: number,
                     engine,
-                    life: state.life,
+                    incarnation: state.incarnation,
                 };
                 if self.policy == Policy::Railtack {
                     // Listings are fetched one after another.
@@ -159,7 +161,7 @@
             engine.sequence += 1;
             let event = Event::CacheChanged {
                 engine: number,
-                life: engine.life,
+                incarnation: engine.incarnation,
                 sequence: engine.sequence,
                 stored: changes.stored,
                 removed: changes.removed,
--- a/crates/lab/src/experiment/fleet.rs
+++ b/crates/lab/src/experiment/fleet.rs
@@ -11,7 +11,7 @@
     experiment::{
         measures::{Measures, Recorder},
         policy::Policy,
-        router::{Asked, Choice, ExactEngine, VirtualRouter},
+        router::{Choice, EngineQuery, ExactEngine, VirtualRouter},
         trace::TraceRequest,
     },
     simulate::schedule::Schedule,
@@ -68,17 +68,17 @@
     Arrival(usize),
     Dispatched {
         engine: u32,
-        life: u64,
+        incarnation: u64,
         open: usize,
     },
     StepEnd {
         engine: u32,
-        life: u64,
+        incarnation: u64,
         outcome: Box<StepOutcome>,
     },
     CacheChanged {
         engine: u32,
-        life: u64,
+        incarnation: u64,
         sequence: u64,
         stored: Vec<BlockHash>,
         removed: Vec<BlockHash>,
@@ -86,7 +86,7 @@
     Resync {
         router: usize,
         engine: u32,
-        life: u64,
+        incarnation: u64,
     },
     Report {
         engine: u32,
@@ -105,13 +105,13 @@
 
 pub(super) struct VirtualEngine {
     pub(super) model: EngineModel,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) up: bool,
     pub(super) stepping: bool,
     pub(super) sequence: u64,
 }
 
-pub(super) struct Open {
+pub(super) struct OpenRequest {
     pub(super) request: usize,
     pub(super) router: usize,
     pub(super) chain: PrefixChain,
@@ -130,7 +130,7 @@
     pub(super) engines: Vec<VirtualEngine>,
     pub(super) routers: Vec<VirtualRouter>,
     pub(super) policy: Policy,
-    pub(super) open: Vec<Open>,
+    pub(super) open: Vec<OpenRequest>,
     pub(super) recorder: Recorder,
     pub(super) random: ChaCha8Rng,
 }
@@ -177,7 +177,7 @@
             schedule.after(offset, Event::Report { engine });
             VirtualEngine {
                 model: EngineModel::new(costs(conditions)),
-                life: 1,
+                incarnation: 1,
                 up: true,
                 stepping: false,
                 sequence: 0,
@@ -187,15 +187,15 @@
         if let Some(first) = requests.first() {
             schedule.at(first.arrival_us, Event::Arrival(0));
         }
-        let moment = |seconds: f64| (seconds * 1e6) as u64;
+        let micros = |seconds: f64| (seconds * 1e6) as u64;
         if let Some(at) = conditions.crash_at {
-            schedule.at(moment(at), Event::Crash);
+            schedule.at(micros(at), Event::Crash);
         }
         if let Some(at) = conditions.herd_at {
-            schedule.at(moment(at), Event::Herd);
+            schedule.at(micros(at), Event::Herd);
         }
         if let Some(at) = conditions.evict_at {
-            schedule.at(moment(at), Event::Evict);
+            schedule.at(micros(at), Event::Evict);
         }
         let routers = (0..ROUTERS)
             .map(|_| VirtualRouter::new(policy, conditions.engines, ROUTERS))
@@ -208,7 +208,7 @@
             routers,
             policy,
             open: Vec::new(),
-            recorder: Recorder::new(moment(conditions.warm_up)),
+            recorder: Recorder::new(micros(conditions.warm_up)),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -216,24 +216,28 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrival(position) => self.arrive(position),
-            Event::Dispatched { engine, life, open } => self.dispatched(engine, life, open),
+            Event::Dispatched {
+                engine,
+                incarnation,
+                open,
+            } => self.receive_at_engine(engine, incarnation, open),
             Event::StepEnd {
                 engine,
-                life,
+                incarnation,
                 outcome,
-            } => self.step_ended(engine, life, &outcome),
+            } => self.step_ended(engine, incarnation, &outcome),
             Event::CacheChanged {
                 engine,
-                life,
+                incarnation,
                 sequence,
                 stored,
                 removed,
-            } => self.hear_event(engine, life, sequence, &stored, &removed),
+            } => self.apply_cache_event(engine, incarnation, sequence, &stored, &removed),
             Event::Resync {
                 router,
                 engine,
-                life,
-            } => self.resync(router, engine, life),
+                incarnation,
+            } => self.resync(router, engine, incarnation),
             Event::Report { engine } => self.report(engine),
             Event::Crash => self.crash(),
             Event::NoticeCrash { engine, lost } => self.notice_crash(engine, lost),
@@ -253,7 +257,7 @@
         let tokens = chain.total_tokens + request.output_tokens;
         self.recorder.arrived(request, tokens);
         let router = position % self.routers.len();
-        self.open.push(Open {
+        self.open.push(OpenRequest {
             request: position,
             router,
             chain,
@@ -277,13 +281,13 @@
         let engines = &self.engines;
         let exact = |chain: &PrefixChain| exact_engines(engines, chain);
         let router = &mut self.routers[state.router];
-        let asked = Asked {
+        let query = EngineQuery {
             class: request.class,
             chain: &state.chain,
             boundaries: &state.boundaries,
             excluded: &state.excluded,
         };
-        let chosen = router.choose(asked, exact, now, seed);
+        let chosen = router.choose(query, exact, now, seed);
         let Some((choice, score)) = chosen else {
             self.recorder.refused(request);
             self.open[open].done = true;
@@ -295,25 +299,31 @@
             self.open[open].done = true;
             return;
         }
-        let urgent = request.class == Priority::Interactive;
+        let interactive = request.class == Priority::Interactive;
         router
             .engines()
             .view_mut(choice.engine)
-            .record_sent(choice.uncached_tokens, urgent);
+            .record_sent(choice.uncached_tokens, interactive);
         if self.policy == Policy::Railtack {
             router.scheduler.expect_cached(choice.engine, &state.chain);
         }
         self.recorder.dispatched(request, is_first);
         self.open[open].choice = Some(choice);
         let engine = u32::from(choice.engine.0);
-        let life = self.engines[engine as usize].life;
-        self.schedule
-            .after(NETWORK_DELAY, Event::Dispatched { engine, life, open });
+        let incarnation = self.engines[engine as usize].incarnation;
+        self.schedule.after(
+            NETWORK_DELAY,
+            Event::Dispatched {
+                engine,
+                incarnation,
+                open,
+            },
+        );
     }
 
-    fn dispatched(&mut self, number: u32, life: u64, open: usize) {
+    fn receive_at_engine(&mut self, number: u32, incarnation: u64, open: usize) {
         let engine = &mut self.engines[number as usize];
-        if !engine.up || engine.life != life {
+        if !engine.up || engine.incarnation != incarnation {
             let lost = vec![open];
             self.schedule.after(
                 NETWORK_DELAY,
@@ -345,15 +355,16 @@
         }
         engine.stepping = true;
         let outcome = engine.model.step(now);
-        let life = engine.life;
+        let incarnation = engine.incarnation;
         for (attempt, cached_tokens) in &outcome.admitted {
             let state = &self.open[*attempt as usize];
             let request = &self.requests[state.request];
-            self.recorder.began(request, &state.chain, *cached_tokens);
+            self.recorder
+                .prompt_started(request, &state.chain, *cached_tokens);
         }
         let event = Event::StepEnd {
             engine: number,
-            life,
+            incarnation,
             outcome: Box::new(outcome),
         };
         let Event::StepEnd { outcome, .. } = &event else {
@@ -362,10 +373,10 @@
         self.schedule.after(outcome.duration_us, event);
     }
 
-    fn step_ended(&mut self, number: u32, life: u64, outcome: &StepOutcome) {
+    fn step_ended(&mut self, number: u32, incarnation: u64, outcome: &StepOutcome) {
         let now = self.schedule.now();
         let engine = &mut self.engines[number as usize];
-        if engine.life != life {
+        if engine.incarnation != incarnation {
             return;
         }
         engine.stepping = false;
@@ -373,7 +384,7 @@
             engine.sequence += 1;
             let event = Event::CacheChanged {
                 engine: number,
-                life,
+                incarnation,
                 sequence: engine.sequence,
                 stored: outcome.changes.stored.clone(),
                 removed: outcome.changes.removed.clone(),
@@ -404,12 +415,12 @@
         let Some(choice) = state.choice else {
             return;
         };
-        let urgent = request.class == Priority::Interactive;
+        let interactive = request.class == Priority::Interactive;
         let router = &mut self.routers[state.router];
         router
             .engines()
             .view_mut(choice.engine)
-            .record_prefilled(choice.uncached_tokens, urgent);
+            .record_prefilled(choice.uncached_tokens, interactive);
     }
 
     fn finish(&mut self, open: usize, at_us: u64) {
--- a/crates/lab/src/experiment/measures.rs
+++ b/crates/lab/src/experiment/measures.rs
@@ -59,7 +59,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantCounts {
-    asked_tokens: u64,
+    requested_tokens: u64,
     served_tokens: u64,
 }
 
@@ -89,41 +89,46 @@
         }
     }
 
-    fn counts(&self, request: &TraceRequest) -> bool {
+    fn is_measured(&self, request: &TraceRequest) -> bool {
         request.arrival_us >= self.measured_from_us
     }
 
     /// A request arrived.
     pub fn arrived(&mut self, request: &TraceRequest, tokens: u32) {
-        if self.counts(request) {
+        if self.is_measured(request) {
             self.arrived += 1;
             let counts = self.tenants.entry(request.tenant).or_default();
-            counts.asked_tokens += u64::from(tokens);
+            counts.requested_tokens += u64::from(tokens);
         }
     }
 
     /// A request was refused.
     pub fn refused(&mut self, request: &TraceRequest) {
-        if self.counts(request) {
+        if self.is_measured(request) {
             self.refused += 1;
         }
     }
 
     /// A request was sent to an engine, for the first time or again.
     pub fn dispatched(&mut self, request: &TraceRequest, is_first: bool) {
-        if self.counts(request) {
+        if self.is_measured(request) {
             self.dispatches += 1;
             self.admitted += u64::from(is_first);
         }
     }
 
     /// An engine began with a prompt.
-    pub fn began(&mut self, request: &TraceRequest, chain: &PrefixChain, cached_tokens: u32) {
+    pub fn prompt_started(
+        &mut self,
+        request: &TraceRequest,
+        chain: &PrefixChain,
+        cached_tokens: u32,
+    ) {
         let mut new_blocks = 0;
         for block in &chain.blocks {
             new_blocks += u64::from(self.seen.insert(*block));
         }
-        if self.counts(request) {
+        if self.is_measured(request) {
             let tail = chain.total_tokens - chain.tokens_at(chain.blocks.len());
             self.prompt_tokens += u64::from(chain.total_tokens);
             self.cached_tokens += u64::from(cached_tokens);
@@ -133,7 +138,7 @@
 
     /// A caller got its first token.
     pub fn first_token(&mut self, request: &TraceRequest, now_us: u64) {
-        if !self.counts(request) {
+        if !self.is_measured(request) {
             return;
         }
         let time = (now_us - request.arrival_us).max(1);
@@ -148,7 +153,7 @@
     /// A caller got its whole answer.
     pub fn finished(&mut self, request: &TraceRequest, tokens: u32, now_us: u64) {
         let in_time = now_us <= request.arrival_us + request.deadline_ms * 1_000;
-        if self.counts(request) && in_time {
+        if self.is_measured(request) && in_time {
             self.in_time += 1;
             let counts = self.tenants.entry(request.tenant).or_default();
             counts.served_tokens += u64::from(tokens);
@@ -200,21 +205,21 @@
         let mut demands: Vec<u64> = self
             .tenants
             .values()
-            .map(|counts| counts.asked_tokens)
+            .map(|counts| counts.requested_tokens)
             .collect();
         demands.sort_unstable();
-        let mut left = served as f64;
-        let mut level = f64::INFINITY;
+        let mut remaining = served as f64;
+        let mut fair_level = f64::INFINITY;
         for (position, demand) in demands.iter().enumerate() {
-            let equal = left / (demands.len() - position) as f64;
+            let equal = remaining / (demands.len() - position) as f64;
             if *demand as f64 > equal {
-                level = equal;
+                fair_level = equal;
                 break;
             }
-            left -= *demand as f64;
+            remaining -= *demand as f64;
         }
         let worst = self.tenants.values().map(|counts| {
-            let entitled = (counts.asked_tokens as f64).min(level);
+            let entitled = (counts.requested_tokens as f64).min(fair_level);
             counts.served_tokens as f64 / entitled.max(1.0)
         });
         worst.fold(f64::INFINITY, f64::min)
--- a/crates/lab/src/experiment/replay.rs
+++ b/crates/lab/src/experiment/replay.rs
@@ -18,15 +18,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Expectation {
     /// The fleet and what goes wrong.
-    pub conditions: StatedConditions,
+    pub conditions: ReplayConditions,
     /// What must come of it.
-    pub outcomes: StatedOutcomes,
+    pub outcomes: ExpectedOutcomes,
 }
 
 /// The fleet and what goes wrong. Times are in seconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StatedConditions {
+pub struct ReplayConditions {
     /// Engines.
     pub engines: u32,
     /// Length of the trace.
@@ -53,7 +53,7 @@
 /// Bounds; one that is absent is not checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct StatedOutcomes {
+pub struct ExpectedOutcomes {
     /// Lowest prefix hit rate.
     pub hit_rate_at_least: Option<f64>,
     /// Lowest prefix hit rate as a share of the oracle's on the same trace.
@@ -70,7 +70,7 @@
 
 /// One bound and what was measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Checked {
+pub struct CheckedBound {
     /// What is bounded.
     pub name: &'static str,
     /// What was measured.
@@ -81,7 +81,7 @@
     pub is_lower: bool,
 }
 
-impl Checked {
+impl CheckedBound {
     /// Whether the bound holds.
     pub fn holds(&self) -> bool {
         if self.is_lower {
@@ -92,7 +92,7 @@
     }
 }
 
-impl fmt::Display for Checked {
+impl fmt::Display for CheckedBound {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let relation = if self.is_lower { ">=" } else { "<=" };
         let verdict = if self.holds() { "holds" } else { "BROKEN" };
@@ -104,7 +104,7 @@
     }
 }
 
-impl StatedConditions {
+impl ReplayConditions {
     fn conditions(&self) -> Conditions {
         Conditions {
             engines: self.engines,
@@ -120,8 +120,8 @@
     }
 }
 
-impl StatedOutcomes {
-    fn check(&self, measures: &Measures, oracle: &Measures) -> Vec<Checked> {
+impl ExpectedOutcomes {
+    fn check(&self, measures: &Measures, oracle: &Measures) -> Vec<CheckedBound> {
         let of_oracle = measures.hit_rate / oracle.hit_rate.max(1e-9);
         let bounds = [
             ("hit rate", measures.hit_rate, self.hit_rate_at_least, true),
@@ -146,22 +146,22 @@
                 false,
             ),
         ];
-        let stated = bounds
+        let checked = bounds
             .into_iter()
             .filter_map(|(name, measured, bound, is_lower)| {
-                bound.map(|bound| Checked {
+                bound.map(|bound| CheckedBound {
                     name,
                     measured,
                     bound,
                     is_lower,
                 })
             });
-        stated.collect()
+        checked.collect()
     }
 }
 
 /// Replays a trace and checks every stated outcome.
-pub fn replay(trace: &Path, expectation: &Path) -> Result<Vec<Checked>, Report<LabError>> {
+pub fn replay(trace: &Path, expectation: &Path) -> Result<Vec<CheckedBound>, Report<LabError>> {
     let failed = || LabError::File {
         path: expectation.to_owned(),
     };
--- a/crates/lab/src/experiment/report.rs
+++ b/crates/lab/src/experiment/report.rs
@@ -19,55 +19,55 @@
 /// A figure that is shown.
 struct Column {
     name: &'static str,
-    of: fn(&RunFigures) -> f64,
+    value_of: fn(&RunFigures) -> f64,
 }
 
 const COLUMNS: [Column; 10] = [
     Column {
         name: "hit rate",
-        of: |figures| figures.measures.hit_rate,
+        value_of: |figures| figures.measures.hit_rate,
     },
     Column {
         name: "waste",
-        of: |figures| figures.measures.waste,
+        value_of: |figures| figures.measures.waste,
     },
     Column {
         name: "p50 ms",
-        of: |figures| figures.measures.interactive_p50,
+        value_of: |figures| figures.measures.interactive_p50,
     },
     Column {
         name: "p95 ms",
-        of: |figures| figures.measures.interactive_p95,
+        value_of: |figures| figures.measures.interactive_p95,
     },
     Column {
         name: "p99 ms",
-        of: |figures| figures.measures.interactive_p99,
+        value_of: |figures| figures.measures.interactive_p99,
     },
     Column {
         name: "before",
-        of: |figures| figures.before_p99,
+        value_of: |figures| figures.before_p99,
     },
     Column {
         name: "after",
-        of: |figures| figures.after_p99,
+        value_of: |figures| figures.after_p99,
     },
     Column {
         name: "goodput",
-        of: |figures| figures.measures.goodput,
+        value_of: |figures| figures.measures.goodput,
     },
     Column {
         name: "refused",
-        of: |figures| figures.measures.refused,
+        value_of: |figures| figures.measures.refused,
     },
     Column {
         name: "fairness",
-        of: |figures| figures.measures.fairness,
+        value_of: |figures| figures.measures.fairness,
     },
 ];
 
 /// Median of a figure over the seeds.
-pub fn median(runs: &[RunFigures], of: impl Fn(&RunFigures) -> f64) -> f64 {
-    let mut values: Vec<f64> = runs.iter().map(of).collect();
+pub fn median(runs: &[RunFigures], value_of: impl Fn(&RunFigures) -> f64) -> f64 {
+    let mut values: Vec<f64> = runs.iter().map(value_of).collect();
     values.sort_by(f64::total_cmp);
     let middle = values.len() / 2;
     match values.len() {
@@ -97,7 +97,7 @@
         }
         print!("{:<16}", policy.name());
         for column in &COLUMNS {
-            print!("{:>10.3}", median(runs, column.of));
+            print!("{:>10.3}", median(runs, column.value_of));
         }
         println!(
             "{:>10.3}",
@@ -150,7 +150,7 @@
     results: &Results,
     path: &Path,
     caption: &str,
-    of: fn(&Measures) -> f64,
+    value_of: fn(&Measures) -> f64,
 ) -> Result<(), Report<LabError>> {
     let failed = || LabError::Plot {
         path: path.to_owned(),
@@ -160,7 +160,7 @@
         .filter(|((_, variation, _), _)| *variation == Variation::Ordinary)
         .map(|((kind, _, policy), runs)| {
             let label = format!("{kind} {}", policy.name());
-            (label, median(runs, |figures| of(&figures.measures)))
+            (label, median(runs, |figures| value_of(&figures.measures)))
         })
         .collect();
     if bars.is_empty() {
--- a/crates/lab/src/experiment/router.rs
+++ b/crates/lab/src/experiment/router.rs
@@ -26,7 +26,7 @@
     pub budget: RetryBudget,
     policy: Policy,
     next: usize,
-    heard: Vec<EventSequence>,
+    last_sequence: Vec<EventSequence>,
     limits: TenantLimits,
 }
 
@@ -43,7 +43,7 @@
 
 /// What an engine is wanted for.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct EngineQuery<'a> {
     /// Class of the work.
     pub class: Priority,
     /// The prompt.
@@ -85,7 +85,7 @@
             budget: RetryBudget::default(),
             policy,
             next: 0,
-            heard: vec![0; engines as usize],
+            last_sequence: vec![0; engines as usize],
             limits: TenantLimits {
                 tokens_per_second: 100_000_000,
                 burst_tokens: 1_000_000_000,
@@ -95,28 +95,31 @@
     }
 
     /// Hears of a crash, a restart, or that an engine is there.
-    pub fn hear_status(&mut self, engine: u32, life: u64, up: bool) {
-        let (slot, knowledge) = self.scheduler.engines.update(description(engine, life, up));
+    pub fn update_engine(&mut self, engine: u32, incarnation: u64, up: bool) {
+        let (slot, knowledge) = self
+            .scheduler
+            .engines
+            .update(description(engine, incarnation, up));
         if knowledge == railtack_routing::engines::CacheValidity::Invalidated {
             self.scheduler.index.remove_engine(slot);
-            self.heard[engine as usize] = 0;
+            self.last_sequence[engine as usize] = 0;
         }
     }
 
     /// Hears a cache event; false if events before it were lost.
-    pub fn hear_event(
+    pub fn apply_cache_event(
         &mut self,
         engine: u32,
         sequence: EventSequence,
         stored: &[BlockHash],
         removed: &[BlockHash],
     ) -> bool {
-        let heard = &mut self.heard[engine as usize];
-        if sequence <= *heard {
+        let last_sequence = &mut self.last_sequence[engine as usize];
+        if sequence <= *last_sequence {
             return true;
         }
-        let follows = sequence == *heard + 1;
-        *heard = sequence;
+        let follows = sequence == *last_sequence + 1;
+        *last_sequence = sequence;
         let slot = EngineSlot(engine as u16);
         self.scheduler.index.insert(slot, stored.iter().copied());
         self.scheduler.index.remove(slot, removed.iter().copied());
@@ -129,7 +132,7 @@
     /// Takes an engine's whole listing, as after a gap.
     pub fn resynchronise(&mut self, engine: u32, sequence: EventSequence, blocks: &[BlockHash]) {
         let slot = EngineSlot(engine as u16);
-        self.heard[engine as usize] = sequence;
+        self.last_sequence[engine as usize] = sequence;
         self.scheduler.index.remove_engine(slot);
         self.scheduler.index.insert(slot, blocks.iter().copied());
         self.scheduler.engines.view_mut(slot).cache_view_stale = false;
@@ -138,17 +141,17 @@
     /// Chooses an engine.
     pub fn choose(
         &mut self,
-        asked: Asked<'_>,
+        query: EngineQuery<'_>,
         exact: impl Fn(&PrefixChain) -> Vec<ExactEngine>,
         now_us: u64,
         seed: u64,
     ) -> Option<(Choice, CandidateScore)> {
-        let Asked {
+        let EngineQuery {
             class,
             chain,
             boundaries,
             excluded,
-        } = asked;
+        } = query;
         let key = model_key();
         let score = match self.policy {
             Policy::RoundRobin => {
@@ -160,7 +163,7 @@
                 self.unscored(engine, chain)
             }
             Policy::ConsistentHash => {
-                let engine = self.by_hash(chain, boundaries, excluded)?;
+                let engine = self.consistent_hash(chain, boundaries, excluded)?;
                 self.unscored(engine, chain)
             }
             Policy::Railtack => {
@@ -173,7 +176,7 @@
                 };
                 self.scheduler.choose(shape, now_us, seed)?.chosen
             }
-            Policy::Oracle => self.by_oracle(class, chain, excluded, exact(chain))?,
+            Policy::Oracle => self.choose_by_exact_state(class, chain, excluded, exact(chain))?,
         };
         let choice = Choice {
             engine: score.engine,
@@ -208,7 +211,7 @@
         )
     }
 
-    fn usable(&self, engine: EngineSlot, excluded: &[EngineSlot]) -> bool {
+    fn is_usable(&self, engine: EngineSlot, excluded: &[EngineSlot]) -> bool {
         self.scheduler.engines.view(engine).available && !excluded.contains(&engine)
     }
 
@@ -221,7 +224,7 @@
         let slots = self.slots();
         for _ in 0..slots.len() {
             self.next = (self.next + 1) % slots.len();
-            if self.usable(slots[self.next], excluded) {
+            if self.is_usable(slots[self.next], excluded) {
                 return Some(slots[self.next]);
             }
         }
@@ -235,11 +238,11 @@
         };
         self.slots()
             .into_iter()
-            .filter(|engine| self.usable(*engine, excluded))
+            .filter(|engine| self.is_usable(*engine, excluded))
             .min_by_key(load)
     }
 
-    fn by_hash(
+    fn consistent_hash(
         &self,
         chain: &PrefixChain,
         boundaries: &[u32],
@@ -249,11 +252,11 @@
         let prefix = chain.blocks.get(deepest - 1).copied().unwrap_or_default();
         self.slots()
             .into_iter()
-            .filter(|engine| self.usable(*engine, excluded))
+            .filter(|engine| self.is_usable(*engine, excluded))
             .max_by_key(|engine| xxh3_64_with_seed(&engine.0.to_le_bytes(), prefix.short()))
     }
 
-    fn by_oracle(
+    fn choose_by_exact_state(
         &self,
         class: Priority,
         chain: &PrefixChain,
@@ -299,10 +302,10 @@
     }
 }
 
-fn description(engine: u32, life: u64, up: bool) -> EngineDescription {
+fn description(engine: u32, incarnation: u64, up: bool) -> EngineDescription {
     EngineDescription {
         id: EngineId(engine),
-        incarnation: EngineIncarnation(life),
+        incarnation: EngineIncarnation(incarnation),
         zone: "zone".into(),
         key: model_key(),
         available: up,
--- a/crates/lab/src/experiment/workload.rs
+++ b/crates/lab/src/experiment/workload.rs
@@ -90,11 +90,11 @@
             if now >= self.seconds {
                 return requests;
             }
-            requests.push(self.draw_one(&jobs, now, &mut random));
+            requests.push(self.draw_request(&jobs, now, &mut random));
         }
     }
 
-    fn draw_one(&self, jobs: &[Job], now: f64, random: &mut ChaCha8Rng) -> TraceRequest {
+    fn draw_request(&self, jobs: &[Job], now: f64, random: &mut ChaCha8Rng) -> TraceRequest {
         let job = draw_job(jobs, random);
         let tenant = zipf(TENANTS, TENANT_SKEW, random);
         let mut segments = vec![Segment {
@@ -102,13 +102,13 @@
             tokens: job.opening_tokens,
         }];
         segments.push(Segment {
-            id: identity(&[2, u64::from(tenant)]),
+            id: segment_id(&[2, u64::from(tenant)]),
             tokens: job.tenant_tokens,
         });
         if job.document_tokens > 0 {
             let document = self.draw_document(now, random);
             segments.push(Segment {
-                id: identity(&[3, u64::from(tenant), document]),
+                id: segment_id(&[3, u64::from(tenant), document]),
                 tokens: job.document_tokens,
             });
         }
@@ -135,9 +135,9 @@
         }
         let rank = u64::from(zipf(self.documents, DOCUMENT_SKEW, random));
         let generation = u64::from(self.shift_at.is_some_and(|at| now >= at));
-        let turned = (now / 30.0) as u64;
+        let rotation = (now / 30.0) as u64;
         // Every 30 seconds the quarter of the documents that is done and replaced is another one.
-        let position = rank + u64::from(rank % 4 == turned % 4) * turned * 1_000;
+        let position = rank + u64::from(rank % 4 == rotation % 4) * rotation * 1_000;
         generation * 1_000_000_000 + position
     }
 }
@@ -224,7 +224,7 @@
     count - 1
 }
 
-fn identity(parts: &[u64]) -> u64 {
+fn segment_id(parts: &[u64]) -> u64 {
     let bytes: Vec<u8> = parts.iter().flat_map(|part| part.to_le_bytes()).collect();
     xxh3_64(&bytes)
 }
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -75,7 +75,7 @@
     log: PathBuf,
     child: Option<Child>,
     /// The lab of another build, whose programs are started from now on.
-    other_lab: Option<PathBuf>,
+    lab_override: Option<PathBuf>,
 }
 
 impl LabProcess {
@@ -90,22 +90,22 @@
             name: name.to_owned(),
             program,
             arguments: arguments.to_vec(),
-            log: Self::log_of(name, folder),
+            log: Self::log_path(name, folder),
             child: None,
-            other_lab: None,
+            lab_override: None,
         };
         process.restart()?;
         Ok(process)
     }
 
     /// Where the output of a process goes.
-    pub fn log_of(name: &str, folder: &Path) -> PathBuf {
+    pub fn log_path(name: &str, folder: &Path) -> PathBuf {
         folder.join(format!("{name}.log"))
     }
 
     /// Has the programs of another build's lab started from the next start on.
     pub fn replace_by(&mut self, lab: &Path) {
-        self.other_lab = Some(lab.to_owned());
+        self.lab_override = Some(lab.to_owned());
     }
 
     /// Starts the program again with the same arguments.
@@ -115,8 +115,8 @@
         };
         let log = open_log(&self.log)?;
         let errors = log.try_clone().change_context_lazy(spawn_error)?;
-        let command = match &self.other_lab {
-            Some(lab) => Ok(command_of(lab, self.program)),
+        let command = match &self.lab_override {
+            Some(lab) => Ok(lab_command(lab, self.program)),
             None => command(self.program),
         };
         let child = command
@@ -180,10 +180,10 @@
         Some(path) => path.clone(),
         None => std::env::current_exe()?,
     };
-    Ok(command_of(&lab, program))
+    Ok(lab_command(&lab, program))
 }
 
-fn command_of(lab: &Path, program: Program) -> Command {
+fn lab_command(lab: &Path, program: Program) -> Command {
     let mut command = Command::new(lab);
     command.arg("process").arg(program.name());
     command
--- a/crates/lab/src/fleet/running.rs
+++ b/crates/lab/src/fleet/running.rs
@@ -20,29 +20,29 @@
     fleet::{
         FleetShape, LabProcess,
         process::{self, Program},
-        settings::{ControlPlace, Places, SettingsWriter},
+        settings::{ControlPlace, Endpoints, SettingsWriter},
     },
 };
 
 /// Time for a process to come up.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause between two looks at a starting process.
-const READY_PAUSE: Duration = Duration::from_millis(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Lines of a process's log that are shown if it is not ready in time.
-const LINES_SHOWN: usize = 40;
+const LOG_TAIL_LINES: usize = 40;
 /// Time for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Tries of an operator's command while the fleet starts.
-const OPERATOR_TRIES: u32 = 40;
+const CTL_RETRIES: u32 = 40;
 /// Pause between them.
-const OPERATOR_PAUSE: Duration = Duration::from_millis(100);
+const CTL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A running fleet. Dropping it kills its processes.
 pub struct Fleet {
     /// Sizes.
     pub shape: FleetShape,
     /// Addresses.
-    pub places: Places,
+    pub places: Endpoints,
     /// Where settings, logs and data are.
     pub folder: PathBuf,
     /// Control replicas, in the order of the places.
@@ -66,13 +66,13 @@
         fs::create_dir_all(folder).change_context_lazy(|| LabError::File {
             path: folder.to_owned(),
         })?;
-        let places = Places::draw(&shape)?;
+        let places = Endpoints::allocate(&shape)?;
         let writer = SettingsWriter {
             folder,
             shape: &shape,
             places: &places,
         };
-        let platform = start_one("platform", Program::Emulator, &writer.platform()?, folder)?;
+        let platform = start_process("platform", Program::Emulator, &writer.platform()?, folder)?;
         let mut engines = Vec::new();
         for place in &places.engines {
             let file = writer.engine(place)?;
@@ -94,7 +94,7 @@
         for place in &places.services {
             let name = format!("service-{}", place.number);
             let file = writer.service(place)?;
-            services.push(start_one(&name, Program::Emulator, &file, folder)?);
+            services.push(start_process(&name, Program::Emulator, &file, folder)?);
         }
         let mut control = Vec::new();
         for place in &places.control {
@@ -103,13 +103,13 @@
                 initialize_control(&file).await?;
             }
             let name = format!("control-{}", place.replica);
-            control.push(start_one(&name, Program::Control, &file, folder)?);
+            control.push(start_process(&name, Program::Control, &file, folder)?);
         }
         let mut routers = Vec::new();
         for place in &places.routers {
             let name = format!("router-{}", place.router);
             let file = writer.router(place)?;
-            routers.push(start_one(&name, Program::Router, &file, folder)?);
+            routers.push(start_process(&name, Program::Router, &file, folder)?);
         }
         let fleet = Self {
             shape,
@@ -123,17 +123,17 @@
             phantoms: Vec::new(),
             client: HttpClient::new(CALL_TIMEOUT),
         };
-        fleet.join_up().await?;
+        fleet.assemble().await?;
         Ok(fleet)
     }
 
-    async fn join_up(&self) -> Result<(), Report<LabError>> {
+    async fn assemble(&self) -> Result<(), Report<LabError>> {
         self.wait_until_up("platform", self.places.platform, "/machines")
             .await?;
         self.publish_machines(&[]).await?;
         for place in self.places.control.iter().skip(1) {
             let address = place.listen.to_string();
-            self.operate_until_done(&["members", "add", &address])
+            self.operate_with_retries(&["members", "add", &address])
                 .await?;
         }
         for place in &self.places.engines {
@@ -164,21 +164,21 @@
             if self.is_up(address, path).await {
                 return Ok(started.elapsed());
             }
-            sleep(READY_PAUSE).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
         let not_ready = LabError::NotReady {
             name: name.to_owned(),
             limit_ms: READY_TIMEOUT.as_millis() as u64,
         };
-        Err(Report::new(not_ready).attach(self.last_lines(name)))
+        Err(Report::new(not_ready).attach(self.log_tail(name)))
     }
 
     /// The end of what a process has logged, for failures that are not seen again.
-    fn last_lines(&self, name: &str) -> String {
-        let log = LabProcess::log_of(name, &self.folder);
+    fn log_tail(&self, name: &str) -> String {
+        let log = LabProcess::log_path(name, &self.folder);
         match fs::read_to_string(&log) {
             Ok(text) => {
-                let lines: Vec<&str> = text.lines().rev().take(LINES_SHOWN).collect();
+                let lines: Vec<&str> = text.lines().rev().take(LOG_TAIL_LINES).collect();
                 let lines: Vec<&str> = lines.into_iter().rev().collect();
                 format!("last lines of {name}:\n{}", lines.join("\n"))
             }
@@ -208,11 +208,11 @@
         };
         let file = writer.control(&place)?;
         let name = format!("control-{}", place.replica);
-        let process = start_one(&name, Program::Control, &file, &self.folder)?;
+        let process = start_process(&name, Program::Control, &file, &self.folder)?;
         self.control.push(process);
         let address = place.listen.to_string();
         self.places.control.push(place);
-        self.operate_until_done(&["members", "add", &address])
+        self.operate_with_retries(&["members", "add", &address])
             .await?;
         Ok(started.elapsed())
     }
@@ -277,13 +277,13 @@
     }
 
     /// Runs an operator's command until it succeeds, while the fleet comes up.
-    async fn operate_until_done(&self, arguments: &[&str]) -> Result<(), Report<LabError>> {
+    async fn operate_with_retries(&self, arguments: &[&str]) -> Result<(), Report<LabError>> {
         let mut last = self.operate(arguments).await;
-        for _ in 0..OPERATOR_TRIES {
+        for _ in 0..CTL_RETRIES {
             if last.is_ok() {
                 break;
             }
-            sleep(OPERATOR_PAUSE).await;
+            sleep(CTL_RETRY_INTERVAL).await;
             last = self.operate(arguments).await;
         }
         last.map(|_| ())
@@ -347,7 +347,7 @@
     }
 }
 
-fn start_one(
+fn start_process(
     name: &str,
     program: Program,
     settings: &Path,
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/lab/src/fleet/settings.rs
@@ -26,7 +26,7 @@
 impl ControlPlace {
     /// Takes free ports for one more replica.
     pub fn draw(replica: u32) -> Result<Self, Report<LabError>> {
-        let mut ports = PortDraw::new();
+        let mut ports = PortAllocator::new();
         Ok(Self {
             replica,
             listen: ports.next()?,
@@ -37,7 +37,7 @@
 
 /// Addresses of one router.
 #[derive(Clone, Debug)]
-pub struct RouterPlace {
+pub struct RouterEndpoints {
     /// Number.
     pub router: u32,
     /// Where callers connect.
@@ -48,7 +48,7 @@
 
 /// Address of one engine.
 #[derive(Clone, Debug)]
-pub struct EnginePlace {
+pub struct EngineEndpoint {
     /// Number.
     pub engine: u32,
     /// Address.
@@ -57,7 +57,7 @@
 
 /// Address of one replica of a service.
 #[derive(Clone, Debug)]
-pub struct ServicePlace {
+pub struct ServiceEndpoint {
     /// Service.
     pub service: &'static str,
     /// Number over all services.
@@ -68,23 +68,23 @@
 
 /// Every address of a fleet.
 #[derive(Clone, Debug)]
-pub struct Places {
+pub struct Endpoints {
     /// The platform.
     pub platform: SocketAddr,
     /// Control replicas.
     pub control: Vec<ControlPlace>,
     /// Routers.
-    pub routers: Vec<RouterPlace>,
+    pub routers: Vec<RouterEndpoints>,
     /// Engines.
-    pub engines: Vec<EnginePlace>,
+    pub engines: Vec<EngineEndpoint>,
     /// Services.
-    pub services: Vec<ServicePlace>,
+    pub services: Vec<ServiceEndpoint>,
 }
 
-impl Places {
+impl Endpoints {
     /// Takes free ports. All are held open until the last is drawn, so that none is drawn twice.
-    pub fn draw(shape: &FleetShape) -> Result<Self, Report<LabError>> {
-        let mut ports = PortDraw::new();
+    pub fn allocate(shape: &FleetShape) -> Result<Self, Report<LabError>> {
+        let mut ports = PortAllocator::new();
         let platform = ports.next()?;
         let mut control = Vec::new();
         for replica in 1..=shape.control {
@@ -96,7 +96,7 @@
         }
         let mut routers = Vec::new();
         for router in 1..=shape.routers {
-            routers.push(RouterPlace {
+            routers.push(RouterEndpoints {
                 router,
                 listen: ports.next()?,
                 admin: ports.next()?,
@@ -104,7 +104,7 @@
         }
         let mut engines = Vec::new();
         for engine in 1..=shape.engines {
-            engines.push(EnginePlace {
+            engines.push(EngineEndpoint {
                 engine,
                 listen: ports.next()?,
             });
@@ -112,7 +112,7 @@
         let mut services = Vec::new();
         for service in &shape.services {
             for _ in 0..shape.service_replicas {
-                services.push(ServicePlace {
+                services.push(ServiceEndpoint {
                     service,
                     number: services.len() as u32,
                     listen: ports.next()?,
@@ -136,19 +136,19 @@
 }
 
 /// Fleets of this process, so that each has a loopback address of its own.
-static FLEETS: AtomicU32 = AtomicU32::new(0);
+static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
 
 /// Draws ports that stay free until the processes listen there. On an address that others use as well, a port
 /// that was drawn could be taken in between, by another fleet or as the near end of any connection; on one
 /// that only this fleet listens at, nobody takes it, as connections leave from the common address.
-struct PortDraw {
+struct PortAllocator {
     address: Ipv4Addr,
     held: Vec<TcpListener>,
 }
 
-impl PortDraw {
+impl PortAllocator {
     fn new() -> Self {
-        let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
+        let fleet = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
         // Each byte between 1 and 250.
         let byte = |number: u32| (number % 250) as u8 + 1;
         let address = Ipv4Addr::new(
@@ -178,7 +178,7 @@
     /// The fleet.
     pub shape: &'a FleetShape,
     /// Its addresses.
-    pub places: &'a Places,
+    pub places: &'a Endpoints,
 }
 
 impl SettingsWriter<'_> {
@@ -199,7 +199,7 @@
     }
 
     /// Settings of a router.
-    pub fn router(&self, place: &RouterPlace) -> Result<PathBuf, Report<LabError>> {
+    pub fn router(&self, place: &RouterEndpoints) -> Result<PathBuf, Report<LabError>> {
         let mut text = format!(
             "router_id = {}\nzone = \"{}\"\nlisten = \"{}\"\nadmin_listen = \"{}\"\n\
              platform = \"{}\"\n",
@@ -221,7 +221,7 @@
     }
 
     /// Settings of an engine.
-    pub fn engine(&self, place: &EnginePlace) -> Result<PathBuf, Report<LabError>> {
+    pub fn engine(&self, place: &EngineEndpoint) -> Result<PathBuf, Report<LabError>> {
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"engine\"\nengine_id = {}\nzone = \"{}\"\n\
              model = \"{}\"\nweights_version = 1\n[role.costs]\ncache_blocks = {}\n",
@@ -235,7 +235,7 @@
     }
 
     /// Settings of a service.
-    pub fn service(&self, place: &ServicePlace) -> Result<PathBuf, Report<LabError>> {
+    pub fn service(&self, place: &ServiceEndpoint) -> Result<PathBuf, Report<LabError>> {
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"service\"\nservice = \"{}\"\nanswer_ms = 5\n",
             place.listen, place.service,
--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -16,9 +16,9 @@
 use crate::load::documents::ModelQuestion;
 
 /// Largest answer read as a whole, bytes.
-const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 /// Time after which a caller gives up; nothing may take this long.
-const PATIENCE: Duration = Duration::from_secs(60);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How a request ended, as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -102,7 +102,7 @@
         }
         let expected = whole_answer(&question.prompt, question.max_tokens);
         let started = Instant::now();
-        let exchange = async {
+        let call = async {
             let response = match self.post(router, "/v1/completions", &body, None).await {
                 Ok(response) => response,
                 Err(finding) => return finding,
@@ -112,10 +112,10 @@
             }
             match shape {
                 AskShape::Stream => read_stream(response, &expected, started).await,
-                AskShape::Whole => read_whole(response, &expected, started).await,
+                AskShape::Whole => read_unary(response, &expected, started).await,
             }
         };
-        timeout(PATIENCE, exchange).await.unwrap_or(Finding::Lost)
+        timeout(CALLER_TIMEOUT, call).await.unwrap_or(Finding::Lost)
     }
 
     /// Calls an ordinary service.
@@ -128,7 +128,7 @@
     ) -> Finding {
         let started = Instant::now();
         let route = format!("/services/{service}/{path}");
-        let exchange = async {
+        let call = async {
             let response = match self.post(router, &route, &json!({}), key).await {
                 Ok(response) => response,
                 Err(finding) => return finding,
@@ -140,8 +140,9 @@
             let Some(answer) = read_json(response).await else {
                 return Finding::Broken;
             };
-            let is_own = answer["path"] == format!("/{path}") && answer["key"].as_str() == key;
-            if is_own {
+            let matches_request =
+                answer["path"] == format!("/{path}") && answer["key"].as_str() == key;
+            if matches_request {
                 Finding::Whole { first_token_us }
             } else {
                 Finding::Wrong {
@@ -149,7 +150,7 @@
                 }
             }
         };
-        timeout(PATIENCE, exchange).await.unwrap_or(Finding::Lost)
+        timeout(CALLER_TIMEOUT, call).await.unwrap_or(Finding::Lost)
     }
 
     async fn post(
@@ -198,11 +199,11 @@
 }
 
 async fn read_json(response: Response<Incoming>) -> Option<Value> {
-    let content = read_body(response.into_body(), ANSWER_LIMIT, PATIENCE).await;
+    let content = read_body(response.into_body(), MAX_RESPONSE_BYTES, CALLER_TIMEOUT).await;
     serde_json::from_slice(&content.ok()?).ok()
 }
 
-async fn read_whole(response: Response<Incoming>, expected: &str, started: Instant) -> Finding {
+async fn read_unary(response: Response<Incoming>, expected: &str, started: Instant) -> Finding {
     let first_token_us = started.elapsed().as_micros() as u64;
     let Some(answer) = read_json(response).await else {
         return Finding::Broken;
@@ -229,11 +230,11 @@
             return refused(refusal);
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
-        let piece = event["choices"][0]["text"].as_str().unwrap_or_default();
-        if !piece.is_empty() && first_token_us.is_none() {
+        let delta = event["choices"][0]["text"].as_str().unwrap_or_default();
+        if !delta.is_empty() && first_token_us.is_none() {
             first_token_us = Some(started.elapsed().as_micros() as u64);
         }
-        text.push_str(piece);
+        text.push_str(delta);
     }
     // No end came, so the caller knows that the answer was cut.
     Finding::Broken
--- a/crates/lab/src/load/keyed.rs
+++ b/crates/lab/src/load/keyed.rs
@@ -8,7 +8,7 @@
 
 /// What callers were told of a key.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct OutcomeCounts {
     whole: u64,
     not_run: u64,
     unknown: u64,
@@ -17,7 +17,7 @@
 /// What callers were told of each key.
 #[derive(Clone, Debug, Default)]
 pub struct KeyedRecord {
-    told: BTreeMap<u64, Told>,
+    outcomes: BTreeMap<u64, OutcomeCounts>,
 }
 
 /// Keys whose callers were told something untrue, or that ran more often than once.
@@ -39,24 +39,24 @@
 impl KeyedRecord {
     /// Notes what one caller was told.
     pub fn note(&mut self, key: u64, finding: &Finding) {
-        let told = self.told.entry(key).or_default();
+        let outcomes = self.outcomes.entry(key).or_default();
         match finding {
-            Finding::Whole { .. } => told.whole += 1,
+            Finding::Whole { .. } => outcomes.whole += 1,
             Finding::Refused {
                 execution: Execution::NotRun,
                 ..
-            } => told.not_run += 1,
-            _ => told.unknown += 1,
+            } => outcomes.not_run += 1,
+            _ => outcomes.unknown += 1,
         }
     }
 
     /// Answers, refusals that promise that nothing ran, and everything else, over all keys.
     pub fn totals(&self) -> (u64, u64, u64) {
-        self.told.values().fold((0, 0, 0), |sum, told| {
+        self.outcomes.values().fold((0, 0, 0), |sum, outcomes| {
             (
-                sum.0 + told.whole,
-                sum.1 + told.not_run,
-                sum.2 + told.unknown,
+                sum.0 + outcomes.whole,
+                sum.1 + outcomes.not_run,
+                sum.2 + outcomes.unknown,
             )
         })
     }
@@ -64,11 +64,11 @@
     /// Compares what was told with the executions of each key, by its name.
     pub fn judge(&self, executions: &BTreeMap<String, u64>) -> KeyedJudgement {
         let mut judgement = KeyedJudgement::default();
-        for (key, told) in &self.told {
+        for (key, outcomes) in &self.outcomes {
             let ran = executions.get(&key_name(*key)).copied().unwrap_or(0);
             judgement.ran_twice += usize::from(ran > 1);
-            judgement.untrue_not_run += usize::from(told.not_run > 0 && ran > 0);
-            judgement.unfounded += usize::from(told.whole > 0 && ran != 1);
+            judgement.untrue_not_run += usize::from(outcomes.not_run > 0 && ran > 0);
+            judgement.unfounded += usize::from(outcomes.whole > 0 && ran != 1);
         }
         judgement
     }
--- a/crates/lab/src/scale/cluster.rs
+++ b/crates/lab/src/scale/cluster.rs
@@ -28,7 +28,7 @@
     demo::{self, FleetOptions, PreparedFleet},
     fleet::{FleetKind, FleetShape},
     load::{Caller, Finding, caller::AskShape},
-    scale::{processor_seconds, resident_bytes, times},
+    scale::{processor_seconds, resident_bytes, time_histogram},
 };
 
 /// Numbers of hollow routers; the target has 400.
@@ -36,13 +36,13 @@
 /// Proposals open at once.
 const PROPOSERS: [u64; 4] = [1, 16, 64, 256];
 /// Length of one measurement.
-const SPAN: Duration = Duration::from_secs(4);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(4);
 /// Time between a hollow router's polls, as by default.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Questions asked for the router's processor time.
-const QUESTIONS: usize = 100;
+const REQUESTS: usize = 100;
 /// Most tokens of their answers.
-const ANSWER_TOKENS: u32 = 16;
+const MAX_OUTPUT_TOKENS: u32 = 16;
 /// Open streams at which the router's memory is read.
 const STREAMS: [usize; 3] = [250, 500, 1_000];
 
@@ -75,7 +75,7 @@
     );
     let prepared = fleet(1, 1).await?;
     for count in ROUTERS {
-        let polled = Arc::new(AtomicU64::new(0));
+        let poll_count = Arc::new(AtomicU64::new(0));
         let bytes = Arc::new(AtomicU64::new(0));
         let mut tasks = Vec::new();
         for router in 0..count {
@@ -86,34 +86,34 @@
                 .iter()
                 .map(|place| ControlConnection::new(place.listen, Duration::from_secs(1)))
                 .collect();
-            let (polled, bytes) = (Arc::clone(&polled), Arc::clone(&bytes));
+            let (poll_count, bytes) = (Arc::clone(&poll_count), Arc::clone(&bytes));
             tasks.push(tokio::spawn(async move {
                 sleep(POLL_INTERVAL * router / count).await;
-                hollow_router(RouterId(10_000 + router), connections, &polled, &bytes).await;
+                poll_as_router(RouterId(10_000 + router), connections, &poll_count, &bytes).await;
             }));
         }
         sleep(Duration::from_secs(1)).await;
         let (before, polled_before) = (
             control_processor_seconds(&prepared),
-            polled.load(Ordering::Relaxed),
+            poll_count.load(Ordering::Relaxed),
         );
         let bytes_before = bytes.load(Ordering::Relaxed);
-        sleep(SPAN).await;
+        sleep(MEASUREMENT_TIME).await;
         let used = control_processor_seconds(&prepared) - before;
-        let polls = polled.load(Ordering::Relaxed) - polled_before;
-        let moved = bytes.load(Ordering::Relaxed) - bytes_before;
+        let polls = poll_count.load(Ordering::Relaxed) - polled_before;
+        let received = bytes.load(Ordering::Relaxed) - bytes_before;
         for task in tasks {
             task.abort();
         }
-        let seconds = SPAN.as_secs_f64();
+        let seconds = MEASUREMENT_TIME.as_secs_f64();
         println!(
             "{count:>7}  {:>8.0}  {:>25.3}  {:>8.1}  {:>10}  {:>8.0}  {:>11.0}",
             polls as f64 / seconds,
             used / seconds,
             used / polls.max(1) as f64 * 1e6,
             request_bytes(),
-            moved as f64 / polls.max(1) as f64,
-            (moved as f64 + polls as f64 * request_bytes() as f64) / seconds / f64::from(count),
+            received as f64 / polls.max(1) as f64,
+            (received as f64 + polls as f64 * request_bytes() as f64) / seconds / f64::from(count),
         );
     }
     Ok(())
@@ -133,10 +133,10 @@
     reply.write_to_vec().map_or(0, |bytes| bytes.len() as u64)
 }
 
-async fn hollow_router(
+async fn poll_as_router(
     router: RouterId,
     connections: Vec<ControlConnection>,
-    polled: &AtomicU64,
+    poll_count: &AtomicU64,
     bytes: &AtomicU64,
 ) {
     let mut applied = 0;
@@ -156,7 +156,7 @@
                 .await;
             if let Ok(reply) = reply {
                 applied = applied.max(reply.last_configuration_index);
-                polled.fetch_add(1, Ordering::Relaxed);
+                poll_count.fetch_add(1, Ordering::Relaxed);
                 bytes.fetch_add(reply_bytes(&reply), Ordering::Relaxed);
             }
         }
@@ -184,12 +184,12 @@
         let started = Instant::now();
         let proposers = (0..open).map(|number| {
             let link = Arc::clone(&link);
-            tokio::spawn(async move { propose_until(&link, open * 1_000 + number, started).await })
+            tokio::spawn(async move { run_proposer(&link, open * 1_000 + number, started).await })
         });
-        let mut times = times();
+        let mut times = time_histogram();
         for proposer in proposers.collect::<Vec<_>>() {
-            if let Ok(taken) = proposer.await {
-                for time in taken {
+            if let Ok(latencies) = proposer.await {
+                for time in latencies {
                     times.saturating_record(time);
                 }
             }
@@ -208,10 +208,10 @@
 }
 
 /// Times of one proposer's claims, microseconds.
-async fn propose_until(link: &ControlLink, proposer: u64, started: Instant) -> Vec<u64> {
+async fn run_proposer(link: &ControlLink, proposer: u64, started: Instant) -> Vec<u64> {
     let mut times = Vec::new();
     let mut number = 0_u64;
-    while started.elapsed() < SPAN {
+    while started.elapsed() < MEASUREMENT_TIME {
         number += 1;
         let command = Command::Claim(ClaimRequest {
             tenant: TenantName::from("tenant"),
@@ -219,10 +219,10 @@
             fingerprint: 1,
             attempt: AttemptId(u128::from(number)),
         });
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let proposed = link.propose(command, Duration::from_secs(5)).await;
         if matches!(proposed, ProposalOutcome::Done(_)) {
-            times.push(asked.elapsed().as_micros() as u64);
+            times.push(sent_at.elapsed().as_micros() as u64);
         }
     }
     times
@@ -236,11 +236,11 @@
     let client = HttpClient::new(Duration::from_secs(1));
     let caller = Caller::new(client.clone(), &prepared.documents.tenants[0].key);
     let mut random = ChaCha8Rng::seed_from_u64(5);
-    let mut questions: Vec<_> = (0..QUESTIONS)
+    let mut questions: Vec<_> = (0..REQUESTS)
         .map(|_| prepared.documents.question(0, &mut random))
         .collect();
     for question in &mut questions {
-        question.max_tokens = question.max_tokens.min(ANSWER_TOKENS);
+        question.max_tokens = question.max_tokens.min(MAX_OUTPUT_TOKENS);
     }
     // Caches are filled first, so that both sides find the same.
     for question in &questions {
@@ -266,7 +266,7 @@
         added.len()
     );
     println!(
-        "router processor time: {:.0} us a request ({} requests of up to {ANSWER_TOKENS} tokens)",
+        "router processor time: {:.0} us a request ({} requests of up to {MAX_OUTPUT_TOKENS} tokens)",
         used / routed.len().max(1) as f64 * 1e6,
         routed.len(),
     );
@@ -290,7 +290,7 @@
 /// The time that the router adds to a request that no engine works on: a keyless lookup at a
 /// service that answers after a fixed time, through the router less directly.
 async fn added_times(prepared: &PreparedFleet) -> Histogram<u64> {
-    let mut added = times();
+    let mut added = time_histogram();
     let client = HttpClient::new(Duration::from_secs(1));
     let caller = Caller::new(client.clone(), &prepared.documents.tenants[0].key);
     let (lookup, _) = prepared.documents.service_names();
--- a/crates/lab/src/scale/decisions.rs
+++ b/crates/lab/src/scale/decisions.rs
@@ -15,7 +15,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::scale::{resident_bytes, times};
+use crate::scale::{resident_bytes, time_histogram};
 
 /// Fleet sizes; the target has 730 replicas.
 const ENGINES: [u32; 6] = [10, 30, 100, 300, 730, 1_000];
@@ -72,8 +72,8 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let prompts = prompts(&mut random);
     for engines in ENGINES {
-        let scheduler = filled(engines, &prompts, &mut random);
-        let times = measure(&scheduler, &prompts);
+        let scheduler = populated_scheduler(engines, &prompts, &mut random);
+        let times = measure_decisions(&scheduler, &prompts);
         let micros = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1e3;
         println!(
             "{engines:>7}  {:>7.2}  {:>7.2}  {:>7.2}",
@@ -91,7 +91,7 @@
     }
 }
 
-fn filled(engines: u32, prompts: &[Prompt], random: &mut ChaCha8Rng) -> Scheduler {
+fn populated_scheduler(engines: u32, prompts: &[Prompt], random: &mut ChaCha8Rng) -> Scheduler {
     let mut scheduler = Scheduler::new(SchedulerOptions::default());
     for engine in 0..engines {
         scheduler.engines.update(EngineDescription {
@@ -119,8 +119,8 @@
     scheduler
 }
 
-fn measure(scheduler: &Scheduler, prompts: &[Prompt]) -> Histogram<u64> {
-    let mut times = times();
+fn measure_decisions(scheduler: &Scheduler, prompts: &[Prompt]) -> Histogram<u64> {
+    let mut times = time_histogram();
     let key = key();
     for number in 0..DECISIONS {
         let prompt = &prompts[number % prompts.len()];
@@ -144,7 +144,7 @@
 pub fn index() {
     println!("blocks     MB      bytes/block   ns/stored   ns/removed   hash us/1000 tokens");
     // Kept until the end, so that no size is measured in memory freed by the one before.
-    let mut kept = Vec::new();
+    let mut retained = Vec::new();
     for size in INDEX_SIZES {
         let mut random = ChaCha8Rng::seed_from_u64(2);
         let blocks: Vec<BlockHash> = (0..size).map(|_| BlockHash(random.random())).collect();
@@ -161,7 +161,7 @@
             index.remove(EngineSlot((position % 730) as u16), [*block]);
         }
         let removed = started.elapsed();
-        kept.push(index);
+        retained.push(index);
         let each = |time: std::time::Duration| time.as_nanos() as f64 / size as f64;
         println!(
             "{size:>7}  {:>6.1}  {:>11.1}  {:>10.0}  {:>10.0}  {:>12.1}",
@@ -172,7 +172,7 @@
             hash_time_us(),
         );
     }
-    std::hint::black_box(&kept);
+    std::hint::black_box(&retained);
 }
 
 /// Time for hashing a prompt of 1,000 tokens, microseconds.
--- a/crates/lab/src/scale/homes.rs
+++ b/crates/lab/src/scale/homes.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::scale::times;
+use crate::scale::time_histogram;
 
 /// Fleet sizes; the largest fleet that is planned for has half of the last one.
 const REPLICAS: [usize; 4] = [256, 1_000, 10_000, 20_000];
@@ -43,7 +43,7 @@
     }
 }
 
-fn choice_among(homes: &Homes<'_>, seed: u64) -> Option<(usize, f64)> {
+fn choose_home(homes: &Homes<'_>, seed: u64) -> Option<(usize, f64)> {
     let size = RequestSize {
         prompt_tokens: 9_190,
         shared_tokens: 6_300,
@@ -56,9 +56,9 @@
     choose(&candidates, size, seed)
 }
 
-fn measured(mut choice: impl FnMut(u64, u64) -> Option<(usize, f64)>) -> Histogram<u64> {
+fn measure_choices(mut choice: impl FnMut(u64, u64) -> Option<(usize, f64)>) -> Histogram<u64> {
     let mut random = ChaCha8Rng::seed_from_u64(3);
-    let mut times = times();
+    let mut times = time_histogram();
     for _ in 0..CHOICES {
         let (first_part, home) = (random.random(), random.random());
         let started = Instant::now();
@@ -75,23 +75,23 @@
         let records: Vec<_> = (0..replicas).map(record).collect();
         let started = Instant::now();
         let ring = Ring::new(records.iter().cloned());
-        let made = started.elapsed();
-        let in_group = measured(|first_part, home| {
+        let build_time = started.elapsed();
+        let in_group = measure_choices(|first_part, home| {
             let candidates = ring.iter_from(first_part);
-            choice_among(
+            choose_home(
                 &group_homes(home, candidates, MIN_GROUP_SIZE, |_| true),
                 home,
             )
         });
-        let among_all = measured(|_, home| {
+        let among_all = measure_choices(|_, home| {
             let all = take_usable(ring.iter_from(0), ring.len(), |_| true);
-            choice_among(&Homes::of_all(Some(home), all), home)
+            choose_home(&Homes::of_all(Some(home), all), home)
         });
         let micros =
             |times: &Histogram<u64>, quantile| times.value_at_quantile(quantile) as f64 / 1e3;
         println!(
             "{replicas:>8}  {:>8.0}  {:>13.1}  {:>7.1}  {:>11.1}  {:>7.1}",
-            made.as_secs_f64() * 1e6,
+            build_time.as_secs_f64() * 1e6,
             micros(&in_group, 0.5),
             micros(&in_group, 0.99),
             micros(&among_all, 0.5),
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -76,7 +76,7 @@
 }
 
 /// A histogram of times up to an hour, in any unit from nanoseconds on.
-pub fn times() -> Histogram<u64> {
+pub fn time_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 3_600_000_000_000, 3)
         .unwrap_or_else(|_| unreachable!("constant bounds are valid"))
 }
--- a/crates/lab/src/scale/state.rs
+++ b/crates/lab/src/scale/state.rs
@@ -23,7 +23,7 @@
 /// Text of one template or tenant value, bytes.
 const TEXT_BYTES: usize = 4_000;
 
-fn put(state: &mut ControlState, index: u64, document: Document) {
+fn apply_document(state: &mut ControlState, index: u64, document: Document) {
     let proposal = Proposal {
         at: 1,
         command: Command::Configure {
@@ -37,7 +37,7 @@
     state.apply(index, proposal, RevisionCheck::Enforced);
 }
 
-fn configured(tenants: u32) -> ControlState {
+fn configured_state(tenants: u32) -> ControlState {
     let mut state = ControlState::new(86_400_000);
     let mut index = 0;
     for number in 0..TEMPLATES {
@@ -55,7 +55,7 @@
             max_prompt_tokens: 100_000,
             max_output_tokens: 1_000,
         };
-        put(&mut state, index, Document::Template(template));
+        apply_document(&mut state, index, Document::Template(template));
     }
     for number in 0..tenants {
         index += 1;
@@ -72,7 +72,7 @@
                 .map(|kind| service((number + kind) % TEMPLATES))
                 .collect(),
         };
-        put(&mut state, index, Document::Tenant(tenant));
+        apply_document(&mut state, index, Document::Tenant(tenant));
     }
     state
 }
@@ -81,18 +81,18 @@
 pub fn configuration() {
     println!("tenants   snapshot KB   delta B   router MB   whole update us   one change us");
     for tenants in TENANTS {
-        let mut state = configured(tenants);
+        let mut state = configured_state(tenants);
         let Some(update) = state.update_after(0) else {
             continue;
         };
-        let snapshot_bytes = size(&ConfigurationUpdate::Snapshot {
+        let snapshot_bytes = encoded_bytes(&ConfigurationUpdate::Snapshot {
             through: u64::from(TEMPLATES + tenants),
             configuration: state.configuration().clone(),
         });
         let before = resident_bytes("self");
         let started = Instant::now();
         let resolved = ResolvedConfiguration::default().with_update(update);
-        let whole = started.elapsed();
+        let full_update = started.elapsed();
         let memory = resident_bytes("self").saturating_sub(before);
         let applied = u64::from(TEMPLATES + tenants);
         let change = Proposal {
@@ -109,22 +109,22 @@
         let Some((delta, resolved)) = state.update_after(applied).zip(resolved) else {
             continue;
         };
-        let delta_bytes = size(&delta);
+        let delta_bytes = encoded_bytes(&delta);
         let started = Instant::now();
         let next = resolved.with_update(delta);
-        let one = started.elapsed();
+        let single_change = started.elapsed();
         std::hint::black_box(next);
         println!(
             "{tenants:>7}  {:>12.1}  {delta_bytes:>8}  {:>9.2}  {:>16.0}  {:>13.0}",
             snapshot_bytes as f64 / 1e3,
             memory as f64 / 1e6,
-            whole.as_secs_f64() * 1e6,
-            one.as_secs_f64() * 1e6,
+            full_update.as_secs_f64() * 1e6,
+            single_change.as_secs_f64() * 1e6,
         );
     }
 }
 
-fn size<T: Writable<speedy::LittleEndian>>(value: &T) -> usize {
+fn encoded_bytes<T: Writable<speedy::LittleEndian>>(value: &T) -> usize {
     value.write_to_vec().map_or(0, |bytes| bytes.len())
 }
 
@@ -132,7 +132,7 @@
 pub fn claims() {
     println!("claims     MB    bytes/claim   snapshot bytes/claim   apply ns/command   encode ms");
     // Kept until the end, so that no size is measured in memory freed by the one before.
-    let mut kept = Vec::new();
+    let mut retained = Vec::new();
     for count in CLAIMS {
         let before = resident_bytes("self");
         let mut state = ControlState::new(86_400_000);
@@ -143,7 +143,7 @@
         let applied = started.elapsed();
         let bytes = resident_bytes("self").saturating_sub(before);
         let started = Instant::now();
-        let snapshot = size(&state);
+        let snapshot = encoded_bytes(&state);
         let encoded = started.elapsed();
         println!(
             "{count:>7}  {:>6.1}  {:>10.0}  {:>20.0}  {:>17.0}  {:>10.1}",
@@ -153,9 +153,9 @@
             applied.as_nanos() as f64 / (count * 2) as f64,
             encoded.as_secs_f64() * 1e3,
         );
-        kept.push(state);
+        retained.push(state);
     }
-    std::hint::black_box(&kept);
+    std::hint::black_box(&retained);
 }
 
 fn apply_claim(state: &mut ControlState, number: u64) {
--- a/crates/lab/tests/limits.rs
+++ b/crates/lab/tests/advertised_limits.rs
@@ -10,16 +10,16 @@
 use railtack_emulator::{LIMIT_TEXT, limit::BINDS_AFTER};
 use railtack_lab::demo::PreparedFleet;
 use serde_json::{Value, json};
-use support::{key, post, routers};
+use support::{post, router_addresses, tenant_key};
 use tokio::time::{Instant, sleep};
 
 /// Time between two requests of one caller.
-const PACE: Duration = Duration::from_millis(100);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 /// Time in which some windows lie that a limit binds.
-const RUN: Duration = Duration::from_secs(9);
+const RUN_TIME: Duration = Duration::from_secs(9);
 
-async fn fleet(folder: &Path, seed: u64) -> PreparedFleet {
-    support::fleet(folder, seed, |shape| {
+async fn start_fleet(folder: &Path, seed: u64) -> PreparedFleet {
+    support::start_fleet(folder, seed, |shape| {
         shape.engines = 2;
         shape.routers = 3;
         shape.services = vec!["register-lookup"];
@@ -28,29 +28,31 @@
     .await
 }
 
-async fn status(key: &str, router: SocketAddr, path: &str, body: &Value) -> u16 {
-    let response = post(key, router, path, body).await.expect("an answer");
+async fn status(tenant_key: &str, router: SocketAddr, path: &str, body: &Value) -> u16 {
+    let response = post(tenant_key, router, path, body)
+        .await
+        .expect("an answer");
     response.status().as_u16()
 }
 
 /// Callers of all routers send requests for a while; how many were not served.
-async fn ask_for(
+async fn send_for(
     prepared: &PreparedFleet,
-    time: Duration,
+    duration: Duration,
     path: &'static str,
-    make: fn(u64) -> Value,
+    make_request: fn(u64) -> Value,
 ) -> usize {
-    let callers = routers(prepared).into_iter().map(|router| {
-        let key = key(prepared).to_owned();
+    let callers = router_addresses(prepared).into_iter().map(|router| {
+        let tenant_key = tenant_key(prepared).to_owned();
         tokio::spawn(async move {
             let mut refused = 0;
-            let began = Instant::now();
+            let started = Instant::now();
             let mut number = u64::from(router.port()) << 32;
-            while began.elapsed() < time {
+            while started.elapsed() < duration {
                 number += 1;
-                let status = status(&key, router, path, &make(number)).await;
+                let status = status(&tenant_key, router, path, &make_request(number)).await;
                 refused += usize::from(status != 200);
-                sleep(PACE).await;
+                sleep(REQUEST_INTERVAL).await;
             }
             refused
         })
@@ -63,43 +65,50 @@
 }
 
 /// Has one back end name a limit, and callers send more than it allows for a while.
-async fn exceed(
+async fn exceed_limit(
     prepared: &PreparedFleet,
     path: &'static str,
-    naming: Value,
-    make: fn(u64) -> Value,
+    advertising_request: Value,
+    make_request: fn(u64) -> Value,
 ) {
-    let key = key(prepared);
-    let router = routers(prepared)[0];
-    assert_eq!(status(key, router, path, &make(0)).await, 200);
-    assert_eq!(status(key, router, path, &naming).await, 200);
-    let refused = ask_for(prepared, RUN + BINDS_AFTER, path, make).await;
+    let tenant_key = tenant_key(prepared);
+    let router = router_addresses(prepared)[0];
+    assert_eq!(
+        status(tenant_key, router, path, &make_request(0)).await,
+        200
+    );
+    assert_eq!(
+        status(tenant_key, router, path, &advertising_request).await,
+        200
+    );
+    let refused = send_for(prepared, RUN_TIME + BINDS_AFTER, path, make_request).await;
     assert_eq!(refused, 0, "the other one serves");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn all_routers_together_keep_to_the_limit_of_an_engine() {
+async fn all_routers_respect_the_limit_of_an_engine() {
     let folder = tempfile::tempdir().expect("a folder");
-    let prepared = fleet(folder.path(), 41).await;
-    let naming = json!({ "template": "counter-answer", "prompt": LIMIT_TEXT, "max_tokens": 4 });
-    exceed(&prepared, "/v1/completions", naming, |number| {
+    let prepared = start_fleet(folder.path(), 41).await;
+    let advertising_request =
+        json!({ "template": "counter-answer", "prompt": LIMIT_TEXT, "max_tokens": 4 });
+    exceed_limit(&prepared, "/v1/completions", advertising_request, |number| {
         json!({ "template": "counter-answer", "prompt": format!("harmless {number}"), "max_tokens": 4 })
     })
     .await;
     let statuses = prepared.fleet.engine_statuses().await;
-    let over: u64 = statuses.iter().map(|engine| engine.totals.over_limit).sum();
-    assert_eq!(over, 0);
+    let over_limit: u64 = statuses.iter().map(|engine| engine.totals.over_limit).sum();
+    assert_eq!(over_limit, 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn all_routers_together_keep_to_the_limit_of_a_back_end() {
+async fn all_routers_respect_the_limit_of_a_back_end() {
     let folder = tempfile::tempdir().expect("a folder");
-    let prepared = fleet(folder.path(), 42).await;
-    let naming = json!({ "text": LIMIT_TEXT });
-    exceed(
+    let prepared = start_fleet(folder.path(), 42).await;
+    let advertising_request = json!({ "text": LIMIT_TEXT });
+    exceed_limit(
         &prepared,
         "/services/register-lookup/parcel/7",
-        naming,
+        advertising_request,
         |number| json!({ "text": format!("harmless {number}") }),
     )
     .await;
--- a/crates/lab/tests/back_off.rs
+++ b/crates/lab/tests/back_off.rs
@@ -7,16 +7,16 @@
 use railtack_emulator::{BACK_OFF, BACK_OFF_TEXT};
 use railtack_lab::demo::PreparedFleet;
 use serde_json::{Value, json};
-use support::{key, post, routers};
+use support::{post, router_addresses, tenant_key};
 use tokio::time::{Instant, sleep};
 
 /// Time between two requests.
-const PACE: Duration = Duration::from_millis(100);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 /// Time in which what was on its way has arrived.
-const SLACK: Duration = Duration::from_millis(300);
+const DELIVERY_TIME: Duration = Duration::from_millis(300);
 
-async fn fleet(folder: &Path, seed: u64) -> PreparedFleet {
-    support::fleet(folder, seed, |shape| {
+async fn start_fleet(folder: &Path, seed: u64) -> PreparedFleet {
+    support::start_fleet(folder, seed, |shape| {
         shape.engines = 2;
         shape.routers = 1;
         shape.services = vec!["register-lookup"];
@@ -27,11 +27,11 @@
 
 /// Sends a request; its status, and when the caller is to come back.
 async fn send(prepared: &PreparedFleet, path: &str, body: &Value) -> (u16, Option<Duration>) {
-    let router = routers(prepared)[0];
-    let response = post(key(prepared), router, path, body).await;
+    let router = router_addresses(prepared)[0];
+    let response = post(tenant_key(prepared), router, path, body).await;
     let response = response.expect("an answer");
-    let pause = response.headers().get("retry-after");
-    let seconds = pause.and_then(|value| value.to_str().ok()?.parse().ok());
+    let retry_after = response.headers().get("retry-after");
+    let seconds = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
     (
         response.status().as_u16(),
         seconds.map(Duration::from_secs_f64),
@@ -39,45 +39,45 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_engine_that_asked_for_rest_gets_no_request_until_it_is_over() {
+async fn an_engine_gets_no_request_during_its_back_off() {
     let folder = tempfile::tempdir().expect("a folder");
-    let prepared = fleet(folder.path(), 31).await;
+    let prepared = start_fleet(folder.path(), 31).await;
     let prompt =
         |text: &str| json!({ "template": "counter-answer", "prompt": text, "max_tokens": 4 });
     let harmless = prompt("harmless");
     assert_eq!(send(&prepared, "/v1/completions", &harmless).await.0, 200);
     // Each engine that it reaches asks for rest.
     send(&prepared, "/v1/completions", &prompt(BACK_OFF_TEXT)).await;
-    let asked_at = Instant::now();
-    while asked_at.elapsed() < BACK_OFF - SLACK {
-        let (status, pause) = send(&prepared, "/v1/completions", &harmless).await;
+    let backed_off_at = Instant::now();
+    while backed_off_at.elapsed() < BACK_OFF - DELIVERY_TIME {
+        let (status, retry_after) = send(&prepared, "/v1/completions", &harmless).await;
         if status != 200 {
             assert_eq!(status, 503);
-            let pause = pause.expect("when to come back");
-            assert!(pause <= BACK_OFF, "{pause:?}");
+            let retry_after = retry_after.expect("when to come back");
+            assert!(retry_after <= BACK_OFF, "{retry_after:?}");
         }
-        sleep(PACE).await;
+        sleep(REQUEST_INTERVAL).await;
     }
     let statuses = prepared.fleet.engine_statuses().await;
     let unwanted: u64 = statuses.iter().map(|engine| engine.totals.unwanted).sum();
     assert_eq!(unwanted, 0);
-    sleep(SLACK * 2).await;
+    sleep(DELIVERY_TIME * 2).await;
     assert_eq!(send(&prepared, "/v1/completions", &harmless).await.0, 200);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_back_end_that_asked_for_rest_gets_no_call_until_it_is_over() {
+async fn a_back_end_gets_no_call_during_its_back_off() {
     let folder = tempfile::tempdir().expect("a folder");
-    let prepared = fleet(folder.path(), 32).await;
+    let prepared = start_fleet(folder.path(), 32).await;
     let path = "/services/register-lookup/parcel/7";
     let harmless = json!({ "text": "harmless" });
     assert_eq!(send(&prepared, path, &harmless).await.0, 200);
     let (status, _) = send(&prepared, path, &json!({ "text": BACK_OFF_TEXT })).await;
     assert_eq!(status, 503);
-    let asked_at = Instant::now();
-    while asked_at.elapsed() < BACK_OFF - SLACK {
+    let backed_off_at = Instant::now();
+    while backed_off_at.elapsed() < BACK_OFF - DELIVERY_TIME {
         assert_eq!(send(&prepared, path, &harmless).await.0, 200);
-        sleep(PACE).await;
+        sleep(REQUEST_INTERVAL).await;
     }
     let counted = prepared.fleet.executions().await.expect("counts");
     assert_eq!(counted.unwanted, 0);
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -38,7 +38,7 @@
         status,
         code,
     };
-    let short = |extra: Value| {
+    let counter_answer = |extra: Value| {
         let mut body = json!({ "template": "counter-answer", "prompt": "q" });
         if let (Some(body), Value::Object(extra)) = (body.as_object_mut(), extra) {
             body.extend(extra);
@@ -57,7 +57,7 @@
             "an unknown field",
             400,
             "malformed_request",
-            short(json!({ "tempelate": 1 })),
+            counter_answer(json!({ "tempelate": 1 })),
         ),
         case(
             "an unknown template",
@@ -81,13 +81,13 @@
             "an extra parameter",
             400,
             "unexpected_parameter",
-            short(json!({ "parameters": { "colour": "red" } })),
+            counter_answer(json!({ "parameters": { "colour": "red" } })),
         ),
         case(
             "a tenant's parameter",
             400,
             "unexpected_parameter",
-            short(json!({ "parameters": { "context": "mine" } })),
+            counter_answer(json!({ "parameters": { "context": "mine" } })),
         ),
         case(
             "an oversized parameter",
@@ -105,15 +105,25 @@
         ),
         BadInput {
             bearer: Some("wrong".to_owned()),
-            ..case("a wrong key", 401, "unauthorized", short(json!({})))
+            ..case(
+                "a wrong key",
+                401,
+                "unauthorized",
+                counter_answer(json!({})),
+            )
         },
         BadInput {
             bearer: None,
-            ..case("no key", 401, "unauthorized", short(json!({})))
+            ..case("no key", 401, "unauthorized", counter_answer(json!({})))
         },
         BadInput {
             path: "/v2/completions",
-            ..case("an unknown path", 404, "unknown_route", short(json!({})))
+            ..case(
+                "an unknown path",
+                404,
+                "unknown_route",
+                counter_answer(json!({})),
+            )
         },
         BadInput {
             path: "/services/notice-renderer/x",
@@ -142,13 +152,13 @@
     let client = HttpClient::new(Duration::from_secs(2));
     let response = client.send(request).await.expect("an answer");
     let status = response.status().as_u16();
-    let is_named = response.headers().contains_key("x-request-id");
+    let has_request_id = response.headers().contains_key("x-request-id");
     let content = railtack_http::read_body(response.into_body(), 1 << 20, Duration::from_secs(5))
         .await
         .expect("a body");
     (
         status,
-        is_named,
+        has_request_id,
         serde_json::from_slice(&content).expect("JSON"),
     )
 }
@@ -193,7 +203,7 @@
 }
 
 /// A caller that sends half a request and then waits: it is refused in time and holds up nobody.
-fn slow_client(router: SocketAddr) -> String {
+fn send_partial_request(router: SocketAddr) -> String {
     let mut stream = TcpStream::connect(router).expect("a connection");
     stream
         .write_all(b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{")
@@ -207,7 +217,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bad_input_is_refused_and_the_fleet_serves_on() {
+async fn the_fleet_refuses_bad_input_and_keeps_serving() {
     process::use_lab_binary(Path::new(env!("CARGO_BIN_EXE_railtack-lab")));
     let folder = tempfile::tempdir().expect("a folder");
     let mut shape = FleetShape::demonstration(FleetKind::Brasov);
@@ -225,27 +235,27 @@
     add_private_template(&prepared, folder.path()).await;
     let router = prepared.fleet.places.routers[0].listen;
     for input in bad_inputs(&prepared) {
-        let (status, is_named, body) = send(router, &input).await;
+        let (status, has_request_id, body) = send(router, &input).await;
         assert_eq!(status, input.status, "{}: {body}", input.name);
         assert_eq!(body["error"]["code"], input.code, "{}: {body}", input.name);
         assert_eq!(body["error"]["execution"], "not_run", "{}", input.name);
         // Whoever complains of a refused model request can name it.
         let is_model = input.path.starts_with("/v1/");
         if is_model && input.code == "unknown_template" {
-            assert!(is_named, "{}", input.name);
+            assert!(has_request_id, "{}", input.name);
         }
     }
-    let slow = tokio::task::spawn_blocking(move || slow_client(router));
+    let slow = tokio::task::spawn_blocking(move || send_partial_request(router));
     assert_serves(&prepared).await;
     let answer = slow.await.expect("the slow client");
     assert!(answer.contains("slow_request"), "{answer}");
     assert_serves(&prepared).await;
-    operators_errors(&prepared, folder.path()).await;
+    check_operator_errors(&prepared, folder.path()).await;
     assert_serves(&prepared).await;
 }
 
 /// Bad documents and races of operators change nothing and have their own exit codes.
-async fn operators_errors(prepared: &PreparedFleet, folder: &Path) {
+async fn check_operator_errors(prepared: &PreparedFleet, folder: &Path) {
     let exit_code = async |arguments: &[&str]| match prepared.fleet.operate(arguments).await {
         Ok(_) => 0,
         Err(report) => match report.current_context() {
--- a/crates/lab/tests/fatal_requests.rs
+++ b/crates/lab/tests/fatal_requests.rs
@@ -13,17 +13,17 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
-use support::{LIMIT, key, post, routers};
+use support::{REQUEST_TIMEOUT, post, router_addresses, tenant_key};
 
 /// Engines, and back ends of each service. More than may end under one request.
 const BACK_ENDS: u32 = 8;
 /// Back ends that may end: three show that the request is to blame; one copy may be on its way.
-const ENDS_ALLOWED: usize = 4;
+const MAX_CRASHES: usize = 4;
 /// Time between two arrivals of the request; longer than routers take to hear of an end.
-const PAUSE: Duration = Duration::from_millis(700);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(700);
 
-async fn fleet(folder: &Path, seed: u64) -> PreparedFleet {
-    support::fleet(folder, seed, |shape| {
+async fn start_fleet(folder: &Path, seed: u64) -> PreparedFleet {
+    support::start_fleet(folder, seed, |shape| {
         shape.engines = BACK_ENDS;
         shape.routers = 2;
         shape.services = vec!["register-lookup"];
@@ -33,11 +33,16 @@
 }
 
 /// Sends a request; the code of the refusal, empty if there was none.
-async fn code(prepared: &PreparedFleet, router: SocketAddr, path: &str, body: &Value) -> String {
-    let Some(response) = post(key(prepared), router, path, body).await else {
+async fn refusal_code(
+    prepared: &PreparedFleet,
+    router: SocketAddr,
+    path: &str,
+    body: &Value,
+) -> String {
+    let Some(response) = post(tenant_key(prepared), router, path, body).await else {
         return String::new();
     };
-    let content = read_body(response.into_body(), 1 << 20, LIMIT).await;
+    let content = read_body(response.into_body(), 1 << 20, REQUEST_TIMEOUT).await;
     let content = content.unwrap_or_default();
     let answer: Value = serde_json::from_slice(&content).unwrap_or_default();
     answer["error"]["code"]
@@ -47,20 +52,20 @@
 }
 
 /// Sends the fatal request to the routers in turn until each refuses it.
-async fn until_quarantined(prepared: &PreparedFleet, path: &str, body: &Value) {
-    let routers = routers(prepared);
-    let mut in_a_row = 0;
+async fn send_until_quarantined(prepared: &PreparedFleet, path: &str, body: &Value) {
+    let routers = router_addresses(prepared);
+    let mut refused_in_a_row = 0;
     for round in 0..4 * BACK_ENDS as usize {
-        let code = code(prepared, routers[round % routers.len()], path, body).await;
-        in_a_row = if code == "quarantined" {
-            in_a_row + 1
+        let code = refusal_code(prepared, routers[round % routers.len()], path, body).await;
+        refused_in_a_row = if code == "quarantined" {
+            refused_in_a_row + 1
         } else {
             0
         };
-        if in_a_row == routers.len() {
+        if refused_in_a_row == routers.len() {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     panic!("still sent to back ends after all these rounds");
 }
@@ -68,27 +73,27 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_prompt_that_ends_engines_is_refused_by_every_router() {
     let folder = tempfile::tempdir().expect("a folder");
-    let prepared = fleet(folder.path(), 21).await;
+    let prepared = start_fleet(folder.path(), 21).await;
     let fatal = json!({ "template": "counter-answer", "prompt": FATAL_TEXT, "max_tokens": 4 });
-    until_quarantined(&prepared, "/v1/completions", &fatal).await;
-    operators_see_and_release_it(&prepared).await;
-    let left = prepared.fleet.engine_statuses().await.len();
+    send_until_quarantined(&prepared, "/v1/completions", &fatal).await;
+    check_quarantine_list_and_release(&prepared).await;
+    let running = prepared.fleet.engine_statuses().await.len();
     assert!(
-        left >= BACK_ENDS as usize - ENDS_ALLOWED,
-        "{left} engines are left"
+        running >= BACK_ENDS as usize - MAX_CRASHES,
+        "{running} engines are running"
     );
-    let caller = Caller::new(HttpClient::new(LIMIT), key(&prepared));
+    let caller = Caller::new(HttpClient::new(REQUEST_TIMEOUT), tenant_key(&prepared));
     let question = prepared
         .documents
         .question(0, &mut ChaCha8Rng::seed_from_u64(1));
-    for router in routers(&prepared) {
+    for router in router_addresses(&prepared) {
         let finding = caller.ask(router, &question, AskShape::Stream).await;
         assert!(matches!(finding, Finding::Whole { .. }), "{finding:?}");
     }
 }
 
 /// The list names the request; a release makes the routers send it again; a wrong name is an error.
-async fn operators_see_and_release_it(prepared: &PreparedFleet) {
+async fn check_quarantine_list_and_release(prepared: &PreparedFleet) {
     let list = ["--output", "json", "quarantine", "list"];
     let listed = prepared.fleet.operate(&list).await.expect("a list");
     let listed: Value = serde_json::from_str(&listed).expect("JSON");
@@ -106,16 +111,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_call_that_ends_back_ends_is_refused_by_every_router() {
     let folder = tempfile::tempdir().expect("a folder");
-    let prepared = fleet(folder.path(), 22).await;
+    let prepared = start_fleet(folder.path(), 22).await;
     let fatal = json!({ "text": FATAL_TEXT });
-    until_quarantined(&prepared, "/services/register-lookup/parcel/7", &fatal).await;
+    send_until_quarantined(&prepared, "/services/register-lookup/parcel/7", &fatal).await;
     let harmless = json!({ "text": "harmless" });
-    for router in routers(&prepared) {
+    for router in router_addresses(&prepared) {
         // The platform's list still names those that ended; a router finds the others in turn.
         let mut codes: Vec<String> = Vec::new();
         while codes.last().is_none_or(|code| !code.is_empty()) && codes.len() < BACK_ENDS as usize {
             codes.push(
-                code(
+                refusal_code(
                     &prepared,
                     router,
                     "/services/register-lookup/parcel/7",
--- a/crates/lab/tests/lives.rs
+++ b/crates/lab/tests/incarnations.rs
@@ -13,20 +13,20 @@
 use speedy::Writable;
 
 /// Replicas of the fleet, and those that come back at once.
-const FLEET: usize = 10_000;
-const STORM: usize = 3_000;
-const FIRST_BORN: u64 = 1_791_139_989_053;
+const FLEET_SIZE: usize = 10_000;
+const RETURNING: usize = 3_000;
+const FIRST_START_MS: u64 = 1_791_139_989_053;
 /// Largest record, bytes: 140 and the birth of the life.
-const RECORD_LIMIT: usize = 160;
+const MAX_RECORD_BYTES: usize = 160;
 
 fn record(number: usize, started_ms: u64) -> ReplicaRecord {
     let replica = format!("i-{number:010x}");
-    let life = Incarnation {
+    let incarnation = Incarnation {
         replica: &replica,
         started_ms: Some(started_ms),
     };
     ReplicaRecord {
-        id: life.to_string(),
+        id: incarnation.to_string(),
         service: "model-pool".to_owned(),
         address: format!(
             "10.{}.{}.{}:8605",
@@ -47,7 +47,7 @@
 }
 
 /// Has records taken in as control replicas do, a batch after the other.
-fn register(state: &mut ServingState, index: &mut u64, records: &[ReplicaRecord]) {
+fn register_in_batches(state: &mut ServingState, index: &mut u64, records: &[ReplicaRecord]) {
     for batch in records.chunks(MAX_BATCH_RECORDS) {
         *index += 1;
         state.apply(*index, ServingCommand::RegisterAll(batch.to_vec()));
@@ -55,71 +55,77 @@
 }
 
 /// Brings a router's copy up to date; what it was told.
-fn follow(view: &mut ServingView, state: &ServingState) -> Vec<ServingUpdate> {
-    let mut told = Vec::new();
+fn catch_up(view: &mut ServingView, state: &ServingState) -> Vec<ServingUpdate> {
+    let mut updates = Vec::new();
     while let Some(update) = state.update_after(view.known) {
-        told.push(update.clone());
+        updates.push(update.clone());
         *view = view.updated(update).expect("news");
     }
-    told
+    updates
 }
 
-fn names(view: &ServingView) -> BTreeSet<String> {
+fn replica_ids(view: &ServingView) -> BTreeSet<String> {
     view.replicas.keys().cloned().collect()
 }
 
-fn bytes(update: &ServingUpdate) -> usize {
+fn encoded_bytes(update: &ServingUpdate) -> usize {
     update.write_to_vec().expect("bytes").len()
 }
 
 #[test]
-fn a_storm_of_returning_replicas_costs_their_records_and_no_second_copy_of_the_fleet() {
+fn a_mass_return_of_replicas_sends_only_their_records() {
     let mut state = ServingState::default();
     let mut index = 0;
-    let fleet: Vec<_> = (0..FLEET)
-        .map(|number| record(number, FIRST_BORN))
+    let fleet: Vec<_> = (0..FLEET_SIZE)
+        .map(|number| record(number, FIRST_START_MS))
         .collect();
-    register(&mut state, &mut index, &fleet);
+    register_in_batches(&mut state, &mut index, &fleet);
     let mut view = ServingView::default();
-    follow(&mut view, &state);
-    let back: Vec<_> = (0..STORM)
-        .map(|number| record(number, FIRST_BORN + 2_000))
+    catch_up(&mut view, &state);
+    let returning: Vec<_> = (0..RETURNING)
+        .map(|number| record(number, FIRST_START_MS + 2_000))
         .collect();
-    register(&mut state, &mut index, &back);
-    let told = follow(&mut view, &state);
-    assert!(told.iter().all(|update| !update.complete));
-    let records: usize = told.iter().map(|update| update.replicas.len()).sum();
-    assert_eq!(records, STORM);
-    let told_bytes: usize = told.iter().map(bytes).sum();
-    assert!(told_bytes < STORM * RECORD_LIMIT, "{told_bytes} bytes");
-    assert_eq!(names(&view), state.replicas().keys().cloned().collect());
-    assert_eq!(view.replicas.size(), FLEET);
+    register_in_batches(&mut state, &mut index, &returning);
+    let updates = catch_up(&mut view, &state);
+    assert!(updates.iter().all(|update| !update.complete));
+    let records: usize = updates.iter().map(|update| update.replicas.len()).sum();
+    assert_eq!(records, RETURNING);
+    let update_bytes: usize = updates.iter().map(encoded_bytes).sum();
+    assert!(
+        update_bytes < RETURNING * MAX_RECORD_BYTES,
+        "{update_bytes} bytes"
+    );
+    assert_eq!(
+        replica_ids(&view),
+        state.replicas().keys().cloned().collect()
+    );
+    assert_eq!(view.replicas.size(), FLEET_SIZE);
 }
 
 quickcheck! {
     /// Lives that follow each other, leave, fall silent and claim addresses that others have while a router
     /// asks now and then: whenever it has asked, it knows the lives that the group knows and no other.
-    fn a_router_follows_the_lives_of_replicas(steps: Vec<(u8, u8, bool)>) -> bool {
+    fn the_view_of_a_router_matches_the_registered_incarnations(steps: Vec<(u8, u8, bool)>) -> bool {
         let mut state = ServingState::default();
         let mut view = ServingView::default();
         let mut steps = (1_u64..).zip(steps);
-        steps.all(|(index, (kind, number, asks))| {
+        steps.all(|(index, (kind, number, polls))| {
             let replica = usize::from(number) % 4;
-            let started_ms = FIRST_BORN + u64::from(number) / 4 % 5;
-            let name = record(replica, started_ms).id;
+            let started_ms = FIRST_START_MS + u64::from(number) / 4 % 5;
+            let id = record(replica, started_ms).id;
             state.apply(index, match kind % 4 {
-                0 => ServingCommand::Deregister { replica: name },
-                1 => ServingCommand::Expire { replica: name },
+                0 => ServingCommand::Deregister { replica: id },
+                1 => ServingCommand::Expire { replica: id },
                 _ => {
-                    let mut said = record(replica, started_ms);
-                    said.address = format!("10.0.0.{}:1", kind / 4 % 3);
-                    ServingCommand::Register(said)
+                    let mut registered = record(replica, started_ms);
+                    registered.address = format!("10.0.0.{}:1", kind / 4 % 3);
+                    ServingCommand::Register(registered)
                 }
             });
-            if asks {
-                follow(&mut view, &state);
+            if polls {
+                catch_up(&mut view, &state);
             }
-            !asks || names(&view) == state.replicas().keys().cloned().collect()
+            !polls || replica_ids(&view) == state.replicas().keys().cloned().collect()
         })
     }
 }
--- a/crates/lab/tests/parted_reports.rs
+++ b/crates/lab/tests/partial_crash_reports.rs
@@ -27,16 +27,16 @@
 const SEEDS: u64 = 2_000;
 const ROUTERS: usize = 2;
 /// Ends at which both are quarantined, and the copy that the other router has on its way by then.
-const MOST_ENDS: u32 = CRASHES_DESPITE_RIVAL as u32 + ROUTERS as u32 - 1;
+const MAX_CRASHES: u32 = CRASHES_DESPITE_RIVAL as u32 + ROUTERS as u32 - 1;
 /// Time from the end of a replica until a router's report of it is recorded, milliseconds: gathering, a look
 /// at the port, a commit.
-const REPORT_MS: std::ops::Range<u64> = 15..90;
+const REPORT_DELAY_MS: std::ops::Range<u64> = 15..90;
 /// Time until a router that did not report is told, milliseconds.
-const TELLING_MS: std::ops::Range<u64> = 0..60;
+const UPDATE_DELAY_MS: std::ops::Range<u64> = 0..60;
 /// Longest time for which a router has a request wait for the report of an end under it, and one that is
 /// suspected for all reports, milliseconds: an eighth and half of an objective of 600 ms.
-const SETTLING_MS: u64 = 75;
-const SUSPECT_SETTLING_MS: u64 = 300;
+const MAX_WAIT_MS: u64 = 75;
+const MAX_SUSPECT_WAIT_MS: u64 = 300;
 
 /// A report on its way to the control group.
 struct Report {
@@ -46,23 +46,23 @@
 }
 
 /// What a router is told, on its way.
-struct Notice {
+struct UpdateDelivery {
     router: usize,
-    told: QuarantineUpdate,
+    update: QuarantineUpdate,
 }
 
 struct World {
     random: ChaCha8Rng,
     start: Instant,
     now_ms: u64,
-    ends: u32,
+    crashes: u32,
     quarantine: Quarantine,
     recorded: u64,
     routers: Vec<QuarantineState>,
     /// Until when each router has the fatal request wait.
-    settles_ms: [u64; ROUTERS],
+    waits_until_ms: [u64; ROUTERS],
     reports: BTreeMap<u64, Vec<Report>>,
-    notices: BTreeMap<u64, Vec<Notice>>,
+    deliveries: BTreeMap<u64, Vec<UpdateDelivery>>,
 }
 
 impl World {
@@ -71,13 +71,13 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             start: Instant::now(),
             now_ms: 0,
-            ends: 0,
+            crashes: 0,
             quarantine: Quarantine::default(),
             recorded: 0,
             routers: (0..ROUTERS).map(|_| QuarantineState::default()).collect(),
-            settles_ms: [0; ROUTERS],
+            waits_until_ms: [0; ROUTERS],
             reports: BTreeMap::new(),
-            notices: BTreeMap::new(),
+            deliveries: BTreeMap::new(),
         }
     }
 
@@ -85,15 +85,15 @@
         self.start + Duration::from_millis(self.now_ms)
     }
 
-    fn pass(&mut self, until_ms: u64) {
+    fn advance_to(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
             self.now_ms += 1;
             for report in self.reports.remove(&self.now_ms).unwrap_or_default() {
                 self.record(&report);
             }
             let now = self.now();
-            for notice in self.notices.remove(&self.now_ms).unwrap_or_default() {
-                self.routers[notice.router].apply(&notice.told, now);
+            for delivery in self.deliveries.remove(&self.now_ms).unwrap_or_default() {
+                self.routers[delivery.router].apply(&delivery.update, now);
             }
         }
     }
@@ -104,39 +104,39 @@
         self.quarantine
             .record_crash(self.recorded, report.replica, contents);
         for router in 0..ROUTERS {
-            let told = self.quarantine.update().clone();
+            let update = self.quarantine.update().clone();
             // Its own report is answered with what it led to.
-            let takes_ms = if router == report.router {
+            let delay_ms = if router == report.router {
                 1
             } else {
-                1 + self.random.random_range(TELLING_MS)
+                1 + self.random.random_range(UPDATE_DELAY_MS)
             };
-            let notices = self.notices.entry(self.now_ms + takes_ms).or_default();
-            notices.push(Notice { router, told });
+            let deliveries = self.deliveries.entry(self.now_ms + delay_ms).or_default();
+            deliveries.push(UpdateDelivery { router, update });
         }
         if contents.contains(&FATAL) {
-            self.settles_ms[report.router] = self.now_ms + 1;
+            self.waits_until_ms[report.router] = self.now_ms + 1;
         }
     }
 
     /// Whether the fatal request waits on at a router where it has waited that long.
-    fn waits(&self, router: usize, waited_ms: u64) -> bool {
-        let knowledge = &self.routers[router];
-        let longest_ms = if knowledge.is_suspected(FATAL) {
-            SUSPECT_SETTLING_MS
+    fn must_wait(&self, router: usize, waited_ms: u64) -> bool {
+        let state = &self.routers[router];
+        let max_wait_ms = if state.is_suspected(FATAL) {
+            MAX_SUSPECT_WAIT_MS
         } else {
-            SETTLING_MS
+            MAX_WAIT_MS
         };
-        let is_settled = knowledge.reports_complete_at(FATAL, self.now()).is_none();
-        waited_ms < longest_ms && (!is_settled || self.now_ms < self.settles_ms[router])
+        let reports_complete = state.reports_complete_at(FATAL, self.now()).is_none();
+        waited_ms < max_wait_ms && (!reports_complete || self.now_ms < self.waits_until_ms[router])
     }
 
     /// The fatal request comes to a router; false if it is refused.
-    fn is_sent_on(&mut self, router: usize) -> bool {
+    fn send_fatal(&mut self, router: usize) -> bool {
         let arrived_ms = self.now_ms;
-        self.pass(arrived_ms + 1);
-        while self.waits(router, self.now_ms - arrived_ms) {
-            self.pass(self.now_ms + 1);
+        self.advance_to(arrived_ms + 1);
+        while self.must_wait(router, self.now_ms - arrived_ms) {
+            self.advance_to(self.now_ms + 1);
         }
         if self.routers[router]
             .retry_after(FATAL, self.now())
@@ -144,20 +144,20 @@
         {
             return false;
         }
-        self.ends += 1;
+        self.crashes += 1;
         for reporter in 0..ROUTERS {
             // Both have the harmless request open there.
             let mut contents = vec![HARMLESS];
             if reporter == router {
                 contents.push(FATAL);
             }
-            let recorded_ms = self.now_ms + self.random.random_range(REPORT_MS);
+            let recorded_ms = self.now_ms + self.random.random_range(REPORT_DELAY_MS);
             if reporter == router {
-                self.settles_ms[router] = recorded_ms + 1;
+                self.waits_until_ms[router] = recorded_ms + 1;
             }
             self.reports.entry(recorded_ms).or_default().push(Report {
                 router: reporter,
-                replica: ReplicaKey(self.ends),
+                replica: ReplicaKey(self.crashes),
                 contents,
             });
         }
@@ -169,18 +169,21 @@
         let mut refused_in_a_row = 0;
         let mut round = 0;
         while refused_in_a_row < ROUTERS && round < 1_000 {
-            let is_sent_on = self.is_sent_on(round % ROUTERS);
-            refused_in_a_row = if is_sent_on { 0 } else { refused_in_a_row + 1 };
+            let is_sent = self.send_fatal(round % ROUTERS);
+            refused_in_a_row = if is_sent { 0 } else { refused_in_a_row + 1 };
             round += 1;
         }
-        self.ends
+        self.crashes
     }
 }
 
 #[test]
-fn no_more_replicas_end_than_can_be_needed_to_tell_two_requests_apart() {
+fn partial_crash_reports_cost_no_additional_replicas() {
     for seed in 0..SEEDS {
-        let ends = World::new(seed).run();
-        assert!(ends <= MOST_ENDS, "seed {seed}: {ends} replicas ended");
+        let crashes = World::new(seed).run();
+        assert!(
+            crashes <= MAX_CRASHES,
+            "seed {seed}: {crashes} replicas ended"
+        );
     }
 }
--- a/crates/lab/tests/replay.rs
+++ b/crates/lab/tests/replay.rs
@@ -5,7 +5,7 @@
 use railtack_lab::experiment::replay::replay;
 
 #[test]
-fn committed_traces_have_their_stated_outcomes() {
+fn committed_traces_meet_their_expected_outcomes() {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../traces");
     let mut replayed = 0;
     for entry in fs::read_dir(folder).expect("the traces") {
--- a/crates/lab/tests/lent_retries.rs
+++ b/crates/lab/tests/shared_retries.rs
@@ -21,8 +21,8 @@
 use tokio::time::Instant;
 
 const ROUTERS: usize = 985;
-const REQUESTS_PER_S: u64 = 181;
-const RUN_S: u64 = 40;
+const REQUESTS_PER_SECOND: u64 = 181;
+const RUN_SECONDS: u64 = 40;
 
 fn bounds(slack: f64) -> Bounds {
     Bounds {
@@ -56,14 +56,14 @@
 }
 
 /// The service's ledger at the leader.
-struct Lender {
+struct RetryLedger {
     bounds: Bounds,
     ledger: QuotaLedger,
 }
 
-impl Lender {
+impl RetryLedger {
     /// That of a group's first leader.
-    fn first(bounds: Bounds, now: Instant) -> Self {
+    fn with_full_buckets(bounds: Bounds, now: Instant) -> Self {
         Self {
             bounds,
             ledger: QuotaLedger::with_full_buckets(
@@ -75,14 +75,14 @@
     }
 
     /// That of a later leader, who does not know what was lent before.
-    fn later(bounds: Bounds, now: Instant) -> Self {
+    fn after_failover(bounds: Bounds, now: Instant) -> Self {
         Self {
             bounds,
             ledger: QuotaLedger::new(shared_retry_bounds(&bounds), grant_times(), now),
         }
     }
 
-    fn lend(&mut self, now: Instant) -> bool {
+    fn withdraw(&mut self, now: Instant) -> bool {
         let Some(quota) = shared_retry_quota(&self.bounds) else {
             return false;
         };
@@ -101,62 +101,68 @@
 
 /// What came of a run.
 #[derive(Default)]
-struct Retries {
-    wanted: usize,
+struct RunResult {
+    needed: usize,
     sent: Vec<Instant>,
     requests: Vec<Instant>,
 }
 
-impl Retries {
+impl RunResult {
     /// Most retries of a window beyond what its requests allow.
-    fn most_beyond_share(&self, bounds: &Bounds) -> f64 {
+    fn max_excess(&self, bounds: &Bounds) -> f64 {
         let window = Duration::from_millis(bounds.retry_window_ms);
         let within = |times: &[Instant], end: Instant| {
             let until = times.partition_point(|at| *at <= end);
             let from = times.partition_point(|at| *at + window <= end);
             (until - from) as f64
         };
-        let beyond = self.sent.iter().map(|end| {
+        let excess = self.sent.iter().map(|end| {
             within(&self.sent, *end) - within(&self.requests, *end) * bounds.retry_ratio
         });
-        beyond.fold(0.0, f64::max)
+        excess.fold(0.0, f64::max)
     }
 }
 
 /// The chance that a request fails, by the second of the run.
-type Failures = fn(u64) -> f64;
+type FailureProbability = fn(u64) -> f64;
 
-fn run(bounds: Bounds, lends: bool, restarts: bool, failures: Failures, seed: u64) -> Retries {
+fn run(
+    bounds: Bounds,
+    shares_retries: bool,
+    restarts: bool,
+    failure_probability: FailureProbability,
+    seed: u64,
+) -> RunResult {
     let mut random = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let new = |now| RetryBudget::new(rule(&bounds), now);
     let mut budgets: Vec<RetryBudget> = (0..ROUTERS).map(|_| new(start)).collect();
-    let mut lender = Lender::first(bounds, start);
-    let mut retries = Retries::default();
-    for number in 0..RUN_S * REQUESTS_PER_S {
-        let now = start + Duration::from_micros(number * 1_000_000 / REQUESTS_PER_S);
-        let second = number / REQUESTS_PER_S;
-        if restarts && number > 0 && number % (7 * REQUESTS_PER_S) == 0 {
+    let mut ledger = RetryLedger::with_full_buckets(bounds, start);
+    let mut result = RunResult::default();
+    for number in 0..RUN_SECONDS * REQUESTS_PER_SECOND {
+        let now = start + Duration::from_micros(number * 1_000_000 / REQUESTS_PER_SECOND);
+        let second = number / REQUESTS_PER_SECOND;
+        if restarts && number > 0 && number % (7 * REQUESTS_PER_SECOND) == 0 {
             // All routers and the leader at once, again and again.
             budgets = (0..ROUTERS).map(|_| new(now)).collect();
-            lender = Lender::later(bounds, now);
+            ledger = RetryLedger::after_failover(bounds, now);
         }
         let budget = &mut budgets[random.random_range(0..ROUTERS)];
         budget.deposit(ROUTERS as u32, now);
-        retries.requests.push(now);
-        if !random.random_bool(failures(second)) {
+        result.requests.push(now);
+        if !random.random_bool(failure_probability(second)) {
             continue;
         }
-        retries.wanted += 1;
-        if budget.withdraw(ROUTERS as u32, now) || lends && lender.lend(now) {
-            retries.sent.push(now);
+        result.needed += 1;
+        if budget.withdraw(ROUTERS as u32, now) || shares_retries && ledger.withdraw(now) {
+            result.sent.push(now);
         }
     }
-    retries
+    result
 }
 
 /// One in seven, and one in five while replicas are gone.
-fn calm_then_rough(second: u64) -> f64 {
+fn failures_with_outage(second: u64) -> f64 {
     if (20..25).contains(&second) {
         0.2
     } else {
@@ -165,34 +171,34 @@
 }
 
 #[test]
-fn below_the_bound_no_retry_is_declined() {
+fn shared_retries_are_granted_below_the_bound() {
     for seed in 1..=5 {
-        let lent = run(bounds(1_040.0), true, false, calm_then_rough, seed);
-        let declined = lent.wanted - lent.sent.len();
+        let shared = run(bounds(1_040.0), true, false, failures_with_outage, seed);
+        let declined = shared.needed - shared.sent.len();
         assert!(
-            declined * 1_000 < lent.wanted,
+            declined * 1_000 < shared.needed,
             "seed {seed}: {declined} of {}",
-            lent.wanted
+            shared.needed
         );
         // Divided among the routers, most of them are.
-        let divided = run(bounds(1_040.0), false, false, calm_then_rough, seed);
+        let local_only = run(bounds(1_040.0), false, false, failures_with_outage, seed);
         assert!(
-            divided.sent.len() * 2 < divided.wanted,
+            local_only.sent.len() * 2 < local_only.needed,
             "{}",
-            divided.sent.len()
+            local_only.sent.len()
         );
     }
 }
 
 #[test]
-fn no_window_holds_more_than_the_bound_whatever_fails_and_restarts() {
+fn retries_in_a_window_stay_within_the_bound_across_restarts() {
     for seed in 1..=5 {
         for slack in [1_040.0, 54.0, 3.0, 0.0] {
             for restarts in [false, true] {
                 let bounds = bounds(slack);
                 let all_fail = run(bounds, true, restarts, |_| 1.0, seed);
-                let beyond = all_fail.most_beyond_share(&bounds);
-                assert!(beyond <= slack, "{beyond} beyond the share, slack {slack}");
+                let excess = all_fail.max_excess(&bounds);
+                assert!(excess <= slack, "{excess} beyond the share, slack {slack}");
             }
         }
     }
@@ -200,9 +206,9 @@
 
 /// What routers may spend twice and a leader once, as a restart forgets it, fits the slack.
 #[test]
-fn the_parts_of_the_slack_add_up() {
-    let parts: f64 = [LOCAL_SLACK_SHARE, LOCAL_SLACK_SHARE, SHARED_SLACK_SHARE]
+fn slack_shares_sum_to_at_most_one() {
+    let shares: f64 = [LOCAL_SLACK_SHARE, LOCAL_SLACK_SHARE, SHARED_SLACK_SHARE]
         .iter()
         .sum();
-    assert!(parts <= 1.0, "{parts}");
+    assert!(shares <= 1.0, "{shares}");
 }
--- a/crates/lab/tests/support/mod.rs
+++ b/crates/lab/tests/support/mod.rs
@@ -17,10 +17,10 @@
 use serde_json::Value;
 
 /// Time for one request.
-pub const LIMIT: Duration = Duration::from_secs(10);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Starts a fleet in `folder`, of the demonstration's shape but for what `adapt` changes.
-pub async fn fleet(folder: &Path, seed: u64, adapt: fn(&mut FleetShape)) -> PreparedFleet {
+pub async fn start_fleet(folder: &Path, seed: u64, adapt: fn(&mut FleetShape)) -> PreparedFleet {
     process::use_lab_binary(Path::new(env!("CARGO_BIN_EXE_railtack-lab")));
     let mut shape = FleetShape::demonstration(FleetKind::Brasov);
     adapt(&mut shape);
@@ -36,26 +36,26 @@
 }
 
 /// Where callers reach the routers.
-pub fn routers(prepared: &PreparedFleet) -> Vec<SocketAddr> {
+pub fn router_addresses(prepared: &PreparedFleet) -> Vec<SocketAddr> {
     let places = &prepared.fleet.places.routers;
     places.iter().map(|place| place.listen).collect()
 }
 
 /// The key of a tenant.
-pub fn key(prepared: &PreparedFleet) -> &str {
+pub fn tenant_key(prepared: &PreparedFleet) -> &str {
     &prepared.documents.tenants[0].key
 }
 
 /// Sends a tenant's request; `None` if no head comes.
 pub async fn post(
-    key: &str,
+    tenant_key: &str,
     router: SocketAddr,
     path: &str,
     body: &Value,
 ) -> Option<Response<Incoming>> {
     let request = Request::post(format!("http://{router}{path}"))
-        .header("authorization", format!("Bearer {key}"))
+        .header("authorization", format!("Bearer {tenant_key}"))
         .body(Full::new(Bytes::from(body.to_string())))
         .expect("a request");
-    HttpClient::new(LIMIT).send(request).await.ok()
+    HttpClient::new(REQUEST_TIMEOUT).send(request).await.ok()
 }
