--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -273,7 +273,7 @@
     }
 }
 
-/// Why a range of seeds was refused.
+/// Error for a range of seeds that is malformed or empty.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected FIRST..END with FIRST below END")]
 pub struct RangeError;
@@ -309,7 +309,7 @@
         .help("Seed of everything drawn at random")
 }
 
-/// Runs the program with the given arguments, the first of which is its name.
+/// Runs the program. The first argument is its name.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let matches = command().get_matches_from(arguments);
     if let Some(("process", matches)) = matches.subcommand() {
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: a fleet, mixed load, and a check of every answer.
+//! Starts a fleet, sends mixed load and checks every response.
 
 use std::{collections::HashSet, path::PathBuf, sync::Arc, time::Duration};
 
@@ -21,28 +21,27 @@
     },
 };
 
-/// Requests of the demonstration.
+/// Number of requests.
 const REQUESTS: usize = 300;
-/// Requests open at once.
+/// Most requests open at a time.
 const CONCURRENCY: usize = 16;
-/// Tenants.
+/// Number of tenants.
 const TENANTS: usize = 2;
-/// Time for connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What fleet to start, and where.
+/// Options of the commands that start a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// Whose fleet.
+    /// Kind of fleet.
     pub kind: FleetKind,
-    /// Seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Folder; a new temporary one if absent.
+    /// Folder for settings, logs and data; a temporary one if absent.
     pub folder: Option<PathBuf>,
 }
 
 impl FleetOptions {
-    /// The folder to use.
+    /// Returns the configured folder, or a temporary one for this process.
     pub fn folder(&self) -> PathBuf {
         let temporary =
             || std::env::temp_dir().join(format!("railtack-lab-{}", std::process::id()));
@@ -50,16 +49,16 @@
     }
 }
 
-/// A fleet with its documents in force.
+/// A running fleet whose documents have been applied.
 pub struct PreparedFleet {
     /// The fleet.
     pub fleet: Fleet,
-    /// What was submitted.
+    /// Documents that were submitted.
     pub documents: LoadDocuments,
 }
 
 impl PreparedFleet {
-    /// Makes many small changes of configuration over one connection; how many were accepted.
+    /// Submits `count` configuration changes through one client. Returns how many were accepted.
     pub async fn change_many(&self, count: u64) -> Result<u64, Report<LabError>> {
         let addresses = self.fleet.places.control.iter().map(|place| place.listen);
         let client = ControlClient::new(addresses);
@@ -78,7 +77,7 @@
         Ok(accepted)
     }
 
-    /// Voters of the control cluster whose folder is the one that a replica has now.
+    /// Returns the number of voters whose disk identity is the one that a replica reports now.
     pub async fn voters_with_known_disk(&self, replica: u32) -> Result<usize, Report<LabError>> {
         let addresses = self.fleet.places.control.iter().map(|place| place.listen);
         let client = ControlClient::new(addresses);
@@ -103,7 +102,7 @@
     }
 }
 
-/// Starts a fleet and submits the documents through the operators' interface.
+/// Starts a fleet and submits the documents with `railtackctl`.
 pub async fn prepare(
     shape: FleetShape,
     options: &FleetOptions,
@@ -120,7 +119,7 @@
     Ok(PreparedFleet { fleet, documents })
 }
 
-/// Waits until every router serves a model: it has heard of engines and of the documents.
+/// Waits until every router completes a model request, which needs registered engines and the documents.
 async fn wait_for_engines(
     fleet: &Fleet,
     documents: &LoadDocuments,
@@ -184,7 +183,7 @@
         }
     }
 
-    /// The refusal that is right for this request.
+    /// Returns the refusal code that this request must get, or `None` if it must succeed.
     fn expected_refusal(&self) -> Option<RefusalCode> {
         match self {
             Self::WrongKey(_) => Some(RefusalCode::Unauthorized),
@@ -245,7 +244,7 @@
         return Err(Report::new(LabError::Violations { violations }));
     }
     if options.folder.is_none() {
-        // What is left of a temporary folder does no harm.
+        // A temporary folder that cannot be removed is harmless.
         let _ = std::fs::remove_dir_all(folder);
     }
     Ok(())
@@ -332,7 +331,7 @@
     }
 }
 
-/// Blocks that the prompts have in all, each counted once, and the tokens after the last blocks.
+/// Tokens of the distinct blocks of all prompts, and tokens after the last complete blocks.
 #[derive(Clone, Copy, Debug, Default)]
 struct DistinctTokens {
     block_tokens: u64,
@@ -355,7 +354,7 @@
     distinct
 }
 
-/// Work done by all engines.
+/// Token counts of all engines.
 #[derive(Clone, Copy, Debug, Default)]
 struct EngineWork {
     prompt_tokens: u64,
@@ -378,7 +377,7 @@
         }
     }
 
-    /// Prints hit rate and waste. What must be computed at least once is no waste.
+    /// Prints the hit rate and the wasted recomputation. The first computation of a block is not waste.
     fn print(self, distinct: DistinctTokens) {
         let computed = self.prompt_tokens - self.cached_tokens;
         let needed = distinct.block_tokens + distinct.tail_tokens;
@@ -393,7 +392,7 @@
     }
 }
 
-/// Starts a fleet and keeps it until interrupted.
+/// Starts a fleet and keeps it running until interrupted.
 pub async fn up(options: FleetOptions) -> Result<(), Report<LabError>> {
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let shape = FleetShape::demonstration(options.kind);
--- a/crates/lab/src/experiment/command.rs
+++ b/crates/lab/src/experiment/command.rs
@@ -22,21 +22,21 @@
 
 /// Length of one run, seconds.
 const SECONDS: f64 = 80.0;
-/// Seed of the runs that find the saturation rate.
+/// Seed of the runs that determine the saturation rate.
 const CALIBRATION_SEED: u64 = 4_242;
-/// Steps of the search for the saturation rate.
+/// Bisection steps of the search for the saturation rate.
 const CALIBRATION_STEPS: u32 = 7;
-/// Largest rate tried, requests per second.
+/// Upper end of the search, requests per second.
 const HIGHEST_RATE: f64 = 640.0;
-/// Time to first token that interactive work may have at saturation, milliseconds.
+/// Bound of the 95th percentile of the interactive time to first token at saturation, milliseconds.
 const INTERACTIVE_LIMIT_MS: f64 = 760.0;
 
-/// What is varied.
+/// Workload and conditions of an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Variation {
-    /// An ordinary day.
+    /// Neither faults nor changes of the workload.
     Ordinary,
-    /// Cache events 2 s late, 5% of them lost.
+    /// Cache events are delayed by 2 s and 5% of them are lost.
     LateEvents,
     /// All hot documents change at once.
     HotShift,
@@ -48,7 +48,7 @@
     Herd,
     /// Every engine loses its cache.
     Evict,
-    /// Twice the rate at which the fleet is saturated.
+    /// Requests arrive at twice the saturation rate.
     Overload,
 }
 
@@ -65,7 +65,7 @@
         Self::Overload,
     ];
 
-    /// Name on the command line.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Ordinary => "ordinary",
@@ -79,8 +79,7 @@
         }
     }
 
-    /// Workload and conditions of this variation. The disturbance comes in the middle of the
-    /// measured part.
+    /// Returns the workload and the conditions. A disturbance happens at half of `seconds`.
     pub fn setup(self, kind: FleetKind, rate: f64, seconds: f64) -> (Workload, Conditions) {
         let mut workload = Workload::ordinary(kind, rate, seconds);
         let mut conditions = Conditions::ordinary(workload.engines(), seconds);
@@ -115,20 +114,20 @@
     }
 }
 
-/// What to compare.
+/// Options of the experiment.
 #[derive(Clone, Debug)]
 pub struct ExperimentOptions {
-    /// One fleet; both if absent.
+    /// Kind of fleet; both if absent.
     pub kind: Option<FleetKind>,
     /// One variation; all if absent.
     pub variation: Option<Variation>,
-    /// Seeds.
+    /// Seeds of the runs.
     pub seeds: Range<u64>,
-    /// Where JSON and plots go.
+    /// Folder for JSON and plots; none are written if absent.
     pub output: Option<PathBuf>,
 }
 
-/// One run of many.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 struct Task {
     kind: FleetKind,
@@ -144,15 +143,15 @@
 /// Figures of one run.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct RunFigures {
-    /// Over the whole measured part.
+    /// Measures after the warm-up.
     pub measures: Measures,
-    /// 99th percentile of the interactive time to first token before the disturbance, ms.
+    /// 99th percentile of the interactive time to first token before the disturbance, milliseconds.
     pub before_p99: f64,
-    /// The same from 10 s after the disturbance on, ms.
+    /// The same from 10 s after the disturbance, milliseconds.
     pub after_p99: f64,
 }
 
-/// Runs the comparison and reports it.
+/// Runs all policies, prints the medians and writes JSON and plots.
 pub fn compare(options: &ExperimentOptions) -> Result<(), Report<LabError>> {
     let kinds = options
         .kind
@@ -189,7 +188,7 @@
     }
 }
 
-/// Name of a fleet in reports.
+/// Returns the name of a fleet in reports.
 pub fn kind_name(kind: FleetKind) -> &'static str {
     match kind {
         FleetKind::Brasov => "brasov",
@@ -242,7 +241,8 @@
     }
 }
 
-/// The highest rate at which the oracle answers in time; the same for all policies.
+/// Returns the highest rate that the oracle policy sustains, requests per second. All policies are compared
+/// relative to it.
 pub fn saturation_rate(kind: FleetKind) -> f64 {
     let mut low = 0.0;
     let mut high = HIGHEST_RATE;
--- a/crates/lab/src/experiment/disturbances.rs
+++ b/crates/lab/src/experiment/disturbances.rs
@@ -1,4 +1,4 @@
-//! Events from the engines, and what goes wrong: crashes, herd restarts, mass evictions.
+//! Cache events and load reports of the engines, crashes, simultaneous restarts and cache loss.
 
 use railtack_core::BlockHash;
 use railtack_emulator::engine::EngineModel;
@@ -10,13 +10,13 @@
     router::VirtualRouter,
 };
 
-/// Time for fetching an engine's listing after a gap, microseconds.
+/// Time to fetch the cache contents of an engine after a gap in its events, microseconds.
 const RESYNC_DELAY: u64 = 50_000;
-/// Time until routers notice a crash by broken connections, microseconds.
+/// Time until routers detect a crash by broken connections, microseconds.
 const CRASH_NOTICE: u64 = 20_000;
-/// Time until a crashed engine is back, microseconds.
+/// Time until a crashed engine runs again, microseconds.
 const RESTART_TIME: u64 = 5_000_000;
-/// Dispatches of one request.
+/// Most dispatches of one request.
 const ATTEMPTS: usize = 4;
 
 impl VirtualFleet<'_> {
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Broken connections: answers are continued elsewhere, as far as the budget goes.
+    /// Handles the broken connections of a crash: continues open requests at other engines within the retry
+    /// budget.
     pub(super) fn notice_crash(&mut self, number: u32, lost: Vec<usize>) {
         let engine = &self.engines[number as usize];
         let (incarnation, up) = (engine.incarnation, engine.up);
@@ -146,7 +147,7 @@
                     incarnation: state.incarnation,
                 };
                 if self.policy == Policy::Railtack {
-                    // Listings are fetched one after another.
+                    // The router fetches the cache contents of one engine after another.
                     let delay = RESYNC_DELAY * u64::from(engine + 1);
                     self.schedule.after(delay, event);
                 }
--- a/crates/lab/src/experiment/fleet.rs
+++ b/crates/lab/src/experiment/fleet.rs
@@ -17,38 +17,38 @@
     simulate::schedule::Schedule,
 };
 
-/// Routers.
+/// Number of routers.
 pub(super) const ROUTERS: u32 = 4;
 /// Time between load reports, microseconds.
 pub(super) const REPORT_INTERVAL: u64 = 250_000;
-/// Time from an engine to a router, microseconds.
+/// One-way delay between an engine and a router, microseconds.
 const NETWORK_DELAY: u64 = 1_000;
 
-/// What goes wrong in a run, and for how long caches are filled before anything is counted.
+/// Size of the fleet, faults, and warm-up of a run.
 #[derive(Clone, Debug)]
 pub struct Conditions {
-    /// Engines.
+    /// Number of engines.
     pub engines: u32,
-    /// Blocks in each engine's cache.
+    /// Capacity of the cache of each engine, blocks.
     pub cache_blocks: usize,
     /// Delay of cache events, microseconds.
     pub event_delay_us: u64,
-    /// Share of cache events lost.
+    /// Share of cache events that are lost, 0 to 1.
     pub event_loss: f64,
-    /// When a third of the engines crash, seconds.
+    /// Time at which a third of the engines crash, seconds.
     pub crash_at: Option<f64>,
-    /// When all routers restart with an empty view, seconds.
+    /// Time at which all routers restart with an empty view, seconds.
     pub herd_at: Option<f64>,
-    /// When every engine loses its cache, seconds.
+    /// Time at which every engine loses its cache, seconds.
     pub evict_at: Option<f64>,
-    /// Time before anything is counted, seconds.
+    /// Warm-up in which caches fill and nothing is counted, seconds.
     pub warm_up: f64,
     /// Length of the workload, seconds.
     pub seconds: f64,
 }
 
 impl Conditions {
-    /// An ordinary day.
+    /// Returns conditions without faults.
     pub fn ordinary(engines: u32, seconds: f64) -> Self {
         Self {
             engines,
@@ -135,11 +135,11 @@
     pub(super) random: ChaCha8Rng,
 }
 
-/// What a run found, and the recorder for looking at parts of it.
+/// Result of a run.
 pub struct RunResult {
-    /// The figures.
+    /// Measures after the warm-up.
     pub measures: Measures,
-    /// All counts.
+    /// Recorder, for measures over parts of the run.
     pub recorder: Recorder,
 }
 
@@ -151,7 +151,7 @@
     seed: u64,
 ) -> RunResult {
     let mut fleet = VirtualFleet::new(requests, conditions, policy, seed);
-    // Answers that take longer than this after the last arrival are not in time anyway.
+    // Responses that take longer than this after the last arrival miss every deadline.
     let end = ((conditions.seconds + 120.0) * 1e6) as u64;
     while let Some(event) = fleet.schedule.next(end) {
         fleet.handle(event);
@@ -172,7 +172,7 @@
     ) -> Self {
         let mut schedule = Schedule::default();
         let engines = (0..conditions.engines).map(|engine| {
-            // Reports of different engines do not come at the same moment.
+            // Spreads the reports of the engines over the interval.
             let offset = REPORT_INTERVAL * u64::from(engine) / u64::from(conditions.engines);
             schedule.after(offset, Event::Report { engine });
             VirtualEngine {
--- a/crates/lab/src/experiment/measures.rs
+++ b/crates/lab/src/experiment/measures.rs
@@ -1,4 +1,4 @@
-//! What a run is judged by.
+//! Measures of a run.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -9,36 +9,35 @@
 
 use crate::experiment::trace::TraceRequest;
 
-/// Largest time recorded, microseconds.
+/// Upper bound of the histograms, microseconds.
 const LONGEST_US: u64 = 600_000_000;
 
-/// Figures of one run. Times are in milliseconds.
+/// Measures of one run. Times are in milliseconds, shares from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Measures {
-    /// Prompt tokens found in a cache, of all prompt tokens of admitted requests.
+    /// Share of the prompt tokens of admitted requests that were cached.
     pub hit_rate: f64,
-    /// Prompt tokens computed although the fleet had computed them before, of all prompt tokens.
+    /// Share of the prompt tokens that were computed although an engine had computed them before.
     pub waste: f64,
-    /// Median time to first token of interactive work.
+    /// Median time to first token of interactive requests.
     pub interactive_p50: f64,
-    /// 95th percentile of it.
+    /// 95th percentile of the time to first token of interactive requests.
     pub interactive_p95: f64,
-    /// 99th percentile of it.
+    /// 99th percentile of the time to first token of interactive requests.
     pub interactive_p99: f64,
-    /// 99th percentile of the time to first token of all work.
+    /// 99th percentile of the time to first token of all requests.
     pub all_p99: f64,
-    /// Whole answers within their deadline, per second.
+    /// Responses completed within their deadline, per second.
     pub goodput: f64,
-    /// Requests refused, of all.
+    /// Share of the requests that were refused.
     pub refused: f64,
     /// Dispatches per admitted request.
     pub amplification: f64,
-    /// Lowest share of a tenant's requests that were answered in time, relative to the mean of
-    /// all tenants that asked for no more than the equal share.
+    /// Lowest ratio over all tenants of the tokens served in time to the max-min fair share.
     pub fairness: f64,
 }
 
-/// Counts while a run goes on.
+/// Counts the events of a run.
 pub struct Recorder {
     measured_from_us: u64,
     seen: HashSet<BlockHash>,
@@ -47,7 +46,7 @@
     first_time_tokens: u64,
     interactive: Histogram<u64>,
     all: Histogram<u64>,
-    /// Times to first token of interactive work by second of arrival.
+    /// Times to first token of interactive requests by second of arrival, microseconds.
     by_second: BTreeMap<u64, Vec<u64>>,
     in_time: u64,
     arrived: u64,
@@ -69,7 +68,7 @@
 }
 
 impl Recorder {
-    /// Counts what arrives from a moment on; before it caches are filled.
+    /// Creates a recorder that counts requests which arrive at `measured_from_us` or later.
     pub fn new(measured_from_us: u64) -> Self {
         Self {
             measured_from_us,
@@ -93,7 +92,7 @@
         request.arrival_us >= self.measured_from_us
     }
 
-    /// A request arrived.
+    /// Records the arrival of a request.
     pub fn arrived(&mut self, request: &TraceRequest, tokens: u32) {
         if self.is_measured(request) {
             self.arrived += 1;
@@ -102,14 +101,14 @@
         }
     }
 
-    /// A request was refused.
+    /// Records the refusal of a request.
     pub fn refused(&mut self, request: &TraceRequest) {
         if self.is_measured(request) {
             self.refused += 1;
         }
     }
 
-    /// A request was sent to an engine, for the first time or again.
+    /// Records a dispatch of a request to an engine.
     pub fn dispatched(&mut self, request: &TraceRequest, is_first: bool) {
         if self.is_measured(request) {
             self.dispatches += 1;
@@ -117,7 +116,7 @@
         }
     }
 
-    /// An engine began with a prompt.
+    /// Records that an engine started to compute a prompt.
     pub fn prompt_started(
         &mut self,
         request: &TraceRequest,
@@ -136,7 +135,7 @@
         }
     }
 
-    /// A caller got its first token.
+    /// Records the first token of a response.
     pub fn first_token(&mut self, request: &TraceRequest, now_us: u64) {
         if !self.is_measured(request) {
             return;
@@ -150,7 +149,7 @@
         }
     }
 
-    /// A caller got its whole answer.
+    /// Records the end of a response.
     pub fn finished(&mut self, request: &TraceRequest, tokens: u32, now_us: u64) {
         let in_time = now_us <= request.arrival_us + request.deadline_ms * 1_000;
         if self.is_measured(request) && in_time {
@@ -160,8 +159,8 @@
         }
     }
 
-    /// 99th percentile of the time to first token of interactive work that arrived in a span of
-    /// seconds, milliseconds.
+    /// Returns the 99th percentile of the time to first token of interactive requests that arrived from second
+    /// `from` to before second `to`, milliseconds.
     pub fn interactive_p99_between(&self, from: u64, to: u64) -> f64 {
         let mut times: Vec<u64> = self
             .by_second
@@ -173,7 +172,7 @@
         times.get(position).map_or(0.0, |time| *time as f64 / 1e3)
     }
 
-    /// The figures.
+    /// Returns the measures of a run whose measured part took `seconds`.
     pub fn measures(&self, seconds: f64) -> Measures {
         let share = |part: u64, whole: u64| part as f64 / whole.max(1) as f64;
         let computed = self.prompt_tokens - self.cached_tokens;
@@ -195,7 +194,7 @@
         }
     }
 
-    /// The worst tenant's served tokens as a share of what max-min fairness would give it.
+    /// Returns the lowest ratio of served tokens to the max-min fair share over all tenants.
     fn fairness(&self) -> f64 {
         let served: u64 = self
             .tenants
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -1,7 +1,7 @@
-//! Policies compared on one workload in virtual time.
+//! Compares routing policies on one workload in virtual time.
 //!
-//! The engines are the emulator's model; the router's side is the code of the daemon: scheduler,
-//! prefix index, admission and retry budget. Events come late and with gaps, load reports lag.
+//! Engines use the model of the emulator. Routers use the scheduler, prefix index, admission and retry budget of
+//! the daemon. Cache events are delayed and can be lost; load reports are periodic.
 
 pub mod command;
 mod disturbances;
--- a/crates/lab/src/experiment/policy.rs
+++ b/crates/lab/src/experiment/policy.rs
@@ -1,24 +1,24 @@
-//! The policies that are compared.
+//! Routing policies of the experiment.
 
 use clap::{ValueEnum, builder::PossibleValue};
 
-/// How an engine is chosen for a request.
+/// Policy by which an engine is chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Policy {
-    /// One engine after another.
+    /// Engines in turn.
     RoundRobin,
-    /// The engine with the fewest open requests, by lagging reports and own sends.
+    /// Engine with the fewest open requests, by the last report and the requests sent since.
     LeastLoaded,
-    /// Rendezvous hashing of the deepest shared segment, whatever the load.
+    /// Rendezvous hashing of the deepest shared segment, regardless of load.
     ConsistentHash,
-    /// The router's scheduler and admission.
+    /// Scheduler and admission of the router.
     Railtack,
-    /// The router's score over every engine with exact caches and loads.
+    /// Score of the router over all engines, computed with their exact caches and loads.
     Oracle,
 }
 
 impl Policy {
-    /// All policies.
+    /// All policies, in the order of the reports.
     pub const ALL: [Self; 5] = [
         Self::RoundRobin,
         Self::LeastLoaded,
@@ -27,7 +27,7 @@
         Self::Oracle,
     ];
 
-    /// Name on the command line and in reports.
+    /// Returns the name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::RoundRobin => "round-robin",
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether it is one of the policies that a user would pick instead.
+    /// Whether this is a common policy to compare against, without admission.
     pub fn is_baseline(self) -> bool {
         matches!(
             self,
--- a/crates/lab/src/experiment/replay.rs
+++ b/crates/lab/src/experiment/replay.rs
@@ -1,4 +1,4 @@
-//! Replay of a recorded trace against stated outcomes.
+//! Replays a trace and checks the expected outcomes.
 
 use std::{fmt, fs, path::Path};
 
@@ -10,79 +10,79 @@
     experiment::{Conditions, Measures, Policy, run, trace},
 };
 
-/// Seed of what a replay draws itself: random candidates and lost events.
+/// Seed of the random candidates and lost events of a replay.
 const REPLAY_SEED: u64 = 1;
 
-/// A fleet, what goes wrong, and what must come of it.
+/// Conditions and expected outcomes of a trace.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectation {
-    /// The fleet and what goes wrong.
+    /// Size of the fleet and faults.
     pub conditions: ReplayConditions,
-    /// What must come of it.
+    /// Bounds of the measures.
     pub outcomes: ExpectedOutcomes,
 }
 
-/// The fleet and what goes wrong. Times are in seconds.
+/// Size of the fleet and faults. Times are in seconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplayConditions {
-    /// Engines.
+    /// Number of engines.
     pub engines: u32,
     /// Length of the trace.
     pub seconds: f64,
-    /// Time before anything is counted.
+    /// Warm-up in which nothing is counted. Default: 0.
     #[serde(default)]
     pub warm_up: f64,
-    /// Blocks in each engine's cache.
+    /// Capacity of the cache of each engine, blocks.
     pub cache_blocks: usize,
-    /// Delay of cache events.
+    /// Delay of cache events. Default: 0.
     #[serde(default)]
     pub event_delay: f64,
-    /// Share of cache events lost.
+    /// Share of cache events that are lost, 0 to 1. Default: 0.
     #[serde(default)]
     pub event_loss: f64,
-    /// When a third of the engines crash, as when a zone is lost.
+    /// Time at which a third of the engines crash, as in a zone outage.
     pub crash_at: Option<f64>,
-    /// When all routers restart.
+    /// Time at which all routers restart.
     pub herd_at: Option<f64>,
-    /// When every engine loses its cache.
+    /// Time at which every engine loses its cache.
     pub evict_at: Option<f64>,
 }
 
-/// Bounds; one that is absent is not checked.
+/// Bounds of the measures. A bound that is absent is not checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ExpectedOutcomes {
     /// Lowest prefix hit rate.
     pub hit_rate_at_least: Option<f64>,
-    /// Lowest prefix hit rate as a share of the oracle's on the same trace.
+    /// Lowest ratio of the prefix hit rate to that of the oracle policy on the same trace.
     pub hit_rate_of_oracle_at_least: Option<f64>,
-    /// Highest share of prompt tokens computed again.
+    /// Highest share of prompt tokens that are computed again.
     pub waste_at_most: Option<f64>,
     /// Highest 99th percentile of the interactive time to first token, milliseconds.
     pub interactive_p99_ms_at_most: Option<f64>,
-    /// Highest share of requests refused.
+    /// Highest share of requests that are refused.
     pub refused_at_most: Option<f64>,
-    /// Most dispatches for each admitted request.
+    /// Most dispatches per admitted request.
     pub amplification_at_most: Option<f64>,
 }
 
-/// One bound and what was measured.
+/// A bound and the measured value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CheckedBound {
-    /// What is bounded.
+    /// Name of the measure.
     pub name: &'static str,
-    /// What was measured.
+    /// Measured value.
     pub measured: f64,
-    /// The bound.
+    /// Bound of the value.
     pub bound: f64,
-    /// Whether the bound is a lower one.
+    /// Whether the bound is a lower bound.
     pub is_lower: bool,
 }
 
 impl CheckedBound {
-    /// Whether the bound holds.
+    /// Whether the measured value is within the bound.
     pub fn holds(&self) -> bool {
         if self.is_lower {
             self.measured >= self.bound
@@ -160,7 +160,7 @@
     }
 }
 
-/// Replays a trace and checks every stated outcome.
+/// Replays a trace. Returns the checked bounds.
 pub fn replay(trace: &Path, expectation: &Path) -> Result<Vec<CheckedBound>, Report<LabError>> {
     let failed = || LabError::File {
         path: expectation.to_owned(),
@@ -174,7 +174,7 @@
     Ok(expectation.outcomes.check(&measures, &oracle))
 }
 
-/// Replays a trace, prints the outcomes, and fails if one is broken.
+/// Replays a trace, prints the checked bounds, and fails if one does not hold.
 pub fn command(trace: &Path, expectation: &Path) -> Result<(), Report<LabError>> {
     let checked = replay(trace, expectation)?;
     for outcome in &checked {
--- a/crates/lab/src/experiment/report.rs
+++ b/crates/lab/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! Tables, JSON and plots of a comparison.
+//! Tables, JSON and plots of an experiment.
 
 use std::{fs, path::Path};
 
@@ -16,7 +16,7 @@
 /// Size of a plot, pixels.
 const PLOT_SIZE: (u32, u32) = (900, 420);
 
-/// A figure that is shown.
+/// A column of the table.
 struct Column {
     name: &'static str,
     value_of: fn(&RunFigures) -> f64,
@@ -65,7 +65,7 @@
     },
 ];
 
-/// Median of a figure over the seeds.
+/// Returns the median of a value over the runs; 0 if there are none.
 pub fn median(runs: &[RunFigures], value_of: impl Fn(&RunFigures) -> f64) -> f64 {
     let mut values: Vec<f64> = runs.iter().map(value_of).collect();
     values.sort_by(f64::total_cmp);
@@ -77,8 +77,8 @@
     }
 }
 
-/// Prints medians over the seeds. "before" and "after" are p99 of interactive work before the
-/// disturbance and from 10 s after it on.
+/// Prints medians over the seeds. The columns "before" and "after" are the 99th percentile of the interactive
+/// time to first token before the disturbance and from 10 s after it.
 pub fn print(results: &Results) {
     let mut last = None;
     for ((kind, variation, policy), runs) in results {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Writes all figures as JSON, and plots of hit rate, waste and tail as SVG.
+/// Writes all runs as JSON, and plots of hit rate, waste and tail latency as SVG.
 pub fn write(results: &Results, folder: &Path) -> Result<(), Report<LabError>> {
     fs::create_dir_all(folder).change_context_lazy(|| LabError::File {
         path: folder.to_owned(),
@@ -145,7 +145,7 @@
     )
 }
 
-/// Bars of the ordinary day, one group for each fleet.
+/// Plots the variation [`Variation::Ordinary`] as bars, grouped by fleet.
 fn plot(
     results: &Results,
     path: &Path,
--- a/crates/lab/src/experiment/router.rs
+++ b/crates/lab/src/experiment/router.rs
@@ -1,4 +1,4 @@
-//! The router's side of a run: the daemon's scheduler and admission, fed by late events.
+//! Router in virtual time, with the scheduler and admission of the daemon.
 
 use railtack_backend_api::LoadReport;
 use railtack_core::{
@@ -14,15 +14,15 @@
 
 use crate::experiment::{policy::Policy, trace::TraceRequest};
 
-/// Sequence of an engine's cache events.
+/// Sequence number of a cache event of an engine.
 pub type EventSequence = u64;
 
-/// One router.
+/// Router in virtual time.
 pub struct VirtualRouter {
-    /// The daemon's scheduler.
+    /// Scheduler of the daemon.
     pub scheduler: Scheduler,
     admission: Admission,
-    /// The daemon's retry budget.
+    /// Retry budget of the daemon.
     pub budget: RetryBudget,
     policy: Policy,
     next: usize,
@@ -30,36 +30,36 @@
     limits: TenantLimits,
 }
 
-/// What an oracle sees of one engine.
+/// Exact state of one engine, for [`Policy::Oracle`].
 #[derive(Clone, Copy, Debug)]
 pub struct ExactEngine {
-    /// Leading blocks cached.
+    /// Number of leading blocks of the prompt that are cached.
     pub held_blocks: u32,
-    /// Load now.
+    /// Current load.
     pub load: LoadReport,
-    /// Whether it runs.
+    /// Whether the engine runs.
     pub up: bool,
 }
 
-/// What an engine is wanted for.
+/// Request for which an engine is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineQuery<'a> {
-    /// Class of the work.
+    /// Priority of the request.
     pub class: Priority,
-    /// The prompt.
+    /// Block hashes of the prompt.
     pub chain: &'a PrefixChain,
-    /// Where its shared segments end, blocks.
+    /// Ends of the shared segments, in blocks.
     pub boundaries: &'a [u32],
-    /// Engines that failed the request.
+    /// Engines at which the request has failed.
     pub excluded: &'a [EngineSlot],
 }
 
-/// The chosen engine and what was expected there.
+/// Chosen engine and expected work.
 #[derive(Clone, Copy, Debug)]
 pub struct Choice {
-    /// The engine.
+    /// Engine that was chosen.
     pub engine: EngineSlot,
-    /// Prompt tokens that it was expected to compute.
+    /// Prompt tokens that the engine is expected to compute.
     pub uncached_tokens: u64,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl VirtualRouter {
-    /// A router that knows all engines and nothing of their caches.
+    /// Creates a router that knows all engines and has an empty prefix index.
     pub fn new(policy: Policy, engines: u32, routers: u32) -> Self {
         let mut scheduler = Scheduler::new(SchedulerOptions::default());
         for engine in 0..engines {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Hears of a crash, a restart, or that an engine is there.
+    /// Updates the incarnation and the availability of an engine.
     pub fn update_engine(&mut self, engine: u32, incarnation: u64, up: bool) {
         let (slot, knowledge) = self
             .scheduler
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Hears a cache event; false if events before it were lost.
+    /// Applies a cache event. Returns false if events before it were lost.
     pub fn apply_cache_event(
         &mut self,
         engine: u32,
@@ -129,7 +129,7 @@
         follows
     }
 
-    /// Takes an engine's whole listing, as after a gap.
+    /// Replaces the cached blocks of an engine with its full listing, after a gap in its events.
     pub fn resynchronise(&mut self, engine: u32, sequence: EventSequence, blocks: &[BlockHash]) {
         let slot = EngineSlot(engine as u16);
         self.last_sequence[engine as usize] = sequence;
@@ -138,7 +138,7 @@
         self.scheduler.engines.view_mut(slot).cache_view_stale = false;
     }
 
-    /// Chooses an engine.
+    /// Chooses an engine by the policy. Returns `None` if no engine can be used.
     pub fn choose(
         &mut self,
         query: EngineQuery<'_>,
@@ -185,7 +185,7 @@
         Some((choice, score))
     }
 
-    /// Asks the daemon's admission; only the policies with our scheduler have one.
+    /// Runs the admission of the daemon. The baseline policies admit every request.
     pub fn admit(
         &mut self,
         request: &TraceRequest,
@@ -296,7 +296,7 @@
         }
     }
 
-    /// The table, for notes on what was sent.
+    /// Returns the engine table, in which sent requests are recorded.
     pub fn engines(&mut self) -> &mut EngineTable {
         &mut self.scheduler.engines
     }
--- a/crates/lab/src/experiment/trace.rs
+++ b/crates/lab/src/experiment/trace.rs
@@ -1,4 +1,4 @@
-//! Recorded requests: one JSON object a line.
+//! Traces of requests, one JSON object per line.
 
 use std::{
     fs::File,
@@ -13,41 +13,41 @@
 
 use crate::LabError;
 
-/// Tokens in a block.
+/// Tokens per block.
 pub const BLOCK_TOKENS: u32 = 16;
-/// The model of all recorded requests.
+/// Model of all requests in a trace.
 const MODEL: &str = "model";
 
-/// A part of a prompt. Requests with equal parts before and including it share its cache.
+/// Part of a prompt. Requests share its cached blocks if this part and all parts before it are equal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Identity of the text.
+    /// Identifier of the text; equal texts have equal identifiers.
     pub id: u64,
     /// Length, tokens.
     pub tokens: u32,
 }
 
-/// One recorded request.
+/// A request of a trace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TraceRequest {
-    /// When it arrived, microseconds since the beginning.
+    /// Time of arrival since the start of the trace, microseconds.
     pub arrival_us: u64,
-    /// Whose it is.
+    /// Number of the tenant.
     pub tenant: u32,
-    /// Its template.
+    /// Name of the template.
     pub template: String,
-    /// Class of the work.
+    /// Priority of the request.
     pub class: Priority,
-    /// Parts of the prompt, from the most to the least shared. The last is the question.
+    /// Parts of the prompt, from the most to the least shared. The last is not shared.
     pub segments: Vec<Segment>,
-    /// Length of the answer, tokens.
+    /// Length of the response, tokens.
     pub output_tokens: u32,
-    /// Time in which the whole answer is wanted, milliseconds.
+    /// Deadline of the complete response after the arrival, milliseconds.
     pub deadline_ms: u64,
 }
 
 impl TraceRequest {
-    /// Block hashes of the prompt, and where its shared segments end, in blocks.
+    /// Returns the block hashes of the prompt, and the ends of its shared segments in blocks.
     pub fn chain(&self) -> (PrefixChain, Vec<u32>) {
         let namespace = CacheNamespace::derive(
             &format!("tenant-{}", self.tenant).as_str().into(),
@@ -79,7 +79,7 @@
     }
 }
 
-/// Reads a trace.
+/// Reads a trace file.
 pub fn read(path: &Path) -> Result<Vec<TraceRequest>, Report<LabError>> {
     let failed = || LabError::File {
         path: path.to_owned(),
@@ -93,7 +93,7 @@
     Ok(requests)
 }
 
-/// Writes a trace.
+/// Writes a trace file.
 pub fn write(path: &Path, requests: &[TraceRequest]) -> Result<(), Report<LabError>> {
     let failed = || LabError::File {
         path: path.to_owned(),
--- a/crates/lab/src/experiment/workload.rs
+++ b/crates/lab/src/experiment/workload.rs
@@ -1,5 +1,4 @@
-//! The two fleets' requests, drawn from a seed. All shapes are assumed: they follow the brief's
-//! description, and no recorded traffic was at hand.
+//! Random workloads of the two kinds of fleet. Their shapes are assumptions; no recorded traffic is used.
 
 use railtack_settings::documents::Priority;
 use rand::{RngExt, SeedableRng};
@@ -11,49 +10,50 @@
     fleet::FleetKind,
 };
 
-/// Tenants of each fleet, as in the brief.
+/// Number of tenants of each fleet.
 pub const TENANTS: u32 = 8;
 
-/// How unequal tenants are: the largest of eight asks for 37% of everything.
+/// Zipf exponent of the tenants: the largest of eight sends 37% of the requests.
 const TENANT_SKEW: f64 = 1.0;
-/// How unequal documents are: of a tenant's twenty the hottest is asked for in 34% of its requests.
+/// Zipf exponent of the documents: the hottest of twenty is used by 34% of the requests.
 const DOCUMENT_SKEW: f64 = 1.2;
 
-/// One kind of job.
+/// A kind of request.
 #[derive(Clone, Debug)]
 struct Job {
     template: &'static str,
     class: Priority,
-    /// Share of the requests.
+    /// Share of all requests, 0 to 1.
     share: f64,
     opening_tokens: u32,
     tenant_tokens: u32,
-    /// Length of a document, tokens; 0 if the job reads none.
+    /// Length of a document, tokens; 0 if the prompt has none.
     document_tokens: u32,
     question_tokens: (u32, u32),
     output_tokens: (u32, u32),
     deadline_ms: u64,
 }
 
-/// What is drawn.
+/// Parameters of a random workload.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Whose fleet.
+    /// Kind of fleet.
     pub kind: FleetKind,
-    /// Arrivals per second over all tenants.
+    /// Arrivals per second, over all tenants.
     pub rate: f64,
-    /// Length, seconds.
+    /// Length of the workload, seconds.
     pub seconds: f64,
-    /// Documents of each tenant in use at one time.
+    /// Number of documents of each tenant in use at a time.
     pub documents: u32,
-    /// When the hot documents change, seconds.
+    /// Time at which all documents are replaced by others, seconds.
     pub shift_at: Option<f64>,
-    /// When one new document becomes a third of all long requests, seconds.
+    /// Time from which a third of all requests with a document use one new document of
+    /// the tenant, seconds.
     pub flash_at: Option<f64>,
 }
 
 impl Workload {
-    /// The ordinary day of a fleet at a rate.
+    /// Returns a workload whose document popularity does not change abruptly.
     pub fn ordinary(kind: FleetKind, rate: f64, seconds: f64) -> Self {
         let documents = match kind {
             FleetKind::Brasov => 20,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Engines of the fleet, as in the brief.
+    /// Returns the number of engines of the fleet.
     pub fn engines(&self) -> u32 {
         match self.kind {
             FleetKind::Brasov => 20,
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Draws the requests, in order of arrival.
+    /// Generates the requests, in order of arrival.
     pub fn draw(&self, seed: u64) -> Vec<TraceRequest> {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let jobs = jobs(self.kind);
         let mut requests = Vec::new();
         let mut now = 0.0;
         loop {
-            // Exponential gaps: many independent callers.
+            // Poisson arrivals, as from many independent callers.
             let uniform: f64 = random.random_range(f64::EPSILON..1.0);
             now -= uniform.ln() / self.rate;
             if now >= self.seconds {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// A document: a few are much asked for, and work moves slowly on to others.
+    /// Draws a document by popularity.
     fn draw_document(&self, now: f64, random: &mut ChaCha8Rng) -> u64 {
         let is_flash = self.flash_at.is_some_and(|at| now >= at);
         if is_flash && random.random_bool(1.0 / 3.0) {
@@ -136,7 +136,7 @@
         let rank = u64::from(zipf(self.documents, DOCUMENT_SKEW, random));
         let generation = u64::from(self.shift_at.is_some_and(|at| now >= at));
         let rotation = (now / 30.0) as u64;
-        // Every 30 seconds the quarter of the documents that is done and replaced is another one.
+        // In each period of 30 seconds, new documents replace another quarter of them.
         let position = rank + u64::from(rank % 4 == rotation % 4) * rotation * 1_000;
         generation * 1_000_000_000 + position
     }
@@ -210,7 +210,7 @@
     random.random_range(low..=high)
 }
 
-/// A rank below `count`; rank r has weight 1 / (r + 1)^exponent.
+/// Draws a rank below `count`; rank r has weight 1 / (r + 1)^exponent.
 fn zipf(count: u32, exponent: f64, random: &mut ChaCha8Rng) -> u32 {
     let weight = |rank: u32| f64::from(rank + 1).powf(-exponent);
     let total: f64 = (0..count).map(weight).sum();
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes over loopback.
+//! Fleets of real processes on loopback addresses.
 
 pub mod process;
 pub mod running;
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -13,10 +13,10 @@
 
 use crate::LabError;
 
-/// Time for a process to end after it was killed.
+/// Time in which a killed process must exit.
 const KILL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The programs; the lab contains them all, so that one build starts a fleet.
+/// Programs of a fleet. The lab binary contains all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Program {
     /// `railtack-router`.
@@ -30,7 +30,7 @@
 }
 
 impl Program {
-    /// The name under which `railtack-lab process` starts it.
+    /// Returns the argument with which `railtack-lab process` starts the program.
     pub fn name(self) -> &'static str {
         match self {
             Self::Router => "router",
@@ -41,16 +41,16 @@
     }
 }
 
-/// What is done to a running process.
+/// Signal sent to a running process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// SIGKILL: the process is gone at once.
+    /// SIGKILL: the process exits at once.
     Kill,
     /// SIGTERM: a planned stop.
     Terminate,
-    /// SIGSTOP: frozen, connections stay open in silence.
+    /// SIGSTOP: the process stops running; its connections stay open.
     Freeze,
-    /// SIGCONT: goes on.
+    /// SIGCONT: the process resumes.
     Thaw,
 }
 
@@ -65,21 +65,21 @@
     }
 }
 
-/// A process that the lab started.
+/// A child process of the lab.
 #[derive(Debug)]
 pub struct LabProcess {
-    /// Its name in the fleet.
+    /// Name in the fleet.
     pub name: String,
     program: Program,
     arguments: Vec<String>,
     log: PathBuf,
     child: Option<Child>,
-    /// The lab of another build, whose programs are started from now on.
+    /// Lab binary of another build, used by later starts.
     lab_override: Option<PathBuf>,
 }
 
 impl LabProcess {
-    /// Starts a program; its output goes to `NAME.log` in `folder`.
+    /// Starts a program that appends its output to `NAME.log` in `folder`.
     pub fn start(
         name: &str,
         program: Program,
@@ -98,12 +98,12 @@
         Ok(process)
     }
 
-    /// Where the output of a process goes.
+    /// Returns the path of the log file of a process.
     pub fn log_path(name: &str, folder: &Path) -> PathBuf {
         folder.join(format!("{name}.log"))
     }
 
-    /// Has the programs of another build's lab started from the next start on.
+    /// Uses the lab binary of another build from the next start on.
     pub fn replace_by(&mut self, lab: &Path) {
         self.lab_override = Some(lab.to_owned());
     }
@@ -132,12 +132,12 @@
         Ok(())
     }
 
-    /// The process id, while it runs.
+    /// Returns the process id, or `None` if the process has exited.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
-    /// Signals the process. [`Fault::Kill`] also waits until it is gone.
+    /// Sends a signal to the process. After [`Fault::Kill`] it waits until the process has exited.
     pub async fn inflict(&mut self, fault: Fault) -> Result<(), Report<LabError>> {
         let failed = || LabError::Signal {
             name: self.name.clone(),
@@ -158,7 +158,8 @@
         Ok(())
     }
 
-    /// Waits for the process to end; its exit code if it did so by itself.
+    /// Waits for the process to exit. Returns `None` on timeout, if a signal killed it, or if it was not
+    /// running.
     pub async fn wait(&mut self, limit: Duration) -> Option<i32> {
         let child = self.child.as_mut()?;
         let status = tokio::time::timeout(limit, child.wait()).await.ok()?.ok()?;
@@ -169,12 +170,12 @@
 
 static LAB_BINARY: OnceLock<PathBuf> = OnceLock::new();
 
-/// Names the lab's binary, for tests, whose own binary is another. Only the first call counts.
+/// Sets the path of the lab binary, for tests, which run in another binary. Only the first call has an effect.
 pub fn use_lab_binary(path: &Path) {
     LAB_BINARY.get_or_init(|| path.to_owned());
 }
 
-/// A command that runs a program of the lab's binary.
+/// Returns a command that runs a program of the lab binary.
 pub fn command(program: Program) -> std::io::Result<Command> {
     let lab = match LAB_BINARY.get() {
         Some(path) => path.clone(),
--- a/crates/lab/src/fleet/running.rs
+++ b/crates/lab/src/fleet/running.rs
@@ -1,4 +1,4 @@
-//! Starting a fleet, and what can be done to it while it runs.
+//! Starts a fleet and operates it while it runs.
 
 use std::{
     fs,
@@ -24,44 +24,45 @@
     },
 };
 
-/// Time for a process to come up.
+/// Time in which a process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between two looks at a starting process.
+/// Time between two readiness checks of a starting process.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Lines of a process's log that are shown if it is not ready in time.
+/// Log lines attached to the error if a process is not ready in time.
 const LOG_TAIL_LINES: usize = 40;
-/// Time for one call.
+/// Timeout of one HTTP call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Tries of an operator's command while the fleet starts.
+/// Most retries of a `railtackctl` command while the fleet starts.
 const CTL_RETRIES: u32 = 40;
-/// Pause between them.
+/// Time between two of these retries.
 const CTL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A running fleet. Dropping it kills its processes.
 pub struct Fleet {
-    /// Sizes.
+    /// Sizes of the fleet.
     pub shape: FleetShape,
-    /// Addresses.
+    /// Addresses of all processes.
     pub places: Endpoints,
-    /// Where settings, logs and data are.
+    /// Folder of settings, logs and data.
     pub folder: PathBuf,
-    /// Control replicas, in the order of the places.
+    /// Control replicas, in the order of `places.control`.
     pub control: Vec<LabProcess>,
-    /// Routers, in the order of the places.
+    /// Routers, in the order of `places.routers`.
     pub routers: Vec<LabProcess>,
-    /// Engines, in the order of the places.
+    /// Engines, in the order of `places.engines`.
     pub engines: Vec<LabProcess>,
-    /// Services, in the order of the places.
+    /// Service replicas, in the order of `places.services`.
     pub services: Vec<LabProcess>,
-    /// The platform.
+    /// Process of the platform.
     pub platform: LabProcess,
-    /// Machines that are listed and do not exist.
+    /// Machines that the platform lists although nothing listens at their addresses.
     pub phantoms: Vec<Machine>,
     client: HttpClient,
 }
 
 impl Fleet {
-    /// Starts every process of a fleet and waits until all routers are ready.
+    /// Starts every process, publishes the list of machines, adds the control replicas as members and waits
+    /// until all engines respond.
     pub async fn start(shape: FleetShape, folder: &Path) -> Result<Self, Report<LabError>> {
         fs::create_dir_all(folder).change_context_lazy(|| LabError::File {
             path: folder.to_owned(),
@@ -152,7 +153,7 @@
         Ok(())
     }
 
-    /// Waits until an address answers a path with success; returns how long it took.
+    /// Waits until a GET of `path` at `address` gets status 200. Returns the time waited.
     pub async fn wait_until_up(
         &self,
         name: &str,
@@ -173,7 +174,7 @@
         Err(Report::new(not_ready).attach(self.log_tail(name)))
     }
 
-    /// The end of what a process has logged, for failures that are not seen again.
+    /// Returns the last lines of the log of a process.
     fn log_tail(&self, name: &str) -> String {
         let log = LabProcess::log_path(name, &self.folder);
         match fs::read_to_string(&log) {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Whether an address answers a path with success.
+    /// Whether a GET of `path` at `address` gets status 200.
     pub async fn is_up(&self, address: SocketAddr, path: &str) -> bool {
         let uri = format!("http://{address}{path}");
         let Ok(request) = hyper::Request::get(uri).body(http_body_util::Full::default()) else {
@@ -196,7 +197,7 @@
         matches!(answer, Ok(Ok(response)) if response.status() == 200)
     }
 
-    /// Starts one more control replica and makes it a voter; returns how long that took.
+    /// Starts another control replica and adds it as a member. Returns the time taken.
     pub async fn add_control(&mut self) -> Result<Duration, Report<LabError>> {
         let started = Instant::now();
         let number = self.places.control.iter().map(|place| place.replica).max();
@@ -217,7 +218,7 @@
         Ok(started.elapsed())
     }
 
-    /// Publishes the list of machines, some of them leaving.
+    /// Publishes the list of machines at the platform, with the given engines marked as leaving.
     pub async fn publish_machines(&self, leaving: &[EngineId]) -> Result<(), Report<LabError>> {
         let machines = self.machines(leaving);
         let content = serde_json::to_vec(&machines).unwrap_or_default();
@@ -255,7 +256,7 @@
         engines.chain(services).chain(phantoms).collect()
     }
 
-    /// Runs `railtackctl` against this fleet; its output if it succeeded.
+    /// Runs `railtackctl` against this fleet. Returns its standard output.
     pub async fn operate(&self, arguments: &[&str]) -> Result<String, Report<LabError>> {
         let failed = |code| LabError::Operator {
             command: arguments.join(" "),
@@ -276,7 +277,7 @@
         Err(Report::new(failed(output.status.code().unwrap_or(-1))))
     }
 
-    /// Runs an operator's command until it succeeds, while the fleet comes up.
+    /// Runs a `railtackctl` command and retries it while the fleet starts.
     async fn operate_with_retries(&self, arguments: &[&str]) -> Result<(), Report<LabError>> {
         let mut last = self.operate(arguments).await;
         for _ in 0..CTL_RETRIES {
@@ -289,7 +290,7 @@
         last.map(|_| ())
     }
 
-    /// State of every engine that answers.
+    /// Returns the status of every engine that responds.
     pub async fn engine_statuses(&self) -> Vec<EngineStatus> {
         let mut statuses = Vec::new();
         for place in &self.places.engines {
@@ -302,7 +303,7 @@
         statuses
     }
 
-    /// Executions of each key over all services.
+    /// Returns the executions of each key, summed over all service replicas.
     pub async fn executions(&self) -> Result<ExecutionCounts, Report<LabError>> {
         let mut total = ExecutionCounts::default();
         for place in &self.places.services {
@@ -322,7 +323,7 @@
         Ok(total)
     }
 
-    /// The revision that a router has in force, if it answers.
+    /// Returns the configuration revision that a router has applied, or `None` if it does not respond.
     pub async fn router_revision(&self, admin: SocketAddr) -> Option<u64> {
         let content = self
             .client
@@ -332,7 +333,7 @@
         content.get("revision")?.as_u64()
     }
 
-    /// Position in `control` of the present leader.
+    /// Returns the position in `control` of the current leader.
     pub async fn leader(&self) -> Option<usize> {
         let output = self.operate(&["--output", "json", "status"]).await.ok()?;
         let status: Value = serde_json::from_str(&output).ok()?;
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/lab/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of a fleet's processes.
+//! Addresses and settings files of the processes of a fleet.
 
 use std::{
     fmt::Write as _,
@@ -15,16 +15,16 @@
 /// Addresses of one control replica.
 #[derive(Clone, Debug)]
 pub struct ControlPlace {
-    /// Number.
+    /// Replica number.
     pub replica: u32,
     /// Internal address.
     pub listen: SocketAddr,
-    /// Metrics address.
+    /// Address of the metrics endpoint.
     pub metrics: SocketAddr,
 }
 
 impl ControlPlace {
-    /// Takes free ports for one more replica.
+    /// Allocates free ports for another replica.
     pub fn draw(replica: u32) -> Result<Self, Report<LabError>> {
         let mut ports = PortAllocator::new();
         Ok(Self {
@@ -38,38 +38,38 @@
 /// Addresses of one router.
 #[derive(Clone, Debug)]
 pub struct RouterEndpoints {
-    /// Number.
+    /// Router number.
     pub router: u32,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub admin: SocketAddr,
 }
 
 /// Address of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineEndpoint {
-    /// Number.
+    /// Engine number.
     pub engine: u32,
-    /// Address.
+    /// Address of its HTTP interface.
     pub listen: SocketAddr,
 }
 
 /// Address of one replica of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceEndpoint {
-    /// Service.
+    /// Name of the service.
     pub service: &'static str,
-    /// Number over all services.
+    /// Number, unique over all services.
     pub number: u32,
-    /// Address.
+    /// Address of its HTTP interface.
     pub listen: SocketAddr,
 }
 
-/// Every address of a fleet.
+/// Addresses of all processes of a fleet.
 #[derive(Clone, Debug)]
 pub struct Endpoints {
-    /// The platform.
+    /// Platform.
     pub platform: SocketAddr,
     /// Control replicas.
     pub control: Vec<ControlPlace>,
@@ -82,7 +82,8 @@
 }
 
 impl Endpoints {
-    /// Takes free ports. All are held open until the last is drawn, so that none is drawn twice.
+    /// Allocates free ports. All listeners stay open until the last port is allocated, so that no port is
+    /// allocated twice.
     pub fn allocate(shape: &FleetShape) -> Result<Self, Report<LabError>> {
         let mut ports = PortAllocator::new();
         let platform = ports.next()?;
@@ -128,19 +129,19 @@
         })
     }
 
-    /// Internal addresses of the control replicas, as `railtackctl --control` takes them.
+    /// Returns the internal addresses of the control replicas in the format of `railtackctl --control`.
     pub fn control_list(&self) -> String {
         let addresses = self.control.iter().map(|place| place.listen.to_string());
         addresses.collect::<Vec<_>>().join(",")
     }
 }
 
-/// Fleets of this process, so that each has a loopback address of its own.
+/// Number of the next fleet of this process. It determines the loopback address of the fleet.
 static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
 
-/// Draws ports that stay free until the processes listen there. On an address that others use as well, a port
-/// that was drawn could be taken in between, by another fleet or as the near end of any connection; on one
-/// that only this fleet listens at, nobody takes it, as connections leave from the common address.
+/// Allocates ports that stay free until the processes listen there. At a shared address another fleet or an
+/// outgoing connection could take an allocated port in the meantime. Each fleet therefore uses its own loopback
+/// address, from which no connection originates.
 struct PortAllocator {
     address: Ipv4Addr,
     held: Vec<TcpListener>,
@@ -173,16 +174,16 @@
 
 /// Writes settings files into a folder.
 pub struct SettingsWriter<'a> {
-    /// The folder.
+    /// Folder for the files.
     pub folder: &'a Path,
-    /// The fleet.
+    /// Shape of the fleet.
     pub shape: &'a FleetShape,
-    /// Its addresses.
+    /// Addresses of the fleet.
     pub places: &'a Endpoints,
 }
 
 impl SettingsWriter<'_> {
-    /// Settings of a control replica.
+    /// Writes the settings of a control replica. Returns the path of the file.
     pub fn control(&self, place: &ControlPlace) -> Result<PathBuf, Report<LabError>> {
         let data = self.folder.join(format!("control-{}", place.replica));
         let text = format!(
@@ -198,7 +199,7 @@
         self.write(&format!("control-{}.toml", place.replica), &text)
     }
 
-    /// Settings of a router.
+    /// Writes the settings of a router.
     pub fn router(&self, place: &RouterEndpoints) -> Result<PathBuf, Report<LabError>> {
         let mut text = format!(
             "router_id = {}\nzone = \"{}\"\nlisten = \"{}\"\nadmin_listen = \"{}\"\n\
@@ -220,7 +221,7 @@
         self.write(&format!("router-{}.toml", place.router), &text)
     }
 
-    /// Settings of an engine.
+    /// Writes the settings of an engine.
     pub fn engine(&self, place: &EngineEndpoint) -> Result<PathBuf, Report<LabError>> {
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"engine\"\nengine_id = {}\nzone = \"{}\"\n\
@@ -234,7 +235,7 @@
         self.write(&format!("engine-{}.toml", place.engine), &text)
     }
 
-    /// Settings of a service.
+    /// Writes the settings of a service replica.
     pub fn service(&self, place: &ServiceEndpoint) -> Result<PathBuf, Report<LabError>> {
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"service\"\nservice = \"{}\"\nanswer_ms = 5\n",
@@ -243,7 +244,7 @@
         self.write(&format!("service-{}.toml", place.number), &text)
     }
 
-    /// Settings of the platform.
+    /// Writes the settings of the platform.
     pub fn platform(&self) -> Result<PathBuf, Report<LabError>> {
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"platform\"\nlag_ms = {}\n\
--- a/crates/lab/src/fleet/shape.rs
+++ b/crates/lab/src/fleet/shape.rs
@@ -1,13 +1,13 @@
-//! How many of what, and where.
+//! Sizes and names of a fleet.
 
 use clap::{ValueEnum, builder::PossibleValue};
 
-/// Whose fleet is imitated.
+/// Kind of fleet and of its workload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetKind {
-    /// Land valuation: long dossiers that can wait, short questions at a counter.
+    /// Long documents as batch work, and short interactive requests.
     Brasov,
-    /// Card payments: long merchant histories, terminals that wait.
+    /// Long histories as batch work, and interactive requests with short documents.
     Quarrybrook,
 }
 
@@ -27,28 +27,28 @@
 /// Sizes of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetShape {
-    /// Zones; machines are spread over them in turn.
+    /// Zones; machines are assigned to them in turn.
     pub zones: Vec<&'static str>,
-    /// Routers.
+    /// Number of routers.
     pub routers: u32,
-    /// Control replicas.
+    /// Number of control replicas.
     pub control: u32,
-    /// Engines.
+    /// Number of engines.
     pub engines: u32,
-    /// Replicas of each ordinary service.
+    /// Number of replicas of each service that is not a model.
     pub service_replicas: u32,
-    /// Names of the ordinary services.
+    /// Names of the services that are not models.
     pub services: Vec<&'static str>,
-    /// The model that all engines run.
+    /// Model of all engines.
     pub model: &'static str,
-    /// Blocks that each engine's cache holds.
+    /// Capacity of the cache of each engine, blocks.
     pub cache_blocks: usize,
-    /// How far the platform's list lags, milliseconds.
+    /// Delay after which the platform lists a change of the machines, milliseconds.
     pub platform_lag_ms: u64,
 }
 
 impl FleetShape {
-    /// The small fleet of the demonstration.
+    /// Returns the shape of the demonstration fleet.
     pub fn demonstration(kind: FleetKind) -> Self {
         let (zones, services, model) = match kind {
             FleetKind::Brasov => (
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Zone of the machine with this number.
+    /// Returns the zone of the machine with this number.
     pub fn zone(&self, number: u32) -> &'static str {
         self.zones[number as usize % self.zones.len()]
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! A whole fleet on one machine: load, faults, simulation, experiments and reports.
+//! Runs a fleet on one machine: load, fault injection, simulation, experiments and reports.
 //!
-//! A development tool, never deployed. Only the lab and the tests start processes.
+//! A development tool that is not deployed. Only the lab and the tests start processes.
 
 pub mod cli;
 pub mod demo;
--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that checks what it gets.
+//! HTTP client that sends requests to routers and checks the responses.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,36 +15,36 @@
 
 use crate::load::documents::ModelQuestion;
 
-/// Largest answer read as a whole, bytes.
+/// Largest response body read at once.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
-/// Time after which a caller gives up; nothing may take this long.
+/// Time after which a request counts as lost.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How a request ended, as its caller saw it.
+/// Outcome of a request, as the caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// The whole answer to its own request.
+    /// Complete and correct response.
     Whole {
-        /// Time to the first token of a streamed answer, or to a whole one, microseconds.
+        /// Time to the first token of a stream, or to the head of another response, microseconds.
         first_token_us: u64,
     },
-    /// A typed refusal.
+    /// Typed refusal.
     Refused {
-        /// Code.
+        /// Code of the refusal.
         code: RefusalCode,
-        /// Whether it ran, as far as the router says.
+        /// Whether the request was executed, according to the router.
         execution: Execution,
     },
-    /// The router could not be reached; nothing was promised.
+    /// The router could not be reached.
     Unreachable,
-    /// The connection to the router broke in the middle, and the caller can tell.
+    /// The connection broke before the response was complete, which the caller can detect.
     Broken,
-    /// An answer that looks whole and is not, or is somebody else's.
+    /// Response that looks complete but has the wrong content.
     Wrong {
-        /// What came.
+        /// Content of the response, possibly cut.
         got: String,
     },
-    /// No end came.
+    /// No end of the response within the timeout.
     Lost,
 }
 
@@ -59,12 +59,12 @@
     execution: Execution,
 }
 
-/// The shape in which a model is asked.
+/// Mode of the response to a model request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AskShape {
     /// `/v1/completions`, streamed.
     Stream,
-    /// `/v1/completions`, whole.
+    /// `/v1/completions`, as one JSON response.
     Whole,
 }
 
@@ -76,7 +76,7 @@
 }
 
 impl Caller {
-    /// A caller with a bearer key.
+    /// Creates a caller that authenticates with a bearer key.
     pub fn new(client: HttpClient, key: &str) -> Self {
         Self {
             client,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Asks a model and compares the answer with the only right one.
+    /// Sends a model request and compares the response with the expected text.
     pub async fn ask(
         &self,
         router: SocketAddr,
@@ -118,7 +118,7 @@
         timeout(CALLER_TIMEOUT, call).await.unwrap_or(Finding::Lost)
     }
 
-    /// Calls an ordinary service.
+    /// Calls a service that is not a model, with an optional idempotency key.
     pub async fn call(
         &self,
         router: SocketAddr,
@@ -236,7 +236,7 @@
         }
         text.push_str(delta);
     }
-    // No end came, so the caller knows that the answer was cut.
+    // The stream has no `[DONE]`, so the caller can detect that it was cut.
     Finding::Broken
 }
 
--- a/crates/lab/src/load/documents.rs
+++ b/crates/lab/src/load/documents.rs
@@ -1,4 +1,4 @@
-//! The templates and tenants of a demonstration, and the prompts that come of them.
+//! Templates, tenants and model requests of the load.
 
 use std::{fs, path::Path};
 
@@ -12,20 +12,20 @@
 
 /// Tokens in a block of the emulated engines.
 const BLOCK_TOKENS: u32 = 16;
-/// Words of a dossier's common opening.
+/// Words of the opening that all prompts of the long template share.
 const OPENING_WORDS: usize = 900;
-/// Words of a tenant's context.
+/// Words of the context of a tenant.
 const CONTEXT_WORDS: usize = 1_200;
-/// Words of one parcel's or merchant's file.
+/// Words of one file.
 const FILE_WORDS: usize = 700;
-/// Files that each tenant's callers ask about.
+/// Number of files that requests refer to.
 const FILES: usize = 5;
-/// Template of long work that can wait.
+/// Template of batch requests with a file.
 pub const LONG_TEMPLATE: &str = "long-report";
-/// Template of short work at a counter.
+/// Template of short interactive requests.
 pub const SHORT_TEMPLATE: &str = "counter-answer";
 
-/// A tenant of the demonstration.
+/// A tenant on whose behalf requests are sent.
 #[derive(Clone, Debug)]
 pub struct LoadTenant {
     /// Name.
@@ -35,7 +35,7 @@
     context: String,
 }
 
-/// Everything submitted to a fleet before load is put on it.
+/// Documents that are submitted to a fleet before the load starts.
 #[derive(Clone, Debug)]
 pub struct LoadDocuments {
     model: String,
@@ -46,23 +46,23 @@
     services: Vec<String>,
 }
 
-/// A model request, with the prompt that the router must make of it.
+/// A model request, and the prompt that the router must build from it.
 #[derive(Clone, Debug)]
 pub struct ModelQuestion {
-    /// Template.
+    /// Name of the template.
     pub template: &'static str,
-    /// Value of the request parameter `file`, if the template has it.
+    /// Value of the parameter `file`, if the template has it.
     pub file: Option<String>,
-    /// The question.
+    /// Last part of the prompt, which no other request shares.
     pub question: String,
-    /// Length of the answer, tokens.
+    /// Length of the response, tokens.
     pub max_tokens: u32,
-    /// The whole prompt as it must reach the engine.
+    /// Prompt that the engine must receive.
     pub prompt: String,
 }
 
 impl LoadDocuments {
-    /// Draws documents for a fleet.
+    /// Generates random documents for a fleet.
     pub fn draw(shape: &FleetShape, tenants: usize, random: &mut ChaCha8Rng) -> Self {
         let tenants = (1..=tenants).map(|number| LoadTenant {
             name: format!("tenant-{number}"),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Writes the documents as files for `railtackctl`; answers with the commands to run.
+    /// Writes the documents as files. Returns the arguments of the `railtackctl` commands that submit them.
     pub fn write(&self, folder: &Path) -> Result<Vec<[String; 3]>, Report<LabError>> {
         let mut commands = Vec::new();
         let mut write = |kind: &str, name: &str, text: String| {
@@ -149,7 +149,7 @@
         text
     }
 
-    /// Draws a question of a tenant.
+    /// Generates a random model request of a tenant.
     pub fn question(&self, tenant: usize, random: &mut ChaCha8Rng) -> ModelQuestion {
         let is_long = random.random_bool(0.4);
         let template = if is_long {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The block hashes of a tenant's prompt.
+    /// Returns the block hashes of a prompt of a tenant.
     pub fn chain(&self, tenant: usize, prompt: &str) -> PrefixChain {
         let namespace = CacheNamespace::derive(
             &TenantName(self.tenants[tenant].name.clone()),
@@ -186,7 +186,7 @@
         PrefixChain::from_text(namespace, prompt, BLOCK_TOKENS)
     }
 
-    /// Name of a service that may be called again, and of one that may not.
+    /// Returns the names of a service with repeatable requests and of one without.
     pub fn service_names(&self) -> (&str, &str) {
         (&self.services[0], &self.services[self.services.len() - 1])
     }
--- a/crates/lab/src/load/keyed.rs
+++ b/crates/lab/src/load/keyed.rs
@@ -1,4 +1,4 @@
-//! What callers were told of requests that may not be repeated, judged against what ran. Pure.
+//! Checks the outcomes of requests with an idempotency key against the executions at the back ends.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::load::Finding;
 
-/// What callers were told of a key.
+/// Outcomes of the requests with one key.
 #[derive(Clone, Copy, Debug, Default)]
 struct OutcomeCounts {
     whole: u64,
@@ -14,30 +14,30 @@
     unknown: u64,
 }
 
-/// What callers were told of each key.
+/// Outcomes of the requests of each key.
 #[derive(Clone, Debug, Default)]
 pub struct KeyedRecord {
     outcomes: BTreeMap<u64, OutcomeCounts>,
 }
 
-/// Keys whose callers were told something untrue, or that ran more often than once.
+/// Number of keys for which an outcome contradicts the executions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyedJudgement {
-    /// Keys that ran more than once.
+    /// Keys that were executed more than once.
     pub ran_twice: usize,
-    /// Keys that ran although a caller was told that they had not and never would.
+    /// Keys that were executed although a caller got a refusal with execution `not_run`.
     pub untrue_not_run: usize,
-    /// Keys that were answered and did not run.
+    /// Keys with a complete response that were not executed exactly once.
     pub unfounded: usize,
 }
 
-/// The name under which a key is sent.
+/// Returns the value of the `idempotency-key` header for a key.
 pub fn key_name(key: u64) -> String {
     format!("key-{key}")
 }
 
 impl KeyedRecord {
-    /// Notes what one caller was told.
+    /// Records the outcome of one request.
     pub fn note(&mut self, key: u64, finding: &Finding) {
         let outcomes = self.outcomes.entry(key).or_default();
         match finding {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Answers, refusals that promise that nothing ran, and everything else, over all keys.
+    /// Returns the numbers of complete responses, of refusals with execution `not_run`, and of other outcomes,
+    /// over all keys.
     pub fn totals(&self) -> (u64, u64, u64) {
         self.outcomes.values().fold((0, 0, 0), |sum, outcomes| {
             (
@@ -61,7 +62,7 @@
         })
     }
 
-    /// Compares what was told with the executions of each key, by its name.
+    /// Compares the outcomes with the executions, which are given by [`key_name`].
     pub fn judge(&self, executions: &BTreeMap<String, u64>) -> KeyedJudgement {
         let mut judgement = KeyedJudgement::default();
         for (key, outcomes) in &self.outcomes {
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Load on a running fleet: what operators submit, what callers ask, and whether they got it.
+//! Load on a running fleet: documents, requests, and checks of the responses.
 
 pub mod caller;
 pub mod documents;
--- a/crates/lab/src/load/summary.rs
+++ b/crates/lab/src/load/summary.rs
@@ -1,4 +1,4 @@
-//! What many callers found.
+//! Summary of the outcomes of many requests.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -10,20 +10,20 @@
 /// Largest time recorded, microseconds.
 const LONGEST_US: u64 = 120_000_000;
 
-/// Counts of findings and times to first token.
+/// Counts of outcomes, and a histogram of the times to first token.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// Whole answers.
+    /// Complete responses.
     pub whole: u64,
-    /// Refusals by code and what they say of execution.
+    /// Refusals by code and execution.
     pub refusals: BTreeMap<(RefusalCode, &'static str), u64>,
-    /// Connections that broke in a way that the caller can tell.
+    /// Connections that broke before the response was complete, which the caller can detect.
     pub broken: u64,
     /// Routers that could not be reached.
     pub unreachable: u64,
-    /// Answers that were wrong without the caller being able to tell.
+    /// Contents of responses that look complete but are wrong.
     pub wrong: Vec<String>,
-    /// Requests without any end.
+    /// Requests without an end of the response within the timeout.
     pub lost: u64,
     times: Histogram<u64>,
 }
@@ -45,7 +45,7 @@
 }
 
 impl Summary {
-    /// Counts one finding.
+    /// Counts one outcome.
     pub fn add(&mut self, finding: &Finding) {
         match finding {
             Finding::Whole { first_token_us } => {
@@ -63,14 +63,14 @@
         }
     }
 
-    /// Everything counted.
+    /// Returns the number of outcomes counted.
     pub fn total(&self) -> u64 {
         let refused: u64 = self.refusals.values().sum();
         let wrong = self.wrong.len() as u64;
         self.whole + refused + self.unreachable + self.broken + wrong + self.lost
     }
 
-    /// A quantile of the time to first token, milliseconds.
+    /// Returns a quantile of the time to first token, milliseconds.
     pub fn first_token_ms(&self, quantile: f64) -> f64 {
         self.times.value_at_quantile(quantile) as f64 / 1_000.0
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `railtack-lab`: a whole fleet on one machine.
+//! `railtack-lab`: runs a fleet on one machine.
 
 use std::process::ExitCode;
 
--- a/crates/lab/src/scale/cluster.rs
+++ b/crates/lab/src/scale/cluster.rs
@@ -1,4 +1,4 @@
-//! A real control cluster under hollow routers and claims, and a real router under streams.
+//! Costs of a real control cluster under polls and claims, and of a real router under streams.
 
 use std::{
     sync::{
@@ -31,19 +31,19 @@
     scale::{processor_seconds, resident_bytes, time_histogram},
 };
 
-/// Numbers of hollow routers; the target has 400.
+/// Numbers of simulated routers; the target has 400.
 const ROUTERS: [u32; 4] = [50, 100, 200, 400];
-/// Proposals open at once.
+/// Numbers of concurrent proposals.
 const PROPOSERS: [u64; 4] = [1, 16, 64, 256];
 /// Length of one measurement.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(4);
-/// Time between a hollow router's polls, as by default.
+/// Time between the polls of a simulated router; the default of the router.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Questions asked for the router's processor time.
+/// Number of requests over which the processor time of the router is measured.
 const REQUESTS: usize = 100;
-/// Most tokens of their answers.
+/// Most output tokens of these requests.
 const MAX_OUTPUT_TOKENS: u32 = 16;
-/// Open streams at which the router's memory is read.
+/// Numbers of open streams at which the memory of the router is read.
 const STREAMS: [usize; 3] = [250, 500, 1_000];
 
 /// Starts a small fleet for a measurement.
@@ -68,7 +68,7 @@
     ids.map(|id| processor_seconds(&id.to_string())).sum()
 }
 
-/// Processor time of the control replicas, and bytes, against the number of polling routers.
+/// Measures processor time and bytes of polls by number of simulated routers.
 pub async fn polls() -> Result<(), Report<LabError>> {
     println!(
         "routers   polls/s   control cores (sum of 3)   us/poll   request B   reply B   router B/s"
@@ -164,7 +164,7 @@
     }
 }
 
-/// Claims committed per second, and what one costs, against the number open at once.
+/// Measures claims per second and the cost of a claim by number of concurrent proposals.
 pub async fn commits() -> Result<(), Report<LabError>> {
     println!("open   claims/s   p50 ms   p99 ms   control us/claim (sum of 3)");
     let prepared = fleet(1, 1).await?;
@@ -207,7 +207,7 @@
     Ok(())
 }
 
-/// Times of one proposer's claims, microseconds.
+/// Proposes claims one after another. Returns their latencies, microseconds.
 async fn run_proposer(link: &ControlLink, proposer: u64, started: Instant) -> Vec<u64> {
     let mut times = Vec::new();
     let mut number = 0_u64;
@@ -228,8 +228,8 @@
     times
 }
 
-/// Time to first token through the router and at the engine directly, on the same questions, and
-/// the router's memory for open streams.
+/// Measures the latency that the router adds, its processor time per request, and its memory by number of open
+/// streams.
 pub async fn overhead() -> Result<(), Report<LabError>> {
     let prepared = fleet(4, 1).await?;
     let router = &prepared.fleet.places.routers[0];
@@ -242,7 +242,7 @@
     for question in &mut questions {
         question.max_tokens = question.max_tokens.min(MAX_OUTPUT_TOKENS);
     }
-    // Caches are filled first, so that both sides find the same.
+    // Fills the caches first.
     for question in &questions {
         caller.ask(router.listen, question, AskShape::Stream).await;
     }
@@ -287,8 +287,8 @@
     id.to_string()
 }
 
-/// The time that the router adds to a request that no engine works on: a keyless lookup at a
-/// service that answers after a fixed time, through the router less directly.
+/// Returns the latencies that the router adds, microseconds: the time of a call through the router less that of
+/// a direct call, at a service with a fixed response time.
 async fn added_times(prepared: &PreparedFleet) -> Histogram<u64> {
     let mut added = time_histogram();
     let client = HttpClient::new(Duration::from_secs(1));
@@ -317,7 +317,7 @@
     added
 }
 
-/// The router's memory while streams are open.
+/// Returns the resident memory of the router while `count` streams are open, bytes.
 async fn open_streams(prepared: &PreparedFleet, count: usize) -> u64 {
     let client = HttpClient::new(Duration::from_secs(5));
     let caller = Caller::new(client, &prepared.documents.tenants[0].key);
--- a/crates/lab/src/scale/command.rs
+++ b/crates/lab/src/scale/command.rs
@@ -7,7 +7,7 @@
     scale::{Slope, cluster, decisions, homes, state},
 };
 
-/// Measures one slope, or all.
+/// Measures one slope, or all of them if `None`.
 pub async fn run(slope: Option<Slope>) -> Result<(), Report<LabError>> {
     let slopes = slope.map_or(Slope::ALL.to_vec(), |slope| vec![slope]);
     for slope in slopes {
--- a/crates/lab/src/scale/decisions.rs
+++ b/crates/lab/src/scale/decisions.rs
@@ -1,4 +1,4 @@
-//! The router's own work: decisions and the prefix index.
+//! Costs in the router: routing decisions and the prefix index.
 
 use std::time::Instant;
 
@@ -19,15 +19,15 @@
 
 /// Fleet sizes; the target has 730 replicas.
 const ENGINES: [u32; 6] = [10, 30, 100, 300, 730, 1_000];
-/// Decisions measured at each size.
+/// Number of decisions measured at each size.
 const DECISIONS: usize = 20_000;
-/// Segments of the prompts.
+/// Segments of each prompt.
 const SEGMENTS: u32 = 32;
-/// Blocks of one segment.
+/// Blocks of each segment.
 const SEGMENT_BLOCKS: u32 = 24;
-/// Distinct prompts.
+/// Number of distinct prompts.
 const PROMPTS: usize = 400;
-/// Blocks in the index.
+/// Sizes of the index, blocks.
 const INDEX_SIZES: [usize; 4] = [75_000, 150_000, 300_000, 600_000];
 
 struct Prompt {
@@ -66,7 +66,7 @@
     (0..PROMPTS).map(make).collect()
 }
 
-/// Time of one decision against the number of engines.
+/// Measures the time of a decision by number of engines.
 pub fn decisions() {
     println!("engines   p50 us   p99 us   max us   (32 segments, 768 blocks)");
     let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -140,10 +140,10 @@
     times
 }
 
-/// Memory and time of the index against the number of blocks.
+/// Measures memory and time of the index by number of blocks.
 pub fn index() {
     println!("blocks     MB      bytes/block   ns/stored   ns/removed   hash us/1000 tokens");
-    // Kept until the end, so that no size is measured in memory freed by the one before.
+    // Indexes are retained so that none is allocated from memory that an earlier one freed.
     let mut retained = Vec::new();
     for size in INDEX_SIZES {
         let mut random = ChaCha8Rng::seed_from_u64(2);
@@ -175,7 +175,7 @@
     std::hint::black_box(&retained);
 }
 
-/// Time for hashing a prompt of 1,000 tokens, microseconds.
+/// Returns the time to hash 1,000 tokens of a prompt, microseconds.
 fn hash_time_us() -> f64 {
     let text = "some words ".repeat(36_000);
     let namespace =
--- a/crates/lab/src/scale/homes.rs
+++ b/crates/lab/src/scale/homes.rs
@@ -1,4 +1,4 @@
-//! A router's work for one prompt: its homes, and the choice among them.
+//! Time to find the home replicas of a prompt and to choose one of them.
 
 use std::{sync::Arc, time::Instant};
 
@@ -13,9 +13,9 @@
 
 use crate::scale::time_histogram;
 
-/// Fleet sizes; the largest fleet that is planned for has half of the last one.
+/// Fleet sizes; the last is twice the largest planned fleet.
 const REPLICAS: [usize; 4] = [256, 1_000, 10_000, 20_000];
-/// Choices measured at each size.
+/// Number of choices measured at each size.
 const CHOICES: usize = 5_000;
 
 fn record(number: usize) -> Arc<ReplicaRecord> {
@@ -68,7 +68,7 @@
     times
 }
 
-/// Time of a choice against the number of replicas: in the group of a first part, and among all replicas.
+/// Measures the time of a choice by number of replicas: in the group of a prompt, and among all replicas.
 pub fn homes() {
     println!("replicas   ring us   group p50 us   p99 us   all p50 us   p99 us");
     for replicas in REPLICAS {
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! Slopes for docs/CAPACITY.md: what each role costs at three or more sizes.
+//! Measures how the costs of each process grow with size, at three or more sizes.
 
 pub mod cluster;
 pub mod command;
@@ -11,12 +11,12 @@
 use clap::{ValueEnum, builder::PossibleValue};
 use hdrhistogram::Histogram;
 
-/// Size of a page of memory, bytes; that of the machines this runs on.
+/// Size of a memory page, bytes.
 const PAGE_BYTES: u64 = 4_096;
-/// Processor time units in a second, as `/proc` counts them.
+/// Clock ticks per second in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What is measured.
+/// A cost as a function of size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Slope {
     /// Time of one routing decision, by number of engines.
@@ -27,18 +27,18 @@
     Index,
     /// Size and cost of configuration, by number of tenants.
     Configuration,
-    /// Memory of kept claims, by their number.
+    /// Memory of stored claims, by number of claims.
     Claims,
-    /// Cost of polls at the control replicas, by number of routers, with hollow routers.
+    /// Cost of polls at the control replicas, by number of simulated routers.
     Polls,
-    /// Commits per second and their cost, by proposals open at once.
+    /// Commits per second and cost of a commit, by number of concurrent proposals.
     Commits,
-    /// Added time to first token of the router, and its memory for open streams.
+    /// Latency that the router adds, and its memory, by number of open streams.
     Overhead,
 }
 
 impl Slope {
-    /// All slopes.
+    /// All slopes, in the order in which they are measured.
     pub const ALL: [Self; 8] = [
         Self::Decision,
         Self::Homes,
@@ -50,7 +50,7 @@
         Self::Overhead,
     ];
 
-    /// Name on the command line.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Decision => "decision",
@@ -75,13 +75,13 @@
     }
 }
 
-/// A histogram of times up to an hour, in any unit from nanoseconds on.
+/// Returns a histogram of times up to an hour in nanoseconds.
 pub fn time_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 3_600_000_000_000, 3)
         .unwrap_or_else(|_| unreachable!("constant bounds are valid"))
 }
 
-/// Resident memory of a process, bytes; 0 if it cannot be read.
+/// Returns the resident memory of a process, bytes; 0 if it cannot be read.
 pub fn resident_bytes(process: &str) -> u64 {
     let text = fs::read_to_string(format!("/proc/{process}/statm")).unwrap_or_default();
     let pages = text
@@ -91,7 +91,7 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Processor time that a process has used, seconds; 0 if it cannot be read.
+/// Returns the processor time that a process has used, seconds; 0 if it cannot be read.
 pub fn processor_seconds(process: &str) -> f64 {
     let text = fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
     // The name in parentheses may contain spaces; user and system time are fields 14 and 15.
--- a/crates/lab/src/scale/state.rs
+++ b/crates/lab/src/scale/state.rs
@@ -1,4 +1,4 @@
-//! Replicated state: configuration and claims.
+//! Costs of the replicated state: configuration and claims.
 
 use std::time::Instant;
 
@@ -16,11 +16,11 @@
 
 /// Numbers of tenants; the target has 360.
 const TENANTS: [u32; 4] = [8, 90, 360, 1_000];
-/// Templates: 13 models with three kinds of service each.
+/// Number of templates: three for each of 13 models.
 const TEMPLATES: u32 = 39;
-/// Numbers of kept claims.
+/// Numbers of stored claims.
 const CLAIMS: [u64; 3] = [50_000, 100_000, 200_000];
-/// Text of one template or tenant value, bytes.
+/// Length of the text of a template, bytes.
 const TEXT_BYTES: usize = 4_000;
 
 fn apply_document(state: &mut ControlState, index: u64, document: Document) {
@@ -77,7 +77,7 @@
     state
 }
 
-/// Size of configuration, and a router's time for a whole update and for one change.
+/// Measures the size of the configuration, and the time a router needs to apply all of it and a single change.
 pub fn configuration() {
     println!("tenants   snapshot KB   delta B   router MB   whole update us   one change us");
     for tenants in TENANTS {
@@ -128,10 +128,10 @@
     value.write_to_vec().map_or(0, |bytes| bytes.len())
 }
 
-/// Memory and snapshot size of kept claims, with answers of 200 bytes.
+/// Measures memory and snapshot size of stored claims, with responses of 200 bytes.
 pub fn claims() {
     println!("claims     MB    bytes/claim   snapshot bytes/claim   apply ns/command   encode ms");
-    // Kept until the end, so that no size is measured in memory freed by the one before.
+    // States are retained so that none is allocated from memory that an earlier one freed.
     let mut retained = Vec::new();
     for count in CLAIMS {
         let before = resident_bytes("self");
--- a/crates/lab/tests/advertised_limits.rs
+++ b/crates/lab/tests/advertised_limits.rs
@@ -1,7 +1,5 @@
-//! Back ends that take only so many requests a second from all routers together, in a fleet of real processes.
-//!
-//! The same class as the incident of replicas behind an adapter: a bound on a sum over routers, here for the
-//! engines of `/v1` and the back ends of `/services`.
+//! All routers together respect the rate limit that an engine or a back end advertises, in a fleet of real
+//! processes.
 
 mod support;
 
@@ -15,7 +13,7 @@
 
 /// Time between two requests of one caller.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
-/// Time in which some windows lie that a limit binds.
+/// Length of the load; it spans several windows of the limit.
 const RUN_TIME: Duration = Duration::from_secs(9);
 
 async fn start_fleet(folder: &Path, seed: u64) -> PreparedFleet {
@@ -35,7 +33,7 @@
     response.status().as_u16()
 }
 
-/// Callers of all routers send requests for a while; how many were not served.
+/// Sends requests through all routers for `duration`. Returns how many did not get status 200.
 async fn send_for(
     prepared: &PreparedFleet,
     duration: Duration,
@@ -64,7 +62,7 @@
     refused
 }
 
-/// Has one back end name a limit, and callers send more than it allows for a while.
+/// Makes one back end advertise a limit, then sends more requests than it allows.
 async fn exceed_limit(
     prepared: &PreparedFleet,
     path: &'static str,
--- a/crates/lab/tests/back_off.rs
+++ b/crates/lab/tests/back_off.rs
@@ -1,4 +1,4 @@
-//! Back ends that ask for no requests for a time, in a fleet of real processes.
+//! Routers honor the back-off that engines and back ends request, in a fleet of real processes.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 /// Time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
-/// Time in which what was on its way has arrived.
+/// Upper bound of the time that messages spend in flight.
 const DELIVERY_TIME: Duration = Duration::from_millis(300);
 
 async fn start_fleet(folder: &Path, seed: u64) -> PreparedFleet {
@@ -25,7 +25,7 @@
     .await
 }
 
-/// Sends a request; its status, and when the caller is to come back.
+/// Sends a request. Returns the status and the value of `retry-after`.
 async fn send(prepared: &PreparedFleet, path: &str, body: &Value) -> (u16, Option<Duration>) {
     let router = router_addresses(prepared)[0];
     let response = post(tenant_key(prepared), router, path, body).await;
@@ -46,7 +46,7 @@
         |text: &str| json!({ "template": "counter-answer", "prompt": text, "max_tokens": 4 });
     let harmless = prompt("harmless");
     assert_eq!(send(&prepared, "/v1/completions", &harmless).await.0, 200);
-    // Each engine that it reaches asks for rest.
+    // Each engine that receives this prompt requests a back-off.
     send(&prepared, "/v1/completions", &prompt(BACK_OFF_TEXT)).await;
     let backed_off_at = Instant::now();
     while backed_off_at.elapsed() < BACK_OFF - DELIVERY_TIME {
--- a/crates/lab/tests/bad_input.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! A small fleet of real processes: bad input is refused with a typed error, and it serves on.
+//! A fleet of real processes refuses bad input with a typed error and keeps serving.
 
 use std::{
     io::{Read, Write},
@@ -163,7 +163,7 @@
     )
 }
 
-/// Asks for a stream, which must be whole.
+/// Requests a stream and checks that the response is complete.
 async fn assert_serves(prepared: &PreparedFleet) {
     let caller = Caller::new(
         HttpClient::new(Duration::from_secs(2)),
@@ -202,7 +202,7 @@
         .expect("accepted");
 }
 
-/// A caller that sends half a request and then waits: it is refused in time and holds up nobody.
+/// Sends half a request and waits. Returns the response, which must arrive before the read timeout.
 fn send_partial_request(router: SocketAddr) -> String {
     let mut stream = TcpStream::connect(router).expect("a connection");
     stream
@@ -239,7 +239,7 @@
         assert_eq!(status, input.status, "{}: {body}", input.name);
         assert_eq!(body["error"]["code"], input.code, "{}: {body}", input.name);
         assert_eq!(body["error"]["execution"], "not_run", "{}", input.name);
-        // Whoever complains of a refused model request can name it.
+        // The refusal of a model request carries a request id, which the caller can report.
         let is_model = input.path.starts_with("/v1/");
         if is_model && input.code == "unknown_template" {
             assert!(has_request_id, "{}", input.name);
@@ -254,7 +254,7 @@
     assert_serves(&prepared).await;
 }
 
-/// Bad documents and races of operators change nothing and have their own exit codes.
+/// Checks the exit codes for bad documents and for conflicting operations.
 async fn check_operator_errors(prepared: &PreparedFleet, folder: &Path) {
     let exit_code = async |arguments: &[&str]| match prepared.fleet.operate(arguments).await {
         Ok(_) => 0,
--- a/crates/lab/tests/fatal_requests.rs
+++ b/crates/lab/tests/fatal_requests.rs
@@ -1,4 +1,4 @@
-//! A request under which engines or back ends end, in a fleet of real processes.
+//! Routers quarantine a request under which engines or back ends crash, in a fleet of real processes.
 
 mod support;
 
@@ -15,11 +15,11 @@
 use serde_json::{Value, json};
 use support::{REQUEST_TIMEOUT, post, router_addresses, tenant_key};
 
-/// Engines, and back ends of each service. More than may end under one request.
+/// Number of engines, and of back ends of each service. More than one request may crash.
 const BACK_ENDS: u32 = 8;
-/// Back ends that may end: three show that the request is to blame; one copy may be on its way.
+/// Most back ends that may crash: three identify the request, and one more copy may be in flight.
 const MAX_CRASHES: usize = 4;
-/// Time between two arrivals of the request; longer than routers take to hear of an end.
+/// Time between two arrivals of the request; longer than it takes until routers have learned of a crash.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(700);
 
 async fn start_fleet(folder: &Path, seed: u64) -> PreparedFleet {
@@ -32,7 +32,7 @@
     .await
 }
 
-/// Sends a request; the code of the refusal, empty if there was none.
+/// Sends a request. Returns the code of the refusal, or an empty string if it was not refused.
 async fn refusal_code(
     prepared: &PreparedFleet,
     router: SocketAddr,
@@ -51,7 +51,7 @@
         .to_owned()
 }
 
-/// Sends the fatal request to the routers in turn until each refuses it.
+/// Sends the fatal request to the routers in turn until all of them refuse it in a row.
 async fn send_until_quarantined(prepared: &PreparedFleet, path: &str, body: &Value) {
     let routers = router_addresses(prepared);
     let mut refused_in_a_row = 0;
@@ -92,7 +92,8 @@
     }
 }
 
-/// The list names the request; a release makes the routers send it again; a wrong name is an error.
+/// Checks that `quarantine list` shows the request, that releasing it removes it from the list, and that
+/// releasing an unknown request fails.
 async fn check_quarantine_list_and_release(prepared: &PreparedFleet) {
     let list = ["--output", "json", "quarantine", "list"];
     let listed = prepared.fleet.operate(&list).await.expect("a list");
@@ -116,7 +117,7 @@
     send_until_quarantined(&prepared, "/services/register-lookup/parcel/7", &fatal).await;
     let harmless = json!({ "text": "harmless" });
     for router in router_addresses(&prepared) {
-        // The platform's list still names those that ended; a router finds the others in turn.
+        // The platform still lists the crashed back ends; a router reaches a running one after some attempts.
         let mut codes: Vec<String> = Vec::new();
         while codes.last().is_none_or(|code| !code.is_empty()) && codes.len() < BACK_ENDS as usize {
             codes.push(
--- a/crates/lab/tests/fleet_addresses.rs
+++ b/crates/lab/tests/fleet_addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses of fleets that run at the same time.
+//! Loopback addresses of fleets that run at the same time.
 
 use std::{collections::HashSet, net::IpAddr};
 
@@ -19,8 +19,8 @@
         .collect()
 }
 
-/// A port that was drawn is free until its process listens there only if nobody else draws ports at that
-/// address, and no connection leaves from it.
+/// An allocated port stays free until its process listens there only if no other fleet allocates ports at that
+/// address and no outgoing connection uses it.
 #[test]
 fn two_fleets_share_no_address() {
     let first = addresses();
--- a/crates/lab/tests/incarnations.rs
+++ b/crates/lab/tests/incarnations.rs
@@ -1,5 +1,5 @@
-//! A storm of replicas that come back under their identities, as the control group records it and as a
-//! router's copy follows.
+//! Replicas that return under the same identity with a new incarnation, in the state of the control group and
+//! in the view of a router.
 
 use std::collections::BTreeSet;
 
@@ -12,11 +12,12 @@
 use railtack_serving::{Incarnation, ModelWeights, ReplicaRecord, ReplicaState};
 use speedy::Writable;
 
-/// Replicas of the fleet, and those that come back at once.
+/// Number of replicas in the fleet.
 const FLEET_SIZE: usize = 10_000;
+/// Number of replicas that return at the same time.
 const RETURNING: usize = 3_000;
 const FIRST_START_MS: u64 = 1_791_139_989_053;
-/// Largest record, bytes: 140 and the birth of the life.
+/// Largest encoded record, bytes: 140, and the start time of the incarnation.
 const MAX_RECORD_BYTES: usize = 160;
 
 fn record(number: usize, started_ms: u64) -> ReplicaRecord {
@@ -46,7 +47,7 @@
     }
 }
 
-/// Has records taken in as control replicas do, a batch after the other.
+/// Applies records in batches, as control replicas do.
 fn register_in_batches(state: &mut ServingState, index: &mut u64, records: &[ReplicaRecord]) {
     for batch in records.chunks(MAX_BATCH_RECORDS) {
         *index += 1;
@@ -54,7 +55,7 @@
     }
 }
 
-/// Brings a router's copy up to date; what it was told.
+/// Brings the view of a router up to date. Returns the updates that it received.
 fn catch_up(view: &mut ServingView, state: &ServingState) -> Vec<ServingUpdate> {
     let mut updates = Vec::new();
     while let Some(update) = state.update_after(view.known) {
@@ -103,8 +104,8 @@
 }
 
 quickcheck! {
-    /// Lives that follow each other, leave, fall silent and claim addresses that others have while a router
-    /// asks now and then: whenever it has asked, it knows the lives that the group knows and no other.
+    /// Incarnations start, deregister, expire and reuse addresses of other replicas while a router polls at
+    /// times: after each poll, its view has exactly the incarnations that the control group has registered.
     fn the_view_of_a_router_matches_the_registered_incarnations(steps: Vec<(u8, u8, bool)>) -> bool {
         let mut state = ServingState::default();
         let mut view = ServingView::default();
--- a/crates/lab/tests/partial_crash_reports.rs
+++ b/crates/lab/tests/partial_crash_reports.rs
@@ -1,16 +1,7 @@
-//! One end of a replica that two routers report in parts, in virtual time.
+//! One crash of a replica that two routers report separately, in virtual time.
 //!
-//! What was seen: a request that ends the replicas which run it ended eight of ten, where seven can be
-//! needed to tell it from one that is harmless and was at the same replicas.
-//!
-//! How it came about: beside load, the parts of one report reached the control group some milliseconds
-//! apart, in any order. The part that named only one of both requests had that one quarantined, and the next
-//! part took it back.
-//!
-//! Cause: each part is judged as it comes, and routers sent on what a judgement allowed that was about to
-//! change. A late part has to be able to change it, so a suspected request waits until all parts are in.
-//!
-//! Proof: without that wait, 626 of these 2,000 runs end more replicas than that, up to sixteen.
+//! The reports reach the control group in any order, and the quarantine is evaluated after each. Guards against
+//! sending a suspected request to another replica before all reports of a crash have been recorded.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -26,26 +17,28 @@
 const HARMLESS: ContentKey = ContentKey(2);
 const SEEDS: u64 = 2_000;
 const ROUTERS: usize = 2;
-/// Ends at which both are quarantined, and the copy that the other router has on its way by then.
+/// Most crashes until both requests are quarantined, including the copy that the other router has in flight
+/// by then.
 const MAX_CRASHES: u32 = CRASHES_DESPITE_RIVAL as u32 + ROUTERS as u32 - 1;
-/// Time from the end of a replica until a router's report of it is recorded, milliseconds: gathering, a look
-/// at the port, a commit.
+/// Time from the crash of a replica until a router's report of it is recorded, milliseconds: collection, a
+/// probe of the port, and a commit.
 const REPORT_DELAY_MS: std::ops::Range<u64> = 15..90;
-/// Time until a router that did not report is told, milliseconds.
+/// Additional time until an update reaches a router that did not report, milliseconds.
 const UPDATE_DELAY_MS: std::ops::Range<u64> = 0..60;
-/// Longest time for which a router has a request wait for the report of an end under it, and one that is
-/// suspected for all reports, milliseconds: an eighth and half of an objective of 600 ms.
+/// Longest time for which a request waits at a router for the report of a crash under it, milliseconds: an
+/// eighth of an objective of 600 ms.
 const MAX_WAIT_MS: u64 = 75;
+/// Longest time for which a suspected request waits for all reports, milliseconds: half of that objective.
 const MAX_SUSPECT_WAIT_MS: u64 = 300;
 
-/// A report on its way to the control group.
+/// A crash report in flight to the control group.
 struct Report {
     router: usize,
     replica: ReplicaKey,
     contents: Vec<ContentKey>,
 }
 
-/// What a router is told, on its way.
+/// A quarantine update in flight to a router.
 struct UpdateDelivery {
     router: usize,
     update: QuarantineUpdate,
@@ -59,7 +52,7 @@
     quarantine: Quarantine,
     recorded: u64,
     routers: Vec<QuarantineState>,
-    /// Until when each router has the fatal request wait.
+    /// Time until which the fatal request waits at each router.
     waits_until_ms: [u64; ROUTERS],
     reports: BTreeMap<u64, Vec<Report>>,
     deliveries: BTreeMap<u64, Vec<UpdateDelivery>>,
@@ -105,7 +98,7 @@
             .record_crash(self.recorded, report.replica, contents);
         for router in 0..ROUTERS {
             let update = self.quarantine.update().clone();
-            // Its own report is answered with what it led to.
+            // The reporter receives the update in the reply to its report.
             let delay_ms = if router == report.router {
                 1
             } else {
@@ -119,7 +112,7 @@
         }
     }
 
-    /// Whether the fatal request waits on at a router where it has waited that long.
+    /// Whether the fatal request must keep waiting at a router after `waited_ms`.
     fn must_wait(&self, router: usize, waited_ms: u64) -> bool {
         let state = &self.routers[router];
         let max_wait_ms = if state.is_suspected(FATAL) {
@@ -131,7 +124,7 @@
         waited_ms < max_wait_ms && (!reports_complete || self.now_ms < self.waits_until_ms[router])
     }
 
-    /// The fatal request comes to a router; false if it is refused.
+    /// Handles the arrival of the fatal request at a router. Returns false if it is refused.
     fn send_fatal(&mut self, router: usize) -> bool {
         let arrived_ms = self.now_ms;
         self.advance_to(arrived_ms + 1);
@@ -146,7 +139,7 @@
         }
         self.crashes += 1;
         for reporter in 0..ROUTERS {
-            // Both have the harmless request open there.
+            // Both routers have the harmless request open at the replica.
             let mut contents = vec![HARMLESS];
             if reporter == router {
                 contents.push(FATAL);
@@ -164,7 +157,7 @@
         true
     }
 
-    /// Replicas that ended before each router had refused the request.
+    /// Returns the number of replicas that crashed before every router refused the request.
     fn run(mut self) -> u32 {
         let mut refused_in_a_row = 0;
         let mut round = 0;
--- a/crates/lab/tests/replay.rs
+++ b/crates/lab/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Every committed trace, replayed against its stated outcomes.
+//! Replays every committed trace and checks its expected outcomes.
 
 use std::{fs, path::PathBuf};
 
--- a/crates/lab/tests/shared_retries.rs
+++ b/crates/lab/tests/shared_retries.rs
@@ -1,10 +1,7 @@
-//! Retries of hundreds of routers, each of which sees a request in some seconds.
+//! Retry budget of a service whose requests are spread over hundreds of routers.
 //!
-//! The pattern of load: a plain service gets 181 requests a second by way of 985 routers, and one in seven
-//! fails at its first replica; then a twentieth of its replicas is gone for a while and every request there
-//! fails. The deployment allows a fifth of the requests of ten seconds as retries, and 1,040 more: 26 times
-//! what is needed on a calm day. Divided by 985 the slack is half a retry for each router, and almost none was
-//! sent.
+//! Guards against a regression in which the slack, divided among 985 routers, left each with less than one
+//! retry, so that almost none were sent although the total stayed far below the bound.
 
 use std::time::Duration;
 
@@ -55,14 +52,14 @@
     }
 }
 
-/// The service's ledger at the leader.
+/// Ledger of the shared retries of one service at the control leader.
 struct RetryLedger {
     bounds: Bounds,
     ledger: QuotaLedger,
 }
 
 impl RetryLedger {
-    /// That of a group's first leader.
+    /// Ledger of the first leader of a control group.
     fn with_full_buckets(bounds: Bounds, now: Instant) -> Self {
         Self {
             bounds,
@@ -74,7 +71,7 @@
         }
     }
 
-    /// That of a later leader, who does not know what was lent before.
+    /// Ledger of a new leader, which does not know the retries granted before.
     fn after_failover(bounds: Bounds, now: Instant) -> Self {
         Self {
             bounds,
@@ -99,7 +96,7 @@
     }
 }
 
-/// What came of a run.
+/// Retries and requests of one run.
 #[derive(Default)]
 struct RunResult {
     needed: usize,
@@ -108,7 +105,7 @@
 }
 
 impl RunResult {
-    /// Most retries of a window beyond what its requests allow.
+    /// Returns the largest excess of retries in a window over the share of its requests.
     fn max_excess(&self, bounds: &Bounds) -> f64 {
         let window = Duration::from_millis(bounds.retry_window_ms);
         let within = |times: &[Instant], end: Instant| {
@@ -123,7 +120,7 @@
     }
 }
 
-/// The chance that a request fails, by the second of the run.
+/// Probability that a request fails, by the second of the run.
 type FailureProbability = fn(u64) -> f64;
 
 fn run(
@@ -143,7 +140,7 @@
         let now = start + Duration::from_micros(number * 1_000_000 / REQUESTS_PER_SECOND);
         let second = number / REQUESTS_PER_SECOND;
         if restarts && number > 0 && number % (7 * REQUESTS_PER_SECOND) == 0 {
-            // All routers and the leader at once, again and again.
+            // All routers and the leader restart at the same time.
             budgets = (0..ROUTERS).map(|_| new(now)).collect();
             ledger = RetryLedger::after_failover(bounds, now);
         }
@@ -161,7 +158,7 @@
     result
 }
 
-/// One in seven, and one in five while replicas are gone.
+/// One request in seven fails, and one in five during the outage of some replicas.
 fn failures_with_outage(second: u64) -> f64 {
     if (20..25).contains(&second) {
         0.2
@@ -180,7 +177,7 @@
             "seed {seed}: {declined} of {}",
             shared.needed
         );
-        // Divided among the routers, most of them are.
+        // Without shared retries, most retries are declined.
         let local_only = run(bounds(1_040.0), false, false, failures_with_outage, seed);
         assert!(
             local_only.sent.len() * 2 < local_only.needed,
@@ -204,7 +201,8 @@
     }
 }
 
-/// What routers may spend twice and a leader once, as a restart forgets it, fits the slack.
+/// A restart resets a bucket, so the local share can be spent twice; both and the shared part must fit the
+/// slack.
 #[test]
 fn slack_shares_sum_to_at_most_one() {
     let shares: f64 = [LOCAL_SLACK_SHARE, LOCAL_SLACK_SHARE, SHARED_SLACK_SHARE]
--- a/crates/lab/tests/support/mod.rs
+++ b/crates/lab/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fleets of real processes, and callers' requests to them.
+//! Starts fleets of real processes and sends requests to them.
 
 #![allow(dead_code)]
 
@@ -16,10 +16,10 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value;
 
-/// Time for one request.
+/// Timeout of one request.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts a fleet in `folder`, of the demonstration's shape but for what `adapt` changes.
+/// Starts a fleet in `folder`. `adapt` changes the shape of the demonstration fleet.
 pub async fn start_fleet(folder: &Path, seed: u64, adapt: fn(&mut FleetShape)) -> PreparedFleet {
     process::use_lab_binary(Path::new(env!("CARGO_BIN_EXE_railtack-lab")));
     let mut shape = FleetShape::demonstration(FleetKind::Brasov);
@@ -35,18 +35,18 @@
         .expect("a fleet")
 }
 
-/// Where callers reach the routers.
+/// Returns the addresses at which the routers accept requests.
 pub fn router_addresses(prepared: &PreparedFleet) -> Vec<SocketAddr> {
     let places = &prepared.fleet.places.routers;
     places.iter().map(|place| place.listen).collect()
 }
 
-/// The key of a tenant.
+/// Returns the bearer key of the first tenant.
 pub fn tenant_key(prepared: &PreparedFleet) -> &str {
     &prepared.documents.tenants[0].key
 }
 
-/// Sends a tenant's request; `None` if no head comes.
+/// Posts a JSON body with a tenant's bearer key. Returns `None` if no response head arrives.
 pub async fn post(
     tenant_key: &str,
     router: SocketAddr,
