--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -16,7 +16,7 @@
     LabError,
     fleet::{Fleet, FleetKind, FleetShape},
     load::{
-        Caller, Finding, LoadDocuments, ModelQuestion, Summary, caller::AskShape,
+        CallOutcome, Caller, LoadDocuments, ModelRequest, Summary, caller::ResponseMode,
         documents::LONG_TEMPLATE,
     },
 };
@@ -59,8 +59,13 @@
 
 impl PreparedFleet {
     /// Submits `count` configuration changes through one client. Returns how many were accepted.
-    pub async fn change_many(&self, count: u64) -> Result<u64, Report<LabError>> {
-        let addresses = self.fleet.places.control.iter().map(|place| place.listen);
+    pub async fn submit_many_changes(&self, count: u64) -> Result<u64, Report<LabError>> {
+        let addresses = self
+            .fleet
+            .endpoints
+            .control
+            .iter()
+            .map(|place| place.listen);
         let client = ControlClient::new(addresses);
         let mut accepted = 0;
         for number in 0..count {
@@ -78,8 +83,13 @@
     }
 
     /// Returns the number of voters whose disk identity is the one that a replica reports now.
-    pub async fn voters_with_known_disk(&self, replica: u32) -> Result<usize, Report<LabError>> {
-        let addresses = self.fleet.places.control.iter().map(|place| place.listen);
+    pub async fn voters_on_current_disk(&self, replica: u32) -> Result<usize, Report<LabError>> {
+        let addresses = self
+            .fleet
+            .endpoints
+            .control
+            .iter()
+            .map(|place| place.listen);
         let client = ControlClient::new(addresses);
         let statuses: Vec<_> = client
             .statuses()
@@ -112,7 +122,7 @@
     let documents = LoadDocuments::draw(&shape, TENANTS, random);
     let fleet = Fleet::start(shape, &folder).await?;
     for [kind, verb, file] in documents.write(&folder)? {
-        fleet.operate(&[&kind, &verb, &file]).await?;
+        fleet.run_ctl(&[&kind, &verb, &file]).await?;
     }
     fleet.wait_for_routers().await?;
     wait_for_engines(&fleet, &documents).await?;
@@ -129,8 +139,8 @@
     let client = HttpClient::new(CONNECT_TIMEOUT);
     let caller = Caller::new(client, &documents.tenants[0].key);
     let mut random = ChaCha8Rng::seed_from_u64(0);
-    let question = documents.question(0, &mut random);
-    for place in &fleet.places.routers {
+    let question = documents.model_request(0, &mut random);
+    for place in &fleet.endpoints.routers {
         while !is_served(&caller, place.listen, &question).await {
             if started.elapsed() > limit {
                 return Err(Report::new(LabError::NotReady {
@@ -144,22 +154,20 @@
     Ok(())
 }
 
-async fn is_served(
-    caller: &Caller,
-    router: std::net::SocketAddr,
-    question: &ModelQuestion,
-) -> bool {
-    let finding = caller.ask(router, question, AskShape::Stream).await;
-    matches!(finding, Finding::Whole { .. })
+async fn is_served(caller: &Caller, router: std::net::SocketAddr, question: &ModelRequest) -> bool {
+    let finding = caller
+        .generate(router, question, ResponseMode::Stream)
+        .await;
+    matches!(finding, CallOutcome::Complete { .. })
 }
 
 /// One request of the mixed load.
 #[derive(Clone, Debug)]
 enum MixedRequest {
-    Model(usize, Box<ModelQuestion>, AskShape),
+    Model(usize, Box<ModelRequest>, ResponseMode),
     Lookup(usize, u64),
     Keyed(usize, u64),
-    WrongKey(Box<ModelQuestion>),
+    WrongKey(Box<ModelRequest>),
     UnknownTemplate(usize),
 }
 
@@ -169,16 +177,16 @@
         match random.random_range(0..100) {
             0..80 => {
                 let shape = if random.random_bool(0.75) {
-                    AskShape::Stream
+                    ResponseMode::Stream
                 } else {
-                    AskShape::Whole
+                    ResponseMode::Unary
                 };
-                let question = documents.question(tenant, random);
+                let question = documents.model_request(tenant, random);
                 Self::Model(tenant, Box::new(question), shape)
             }
             80..88 => Self::Lookup(tenant, random.random()),
             88..96 => Self::Keyed(tenant, random.random()),
-            96..98 => Self::WrongKey(Box::new(documents.question(tenant, random))),
+            96..98 => Self::WrongKey(Box::new(documents.model_request(tenant, random))),
             _ => Self::UnknownTemplate(tenant),
         }
     }
@@ -260,7 +268,7 @@
         .collect::<Vec<_>>();
     let callers = Arc::new(callers);
     let unknown_caller = Caller::new(client, "nobody's key");
-    let routers = &prepared.fleet.places.routers;
+    let routers = &prepared.fleet.endpoints.routers;
     let documents = &prepared.documents;
     let total = requests.len();
     let mut findings = stream::iter(requests.into_iter().enumerate())
@@ -279,7 +287,7 @@
     while let Some((expected, finding)) = findings.next().await {
         summary.add(&finding);
         let refused = match finding {
-            Finding::Refused { code, .. } => Some(code),
+            CallOutcome::Refused { code, .. } => Some(code),
             _ => None,
         };
         unexpected += u64::from(refused != expected);
@@ -296,11 +304,11 @@
     documents: &LoadDocuments,
     router: std::net::SocketAddr,
     request: &MixedRequest,
-) -> Finding {
+) -> CallOutcome {
     let (lookup, keyed) = documents.service_names();
     match request {
         MixedRequest::Model(tenant, question, shape) => {
-            callers[*tenant].ask(router, question, *shape).await
+            callers[*tenant].generate(router, question, *shape).await
         }
         MixedRequest::Lookup(tenant, number) => {
             let path = format!("parcel/{number:x}");
@@ -314,10 +322,12 @@
                 .await
         }
         MixedRequest::WrongKey(question) => {
-            unknown_caller.ask(router, question, AskShape::Whole).await
+            unknown_caller
+                .generate(router, question, ResponseMode::Unary)
+                .await
         }
         MixedRequest::UnknownTemplate(tenant) => {
-            let question = ModelQuestion {
+            let question = ModelRequest {
                 template: "no-such-template",
                 file: None,
                 question: String::new(),
@@ -325,7 +335,7 @@
                 prompt: String::new(),
             };
             callers[*tenant]
-                .ask(router, &question, AskShape::Whole)
+                .generate(router, &question, ResponseMode::Unary)
                 .await
         }
     }
@@ -406,7 +416,7 @@
 }
 
 fn print_directions(prepared: &PreparedFleet) {
-    let places = &prepared.fleet.places;
+    let places = &prepared.fleet.endpoints;
     let (lookup, keyed) = prepared.documents.service_names();
     for place in &places.routers {
         println!(
--- a/crates/lab/src/fault/background.rs
+++ b/crates/lab/src/fault/background.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     demo::PreparedFleet,
-    load::{Caller, Finding, ModelQuestion, Summary, caller::AskShape},
+    load::{CallOutcome, Caller, ModelRequest, Summary, caller::ResponseMode},
 };
 
 /// Pause of a caller after a router could not be reached or refused.
@@ -79,7 +79,7 @@
 struct Shared {
     stop: Arc<AtomicBool>,
     report: Arc<Mutex<LoadReport>>,
-    questions: Vec<(usize, ModelQuestion)>,
+    questions: Vec<(usize, ModelRequest)>,
     next: AtomicUsize,
     routers: Vec<std::net::SocketAddr>,
     callers: Vec<Caller>,
@@ -92,7 +92,10 @@
         let tenants = prepared.documents.tenants.len();
         let questions = (0..QUESTIONS).map(|_| {
             let tenant = random.random_range(0..tenants);
-            (tenant, prepared.documents.question(tenant, &mut random))
+            (
+                tenant,
+                prepared.documents.model_request(tenant, &mut random),
+            )
         });
         let client = HttpClient::new(CONNECT_TIMEOUT);
         let shared = Arc::new(Shared {
@@ -102,7 +105,7 @@
             next: AtomicUsize::new(0),
             routers: prepared
                 .fleet
-                .places
+                .endpoints
                 .routers
                 .iter()
                 .map(|place| place.listen)
@@ -142,23 +145,25 @@
         let position = shared.next.fetch_add(1, Ordering::Relaxed) % shared.questions.len();
         let (tenant, question) = &shared.questions[position];
         let shape = if position.is_multiple_of(4) {
-            AskShape::Whole
+            ResponseMode::Unary
         } else {
-            AskShape::Stream
+            ResponseMode::Stream
         };
         let address = shared.routers[router % shared.routers.len()];
-        let finding = shared.callers[*tenant].ask(address, question, shape).await;
+        let finding = shared.callers[*tenant]
+            .generate(address, question, shape)
+            .await;
         let moves_on = matches!(
             finding,
-            Finding::Unreachable
-                | Finding::Refused {
+            CallOutcome::Unreachable
+                | CallOutcome::Refused {
                     execution: Execution::NotRun,
                     ..
                 }
         );
         {
             let mut report = shared.report.lock().unwrap_or_else(PoisonError::into_inner);
-            if matches!(finding, Finding::Whole { .. }) {
+            if matches!(finding, CallOutcome::Complete { .. }) {
                 report.answered_at.push(Instant::now());
             }
             report.summary.add(&finding);
--- a/crates/lab/src/fault/control.rs
+++ b/crates/lab/src/fault/control.rs
@@ -30,13 +30,13 @@
     fs::write(&file, text).change_context_lazy(|| LabError::File { path: file.clone() })?;
     prepared
         .fleet
-        .operate(&["template", "submit", &file.display().to_string()])
+        .run_ctl(&["template", "submit", &file.display().to_string()])
         .await?;
     Ok(Instant::now())
 }
 
 async fn revision_of(prepared: &PreparedFleet, router: usize) -> u64 {
-    let admin = prepared.fleet.places.routers[router].admin;
+    let admin = prepared.fleet.endpoints.routers[router].admin;
     let revision = prepared.fleet.router_revision(admin).await;
     revision.unwrap_or_default()
 }
@@ -65,19 +65,17 @@
     for round in 0..3_u64 {
         let position = round as usize % prepared.fleet.control.len();
         prepared.fleet.control[position]
-            .inflict(Fault::Freeze)
+            .inject(Fault::Freeze)
             .await?;
-        prepared.fleet.routers[0].inflict(Fault::Freeze).await?;
+        prepared.fleet.routers[0].inject(Fault::Freeze).await?;
         let before = revision_of(prepared, 1).await;
         let accepted_at = change_something(prepared, round).await?;
         let others: Vec<usize> = (1..prepared.fleet.routers.len()).collect();
         let took = time_in_force(prepared, &others, before + 1, accepted_at).await;
         slowest = slowest.max(took);
         sleep(Duration::from_secs(7).saturating_sub(accepted_at.elapsed())).await;
-        prepared.fleet.routers[0].inflict(Fault::Thaw).await?;
-        prepared.fleet.control[position]
-            .inflict(Fault::Thaw)
-            .await?;
+        prepared.fleet.routers[0].inject(Fault::Thaw).await?;
+        prepared.fleet.control[position].inject(Fault::Thaw).await?;
         prepared.fleet.wait_for_routers().await?;
         let thawed = revision_of(prepared, 0).await;
         if thawed <= before {
@@ -102,23 +100,21 @@
 pub async fn quorum_loss(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
     for position in 0..2 {
         prepared.fleet.control[position]
-            .inflict(Fault::Freeze)
+            .inject(Fault::Freeze)
             .await?;
     }
     let frozen_at = Instant::now();
-    let mut still_ready = prepared.fleet.places.routers.len();
+    let mut still_ready = prepared.fleet.endpoints.routers.len();
     while still_ready > 0 && frozen_at.elapsed() < Duration::from_secs(20) {
         sleep(Duration::from_millis(20)).await;
         still_ready = 0;
-        for place in &prepared.fleet.places.routers {
-            still_ready += usize::from(prepared.fleet.is_up(place.admin, "/readyz").await);
+        for place in &prepared.fleet.endpoints.routers {
+            still_ready += usize::from(prepared.fleet.is_ready(place.admin, "/readyz").await);
         }
     }
     let stopped_after = frozen_at.elapsed();
     for position in 0..2 {
-        prepared.fleet.control[position]
-            .inflict(Fault::Thaw)
-            .await?;
+        prepared.fleet.control[position].inject(Fault::Thaw).await?;
     }
     let thawed_at = Instant::now();
     prepared.fleet.wait_for_routers().await?;
@@ -144,7 +140,7 @@
         let Some(leader) = prepared.fleet.leader().await else {
             return Err(no_leader());
         };
-        prepared.fleet.control[leader].inflict(Fault::Kill).await?;
+        prepared.fleet.control[leader].inject(Fault::Kill).await?;
         let killed_at = Instant::now();
         change_something(prepared, 10_000 + round).await?;
         slowest = slowest.max(killed_at.elapsed().as_secs_f64());
@@ -152,14 +148,14 @@
         sleep(Duration::from_secs(1)).await;
     }
     let report = load.finish().await;
-    let changes = prepared.change_many(CHANGES).await?;
+    let changes = prepared.submit_many_changes(CHANGES).await?;
     let leader = prepared.fleet.leader().await.ok_or_else(no_leader)?;
-    prepared.fleet.control[leader].inflict(Fault::Kill).await?;
+    prepared.fleet.control[leader].inject(Fault::Kill).await?;
     prepared.fleet.control[leader].restart()?;
-    let place = &prepared.fleet.places.control[leader];
+    let place = &prepared.fleet.endpoints.control[leader];
     let restart = prepared
         .fleet
-        .wait_until_up("control", place.metrics, "/readyz")
+        .wait_until_ready("control", place.metrics, "/readyz")
         .await?;
     let data = prepared
         .fleet
@@ -191,27 +187,25 @@
 pub async fn lost_folder(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
     let before = revision_of(prepared, 0).await;
     let position = prepared.fleet.control.len() - 1;
-    let replica = prepared.fleet.places.control[position].replica;
-    prepared.fleet.control[position]
-        .inflict(Fault::Kill)
-        .await?;
+    let replica = prepared.fleet.endpoints.control[position].replica;
+    prepared.fleet.control[position].inject(Fault::Kill).await?;
     let data = prepared.fleet.folder.join(format!("control-{replica}"));
     fs::remove_dir_all(&data).change_context_lazy(|| LabError::File { path: data.clone() })?;
     prepared.fleet.control[position].restart()?;
     sleep(Duration::from_secs(1)).await;
-    let votes_as_before = prepared.voters_with_known_disk(replica).await? != 0;
+    let votes_as_before = prepared.voters_on_current_disk(replica).await? != 0;
     let accepted_at = change_something(prepared, 20_000).await?;
     let all: Vec<usize> = (0..prepared.fleet.routers.len()).collect();
     let in_force = time_in_force(prepared, &all, before + 1, accepted_at).await;
     prepared
         .fleet
-        .operate(&["members", "remove", &replica.to_string()])
+        .run_ctl(&["members", "remove", &replica.to_string()])
         .await?;
     let replaced = prepared.fleet.add_control().await?;
     let accepted_at = change_something(prepared, 20_001).await?;
     let after_repair = time_in_force(prepared, &all, before + 2, accepted_at).await;
     // A second machine is lost right after the repair.
-    prepared.fleet.control[0].inflict(Fault::Kill).await?;
+    prepared.fleet.control[0].inject(Fault::Kill).await?;
     let killed_at = Instant::now();
     change_something(prepared, 20_002).await?;
     let after_second = killed_at.elapsed().as_secs_f64();
--- a/crates/lab/src/fault/engines.rs
+++ b/crates/lab/src/fault/engines.rs
@@ -25,9 +25,7 @@
     let load = BackgroundLoad::start(prepared, CALLERS, 4);
     for position in 0..prepared.fleet.engines.len() {
         sleep(Duration::from_millis(500)).await;
-        prepared.fleet.engines[position]
-            .inflict(Fault::Kill)
-            .await?;
+        prepared.fleet.engines[position].inject(Fault::Kill).await?;
         sleep(Duration::from_millis(300)).await;
         prepared.fleet.engines[position].restart()?;
     }
@@ -36,7 +34,7 @@
     Ok(vec![
         Finding::at_most("wrong or lost answers", report.bad(), 0.0),
         Finding::report("requests ended by an explicit error", report.cut_off()),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Finding::report("whole answers", report.summary.completed as f64),
     ])
 }
 
@@ -45,9 +43,9 @@
     let load = BackgroundLoad::start(prepared, CALLERS, 5);
     sleep(Duration::from_secs(1)).await;
     let frozen_at = Instant::now();
-    prepared.fleet.engines[0].inflict(Fault::Freeze).await?;
+    prepared.fleet.engines[0].inject(Fault::Freeze).await?;
     sleep(Duration::from_secs(8)).await;
-    prepared.fleet.engines[0].inflict(Fault::Thaw).await?;
+    prepared.fleet.engines[0].inject(Fault::Thaw).await?;
     sleep(Duration::from_secs(2)).await;
     let report = load.finish().await;
     Ok(vec![
@@ -63,7 +61,7 @@
             6.0,
         ),
         Finding::report("requests ended by an explicit error", report.cut_off()),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Finding::report("whole answers", report.summary.completed as f64),
     ])
 }
 
@@ -71,7 +69,7 @@
 pub async fn leave(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 6);
     sleep(Duration::from_secs(1)).await;
-    let leaving = EngineId(prepared.fleet.places.engines[0].engine);
+    let leaving = EngineId(prepared.fleet.endpoints.engines[0].engine);
     prepared.fleet.publish_machines(&[leaving]).await?;
     sleep(LEAVING_LIMIT).await;
     let before = requests_of(prepared, leaving).await;
@@ -87,7 +85,7 @@
         ),
         Finding::at_most("requests cut off", report.cut_off(), 0.0),
         Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Finding::report("whole answers", report.summary.completed as f64),
     ])
 }
 
@@ -112,7 +110,7 @@
     let started = Instant::now();
     prepared
         .fleet
-        .operate(&["model", "revise", &file.display().to_string()])
+        .run_ctl(&["model", "revise", &file.display().to_string()])
         .await?;
     let mut most_loading = 0;
     loop {
@@ -147,6 +145,6 @@
         Finding::at_most("requests cut off", report.cut_off(), 0.0),
         Finding::at_most("wrong or lost answers", report.bad(), 0.0),
         Finding::report("rollout took, s", took.as_secs_f64()),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Finding::report("whole answers", report.summary.completed as f64),
     ])
 }
--- a/crates/lab/src/fault/keys.rs
+++ b/crates/lab/src/fault/keys.rs
@@ -18,7 +18,7 @@
     LabError,
     demo::PreparedFleet,
     fault,
-    fleet::{Fault, settings::ControlPlace},
+    fleet::{Fault, settings::ControlEndpoints},
     load::{
         Caller,
         keyed::{KeyedRecord, key_name},
@@ -56,7 +56,7 @@
     let service = prepared.documents.service_names().1.to_owned();
     let routers: Vec<_> = prepared
         .fleet
-        .places
+        .endpoints
         .routers
         .iter()
         .map(|place| place.listen)
@@ -76,7 +76,7 @@
                         let finding = caller.call(address, &service, &path, Some(&name)).await;
                         told.lock()
                             .unwrap_or_else(PoisonError::into_inner)
-                            .note(key, &finding);
+                            .record(key, &finding);
                     }
                 })
                 .await;
@@ -88,7 +88,7 @@
     sleep(Duration::from_secs(1)).await;
     let executions = prepared.fleet.executions().await?.by_key;
     let told = told.lock().unwrap_or_else(PoisonError::into_inner);
-    let judged = told.judge(&executions);
+    let judged = told.check(&executions);
     let (whole, not_run, unknown) = told.totals();
     Ok(vec![
         fault::Finding::report("keys", KEYS as f64),
@@ -98,8 +98,12 @@
         fault::Finding::report("told not run", not_run as f64),
         fault::Finding::report("told unknown", unknown as f64),
         fault::Finding::at_most("keys executed twice", judged.ran_twice as f64, 0.0),
-        fault::Finding::at_most("untrue \"not run\"", judged.untrue_not_run as f64, 0.0),
-        fault::Finding::at_most("answers without an execution", judged.unfounded as f64, 0.0),
+        fault::Finding::at_most("untrue \"not run\"", judged.false_not_run as f64, 0.0),
+        fault::Finding::at_most(
+            "answers without an execution",
+            judged.completed_without_execution as f64,
+            0.0,
+        ),
     ])
 }
 
@@ -107,8 +111,8 @@
 /// have happened.
 async fn list_phantom_service(prepared: &mut PreparedFleet) -> Result<(), Report<LabError>> {
     let service = prepared.documents.service_names().1.to_owned();
-    let place = ControlPlace::draw(0)?;
-    prepared.fleet.phantoms.push(Machine {
+    let place = ControlEndpoints::allocate(0)?;
+    prepared.fleet.unreachable_machines.push(Machine {
         kind: MachineKind::Service { service },
         address: place.listen,
         zone: ZoneName::from(prepared.fleet.shape.zone(0)),
@@ -130,14 +134,14 @@
         let number = faults as usize;
         if faults.is_multiple_of(3) {
             if let Some(leader) = prepared.fleet.leader().await {
-                prepared.fleet.control[leader].inflict(Fault::Kill).await?;
+                prepared.fleet.control[leader].inject(Fault::Kill).await?;
                 sleep(Duration::from_millis(300)).await;
                 prepared.fleet.control[leader].restart()?;
             }
         } else {
             let position = number % prepared.fleet.routers.len();
             let router = &mut prepared.fleet.routers[position];
-            router.inflict(Fault::Kill).await?;
+            router.inject(Fault::Kill).await?;
             router.restart()?;
         }
         faults += 1;
--- a/crates/lab/src/fault/routers.rs
+++ b/crates/lab/src/fault/routers.rs
@@ -24,14 +24,12 @@
     for round in 0..5 {
         sleep(Duration::from_millis(500)).await;
         let position = round % prepared.fleet.routers.len();
-        prepared.fleet.routers[position]
-            .inflict(Fault::Kill)
-            .await?;
+        prepared.fleet.routers[position].inject(Fault::Kill).await?;
         prepared.fleet.routers[position].restart()?;
-        let admin = prepared.fleet.places.routers[position].admin;
+        let admin = prepared.fleet.endpoints.routers[position].admin;
         let took = prepared
             .fleet
-            .wait_until_up("router", admin, "/readyz")
+            .wait_until_ready("router", admin, "/readyz")
             .await?;
         slowest = slowest.max(took);
     }
@@ -39,7 +37,7 @@
     Ok(vec![
         Finding::at_most("slowest restart until ready, s", slowest.as_secs_f64(), 1.0),
         Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Finding::report("whole answers", report.summary.completed as f64),
     ])
 }
 
@@ -52,7 +50,7 @@
         sleep(Duration::from_secs(1)).await;
         let before = newest_revision(prepared).await;
         for router in &mut prepared.fleet.routers {
-            router.inflict(Fault::Kill).await?;
+            router.inject(Fault::Kill).await?;
         }
         let started = Instant::now();
         for router in &mut prepared.fleet.routers {
@@ -60,7 +58,7 @@
         }
         prepared.fleet.wait_for_routers().await?;
         slowest = slowest.max(started.elapsed());
-        for place in &prepared.fleet.places.routers {
+        for place in &prepared.fleet.endpoints.routers {
             let revision = prepared.fleet.router_revision(place.admin).await;
             older += u64::from(revision.unwrap_or_default() < before);
         }
@@ -78,7 +76,7 @@
 
 async fn newest_revision(prepared: &PreparedFleet) -> u64 {
     let mut newest = 0;
-    for place in &prepared.fleet.places.routers {
+    for place in &prepared.fleet.endpoints.routers {
         let revision = prepared.fleet.router_revision(place.admin).await;
         newest = newest.max(revision.unwrap_or_default());
     }
@@ -94,24 +92,24 @@
     let mut unclean = 0;
     for position in 0..prepared.fleet.routers.len() {
         let router = &mut prepared.fleet.routers[position];
-        router.inflict(Fault::Terminate).await?;
+        router.inject(Fault::Terminate).await?;
         unclean += u64::from(router.wait(STOP_TIMEOUT).await != Some(0));
         router.restart()?;
-        let admin = prepared.fleet.places.routers[position].admin;
+        let admin = prepared.fleet.endpoints.routers[position].admin;
         prepared
             .fleet
-            .wait_until_up("router", admin, "/readyz")
+            .wait_until_ready("router", admin, "/readyz")
             .await?;
     }
     for position in 0..prepared.fleet.engines.len() {
         let engine = &mut prepared.fleet.engines[position];
-        engine.inflict(Fault::Terminate).await?;
+        engine.inject(Fault::Terminate).await?;
         unclean += u64::from(engine.wait(STOP_TIMEOUT).await != Some(0));
         engine.restart()?;
-        let address = prepared.fleet.places.engines[position].listen;
+        let address = prepared.fleet.endpoints.engines[position].listen;
         prepared
             .fleet
-            .wait_until_up("engine", address, "/status")
+            .wait_until_ready("engine", address, "/status")
             .await?;
     }
     let report = load.finish().await;
@@ -120,6 +118,6 @@
         Finding::report("connections broken", report.summary.broken as f64),
         Finding::at_most("wrong or lost answers", report.bad(), 0.0),
         Finding::at_most("processes that did not stop cleanly", unclean as f64, 0.0),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Finding::report("whole answers", report.summary.completed as f64),
     ])
 }
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -104,7 +104,7 @@
     }
 
     /// Uses the lab binary of another build from the next start on.
-    pub fn replace_by(&mut self, lab: &Path) {
+    pub fn set_binary(&mut self, lab: &Path) {
         self.lab_override = Some(lab.to_owned());
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Sends a signal to the process. After [`Fault::Kill`] it waits until the process has exited.
-    pub async fn inflict(&mut self, fault: Fault) -> Result<(), Report<LabError>> {
+    pub async fn inject(&mut self, fault: Fault) -> Result<(), Report<LabError>> {
         let failed = || LabError::Signal {
             name: self.name.clone(),
         };
--- a/crates/lab/src/fleet/running.rs
+++ b/crates/lab/src/fleet/running.rs
@@ -20,7 +20,7 @@
     fleet::{
         FleetShape, LabProcess,
         process::{self, Program},
-        settings::{ControlPlace, Endpoints, SettingsWriter},
+        settings::{ControlEndpoints, Endpoints, SettingsWriter},
     },
 };
 
@@ -42,21 +42,21 @@
     /// Sizes of the fleet.
     pub shape: FleetShape,
     /// Addresses of all processes.
-    pub places: Endpoints,
+    pub endpoints: Endpoints,
     /// Folder of settings, logs and data.
     pub folder: PathBuf,
-    /// Control replicas, in the order of `places.control`.
+    /// Control replicas, in the order of `endpoints.control`.
     pub control: Vec<LabProcess>,
-    /// Routers, in the order of `places.routers`.
+    /// Routers, in the order of `endpoints.routers`.
     pub routers: Vec<LabProcess>,
-    /// Engines, in the order of `places.engines`.
+    /// Engines, in the order of `endpoints.engines`.
     pub engines: Vec<LabProcess>,
-    /// Service replicas, in the order of `places.services`.
+    /// Service replicas, in the order of `endpoints.services`.
     pub services: Vec<LabProcess>,
     /// Process of the platform.
     pub platform: LabProcess,
     /// Machines that the platform lists although nothing listens at their addresses.
-    pub phantoms: Vec<Machine>,
+    pub unreachable_machines: Vec<Machine>,
     client: HttpClient,
 }
 
@@ -67,21 +67,21 @@
         fs::create_dir_all(folder).change_context_lazy(|| LabError::File {
             path: folder.to_owned(),
         })?;
-        let places = Endpoints::allocate(&shape)?;
+        let endpoints = Endpoints::allocate(&shape)?;
         let writer = SettingsWriter {
             folder,
             shape: &shape,
-            places: &places,
+            endpoints: &endpoints,
         };
         let platform = start_process("platform", Program::Emulator, &writer.platform()?, folder)?;
         let mut engines = Vec::new();
-        for place in &places.engines {
+        for place in &endpoints.engines {
             let file = writer.engine(place)?;
             let arguments = vec![
                 "--settings".to_owned(),
                 file.display().to_string(),
                 "--platform".to_owned(),
-                places.platform.to_string(),
+                endpoints.platform.to_string(),
             ];
             let name = format!("engine-{}", place.engine);
             engines.push(LabProcess::start(
@@ -92,13 +92,13 @@
             )?);
         }
         let mut services = Vec::new();
-        for place in &places.services {
+        for place in &endpoints.services {
             let name = format!("service-{}", place.number);
             let file = writer.service(place)?;
             services.push(start_process(&name, Program::Emulator, &file, folder)?);
         }
         let mut control = Vec::new();
-        for place in &places.control {
+        for place in &endpoints.control {
             let file = writer.control(place)?;
             if control.is_empty() {
                 initialize_control(&file).await?;
@@ -107,21 +107,21 @@
             control.push(start_process(&name, Program::Control, &file, folder)?);
         }
         let mut routers = Vec::new();
-        for place in &places.routers {
+        for place in &endpoints.routers {
             let name = format!("router-{}", place.router);
             let file = writer.router(place)?;
             routers.push(start_process(&name, Program::Router, &file, folder)?);
         }
         let fleet = Self {
             shape,
-            places,
+            endpoints,
             folder: folder.to_owned(),
             control,
             routers,
             engines,
             services,
             platform,
-            phantoms: Vec::new(),
+            unreachable_machines: Vec::new(),
             client: HttpClient::new(CALL_TIMEOUT),
         };
         fleet.assemble().await?;
@@ -129,32 +129,33 @@
     }
 
     async fn assemble(&self) -> Result<(), Report<LabError>> {
-        self.wait_until_up("platform", self.places.platform, "/machines")
+        self.wait_until_ready("platform", self.endpoints.platform, "/machines")
             .await?;
         self.publish_machines(&[]).await?;
-        for place in self.places.control.iter().skip(1) {
+        for place in self.endpoints.control.iter().skip(1) {
             let address = place.listen.to_string();
-            self.operate_with_retries(&["members", "add", &address])
+            self.run_ctl_until_success(&["members", "add", &address])
                 .await?;
         }
-        for place in &self.places.engines {
+        for place in &self.endpoints.engines {
             let name = format!("engine-{}", place.engine);
-            self.wait_until_up(&name, place.listen, "/status").await?;
+            self.wait_until_ready(&name, place.listen, "/status")
+                .await?;
         }
         Ok(())
     }
 
     /// Waits until every router is ready to serve.
     pub async fn wait_for_routers(&self) -> Result<(), Report<LabError>> {
-        for place in &self.places.routers {
+        for place in &self.endpoints.routers {
             let name = format!("router-{}", place.router);
-            self.wait_until_up(&name, place.admin, "/readyz").await?;
+            self.wait_until_ready(&name, place.admin, "/readyz").await?;
         }
         Ok(())
     }
 
     /// Waits until a GET of `path` at `address` gets status 200. Returns the time waited.
-    pub async fn wait_until_up(
+    pub async fn wait_until_ready(
         &self,
         name: &str,
         address: SocketAddr,
@@ -162,7 +163,7 @@
     ) -> Result<Duration, Report<LabError>> {
         let started = Instant::now();
         while started.elapsed() < READY_TIMEOUT {
-            if self.is_up(address, path).await {
+            if self.is_ready(address, path).await {
                 return Ok(started.elapsed());
             }
             sleep(READY_POLL_INTERVAL).await;
@@ -188,7 +189,7 @@
     }
 
     /// Whether a GET of `path` at `address` gets status 200.
-    pub async fn is_up(&self, address: SocketAddr, path: &str) -> bool {
+    pub async fn is_ready(&self, address: SocketAddr, path: &str) -> bool {
         let uri = format!("http://{address}{path}");
         let Ok(request) = hyper::Request::get(uri).body(http_body_util::Full::default()) else {
             return false;
@@ -200,20 +201,25 @@
     /// Starts another control replica and adds it as a member. Returns the time taken.
     pub async fn add_control(&mut self) -> Result<Duration, Report<LabError>> {
         let started = Instant::now();
-        let number = self.places.control.iter().map(|place| place.replica).max();
-        let place = ControlPlace::draw(number.unwrap_or_default() + 1)?;
+        let number = self
+            .endpoints
+            .control
+            .iter()
+            .map(|place| place.replica)
+            .max();
+        let place = ControlEndpoints::allocate(number.unwrap_or_default() + 1)?;
         let writer = SettingsWriter {
             folder: &self.folder,
             shape: &self.shape,
-            places: &self.places,
+            endpoints: &self.endpoints,
         };
         let file = writer.control(&place)?;
         let name = format!("control-{}", place.replica);
         let process = start_process(&name, Program::Control, &file, &self.folder)?;
         self.control.push(process);
         let address = place.listen.to_string();
-        self.places.control.push(place);
-        self.operate_with_retries(&["members", "add", &address])
+        self.endpoints.control.push(place);
+        self.run_ctl_until_success(&["members", "add", &address])
             .await?;
         Ok(started.elapsed())
     }
@@ -222,7 +228,7 @@
     pub async fn publish_machines(&self, leaving: &[EngineId]) -> Result<(), Report<LabError>> {
         let machines = self.machines(leaving);
         let content = serde_json::to_vec(&machines).unwrap_or_default();
-        let request = hyper::Request::put(format!("http://{}/machines", self.places.platform))
+        let request = hyper::Request::put(format!("http://{}/machines", self.endpoints.platform))
             .body(http_body_util::Full::from(content))
             .change_context(LabError::Runtime)?;
         self.client
@@ -235,7 +241,7 @@
     }
 
     fn machines(&self, leaving: &[EngineId]) -> Vec<Machine> {
-        let engines = self.places.engines.iter().map(|place| Machine {
+        let engines = self.endpoints.engines.iter().map(|place| Machine {
             kind: MachineKind::Engine {
                 engine: EngineId(place.engine),
                 model: ModelName::from(self.shape.model),
@@ -244,7 +250,7 @@
             zone: ZoneName::from(self.shape.zone(place.engine - 1)),
             leaving: leaving.contains(&EngineId(place.engine)),
         });
-        let services = self.places.services.iter().map(|place| Machine {
+        let services = self.endpoints.services.iter().map(|place| Machine {
             kind: MachineKind::Service {
                 service: place.service.to_owned(),
             },
@@ -252,12 +258,15 @@
             zone: ZoneName::from(self.shape.zone(place.number)),
             leaving: false,
         });
-        let phantoms = self.phantoms.iter().cloned();
-        engines.chain(services).chain(phantoms).collect()
+        let unreachable_machines = self.unreachable_machines.iter().cloned();
+        engines
+            .chain(services)
+            .chain(unreachable_machines)
+            .collect()
     }
 
     /// Runs `railtackctl` against this fleet. Returns its standard output.
-    pub async fn operate(&self, arguments: &[&str]) -> Result<String, Report<LabError>> {
+    pub async fn run_ctl(&self, arguments: &[&str]) -> Result<String, Report<LabError>> {
         let failed = |code| LabError::Operator {
             command: arguments.join(" "),
             code,
@@ -265,7 +274,7 @@
         let output = process::command(Program::Ctl)
             .change_context_lazy(|| failed(-1))?
             .arg("--control")
-            .arg(self.places.control_list())
+            .arg(self.endpoints.control_list())
             .args(arguments)
             .stdin(Stdio::null())
             .output()
@@ -278,14 +287,14 @@
     }
 
     /// Runs a `railtackctl` command and retries it while the fleet starts.
-    async fn operate_with_retries(&self, arguments: &[&str]) -> Result<(), Report<LabError>> {
-        let mut last = self.operate(arguments).await;
+    async fn run_ctl_until_success(&self, arguments: &[&str]) -> Result<(), Report<LabError>> {
+        let mut last = self.run_ctl(arguments).await;
         for _ in 0..CTL_RETRIES {
             if last.is_ok() {
                 break;
             }
             sleep(CTL_RETRY_INTERVAL).await;
-            last = self.operate(arguments).await;
+            last = self.run_ctl(arguments).await;
         }
         last.map(|_| ())
     }
@@ -293,7 +302,7 @@
     /// Returns the status of every engine that responds.
     pub async fn engine_statuses(&self) -> Vec<EngineStatus> {
         let mut statuses = Vec::new();
-        for place in &self.places.engines {
+        for place in &self.endpoints.engines {
             let status = self
                 .client
                 .get_json::<EngineStatus>(place.listen, "/status", CALL_TIMEOUT)
@@ -306,7 +315,7 @@
     /// Returns the executions of each key, summed over all service replicas.
     pub async fn executions(&self) -> Result<ExecutionCounts, Report<LabError>> {
         let mut total = ExecutionCounts::default();
-        for place in &self.places.services {
+        for place in &self.endpoints.services {
             let counts = self
                 .client
                 .get_json::<ExecutionCounts>(place.listen, "/executions", CALL_TIMEOUT)
@@ -335,13 +344,13 @@
 
     /// Returns the position in `control` of the current leader.
     pub async fn leader(&self) -> Option<usize> {
-        let output = self.operate(&["--output", "json", "status"]).await.ok()?;
+        let output = self.run_ctl(&["--output", "json", "status"]).await.ok()?;
         let status: Value = serde_json::from_str(&output).ok()?;
         let leader = status
             .as_array()?
             .iter()
             .find_map(|replica| replica.get("leader")?.as_str()?.parse::<u64>().ok())?;
-        self.places
+        self.endpoints
             .control
             .iter()
             .position(|place| u64::from(place.replica) == leader)
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/lab/src/fleet/settings.rs
@@ -14,7 +14,7 @@
 
 /// Addresses of one control replica.
 #[derive(Clone, Debug)]
-pub struct ControlPlace {
+pub struct ControlEndpoints {
     /// Replica number.
     pub replica: u32,
     /// Internal address.
@@ -23,9 +23,9 @@
     pub metrics: SocketAddr,
 }
 
-impl ControlPlace {
+impl ControlEndpoints {
     /// Allocates free ports for another replica.
-    pub fn draw(replica: u32) -> Result<Self, Report<LabError>> {
+    pub fn allocate(replica: u32) -> Result<Self, Report<LabError>> {
         let mut ports = PortAllocator::new();
         Ok(Self {
             replica,
@@ -72,7 +72,7 @@
     /// Platform.
     pub platform: SocketAddr,
     /// Control replicas.
-    pub control: Vec<ControlPlace>,
+    pub control: Vec<ControlEndpoints>,
     /// Routers.
     pub routers: Vec<RouterEndpoints>,
     /// Engines.
@@ -89,7 +89,7 @@
         let platform = ports.next()?;
         let mut control = Vec::new();
         for replica in 1..=shape.control {
-            control.push(ControlPlace {
+            control.push(ControlEndpoints {
                 replica,
                 listen: ports.next()?,
                 metrics: ports.next()?,
@@ -179,12 +179,12 @@
     /// Shape of the fleet.
     pub shape: &'a FleetShape,
     /// Addresses of the fleet.
-    pub places: &'a Endpoints,
+    pub endpoints: &'a Endpoints,
 }
 
 impl SettingsWriter<'_> {
     /// Writes the settings of a control replica. Returns the path of the file.
-    pub fn control(&self, place: &ControlPlace) -> Result<PathBuf, Report<LabError>> {
+    pub fn control(&self, place: &ControlEndpoints) -> Result<PathBuf, Report<LabError>> {
         let data = self.folder.join(format!("control-{}", place.replica));
         let text = format!(
             "replica_id = {}\ncluster = \"lab\"\nzone = \"{}\"\nlisten = \"{}\"\n\
@@ -194,7 +194,7 @@
             place.listen,
             place.metrics,
             data.display(),
-            self.places.platform,
+            self.endpoints.platform,
         );
         self.write(&format!("control-{}.toml", place.replica), &text)
     }
@@ -208,9 +208,9 @@
             self.shape.zone(place.router - 1),
             place.listen,
             place.admin,
-            self.places.platform,
+            self.endpoints.platform,
         );
-        for control in &self.places.control {
+        for control in &self.endpoints.control {
             // Writing to a string cannot fail.
             let _ = write!(
                 text,
@@ -249,7 +249,7 @@
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"platform\"\nlag_ms = {}\n\
              weight_bytes_per_second = 1000000000\n",
-            self.places.platform, self.shape.platform_lag_ms,
+            self.endpoints.platform, self.shape.platform_lag_ms,
         );
         self.write("platform.toml", &text)
     }
--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, timeout};
 
-use crate::load::documents::ModelQuestion;
+use crate::load::documents::ModelRequest;
 
 /// Largest response body read at once.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
@@ -22,9 +22,9 @@
 
 /// Outcome of a request, as the caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum CallOutcome {
     /// Complete and correct response.
-    Whole {
+    Complete {
         /// Time to the first token of a stream, or to the head of another response, microseconds.
         first_token_us: u64,
     },
@@ -61,11 +61,11 @@
 
 /// Mode of the response to a model request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskShape {
+pub enum ResponseMode {
     /// `/v1/completions`, streamed.
     Stream,
     /// `/v1/completions`, as one JSON response.
-    Whole,
+    Unary,
 }
 
 /// Sends requests as one tenant.
@@ -85,17 +85,17 @@
     }
 
     /// Sends a model request and compares the response with the expected text.
-    pub async fn ask(
+    pub async fn generate(
         &self,
         router: SocketAddr,
-        question: &ModelQuestion,
-        shape: AskShape,
-    ) -> Finding {
+        question: &ModelRequest,
+        shape: ResponseMode,
+    ) -> CallOutcome {
         let mut body = json!({
             "template": question.template,
             "prompt": question.question,
             "max_tokens": question.max_tokens,
-            "stream": shape == AskShape::Stream,
+            "stream": shape == ResponseMode::Stream,
         });
         if let Some(file) = &question.file {
             body["parameters"] = json!({ "file": file });
@@ -111,11 +111,13 @@
                 return refusal(response).await;
             }
             match shape {
-                AskShape::Stream => read_stream(response, &expected, started).await,
-                AskShape::Whole => read_unary(response, &expected, started).await,
+                ResponseMode::Stream => read_stream(response, &expected, started).await,
+                ResponseMode::Unary => read_unary(response, &expected, started).await,
             }
         };
-        timeout(CALLER_TIMEOUT, call).await.unwrap_or(Finding::Lost)
+        timeout(CALLER_TIMEOUT, call)
+            .await
+            .unwrap_or(CallOutcome::Lost)
     }
 
     /// Calls a service that is not a model, with an optional idempotency key.
@@ -125,7 +127,7 @@
         service: &str,
         path: &str,
         key: Option<&str>,
-    ) -> Finding {
+    ) -> CallOutcome {
         let started = Instant::now();
         let route = format!("/services/{service}/{path}");
         let call = async {
@@ -138,19 +140,21 @@
             }
             let first_token_us = started.elapsed().as_micros() as u64;
             let Some(answer) = read_json(response).await else {
-                return Finding::Broken;
+                return CallOutcome::Broken;
             };
             let matches_request =
                 answer["path"] == format!("/{path}") && answer["key"].as_str() == key;
             if matches_request {
-                Finding::Whole { first_token_us }
+                CallOutcome::Complete { first_token_us }
             } else {
-                Finding::Wrong {
+                CallOutcome::Wrong {
                     got: answer.to_string(),
                 }
             }
         };
-        timeout(CALLER_TIMEOUT, call).await.unwrap_or(Finding::Lost)
+        timeout(CALLER_TIMEOUT, call)
+            .await
+            .unwrap_or(CallOutcome::Lost)
     }
 
     async fn post(
@@ -159,7 +163,7 @@
         path: &str,
         body: &Value,
         key: Option<&str>,
-    ) -> Result<Response<Incoming>, Finding> {
+    ) -> Result<Response<Incoming>, CallOutcome> {
         let mut builder = Request::post(format!("http://{router}{path}"))
             .header("authorization", format!("Bearer {}", self.key));
         if let Some(key) = key {
@@ -168,31 +172,31 @@
         let content = Bytes::from(body.to_string());
         let request = builder
             .body(Full::new(content))
-            .map_err(|_| Finding::Unreachable)?;
+            .map_err(|_| CallOutcome::Unreachable)?;
         self.client
             .send(request)
             .await
             .map_err(|error| match error {
-                railtack_http::SendError::NotSent => Finding::Unreachable,
-                railtack_http::SendError::MaybeSent => Finding::Broken,
+                railtack_http::SendError::NotSent => CallOutcome::Unreachable,
+                railtack_http::SendError::MaybeSent => CallOutcome::Broken,
             })
     }
 }
 
-async fn refusal(response: Response<Incoming>) -> Finding {
+async fn refusal(response: Response<Incoming>) -> CallOutcome {
     let Some(content) = read_json(response).await else {
-        return Finding::Broken;
+        return CallOutcome::Broken;
     };
     match serde_json::from_value::<RefusalBody>(content.clone()) {
         Ok(refusal) => refused(refusal),
-        Err(_) => Finding::Wrong {
+        Err(_) => CallOutcome::Wrong {
             got: content.to_string(),
         },
     }
 }
 
-fn refused(refusal: RefusalBody) -> Finding {
-    Finding::Refused {
+fn refused(refusal: RefusalBody) -> CallOutcome {
+    CallOutcome::Refused {
         code: refusal.error.code,
         execution: refusal.error.execution,
     }
@@ -203,22 +207,26 @@
     serde_json::from_slice(&content.ok()?).ok()
 }
 
-async fn read_unary(response: Response<Incoming>, expected: &str, started: Instant) -> Finding {
+async fn read_unary(response: Response<Incoming>, expected: &str, started: Instant) -> CallOutcome {
     let first_token_us = started.elapsed().as_micros() as u64;
     let Some(answer) = read_json(response).await else {
-        return Finding::Broken;
+        return CallOutcome::Broken;
     };
     let text = answer["choices"][0]["text"].as_str().unwrap_or_default();
     compare(text, expected, first_token_us)
 }
 
-async fn read_stream(response: Response<Incoming>, expected: &str, started: Instant) -> Finding {
+async fn read_stream(
+    response: Response<Incoming>,
+    expected: &str,
+    started: Instant,
+) -> CallOutcome {
     let mut text = String::new();
     let mut first_token_us = None;
     let mut lines = lines(response.into_body());
     while let Some(line) = lines.next().await {
         let Ok(line) = line else {
-            return Finding::Broken;
+            return CallOutcome::Broken;
         };
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
@@ -237,14 +245,14 @@
         text.push_str(delta);
     }
     // The stream has no `[DONE]`, so the caller can detect that it was cut.
-    Finding::Broken
+    CallOutcome::Broken
 }
 
-fn compare(text: &str, expected: &str, first_token_us: u64) -> Finding {
+fn compare(text: &str, expected: &str, first_token_us: u64) -> CallOutcome {
     if text == expected {
-        Finding::Whole { first_token_us }
+        CallOutcome::Complete { first_token_us }
     } else {
-        Finding::Wrong {
+        CallOutcome::Wrong {
             got: text.chars().take(80).collect(),
         }
     }
--- a/crates/lab/src/load/documents.rs
+++ b/crates/lab/src/load/documents.rs
@@ -48,7 +48,7 @@
 
 /// A model request, and the prompt that the router must build from it.
 #[derive(Clone, Debug)]
-pub struct ModelQuestion {
+pub struct ModelRequest {
     /// Name of the template.
     pub template: &'static str,
     /// Value of the parameter `file`, if the template has it.
@@ -150,7 +150,7 @@
     }
 
     /// Generates a random model request of a tenant.
-    pub fn question(&self, tenant: usize, random: &mut ChaCha8Rng) -> ModelQuestion {
+    pub fn model_request(&self, tenant: usize, random: &mut ChaCha8Rng) -> ModelRequest {
         let is_long = random.random_bool(0.4);
         let template = if is_long {
             LONG_TEMPLATE
@@ -166,7 +166,7 @@
             "{opening}{context}{}{question}",
             file.as_deref().unwrap_or_default()
         );
-        ModelQuestion {
+        ModelRequest {
             template,
             file,
             question,
--- a/crates/lab/src/load/keyed.rs
+++ b/crates/lab/src/load/keyed.rs
@@ -4,7 +4,7 @@
 
 use railtack_core::Execution;
 
-use crate::load::Finding;
+use crate::load::CallOutcome;
 
 /// Outcomes of the requests with one key.
 #[derive(Clone, Copy, Debug, Default)]
@@ -22,13 +22,13 @@
 
 /// Number of keys for which an outcome contradicts the executions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct KeyedJudgement {
+pub struct KeyedViolations {
     /// Keys that were executed more than once.
     pub ran_twice: usize,
     /// Keys that were executed although a caller got a refusal with execution `not_run`.
-    pub untrue_not_run: usize,
+    pub false_not_run: usize,
     /// Keys with a complete response that were not executed exactly once.
-    pub unfounded: usize,
+    pub completed_without_execution: usize,
 }
 
 /// Returns the value of the `idempotency-key` header for a key.
@@ -38,11 +38,11 @@
 
 impl KeyedRecord {
     /// Records the outcome of one request.
-    pub fn note(&mut self, key: u64, finding: &Finding) {
+    pub fn record(&mut self, key: u64, finding: &CallOutcome) {
         let outcomes = self.outcomes.entry(key).or_default();
         match finding {
-            Finding::Whole { .. } => outcomes.whole += 1,
-            Finding::Refused {
+            CallOutcome::Complete { .. } => outcomes.whole += 1,
+            CallOutcome::Refused {
                 execution: Execution::NotRun,
                 ..
             } => outcomes.not_run += 1,
@@ -63,13 +63,13 @@
     }
 
     /// Compares the outcomes with the executions, which are given by [`key_name`].
-    pub fn judge(&self, executions: &BTreeMap<String, u64>) -> KeyedJudgement {
-        let mut judgement = KeyedJudgement::default();
+    pub fn check(&self, executions: &BTreeMap<String, u64>) -> KeyedViolations {
+        let mut judgement = KeyedViolations::default();
         for (key, outcomes) in &self.outcomes {
             let ran = executions.get(&key_name(*key)).copied().unwrap_or(0);
             judgement.ran_twice += usize::from(ran > 1);
-            judgement.untrue_not_run += usize::from(outcomes.not_run > 0 && ran > 0);
-            judgement.unfounded += usize::from(outcomes.whole > 0 && ran != 1);
+            judgement.false_not_run += usize::from(outcomes.not_run > 0 && ran > 0);
+            judgement.completed_without_execution += usize::from(outcomes.whole > 0 && ran != 1);
         }
         judgement
     }
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -5,7 +5,7 @@
 pub mod keyed;
 pub mod summary;
 
-pub use caller::{Caller, Finding};
-pub use documents::{LoadDocuments, ModelQuestion};
+pub use caller::{CallOutcome, Caller};
+pub use documents::{LoadDocuments, ModelRequest};
 pub use keyed::KeyedRecord;
 pub use summary::Summary;
--- a/crates/lab/src/load/summary.rs
+++ b/crates/lab/src/load/summary.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use railtack_core::{Execution, RefusalCode};
 
-use crate::load::caller::Finding;
+use crate::load::caller::CallOutcome;
 
 /// Largest time recorded, microseconds.
 const LONGEST_US: u64 = 120_000_000;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Summary {
     /// Complete responses.
-    pub whole: u64,
+    pub completed: u64,
     /// Refusals by code and execution.
     pub refusals: BTreeMap<(RefusalCode, &'static str), u64>,
     /// Connections that broke before the response was complete, which the caller can detect.
@@ -33,7 +33,7 @@
         // The bounds are constant and valid.
         let times = Histogram::new_with_bounds(1, LONGEST_US, 3);
         Self {
-            whole: 0,
+            completed: 0,
             refusals: BTreeMap::new(),
             broken: 0,
             unreachable: 0,
@@ -46,20 +46,20 @@
 
 impl Summary {
     /// Counts one outcome.
-    pub fn add(&mut self, finding: &Finding) {
+    pub fn add(&mut self, finding: &CallOutcome) {
         match finding {
-            Finding::Whole { first_token_us } => {
-                self.whole += 1;
+            CallOutcome::Complete { first_token_us } => {
+                self.completed += 1;
                 self.times.saturating_record((*first_token_us).max(1));
             }
-            Finding::Refused { code, execution } => {
+            CallOutcome::Refused { code, execution } => {
                 let ran = execution_text(*execution);
                 *self.refusals.entry((*code, ran)).or_default() += 1;
             }
-            Finding::Unreachable => self.unreachable += 1,
-            Finding::Broken => self.broken += 1,
-            Finding::Wrong { got } => self.wrong.push(got.clone()),
-            Finding::Lost => self.lost += 1,
+            CallOutcome::Unreachable => self.unreachable += 1,
+            CallOutcome::Broken => self.broken += 1,
+            CallOutcome::Wrong { got } => self.wrong.push(got.clone()),
+            CallOutcome::Lost => self.lost += 1,
         }
     }
 
@@ -67,7 +67,7 @@
     pub fn total(&self) -> u64 {
         let refused: u64 = self.refusals.values().sum();
         let wrong = self.wrong.len() as u64;
-        self.whole + refused + self.unreachable + self.broken + wrong + self.lost
+        self.completed + refused + self.unreachable + self.broken + wrong + self.lost
     }
 
     /// Returns a quantile of the time to first token, milliseconds.
@@ -79,7 +79,7 @@
 impl fmt::Display for Summary {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(formatter, "requests               {}", self.total())?;
-        writeln!(formatter, "whole answers          {}", self.whole)?;
+        writeln!(formatter, "whole answers          {}", self.completed)?;
         writeln!(
             formatter,
             "time to first token    p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms",
--- a/crates/lab/src/scale/cluster.rs
+++ b/crates/lab/src/scale/cluster.rs
@@ -27,7 +27,7 @@
     LabError,
     demo::{self, FleetOptions, PreparedFleet},
     fleet::{FleetKind, FleetShape},
-    load::{Caller, Finding, caller::AskShape},
+    load::{CallOutcome, Caller, caller::ResponseMode},
     scale::{processor_seconds, resident_bytes, time_histogram},
 };
 
@@ -81,7 +81,7 @@
         for router in 0..count {
             let connections: Vec<ControlConnection> = prepared
                 .fleet
-                .places
+                .endpoints
                 .control
                 .iter()
                 .map(|place| ControlConnection::new(place.listen, Duration::from_secs(1)))
@@ -170,7 +170,7 @@
     let prepared = fleet(1, 1).await?;
     let replicas: Vec<ControlAddress> = prepared
         .fleet
-        .places
+        .endpoints
         .control
         .iter()
         .map(|place| ControlAddress {
@@ -232,26 +232,29 @@
 /// streams.
 pub async fn overhead() -> Result<(), Report<LabError>> {
     let prepared = fleet(4, 1).await?;
-    let router = &prepared.fleet.places.routers[0];
+    let router = &prepared.fleet.endpoints.routers[0];
     let client = HttpClient::new(Duration::from_secs(1));
     let caller = Caller::new(client.clone(), &prepared.documents.tenants[0].key);
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut questions: Vec<_> = (0..REQUESTS)
-        .map(|_| prepared.documents.question(0, &mut random))
+        .map(|_| prepared.documents.model_request(0, &mut random))
         .collect();
     for question in &mut questions {
         question.max_tokens = question.max_tokens.min(MAX_OUTPUT_TOKENS);
     }
     // Fills the caches first.
     for question in &questions {
-        caller.ask(router.listen, question, AskShape::Stream).await;
+        caller
+            .generate(router.listen, question, ResponseMode::Stream)
+            .await;
     }
     let before = processor_seconds(&router_process(&prepared));
     let mut routed = Vec::new();
     for question in &questions {
         let started = Instant::now();
-        if let Finding::Whole { first_token_us } =
-            caller.ask(router.listen, question, AskShape::Stream).await
+        if let CallOutcome::Complete { first_token_us } = caller
+            .generate(router.listen, question, ResponseMode::Stream)
+            .await
         {
             routed.push((first_token_us, started.elapsed()));
         }
@@ -294,8 +297,8 @@
     let client = HttpClient::new(Duration::from_secs(1));
     let caller = Caller::new(client.clone(), &prepared.documents.tenants[0].key);
     let (lookup, _) = prepared.documents.service_names();
-    let service = prepared.fleet.places.services[0].listen;
-    let router = prepared.fleet.places.routers[0].listen;
+    let service = prepared.fleet.endpoints.services[0].listen;
+    let router = prepared.fleet.endpoints.routers[0].listen;
     for number in 0..1_000 {
         let path = format!("parcel/{number}");
         let direct_started = Instant::now();
@@ -309,7 +312,7 @@
         let direct = direct_started.elapsed();
         let routed_started = Instant::now();
         let finding = caller.call(router, lookup, &path, None).await;
-        if matches!(finding, Finding::Whole { .. }) {
+        if matches!(finding, CallOutcome::Complete { .. }) {
             let routed = routed_started.elapsed();
             added.saturating_record(routed.saturating_sub(direct).as_micros() as u64);
         }
@@ -321,14 +324,18 @@
 async fn open_streams(prepared: &PreparedFleet, count: usize) -> u64 {
     let client = HttpClient::new(Duration::from_secs(5));
     let caller = Caller::new(client, &prepared.documents.tenants[0].key);
-    let router = prepared.fleet.places.routers[0].listen;
+    let router = prepared.fleet.endpoints.routers[0].listen;
     let mut random = ChaCha8Rng::seed_from_u64(6);
-    let mut question = prepared.documents.question(0, &mut random);
+    let mut question = prepared.documents.model_request(0, &mut random);
     question.max_tokens = 400;
     let streams: Vec<_> = (0..count)
         .map(|_| {
             let (caller, question) = (caller.clone(), question.clone());
-            tokio::spawn(async move { caller.ask(router, &question, AskShape::Stream).await })
+            tokio::spawn(async move {
+                caller
+                    .generate(router, &question, ResponseMode::Stream)
+                    .await
+            })
         })
         .collect();
     sleep(Duration::from_millis(2_500)).await;
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -29,7 +29,7 @@
     fleet::{Fault, Fleet, FleetKind, FleetShape, LabProcess, process},
     load::{
         Caller, KeyedRecord,
-        caller::{self, AskShape},
+        caller::{self, ResponseMode},
         keyed::key_name,
     },
     soak::schedule::{Act, FleetSize, Schedule, Target},
@@ -114,11 +114,11 @@
     let told = keyed.finish().await;
     carried_out?;
     let executions = prepared.fleet.executions().await?.by_key;
-    let judged = told.judge(&executions);
+    let judged = told.check(&executions);
     let (whole, not_run, unknown) = told.totals();
     let findings = vec![
         Finding::report("acts", schedule.acts.len() as f64),
-        Finding::report("whole answers of models", asked.summary.whole as f64),
+        Finding::report("whole answers of models", asked.summary.completed as f64),
         Finding::report("streams that callers saw cut", asked.cut_off()),
         Finding::report("keyed requests answered", whole as f64),
         Finding::report("keyed requests told not run", not_run as f64),
@@ -130,8 +130,12 @@
         ),
         Finding::at_most("requests without any end", asked.summary.lost as f64, 0.0),
         Finding::at_most("keys executed twice", judged.ran_twice as f64, 0.0),
-        Finding::at_most("untrue \"not run\"", judged.untrue_not_run as f64, 0.0),
-        Finding::at_most("answers without an execution", judged.unfounded as f64, 0.0),
+        Finding::at_most("untrue \"not run\"", judged.false_not_run as f64, 0.0),
+        Finding::at_most(
+            "answers without an execution",
+            judged.completed_without_execution as f64,
+            0.0,
+        ),
         Finding::at_most(
             "seconds until every router served again",
             served_again,
@@ -153,7 +157,7 @@
     for (number, (due, act)) in schedule.acts.iter().enumerate() {
         sleep_until(began_at + *due).await;
         match act {
-            Act::Signal(target, fault) => process_of(fleet, *target).inflict(*fault).await?,
+            Act::Signal(target, fault) => process_of(fleet, *target).inject(*fault).await?,
             Act::Start(target) => {
                 let process = process_of(fleet, *target);
                 if let Some(builds) = builds {
@@ -163,7 +167,7 @@
             }
             Act::Change(count) => {
                 let operation = format!("soak-{seed}-{number}");
-                let addresses = fleet.places.control.iter().map(|place| place.listen);
+                let addresses = fleet.endpoints.control.iter().map(|place| place.listen);
                 let addresses: Vec<SocketAddr> = addresses.collect();
                 changes.push(tokio::spawn(change(addresses, operation, *count)));
             }
@@ -186,8 +190,8 @@
     match target {
         // The stand-ins are not what is replaced.
         Target::Engine(_) => {}
-        Target::Router(_) if is_put_back => process.replace_by(&builds.former),
-        Target::Router(_) | Target::Control(_) => process.replace_by(&builds.present),
+        Target::Router(_) if is_put_back => process.set_binary(&builds.former),
+        Target::Router(_) | Target::Control(_) => process.set_binary(&builds.present),
     }
 }
 
@@ -204,7 +208,7 @@
         && process.wait(STOPS_WITHIN).await.is_none()
         && process.id().is_some()
     {
-        process.inflict(Fault::Kill).await?;
+        process.inject(Fault::Kill).await?;
     }
     process.restart()
 }
@@ -230,11 +234,13 @@
     let caller = Caller::new(client, &prepared.documents.tenants[0].key);
     let question = prepared
         .documents
-        .question(0, &mut ChaCha8Rng::seed_from_u64(0));
-    for place in &prepared.fleet.places.routers {
+        .model_request(0, &mut ChaCha8Rng::seed_from_u64(0));
+    for place in &prepared.fleet.endpoints.routers {
         loop {
-            let finding = caller.ask(place.listen, &question, AskShape::Whole).await;
-            let is_served = matches!(finding, caller::Finding::Whole { .. });
+            let finding = caller
+                .generate(place.listen, &question, ResponseMode::Unary)
+                .await;
+            let is_served = matches!(finding, caller::CallOutcome::Complete { .. });
             if is_served || began_at.elapsed() > SERVES_WITHIN * 2 {
                 break;
             }
@@ -272,13 +278,13 @@
             .caller
             .call(address, &self.service, &path, Some(&name))
             .await;
-        self.record().note(key, &finding);
+        self.record().record(key, &finding);
     }
 }
 
 impl KeyedLoad {
     fn start(prepared: &PreparedFleet, seed: u64) -> Self {
-        let places = prepared.fleet.places.routers.iter();
+        let places = prepared.fleet.endpoints.routers.iter();
         let shared = Arc::new(KeyedShared {
             stop: AtomicBool::new(false),
             next_key: AtomicU64::new(0),
--- a/crates/lab/tests/bad_input.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -11,7 +11,7 @@
 use railtack_lab::{
     demo::{self, FleetOptions, PreparedFleet},
     fleet::{FleetKind, FleetShape, process},
-    load::{Caller, Finding, caller::AskShape},
+    load::{CallOutcome, Caller, caller::ResponseMode},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -170,10 +170,15 @@
         &prepared.documents.tenants[0].key,
     );
     let mut random = ChaCha8Rng::seed_from_u64(3);
-    let question = prepared.documents.question(0, &mut random);
-    let router = prepared.fleet.places.routers[0].listen;
-    let finding = caller.ask(router, &question, AskShape::Stream).await;
-    assert!(matches!(finding, Finding::Whole { .. }), "{finding:?}");
+    let question = prepared.documents.model_request(0, &mut random);
+    let router = prepared.fleet.endpoints.routers[0].listen;
+    let finding = caller
+        .generate(router, &question, ResponseMode::Stream)
+        .await;
+    assert!(
+        matches!(finding, CallOutcome::Complete { .. }),
+        "{finding:?}"
+    );
 }
 
 /// Gives `tenant-2` a template that `tenant-1` does not have.
@@ -187,7 +192,7 @@
     let template = template.display().to_string();
     prepared
         .fleet
-        .operate(&["template", "submit", &template])
+        .run_ctl(&["template", "submit", &template])
         .await
         .expect("accepted");
     let tenant = folder.join("tenant-tenant-2.toml");
@@ -197,7 +202,7 @@
     let tenant = tenant.display().to_string();
     prepared
         .fleet
-        .operate(&["tenant", "revise", &tenant])
+        .run_ctl(&["tenant", "revise", &tenant])
         .await
         .expect("accepted");
 }
@@ -233,7 +238,7 @@
         .await
         .expect("a fleet");
     add_private_template(&prepared, folder.path()).await;
-    let router = prepared.fleet.places.routers[0].listen;
+    let router = prepared.fleet.endpoints.routers[0].listen;
     for input in bad_inputs(&prepared) {
         let (status, has_request_id, body) = send(router, &input).await;
         assert_eq!(status, input.status, "{}: {body}", input.name);
@@ -256,7 +261,7 @@
 
 /// Checks the exit codes for bad documents and for conflicting operations.
 async fn check_operator_errors(prepared: &PreparedFleet, folder: &Path) {
-    let exit_code = async |arguments: &[&str]| match prepared.fleet.operate(arguments).await {
+    let exit_code = async |arguments: &[&str]| match prepared.fleet.run_ctl(arguments).await {
         Ok(_) => 0,
         Err(report) => match report.current_context() {
             railtack_lab::LabError::Operator { code, .. } => *code,
@@ -289,7 +294,7 @@
             "explain",
             "00",
             "--router",
-            &prepared.fleet.places.routers[0].admin.to_string()
+            &prepared.fleet.endpoints.routers[0].admin.to_string()
         ])
         .await,
         7
--- a/crates/lab/tests/fatal_requests.rs
+++ b/crates/lab/tests/fatal_requests.rs
@@ -8,7 +8,7 @@
 use railtack_http::{HttpClient, read_body};
 use railtack_lab::{
     demo::PreparedFleet,
-    load::{Caller, Finding, caller::AskShape},
+    load::{CallOutcome, Caller, caller::ResponseMode},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -85,10 +85,15 @@
     let caller = Caller::new(HttpClient::new(REQUEST_TIMEOUT), tenant_key(&prepared));
     let question = prepared
         .documents
-        .question(0, &mut ChaCha8Rng::seed_from_u64(1));
+        .model_request(0, &mut ChaCha8Rng::seed_from_u64(1));
     for router in router_addresses(&prepared) {
-        let finding = caller.ask(router, &question, AskShape::Stream).await;
-        assert!(matches!(finding, Finding::Whole { .. }), "{finding:?}");
+        let finding = caller
+            .generate(router, &question, ResponseMode::Stream)
+            .await;
+        assert!(
+            matches!(finding, CallOutcome::Complete { .. }),
+            "{finding:?}"
+        );
     }
 }
 
@@ -96,16 +101,16 @@
 /// releasing an unknown request fails.
 async fn check_quarantine_list_and_release(prepared: &PreparedFleet) {
     let list = ["--output", "json", "quarantine", "list"];
-    let listed = prepared.fleet.operate(&list).await.expect("a list");
+    let listed = prepared.fleet.run_ctl(&list).await.expect("a list");
     let listed: Value = serde_json::from_str(&listed).expect("JSON");
     let first = &listed[0];
     assert_eq!(first["quarantined"], "true", "{listed}");
     let content = first["content"].as_str().expect("a content").to_owned();
     let release = ["quarantine", "release", "00"];
-    assert!(prepared.fleet.operate(&release).await.is_err());
+    assert!(prepared.fleet.run_ctl(&release).await.is_err());
     let release = ["quarantine", "release", &content];
-    prepared.fleet.operate(&release).await.expect("released");
-    let listed = prepared.fleet.operate(&list).await.expect("a list");
+    prepared.fleet.run_ctl(&release).await.expect("released");
+    let listed = prepared.fleet.run_ctl(&list).await.expect("a list");
     assert!(!listed.contains(&content), "{listed}");
 }
 
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -6,7 +6,7 @@
 use railtack_core::{Execution, RefusalCode};
 use railtack_lab::{
     fleet::{Fault, process},
-    load::{Finding, KeyedRecord, keyed::KeyedJudgement},
+    load::{CallOutcome, KeyedRecord, keyed::KeyedViolations},
     soak::{Act, FleetSize, Schedule, Target, run},
 };
 
@@ -48,8 +48,8 @@
     assert_ne!(draw(7), draw(8));
 }
 
-fn refused(execution: Execution) -> Finding {
-    Finding::Refused {
+fn refused(execution: Execution) -> CallOutcome {
+    CallOutcome::Refused {
         code: RefusalCode::NoBackend,
         execution,
     }
@@ -58,25 +58,25 @@
 #[test]
 fn what_was_told_is_judged_by_what_ran() {
     let mut record = KeyedRecord::default();
-    let whole = Finding::Whole { first_token_us: 1 };
+    let whole = CallOutcome::Complete { first_token_us: 1 };
     // As it should be: answered and run once; refused and not run; nobody knows.
-    record.note(1, &whole);
-    record.note(2, &refused(Execution::NotRun));
-    record.note(3, &refused(Execution::Unknown));
+    record.record(1, &whole);
+    record.record(2, &refused(Execution::NotRun));
+    record.record(3, &refused(Execution::Unknown));
     let ran = |runs: &[(u64, u64)]| -> BTreeMap<String, u64> {
         let runs = runs.iter();
         runs.map(|(key, count)| (format!("key-{key}"), *count))
             .collect()
     };
     assert_eq!(
-        record.judge(&ran(&[(1, 1), (3, 1)])),
-        KeyedJudgement::default()
+        record.check(&ran(&[(1, 1), (3, 1)])),
+        KeyedViolations::default()
     );
-    let broken = record.judge(&ran(&[(2, 1), (3, 2)]));
-    let all = KeyedJudgement {
+    let broken = record.check(&ran(&[(2, 1), (3, 2)]));
+    let all = KeyedViolations {
         ran_twice: 1,
-        untrue_not_run: 1,
-        unfounded: 1,
+        false_not_run: 1,
+        completed_without_execution: 1,
     };
     assert_eq!(broken, all);
 }
--- a/crates/lab/tests/support/mod.rs
+++ b/crates/lab/tests/support/mod.rs
@@ -37,7 +37,7 @@
 
 /// Returns the addresses at which the routers accept requests.
 pub fn router_addresses(prepared: &PreparedFleet) -> Vec<SocketAddr> {
-    let places = &prepared.fleet.places.routers;
+    let places = &prepared.fleet.endpoints.routers;
     places.iter().map(|place| place.listen).collect()
 }
 
