--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -134,18 +134,18 @@
     fleet: &Fleet,
     documents: &LoadDocuments,
 ) -> Result<(), Report<LabError>> {
-    let limit = Duration::from_secs(20);
+    let timeout = Duration::from_secs(20);
     let started = Instant::now();
     let client = HttpClient::new(CONNECT_TIMEOUT);
     let caller = Caller::new(client, &documents.tenants[0].key);
     let mut random = ChaCha8Rng::seed_from_u64(0);
-    let question = documents.model_request(0, &mut random);
+    let request = documents.model_request(0, &mut random);
     for place in &fleet.endpoints.routers {
-        while !is_served(&caller, place.listen, &question).await {
-            if started.elapsed() > limit {
+        while !is_served(&caller, place.listen, &request).await {
+            if started.elapsed() > timeout {
                 return Err(Report::new(LabError::NotReady {
                     name: format!("router-{}", place.router),
-                    limit_ms: limit.as_millis() as u64,
+                    limit_ms: timeout.as_millis() as u64,
                 }));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -154,11 +154,9 @@
     Ok(())
 }
 
-async fn is_served(caller: &Caller, router: std::net::SocketAddr, question: &ModelRequest) -> bool {
-    let finding = caller
-        .generate(router, question, ResponseMode::Stream)
-        .await;
-    matches!(finding, CallOutcome::Complete { .. })
+async fn is_served(caller: &Caller, router: std::net::SocketAddr, request: &ModelRequest) -> bool {
+    let outcome = caller.generate(router, request, ResponseMode::Stream).await;
+    matches!(outcome, CallOutcome::Complete { .. })
 }
 
 /// One request of the mixed load.
@@ -176,13 +174,13 @@
         let tenant = random.random_range(0..documents.tenants.len());
         match random.random_range(0..100) {
             0..80 => {
-                let shape = if random.random_bool(0.75) {
+                let mode = if random.random_bool(0.75) {
                     ResponseMode::Stream
                 } else {
                     ResponseMode::Unary
                 };
-                let question = documents.model_request(tenant, random);
-                Self::Model(tenant, Box::new(question), shape)
+                let request = documents.model_request(tenant, random);
+                Self::Model(tenant, Box::new(request), mode)
             }
             80..88 => Self::Lookup(tenant, random.random()),
             88..96 => Self::Keyed(tenant, random.random()),
@@ -271,22 +269,22 @@
     let routers = &prepared.fleet.endpoints.routers;
     let documents = &prepared.documents;
     let total = requests.len();
-    let mut findings = stream::iter(requests.into_iter().enumerate())
+    let mut outcomes = stream::iter(requests.into_iter().enumerate())
         .map(|(number, request)| {
             let router = routers[number % routers.len()].listen;
             let callers = Arc::clone(&callers);
             let unknown_caller = unknown_caller.clone();
             async move {
-                let finding = send(&callers, &unknown_caller, documents, router, &request).await;
-                (request.expected_refusal(), finding)
+                let outcome = send(&callers, &unknown_caller, documents, router, &request).await;
+                (request.expected_refusal(), outcome)
             }
         })
         .buffer_unordered(CONCURRENCY);
     let mut summary = Summary::default();
     let mut unexpected = 0;
-    while let Some((expected, finding)) = findings.next().await {
-        summary.add(&finding);
-        let refused = match finding {
+    while let Some((expected, outcome)) = outcomes.next().await {
+        summary.add(&outcome);
+        let refused = match outcome {
             CallOutcome::Refused { code, .. } => Some(code),
             _ => None,
         };
@@ -307,8 +305,8 @@
 ) -> CallOutcome {
     let (lookup, keyed) = documents.service_names();
     match request {
-        MixedRequest::Model(tenant, question, shape) => {
-            callers[*tenant].generate(router, question, *shape).await
+        MixedRequest::Model(tenant, request, mode) => {
+            callers[*tenant].generate(router, request, *mode).await
         }
         MixedRequest::Lookup(tenant, number) => {
             let path = format!("parcel/{number:x}");
@@ -321,21 +319,21 @@
                 .call(router, keyed, &path, Some(&key))
                 .await
         }
-        MixedRequest::WrongKey(question) => {
+        MixedRequest::WrongKey(request) => {
             unknown_caller
-                .generate(router, question, ResponseMode::Unary)
+                .generate(router, request, ResponseMode::Unary)
                 .await
         }
         MixedRequest::UnknownTemplate(tenant) => {
-            let question = ModelRequest {
+            let request = ModelRequest {
                 template: "no-such-template",
                 file: None,
-                question: String::new(),
+                prompt_suffix: String::new(),
                 max_tokens: 1,
                 prompt: String::new(),
             };
             callers[*tenant]
-                .generate(router, &question, ResponseMode::Unary)
+                .generate(router, &request, ResponseMode::Unary)
                 .await
         }
     }
@@ -352,10 +350,10 @@
     let mut seen: HashSet<BlockHash> = HashSet::new();
     let mut distinct = DistinctTokens::default();
     for request in requests {
-        let MixedRequest::Model(tenant, question, _) = request else {
+        let MixedRequest::Model(tenant, request, _) = request else {
             continue;
         };
-        let chain = documents.chain(*tenant, &question.prompt);
+        let chain = documents.chain(*tenant, &request.prompt);
         let new = chain.blocks.iter().filter(|block| seen.insert(**block));
         distinct.block_tokens += new.count() as u64 * u64::from(chain.block_tokens);
         let covered = chain.tokens_at(chain.blocks.len());
@@ -407,7 +405,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let shape = FleetShape::demonstration(options.kind);
     let prepared = prepare(shape, &options, &mut random).await?;
-    print_directions(&prepared);
+    print_usage(&prepared);
     tokio::signal::ctrl_c()
         .await
         .change_context(LabError::Runtime)?;
@@ -415,7 +413,7 @@
     finish(prepared.fleet, &options, 0)
 }
 
-fn print_directions(prepared: &PreparedFleet) {
+fn print_usage(prepared: &PreparedFleet) {
     let places = &prepared.fleet.endpoints;
     let (lookup, keyed) = prepared.documents.service_names();
     for place in &places.routers {
--- a/crates/lab/src/experiment/disturbances.rs
+++ b/crates/lab/src/experiment/disturbances.rs
@@ -34,8 +34,9 @@
             return;
         }
         for router in 0..self.routers.len() {
-            let follows = self.routers[router].apply_cache_event(engine, sequence, stored, removed);
-            if !follows {
+            let is_consecutive =
+                self.routers[router].apply_cache_event(engine, sequence, stored, removed);
+            if !is_consecutive {
                 let event = Event::Resync {
                     router,
                     engine,
--- a/crates/lab/src/experiment/router.rs
+++ b/crates/lab/src/experiment/router.rs
@@ -96,11 +96,11 @@
 
     /// Updates the incarnation and the availability of an engine.
     pub fn update_engine(&mut self, engine: u32, incarnation: u64, up: bool) {
-        let (slot, knowledge) = self
+        let (slot, validity) = self
             .scheduler
             .engines
             .update(description(engine, incarnation, up));
-        if knowledge == railtack_routing::engines::CacheValidity::Invalidated {
+        if validity == railtack_routing::engines::CacheValidity::Invalidated {
             self.scheduler.index.remove_engine(slot);
             self.last_sequence[engine as usize] = 0;
         }
@@ -118,15 +118,15 @@
         if sequence <= *last_sequence {
             return true;
         }
-        let follows = sequence == *last_sequence + 1;
+        let is_consecutive = sequence == *last_sequence + 1;
         *last_sequence = sequence;
         let slot = EngineSlot(engine as u16);
         self.scheduler.index.insert(slot, stored.iter().copied());
         self.scheduler.index.remove(slot, removed.iter().copied());
-        if !follows {
+        if !is_consecutive {
             self.scheduler.engines.view_mut(slot).cache_view_stale = true;
         }
-        follows
+        is_consecutive
     }
 
     /// Replaces the cached blocks of an engine with its full listing, after a gap in its events.
@@ -167,14 +167,14 @@
                 self.unscored(engine, chain)
             }
             Policy::Railtack => {
-                let shape = RoutingRequest {
+                let request = RoutingRequest {
                     key: &key,
                     chain,
                     boundaries,
                     priority: class,
                     excluded,
                 };
-                self.scheduler.choose(shape, now_us, seed)?.chosen
+                self.scheduler.choose(request, now_us, seed)?.chosen
             }
             Policy::Oracle => self.choose_by_exact_state(class, chain, excluded, exact(chain))?,
         };
--- a/crates/lab/src/fleet/running.rs
+++ b/crates/lab/src/fleet/running.rs
@@ -75,15 +75,15 @@
         };
         let platform = start_process("platform", Program::Emulator, &writer.platform()?, folder)?;
         let mut engines = Vec::new();
-        for place in &endpoints.engines {
-            let file = writer.engine(place)?;
+        for endpoint in &endpoints.engines {
+            let file = writer.engine(endpoint)?;
             let arguments = vec![
                 "--settings".to_owned(),
                 file.display().to_string(),
                 "--platform".to_owned(),
                 endpoints.platform.to_string(),
             ];
-            let name = format!("engine-{}", place.engine);
+            let name = format!("engine-{}", endpoint.engine);
             engines.push(LabProcess::start(
                 &name,
                 Program::Emulator,
@@ -92,24 +92,24 @@
             )?);
         }
         let mut services = Vec::new();
-        for place in &endpoints.services {
-            let name = format!("service-{}", place.number);
-            let file = writer.service(place)?;
+        for endpoint in &endpoints.services {
+            let name = format!("service-{}", endpoint.number);
+            let file = writer.service(endpoint)?;
             services.push(start_process(&name, Program::Emulator, &file, folder)?);
         }
         let mut control = Vec::new();
-        for place in &endpoints.control {
-            let file = writer.control(place)?;
+        for endpoint in &endpoints.control {
+            let file = writer.control(endpoint)?;
             if control.is_empty() {
                 initialize_control(&file).await?;
             }
-            let name = format!("control-{}", place.replica);
+            let name = format!("control-{}", endpoint.replica);
             control.push(start_process(&name, Program::Control, &file, folder)?);
         }
         let mut routers = Vec::new();
-        for place in &endpoints.routers {
-            let name = format!("router-{}", place.router);
-            let file = writer.router(place)?;
+        for endpoint in &endpoints.routers {
+            let name = format!("router-{}", endpoint.router);
+            let file = writer.router(endpoint)?;
             routers.push(start_process(&name, Program::Router, &file, folder)?);
         }
         let fleet = Self {
@@ -132,14 +132,14 @@
         self.wait_until_ready("platform", self.endpoints.platform, "/machines")
             .await?;
         self.publish_machines(&[]).await?;
-        for place in self.endpoints.control.iter().skip(1) {
-            let address = place.listen.to_string();
+        for endpoint in self.endpoints.control.iter().skip(1) {
+            let address = endpoint.listen.to_string();
             self.run_ctl_until_success(&["members", "add", &address])
                 .await?;
         }
-        for place in &self.endpoints.engines {
-            let name = format!("engine-{}", place.engine);
-            self.wait_until_ready(&name, place.listen, "/status")
+        for endpoint in &self.endpoints.engines {
+            let name = format!("engine-{}", endpoint.engine);
+            self.wait_until_ready(&name, endpoint.listen, "/status")
                 .await?;
         }
         Ok(())
@@ -147,9 +147,10 @@
 
     /// Waits until every router is ready to serve.
     pub async fn wait_for_routers(&self) -> Result<(), Report<LabError>> {
-        for place in &self.endpoints.routers {
-            let name = format!("router-{}", place.router);
-            self.wait_until_ready(&name, place.admin, "/readyz").await?;
+        for endpoint in &self.endpoints.routers {
+            let name = format!("router-{}", endpoint.router);
+            self.wait_until_ready(&name, endpoint.admin, "/readyz")
+                .await?;
         }
         Ok(())
     }
@@ -194,8 +195,8 @@
         let Ok(request) = hyper::Request::get(uri).body(http_body_util::Full::default()) else {
             return false;
         };
-        let answer = tokio::time::timeout(CALL_TIMEOUT, self.client.send(request)).await;
-        matches!(answer, Ok(Ok(response)) if response.status() == 200)
+        let response = tokio::time::timeout(CALL_TIMEOUT, self.client.send(request)).await;
+        matches!(response, Ok(Ok(response)) if response.status() == 200)
     }
 
     /// Starts another control replica and adds it as a member. Returns the time taken.
@@ -205,20 +206,20 @@
             .endpoints
             .control
             .iter()
-            .map(|place| place.replica)
+            .map(|endpoint| endpoint.replica)
             .max();
-        let place = ControlEndpoints::allocate(number.unwrap_or_default() + 1)?;
+        let endpoint = ControlEndpoints::allocate(number.unwrap_or_default() + 1)?;
         let writer = SettingsWriter {
             folder: &self.folder,
             shape: &self.shape,
             endpoints: &self.endpoints,
         };
-        let file = writer.control(&place)?;
-        let name = format!("control-{}", place.replica);
+        let file = writer.control(&endpoint)?;
+        let name = format!("control-{}", endpoint.replica);
         let process = start_process(&name, Program::Control, &file, &self.folder)?;
         self.control.push(process);
-        let address = place.listen.to_string();
-        self.endpoints.control.push(place);
+        let address = endpoint.listen.to_string();
+        self.endpoints.control.push(endpoint);
         self.run_ctl_until_success(&["members", "add", &address])
             .await?;
         Ok(started.elapsed())
@@ -241,21 +242,21 @@
     }
 
     fn machines(&self, leaving: &[EngineId]) -> Vec<Machine> {
-        let engines = self.endpoints.engines.iter().map(|place| Machine {
+        let engines = self.endpoints.engines.iter().map(|endpoint| Machine {
             kind: MachineKind::Engine {
-                engine: EngineId(place.engine),
+                engine: EngineId(endpoint.engine),
                 model: ModelName::from(self.shape.model),
             },
-            address: place.listen,
-            zone: ZoneName::from(self.shape.zone(place.engine - 1)),
-            leaving: leaving.contains(&EngineId(place.engine)),
+            address: endpoint.listen,
+            zone: ZoneName::from(self.shape.zone(endpoint.engine - 1)),
+            leaving: leaving.contains(&EngineId(endpoint.engine)),
         });
-        let services = self.endpoints.services.iter().map(|place| Machine {
+        let services = self.endpoints.services.iter().map(|endpoint| Machine {
             kind: MachineKind::Service {
-                service: place.service.to_owned(),
+                service: endpoint.service.to_owned(),
             },
-            address: place.listen,
-            zone: ZoneName::from(self.shape.zone(place.number)),
+            address: endpoint.listen,
+            zone: ZoneName::from(self.shape.zone(endpoint.number)),
             leaving: false,
         });
         let unreachable_machines = self.unreachable_machines.iter().cloned();
@@ -302,10 +303,10 @@
     /// Returns the status of every engine that responds.
     pub async fn engine_statuses(&self) -> Vec<EngineStatus> {
         let mut statuses = Vec::new();
-        for place in &self.endpoints.engines {
+        for endpoint in &self.endpoints.engines {
             let status = self
                 .client
-                .get_json::<EngineStatus>(place.listen, "/status", CALL_TIMEOUT)
+                .get_json::<EngineStatus>(endpoint.listen, "/status", CALL_TIMEOUT)
                 .await;
             statuses.extend(status);
         }
@@ -315,13 +316,13 @@
     /// Returns the executions of each key, summed over all service replicas.
     pub async fn executions(&self) -> Result<ExecutionCounts, Report<LabError>> {
         let mut total = ExecutionCounts::default();
-        for place in &self.endpoints.services {
+        for endpoint in &self.endpoints.services {
             let counts = self
                 .client
-                .get_json::<ExecutionCounts>(place.listen, "/executions", CALL_TIMEOUT)
+                .get_json::<ExecutionCounts>(endpoint.listen, "/executions", CALL_TIMEOUT)
                 .await
                 .change_context_lazy(|| LabError::NoAnswer {
-                    name: format!("service-{}", place.number),
+                    name: format!("service-{}", endpoint.number),
                 })?;
             for (key, count) in counts.by_key {
                 *total.by_key.entry(key).or_default() += count;
@@ -353,7 +354,7 @@
         self.endpoints
             .control
             .iter()
-            .position(|place| u64::from(place.replica) == leader)
+            .position(|endpoint| u64::from(endpoint.replica) == leader)
     }
 }
 
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/lab/src/fleet/settings.rs
@@ -131,7 +131,10 @@
 
     /// Returns the internal addresses of the control replicas in the format of `railtackctl --control`.
     pub fn control_list(&self) -> String {
-        let addresses = self.control.iter().map(|place| place.listen.to_string());
+        let addresses = self
+            .control
+            .iter()
+            .map(|endpoint| endpoint.listen.to_string());
         addresses.collect::<Vec<_>>().join(",")
     }
 }
@@ -184,30 +187,30 @@
 
 impl SettingsWriter<'_> {
     /// Writes the settings of a control replica. Returns the path of the file.
-    pub fn control(&self, place: &ControlEndpoints) -> Result<PathBuf, Report<LabError>> {
-        let data = self.folder.join(format!("control-{}", place.replica));
+    pub fn control(&self, endpoint: &ControlEndpoints) -> Result<PathBuf, Report<LabError>> {
+        let data = self.folder.join(format!("control-{}", endpoint.replica));
         let text = format!(
             "replica_id = {}\ncluster = \"lab\"\nzone = \"{}\"\nlisten = \"{}\"\n\
              metrics_listen = \"{}\"\ndata = \"{}\"\nplatform = \"{}\"\n",
-            place.replica,
-            self.shape.zone(place.replica - 1),
-            place.listen,
-            place.metrics,
+            endpoint.replica,
+            self.shape.zone(endpoint.replica - 1),
+            endpoint.listen,
+            endpoint.metrics,
             data.display(),
             self.endpoints.platform,
         );
-        self.write(&format!("control-{}.toml", place.replica), &text)
+        self.write(&format!("control-{}.toml", endpoint.replica), &text)
     }
 
     /// Writes the settings of a router.
-    pub fn router(&self, place: &RouterEndpoints) -> Result<PathBuf, Report<LabError>> {
+    pub fn router(&self, endpoint: &RouterEndpoints) -> Result<PathBuf, Report<LabError>> {
         let mut text = format!(
             "router_id = {}\nzone = \"{}\"\nlisten = \"{}\"\nadmin_listen = \"{}\"\n\
              platform = \"{}\"\n",
-            place.router,
-            self.shape.zone(place.router - 1),
-            place.listen,
-            place.admin,
+            endpoint.router,
+            self.shape.zone(endpoint.router - 1),
+            endpoint.listen,
+            endpoint.admin,
             self.endpoints.platform,
         );
         for control in &self.endpoints.control {
@@ -218,30 +221,30 @@
                 control.replica, control.listen
             );
         }
-        self.write(&format!("router-{}.toml", place.router), &text)
+        self.write(&format!("router-{}.toml", endpoint.router), &text)
     }
 
     /// Writes the settings of an engine.
-    pub fn engine(&self, place: &EngineEndpoint) -> Result<PathBuf, Report<LabError>> {
+    pub fn engine(&self, endpoint: &EngineEndpoint) -> Result<PathBuf, Report<LabError>> {
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"engine\"\nengine_id = {}\nzone = \"{}\"\n\
              model = \"{}\"\nweights_version = 1\n[role.costs]\ncache_blocks = {}\n",
-            place.listen,
-            place.engine,
-            self.shape.zone(place.engine - 1),
+            endpoint.listen,
+            endpoint.engine,
+            self.shape.zone(endpoint.engine - 1),
             self.shape.model,
             self.shape.cache_blocks,
         );
-        self.write(&format!("engine-{}.toml", place.engine), &text)
+        self.write(&format!("engine-{}.toml", endpoint.engine), &text)
     }
 
     /// Writes the settings of a service replica.
-    pub fn service(&self, place: &ServiceEndpoint) -> Result<PathBuf, Report<LabError>> {
+    pub fn service(&self, endpoint: &ServiceEndpoint) -> Result<PathBuf, Report<LabError>> {
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"service\"\nservice = \"{}\"\nanswer_ms = 5\n",
-            place.listen, place.service,
+            endpoint.listen, endpoint.service,
         );
-        self.write(&format!("service-{}.toml", place.number), &text)
+        self.write(&format!("service-{}.toml", endpoint.number), &text)
     }
 
     /// Writes the settings of the platform.
--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -88,29 +88,29 @@
     pub async fn generate(
         &self,
         router: SocketAddr,
-        question: &ModelRequest,
-        shape: ResponseMode,
+        request: &ModelRequest,
+        mode: ResponseMode,
     ) -> CallOutcome {
         let mut body = json!({
-            "template": question.template,
-            "prompt": question.question,
-            "max_tokens": question.max_tokens,
-            "stream": shape == ResponseMode::Stream,
+            "template": request.template,
+            "prompt": request.prompt_suffix,
+            "max_tokens": request.max_tokens,
+            "stream": mode == ResponseMode::Stream,
         });
-        if let Some(file) = &question.file {
+        if let Some(file) = &request.file {
             body["parameters"] = json!({ "file": file });
         }
-        let expected = whole_answer(&question.prompt, question.max_tokens);
+        let expected = whole_answer(&request.prompt, request.max_tokens);
         let started = Instant::now();
         let call = async {
             let response = match self.post(router, "/v1/completions", &body, None).await {
                 Ok(response) => response,
-                Err(finding) => return finding,
+                Err(outcome) => return outcome,
             };
             if response.status() != 200 {
                 return refusal(response).await;
             }
-            match shape {
+            match mode {
                 ResponseMode::Stream => read_stream(response, &expected, started).await,
                 ResponseMode::Unary => read_unary(response, &expected, started).await,
             }
@@ -133,22 +133,22 @@
         let call = async {
             let response = match self.post(router, &route, &json!({}), key).await {
                 Ok(response) => response,
-                Err(finding) => return finding,
+                Err(outcome) => return outcome,
             };
             if response.status() != 200 {
                 return refusal(response).await;
             }
             let first_token_us = started.elapsed().as_micros() as u64;
-            let Some(answer) = read_json(response).await else {
+            let Some(content) = read_json(response).await else {
                 return CallOutcome::Broken;
             };
             let matches_request =
-                answer["path"] == format!("/{path}") && answer["key"].as_str() == key;
+                content["path"] == format!("/{path}") && content["key"].as_str() == key;
             if matches_request {
                 CallOutcome::Complete { first_token_us }
             } else {
                 CallOutcome::Wrong {
-                    got: answer.to_string(),
+                    got: content.to_string(),
                 }
             }
         };
@@ -209,10 +209,10 @@
 
 async fn read_unary(response: Response<Incoming>, expected: &str, started: Instant) -> CallOutcome {
     let first_token_us = started.elapsed().as_micros() as u64;
-    let Some(answer) = read_json(response).await else {
+    let Some(content) = read_json(response).await else {
         return CallOutcome::Broken;
     };
-    let text = answer["choices"][0]["text"].as_str().unwrap_or_default();
+    let text = content["choices"][0]["text"].as_str().unwrap_or_default();
     compare(text, expected, first_token_us)
 }
 
--- a/crates/lab/src/load/documents.rs
+++ b/crates/lab/src/load/documents.rs
@@ -54,7 +54,7 @@
     /// Value of the parameter `file`, if the template has it.
     pub file: Option<String>,
     /// Last part of the prompt, which no other request shares.
-    pub question: String,
+    pub prompt_suffix: String,
     /// Length of the response, tokens.
     pub max_tokens: u32,
     /// Prompt that the engine must receive.
@@ -158,18 +158,18 @@
             SHORT_TEMPLATE
         };
         let file = is_long.then(|| self.files[random.random_range(0..self.files.len())].clone());
-        let question = words(if is_long { 20 } else { 8 }, random);
+        let prompt_suffix = words(if is_long { 20 } else { 8 }, random);
         let max_tokens = random.random_range(8..if is_long { 64 } else { 24 });
         let context = &self.tenants[tenant].context;
         let opening = &self.openings[usize::from(!is_long)];
         let prompt = format!(
-            "{opening}{context}{}{question}",
+            "{opening}{context}{}{prompt_suffix}",
             file.as_deref().unwrap_or_default()
         );
         ModelRequest {
             template,
             file,
-            question,
+            prompt_suffix,
             max_tokens,
             prompt,
         }
--- a/crates/lab/src/load/keyed.rs
+++ b/crates/lab/src/load/keyed.rs
@@ -9,7 +9,7 @@
 /// Outcomes of the requests with one key.
 #[derive(Clone, Copy, Debug, Default)]
 struct OutcomeCounts {
-    whole: u64,
+    complete: u64,
     not_run: u64,
     unknown: u64,
 }
@@ -38,10 +38,10 @@
 
 impl KeyedRecord {
     /// Records the outcome of one request.
-    pub fn record(&mut self, key: u64, finding: &CallOutcome) {
+    pub fn record(&mut self, key: u64, outcome: &CallOutcome) {
         let outcomes = self.outcomes.entry(key).or_default();
-        match finding {
-            CallOutcome::Complete { .. } => outcomes.whole += 1,
+        match outcome {
+            CallOutcome::Complete { .. } => outcomes.complete += 1,
             CallOutcome::Refused {
                 execution: Execution::NotRun,
                 ..
@@ -55,7 +55,7 @@
     pub fn totals(&self) -> (u64, u64, u64) {
         self.outcomes.values().fold((0, 0, 0), |sum, outcomes| {
             (
-                sum.0 + outcomes.whole,
+                sum.0 + outcomes.complete,
                 sum.1 + outcomes.not_run,
                 sum.2 + outcomes.unknown,
             )
@@ -64,13 +64,14 @@
 
     /// Compares the outcomes with the executions, which are given by [`key_name`].
     pub fn check(&self, executions: &BTreeMap<String, u64>) -> KeyedViolations {
-        let mut judgement = KeyedViolations::default();
+        let mut violations = KeyedViolations::default();
         for (key, outcomes) in &self.outcomes {
-            let ran = executions.get(&key_name(*key)).copied().unwrap_or(0);
-            judgement.ran_twice += usize::from(ran > 1);
-            judgement.false_not_run += usize::from(outcomes.not_run > 0 && ran > 0);
-            judgement.completed_without_execution += usize::from(outcomes.whole > 0 && ran != 1);
+            let executed = executions.get(&key_name(*key)).copied().unwrap_or(0);
+            violations.ran_twice += usize::from(executed > 1);
+            violations.false_not_run += usize::from(outcomes.not_run > 0 && executed > 0);
+            violations.completed_without_execution +=
+                usize::from(outcomes.complete > 0 && executed != 1);
         }
-        judgement
+        violations
     }
 }
--- a/crates/lab/src/load/summary.rs
+++ b/crates/lab/src/load/summary.rs
@@ -46,15 +46,15 @@
 
 impl Summary {
     /// Counts one outcome.
-    pub fn add(&mut self, finding: &CallOutcome) {
-        match finding {
+    pub fn add(&mut self, outcome: &CallOutcome) {
+        match outcome {
             CallOutcome::Complete { first_token_us } => {
                 self.completed += 1;
                 self.times.saturating_record((*first_token_us).max(1));
             }
             CallOutcome::Refused { code, execution } => {
-                let ran = execution_text(*execution);
-                *self.refusals.entry((*code, ran)).or_default() += 1;
+                let execution = execution_text(*execution);
+                *self.refusals.entry((*code, execution)).or_default() += 1;
             }
             CallOutcome::Unreachable => self.unreachable += 1,
             CallOutcome::Broken => self.broken += 1,
--- a/crates/lab/src/scale/cluster.rs
+++ b/crates/lab/src/scale/cluster.rs
@@ -236,24 +236,24 @@
     let client = HttpClient::new(Duration::from_secs(1));
     let caller = Caller::new(client.clone(), &prepared.documents.tenants[0].key);
     let mut random = ChaCha8Rng::seed_from_u64(5);
-    let mut questions: Vec<_> = (0..REQUESTS)
+    let mut requests: Vec<_> = (0..REQUESTS)
         .map(|_| prepared.documents.model_request(0, &mut random))
         .collect();
-    for question in &mut questions {
-        question.max_tokens = question.max_tokens.min(MAX_OUTPUT_TOKENS);
+    for request in &mut requests {
+        request.max_tokens = request.max_tokens.min(MAX_OUTPUT_TOKENS);
     }
     // Fills the caches first.
-    for question in &questions {
+    for request in &requests {
         caller
-            .generate(router.listen, question, ResponseMode::Stream)
+            .generate(router.listen, request, ResponseMode::Stream)
             .await;
     }
     let before = processor_seconds(&router_process(&prepared));
     let mut routed = Vec::new();
-    for question in &questions {
+    for request in &requests {
         let started = Instant::now();
         if let CallOutcome::Complete { first_token_us } = caller
-            .generate(router.listen, question, ResponseMode::Stream)
+            .generate(router.listen, request, ResponseMode::Stream)
             .await
         {
             routed.push((first_token_us, started.elapsed()));
@@ -311,8 +311,8 @@
         }
         let direct = direct_started.elapsed();
         let routed_started = Instant::now();
-        let finding = caller.call(router, lookup, &path, None).await;
-        if matches!(finding, CallOutcome::Complete { .. }) {
+        let outcome = caller.call(router, lookup, &path, None).await;
+        if matches!(outcome, CallOutcome::Complete { .. }) {
             let routed = routed_started.elapsed();
             added.saturating_record(routed.saturating_sub(direct).as_micros() as u64);
         }
@@ -326,14 +326,14 @@
     let caller = Caller::new(client, &prepared.documents.tenants[0].key);
     let router = prepared.fleet.endpoints.routers[0].listen;
     let mut random = ChaCha8Rng::seed_from_u64(6);
-    let mut question = prepared.documents.model_request(0, &mut random);
-    question.max_tokens = 400;
+    let mut request = prepared.documents.model_request(0, &mut random);
+    request.max_tokens = 400;
     let streams: Vec<_> = (0..count)
         .map(|_| {
-            let (caller, question) = (caller.clone(), question.clone());
+            let (caller, request) = (caller.clone(), request.clone());
             tokio::spawn(async move {
                 caller
-                    .generate(router, &question, ResponseMode::Stream)
+                    .generate(router, &request, ResponseMode::Stream)
                     .await
             })
         })
--- a/crates/lab/src/scale/decisions.rs
+++ b/crates/lab/src/scale/decisions.rs
@@ -124,7 +124,7 @@
     let key = key();
     for number in 0..DECISIONS {
         let prompt = &prompts[number % prompts.len()];
-        let shape = RoutingRequest {
+        let request = RoutingRequest {
             key: &key,
             chain: &prompt.chain,
             boundaries: &prompt.boundaries,
@@ -132,7 +132,7 @@
             excluded: &[],
         };
         let started = Instant::now();
-        let decision = scheduler.choose(shape, 0, number as u64);
+        let decision = scheduler.choose(request, 0, number as u64);
         let took = started.elapsed();
         std::hint::black_box(decision);
         times.saturating_record(took.as_nanos() as u64);
--- a/crates/lab/tests/bad_input.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -39,7 +39,7 @@
         code,
     };
     let counter_answer = |extra: Value| {
-        let mut body = json!({ "template": "counter-answer", "prompt": "q" });
+        let mut body = json!({ "template": "counter-response", "prompt": "q" });
         if let (Some(body), Value::Object(extra)) = (body.as_object_mut(), extra) {
             body.extend(extra);
         }
@@ -150,7 +150,7 @@
         .body(http_body_util::Full::from(input.body.clone()))
         .expect("a request");
     let client = HttpClient::new(Duration::from_secs(2));
-    let response = client.send(request).await.expect("an answer");
+    let response = client.send(request).await.expect("an response");
     let status = response.status().as_u16();
     let has_request_id = response.headers().contains_key("x-request-id");
     let content = railtack_http::read_body(response.into_body(), 1 << 20, Duration::from_secs(5))
@@ -170,14 +170,14 @@
         &prepared.documents.tenants[0].key,
     );
     let mut random = ChaCha8Rng::seed_from_u64(3);
-    let question = prepared.documents.model_request(0, &mut random);
+    let request = prepared.documents.model_request(0, &mut random);
     let router = prepared.fleet.endpoints.routers[0].listen;
-    let finding = caller
-        .generate(router, &question, ResponseMode::Stream)
+    let outcome = caller
+        .generate(router, &request, ResponseMode::Stream)
         .await;
     assert!(
-        matches!(finding, CallOutcome::Complete { .. }),
-        "{finding:?}"
+        matches!(outcome, CallOutcome::Complete { .. }),
+        "{outcome:?}"
     );
 }
 
@@ -216,9 +216,9 @@
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
         .expect("a timeout");
-    let mut answer = vec![0; 4096];
-    let length = stream.read(&mut answer).expect("an answer");
-    String::from_utf8_lossy(&answer[..length]).into_owned()
+    let mut response = vec![0; 4096];
+    let length = stream.read(&mut response).expect("an response");
+    String::from_utf8_lossy(&response[..length]).into_owned()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -252,8 +252,8 @@
     }
     let slow = tokio::task::spawn_blocking(move || send_partial_request(router));
     assert_serves(&prepared).await;
-    let answer = slow.await.expect("the slow client");
-    assert!(answer.contains("slow_request"), "{answer}");
+    let response = slow.await.expect("the slow client");
+    assert!(response.contains("slow_request"), "{response}");
     assert_serves(&prepared).await;
     check_operator_errors(&prepared, folder.path()).await;
     assert_serves(&prepared).await;
@@ -275,7 +275,7 @@
     assert_eq!(exit_code(&["template", "submit", &path]).await, 4);
     write("name = \"bad\"\ncolour = 1\n");
     assert_eq!(exit_code(&["template", "submit", &path]).await, 1);
-    write("name = \"counter-answer\"\n[target.model]\nmodel = \"valuation\"\n");
+    write("name = \"counter-response\"\n[target.model]\nmodel = \"valuation\"\n");
     assert_eq!(
         exit_code(&["template", "submit", &path]).await,
         3,
--- a/crates/lab/tests/fatal_requests.rs
+++ b/crates/lab/tests/fatal_requests.rs
@@ -44,8 +44,8 @@
     };
     let content = read_body(response.into_body(), 1 << 20, REQUEST_TIMEOUT).await;
     let content = content.unwrap_or_default();
-    let answer: Value = serde_json::from_slice(&content).unwrap_or_default();
-    answer["error"]["code"]
+    let refusal: Value = serde_json::from_slice(&content).unwrap_or_default();
+    refusal["error"]["code"]
         .as_str()
         .unwrap_or_default()
         .to_owned()
@@ -74,7 +74,7 @@
 async fn a_prompt_that_ends_engines_is_refused_by_every_router() {
     let folder = tempfile::tempdir().expect("a folder");
     let prepared = start_fleet(folder.path(), 21).await;
-    let fatal = json!({ "template": "counter-answer", "prompt": FATAL_TEXT, "max_tokens": 4 });
+    let fatal = json!({ "template": "counter-refusal", "prompt": FATAL_TEXT, "max_tokens": 4 });
     send_until_quarantined(&prepared, "/v1/completions", &fatal).await;
     check_quarantine_list_and_release(&prepared).await;
     let running = prepared.fleet.engine_statuses().await.len();
@@ -83,16 +83,16 @@
         "{running} engines are running"
     );
     let caller = Caller::new(HttpClient::new(REQUEST_TIMEOUT), tenant_key(&prepared));
-    let question = prepared
+    let request = prepared
         .documents
         .model_request(0, &mut ChaCha8Rng::seed_from_u64(1));
     for router in router_addresses(&prepared) {
-        let finding = caller
-            .generate(router, &question, ResponseMode::Stream)
+        let outcome = caller
+            .generate(router, &request, ResponseMode::Stream)
             .await;
         assert!(
-            matches!(finding, CallOutcome::Complete { .. }),
-            "{finding:?}"
+            matches!(outcome, CallOutcome::Complete { .. }),
+            "{outcome:?}"
         );
     }
 }
