--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -65,7 +65,7 @@
             .endpoints
             .control
             .iter()
-            .map(|place| place.listen);
+            .map(|endpoint| endpoint.listen);
         let client = ControlClient::new(addresses);
         let mut accepted = 0;
         for number in 0..count {
@@ -89,7 +89,7 @@
             .endpoints
             .control
             .iter()
-            .map(|place| place.listen);
+            .map(|endpoint| endpoint.listen);
         let client = ControlClient::new(addresses);
         let statuses: Vec<_> = client
             .statuses()
@@ -140,11 +140,11 @@
     let caller = Caller::new(client, &documents.tenants[0].key);
     let mut random = ChaCha8Rng::seed_from_u64(0);
     let request = documents.model_request(0, &mut random);
-    for place in &fleet.endpoints.routers {
-        while !is_served(&caller, place.listen, &request).await {
+    for endpoint in &fleet.endpoints.routers {
+        while !is_served(&caller, endpoint.listen, &request).await {
             if started.elapsed() > timeout {
                 return Err(Report::new(LabError::NotReady {
-                    name: format!("router-{}", place.router),
+                    name: format!("router-{}", endpoint.router),
                     limit_ms: timeout.as_millis() as u64,
                 }));
             }
@@ -239,10 +239,14 @@
     let wrong = summary.wrong.len() as u64;
     let violations =
         wrong + summary.lost + summary.broken + summary.unreachable + repeated as u64 + unexpected;
-    finish(prepared.fleet, &options, violations)
+    stop_fleet(prepared.fleet, &options, violations)
 }
 
-fn finish(fleet: Fleet, options: &FleetOptions, violations: u64) -> Result<(), Report<LabError>> {
+fn stop_fleet(
+    fleet: Fleet,
+    options: &FleetOptions,
+    violations: u64,
+) -> Result<(), Report<LabError>> {
     let folder = fleet.folder.clone();
     drop(fleet);
     if violations > 0 {
@@ -410,20 +414,20 @@
         .await
         .change_context(LabError::Runtime)?;
     println!("stopping");
-    finish(prepared.fleet, &options, 0)
+    stop_fleet(prepared.fleet, &options, 0)
 }
 
 fn print_usage(prepared: &PreparedFleet) {
-    let places = &prepared.fleet.endpoints;
+    let endpoints = &prepared.fleet.endpoints;
     let (lookup, keyed) = prepared.documents.service_names();
-    for place in &places.routers {
+    for endpoint in &endpoints.routers {
         println!(
             "router {}: http://{} (operators: http://{})",
-            place.router, place.listen, place.admin
+            endpoint.router, endpoint.listen, endpoint.admin
         );
     }
-    println!("control replicas: {}", places.control_list());
-    println!("platform: http://{}", places.platform);
+    println!("control replicas: {}", endpoints.control_list());
+    println!("platform: http://{}", endpoints.platform);
     for tenant in &prepared.documents.tenants {
         println!("bearer key of {}: {}", tenant.name, tenant.key);
     }
--- a/crates/lab/src/experiment/disturbances.rs
+++ b/crates/lab/src/experiment/disturbances.rs
@@ -13,7 +13,7 @@
 /// Time to fetch the cache contents of an engine after a gap in its events, microseconds.
 const RESYNC_DELAY: u64 = 50_000;
 /// Time until routers detect a crash by broken connections, microseconds.
-const CRASH_NOTICE: u64 = 20_000;
+const CRASH_DETECTION_DELAY: u64 = 20_000;
 /// Time until a crashed engine runs again, microseconds.
 const RESTART_TIME: u64 = 5_000_000;
 /// Most dispatches of one request.
@@ -53,7 +53,7 @@
             return;
         }
         let blocks: Vec<BlockHash> = engine.model.cache().hashes().copied().collect();
-        self.routers[router].resynchronise(number, engine.sequence, &blocks);
+        self.routers[router].replace_cached_blocks(number, engine.sequence, &blocks);
     }
 
     pub(super) fn report(&mut self, number: u32) {
@@ -86,15 +86,15 @@
             engine.sequence = 0;
             engine.model = EngineModel::new(costs(self.conditions));
             let slot = EngineSlot(number as u16);
-            let lost = self.open.iter().enumerate().filter(|(_, open)| {
+            let lost = self.open_requests.iter().enumerate().filter(|(_, open)| {
                 !open.done && open.choice.is_some_and(|choice| choice.engine == slot)
             });
             let lost = lost.map(|(position, _)| position).collect();
-            let event = Event::NoticeCrash {
+            let event = Event::DetectCrash {
                 engine: number,
                 lost,
             };
-            self.schedule.after(CRASH_NOTICE, event);
+            self.schedule.after(CRASH_DETECTION_DELAY, event);
             self.schedule
                 .after(RESTART_TIME, Event::Restart { engine: number });
         }
@@ -102,14 +102,14 @@
 
     /// Handles the broken connections of a crash: continues open requests at other engines within the retry
     /// budget.
-    pub(super) fn notice_crash(&mut self, number: u32, lost: Vec<usize>) {
+    pub(super) fn detect_crash(&mut self, number: u32, lost: Vec<usize>) {
         let engine = &self.engines[number as usize];
         let (incarnation, up) = (engine.incarnation, engine.up);
         for router in &mut self.routers {
             router.update_engine(number, incarnation, up);
         }
         for open in lost {
-            let state = &mut self.open[open];
+            let state = &mut self.open_requests[open];
             if state.done {
                 continue;
             }
@@ -126,7 +126,7 @@
         }
     }
 
-    pub(super) fn restart(&mut self, number: u32) {
+    pub(super) fn restart_engine(&mut self, number: u32) {
         let engine = &mut self.engines[number as usize];
         engine.up = true;
         let incarnation = engine.incarnation;
@@ -135,7 +135,7 @@
         }
     }
 
-    pub(super) fn herd(&mut self) {
+    pub(super) fn restart_routers(&mut self) {
         for number in 0..self.routers.len() {
             self.routers[number] =
                 VirtualRouter::new(self.policy, self.conditions.engines, ROUTERS);
@@ -156,7 +156,7 @@
         }
     }
 
-    pub(super) fn evict(&mut self) {
+    pub(super) fn clear_caches(&mut self) {
         for number in 0..self.conditions.engines {
             let engine = &mut self.engines[number as usize];
             let changes = engine.model.clear_cache();
--- a/crates/lab/src/experiment/fleet.rs
+++ b/crates/lab/src/experiment/fleet.rs
@@ -92,15 +92,15 @@
         engine: u32,
     },
     Crash,
-    NoticeCrash {
+    DetectCrash {
         engine: u32,
         lost: Vec<usize>,
     },
     Restart {
         engine: u32,
     },
-    Herd,
-    Evict,
+    RestartRouters,
+    ClearCaches,
 }
 
 pub(super) struct VirtualEngine {
@@ -130,7 +130,7 @@
     pub(super) engines: Vec<VirtualEngine>,
     pub(super) routers: Vec<VirtualRouter>,
     pub(super) policy: Policy,
-    pub(super) open: Vec<OpenRequest>,
+    pub(super) open_requests: Vec<OpenRequest>,
     pub(super) recorder: Recorder,
     pub(super) random: ChaCha8Rng,
 }
@@ -192,10 +192,10 @@
             schedule.at(micros(at), Event::Crash);
         }
         if let Some(at) = conditions.herd_at {
-            schedule.at(micros(at), Event::Herd);
+            schedule.at(micros(at), Event::RestartRouters);
         }
         if let Some(at) = conditions.evict_at {
-            schedule.at(micros(at), Event::Evict);
+            schedule.at(micros(at), Event::ClearCaches);
         }
         let routers = (0..ROUTERS)
             .map(|_| VirtualRouter::new(policy, conditions.engines, ROUTERS))
@@ -207,7 +207,7 @@
             engines,
             routers,
             policy,
-            open: Vec::new(),
+            open_requests: Vec::new(),
             recorder: Recorder::new(micros(conditions.warm_up)),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
@@ -225,7 +225,7 @@
                 engine,
                 incarnation,
                 outcome,
-            } => self.step_ended(engine, incarnation, &outcome),
+            } => self.finish_step(engine, incarnation, &outcome),
             Event::CacheChanged {
                 engine,
                 incarnation,
@@ -240,10 +240,10 @@
             } => self.resync(router, engine, incarnation),
             Event::Report { engine } => self.report(engine),
             Event::Crash => self.crash(),
-            Event::NoticeCrash { engine, lost } => self.notice_crash(engine, lost),
-            Event::Restart { engine } => self.restart(engine),
-            Event::Herd => self.herd(),
-            Event::Evict => self.evict(),
+            Event::DetectCrash { engine, lost } => self.detect_crash(engine, lost),
+            Event::Restart { engine } => self.restart_engine(engine),
+            Event::RestartRouters => self.restart_routers(),
+            Event::ClearCaches => self.clear_caches(),
         }
     }
 
@@ -257,7 +257,7 @@
         let tokens = chain.total_tokens + request.output_tokens;
         self.recorder.arrived(request, tokens);
         let router = position % self.routers.len();
-        self.open.push(OpenRequest {
+        self.open_requests.push(OpenRequest {
             request: position,
             router,
             chain,
@@ -268,7 +268,7 @@
             has_first_token: false,
             done: false,
         });
-        let open = self.open.len() - 1;
+        let open = self.open_requests.len() - 1;
         self.routers[router].budget.deposit();
         self.dispatch(open, true);
     }
@@ -276,7 +276,7 @@
     pub(super) fn dispatch(&mut self, open: usize, is_first: bool) {
         let now = self.schedule.now();
         let seed = self.random.random();
-        let state = &self.open[open];
+        let state = &self.open_requests[open];
         let request = &self.requests[state.request];
         let engines = &self.engines;
         let exact = |chain: &PrefixChain| exact_engines(engines, chain);
@@ -290,13 +290,13 @@
         let chosen = router.choose(query, exact, now, seed);
         let Some((choice, score)) = chosen else {
             self.recorder.refused(request);
-            self.open[open].done = true;
+            self.open_requests[open].done = true;
             return;
         };
         let tokens = state.chain.total_tokens + request.output_tokens;
         if is_first && router.admit(request, tokens, &score, now).is_err() {
             self.recorder.refused(request);
-            self.open[open].done = true;
+            self.open_requests[open].done = true;
             return;
         }
         let interactive = request.class == Priority::Interactive;
@@ -308,7 +308,7 @@
             router.scheduler.expect_cached(choice.engine, &state.chain);
         }
         self.recorder.dispatched(request, is_first);
-        self.open[open].choice = Some(choice);
+        self.open_requests[open].choice = Some(choice);
         let engine = u32::from(choice.engine.0);
         let incarnation = self.engines[engine as usize].incarnation;
         self.schedule.after(
@@ -327,14 +327,14 @@
             let lost = vec![open];
             self.schedule.after(
                 NETWORK_DELAY,
-                Event::NoticeCrash {
+                Event::DetectCrash {
                     engine: number,
                     lost,
                 },
             );
             return;
         }
-        let state = &self.open[open];
+        let state = &self.open_requests[open];
         let request = &self.requests[state.request];
         engine.model.submit(NewSequence {
             attempt: open as u128,
@@ -357,7 +357,7 @@
         let outcome = engine.model.step(now);
         let incarnation = engine.incarnation;
         for (attempt, cached_tokens) in &outcome.admitted {
-            let state = &self.open[*attempt as usize];
+            let state = &self.open_requests[*attempt as usize];
             let request = &self.requests[state.request];
             self.recorder
                 .prompt_started(request, &state.chain, *cached_tokens);
@@ -373,7 +373,7 @@
         self.schedule.after(outcome.duration_us, event);
     }
 
-    fn step_ended(&mut self, number: u32, incarnation: u64, outcome: &StepOutcome) {
+    fn finish_step(&mut self, number: u32, incarnation: u64, outcome: &StepOutcome) {
         let now = self.schedule.now();
         let engine = &mut self.engines[number as usize];
         if engine.incarnation != incarnation {
@@ -395,7 +395,7 @@
         }
         for output in &outcome.outputs {
             let open = output.attempt as usize;
-            self.token(open, output.index, now + NETWORK_DELAY);
+            self.deliver_token(open, output.index, now + NETWORK_DELAY);
             if output.end.is_some() {
                 self.finish(open, now + NETWORK_DELAY);
             }
@@ -403,8 +403,8 @@
         self.step(number);
     }
 
-    fn token(&mut self, open: usize, index: u32, at_us: u64) {
-        let state = &mut self.open[open];
+    fn deliver_token(&mut self, open: usize, index: u32, at_us: u64) {
+        let state = &mut self.open_requests[open];
         state.delivered = index + 1;
         if state.has_first_token {
             return;
@@ -424,7 +424,7 @@
     }
 
     fn finish(&mut self, open: usize, at_us: u64) {
-        let state = &mut self.open[open];
+        let state = &mut self.open_requests[open];
         state.done = true;
         let request = &self.requests[state.request];
         let tokens = state.chain.total_tokens + request.output_tokens;
--- a/crates/lab/src/experiment/router.rs
+++ b/crates/lab/src/experiment/router.rs
@@ -130,7 +130,12 @@
     }
 
     /// Replaces the cached blocks of an engine with its full listing, after a gap in its events.
-    pub fn resynchronise(&mut self, engine: u32, sequence: EventSequence, blocks: &[BlockHash]) {
+    pub fn replace_cached_blocks(
+        &mut self,
+        engine: u32,
+        sequence: EventSequence,
+        blocks: &[BlockHash],
+    ) {
         let slot = EngineSlot(engine as u16);
         self.last_sequence[engine as usize] = sequence;
         self.scheduler.index.remove_engine(slot);
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -160,9 +160,12 @@
 
     /// Waits for the process to exit. Returns `None` on timeout, if a signal killed it, or if it was not
     /// running.
-    pub async fn wait(&mut self, limit: Duration) -> Option<i32> {
+    pub async fn wait(&mut self, timeout: Duration) -> Option<i32> {
         let child = self.child.as_mut()?;
-        let status = tokio::time::timeout(limit, child.wait()).await.ok()?.ok()?;
+        let status = tokio::time::timeout(timeout, child.wait())
+            .await
+            .ok()?
+            .ok()?;
         self.child = None;
         status.code()
     }
