--- a/crates/lab/tests/advertised_limits.rs
+++ b/crates/lab/tests/advertised_limits.rs
@@ -29,7 +29,7 @@
 async fn status(tenant_key: &str, router: SocketAddr, path: &str, body: &Value) -> u16 {
     let response = post(tenant_key, router, path, body)
         .await
-        .expect("an answer");
+        .expect("a response");
     response.status().as_u16()
 }
 
@@ -57,7 +57,7 @@
     });
     let mut refused = 0;
     for caller in callers.collect::<Vec<_>>() {
-        refused += caller.await.expect("a caller");
+        refused += caller.await.expect("the caller task completes");
     }
     refused
 }
@@ -80,7 +80,7 @@
         200
     );
     let refused = send_for(prepared, RUN_TIME + BINDS_AFTER, path, make_request).await;
-    assert_eq!(refused, 0, "the other one serves");
+    assert_eq!(refused, 0, "the other back end serves all requests");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -110,6 +110,6 @@
         |number| json!({ "text": format!("harmless {number}") }),
     )
     .await;
-    let counted = prepared.fleet.executions().await.expect("counts");
+    let counted = prepared.fleet.executions().await.expect("execution counts");
     assert_eq!(counted.over_limit, 0);
 }
--- a/crates/lab/tests/back_off.rs
+++ b/crates/lab/tests/back_off.rs
@@ -29,7 +29,7 @@
 async fn send(prepared: &PreparedFleet, path: &str, body: &Value) -> (u16, Option<Duration>) {
     let router = router_addresses(prepared)[0];
     let response = post(tenant_key(prepared), router, path, body).await;
-    let response = response.expect("an answer");
+    let response = response.expect("a response");
     let retry_after = response.headers().get("retry-after");
     let seconds = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
     (
@@ -53,7 +53,7 @@
         let (status, retry_after) = send(&prepared, "/v1/completions", &harmless).await;
         if status != 200 {
             assert_eq!(status, 503);
-            let retry_after = retry_after.expect("when to come back");
+            let retry_after = retry_after.expect("a retry-after header");
             assert!(retry_after <= BACK_OFF, "{retry_after:?}");
         }
         sleep(REQUEST_INTERVAL).await;
@@ -79,6 +79,6 @@
         assert_eq!(send(&prepared, path, &harmless).await.0, 200);
         sleep(REQUEST_INTERVAL).await;
     }
-    let counted = prepared.fleet.executions().await.expect("counts");
+    let counted = prepared.fleet.executions().await.expect("execution counts");
     assert_eq!(counted.unwanted, 0);
 }
--- a/crates/lab/tests/bad_input.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -150,7 +150,7 @@
         .body(http_body_util::Full::from(input.body.clone()))
         .expect("a request");
     let client = HttpClient::new(Duration::from_secs(2));
-    let response = client.send(request).await.expect("an response");
+    let response = client.send(request).await.expect("a response");
     let status = response.status().as_u16();
     let has_request_id = response.headers().contains_key("x-request-id");
     let content = railtack_http::read_body(response.into_body(), 1 << 20, Duration::from_secs(5))
@@ -194,7 +194,7 @@
         .fleet
         .run_ctl(&["template", "submit", &template])
         .await
-        .expect("accepted");
+        .expect("the command succeeds");
     let tenant = folder.join("tenant-tenant-2.toml");
     let mut text = std::fs::read_to_string(&tenant).expect("the submitted document");
     text.push_str("[[services]]\ntemplate = \"private-to-tenant-2\"\n");
@@ -204,7 +204,7 @@
         .fleet
         .run_ctl(&["tenant", "revise", &tenant])
         .await
-        .expect("accepted");
+        .expect("the command succeeds");
 }
 
 /// Sends half a request and waits. Returns the response, which must arrive before the read timeout.
@@ -212,12 +212,12 @@
     let mut stream = TcpStream::connect(router).expect("a connection");
     stream
         .write_all(b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{")
-        .expect("half a request");
+        .expect("a partial write");
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
-        .expect("a timeout");
+        .expect("a read timeout is set");
     let mut response = vec![0; 4096];
-    let length = stream.read(&mut response).expect("an response");
+    let length = stream.read(&mut response).expect("a response");
     String::from_utf8_lossy(&response[..length]).into_owned()
 }
 
@@ -252,7 +252,7 @@
     }
     let slow = tokio::task::spawn_blocking(move || send_partial_request(router));
     assert_serves(&prepared).await;
-    let response = slow.await.expect("the slow client");
+    let response = slow.await.expect("the slow client completes");
     assert!(response.contains("slow_request"), "{response}");
     assert_serves(&prepared).await;
     check_operator_errors(&prepared, folder.path()).await;
@@ -279,7 +279,7 @@
     assert_eq!(
         exit_code(&["template", "submit", &path]).await,
         3,
-        "it exists"
+        "the template exists"
     );
     assert_eq!(
         exit_code(&["template", "revise", &path, "--expect-revision", "1"]).await,
--- a/crates/lab/tests/fatal_requests.rs
+++ b/crates/lab/tests/fatal_requests.rs
@@ -67,7 +67,7 @@
         }
         tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    panic!("still sent to back ends after all these rounds");
+    panic!("the routers did not quarantine the request");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -80,7 +80,7 @@
     let running = prepared.fleet.engine_statuses().await.len();
     assert!(
         running >= BACK_ENDS as usize - MAX_CRASHES,
-        "{running} engines are running"
+        "only {running} engines are running"
     );
     let caller = Caller::new(HttpClient::new(REQUEST_TIMEOUT), tenant_key(&prepared));
     let request = prepared
@@ -101,16 +101,31 @@
 /// releasing an unknown request fails.
 async fn check_quarantine_list_and_release(prepared: &PreparedFleet) {
     let list = ["--output", "json", "quarantine", "list"];
-    let listed = prepared.fleet.run_ctl(&list).await.expect("a list");
+    let listed = prepared
+        .fleet
+        .run_ctl(&list)
+        .await
+        .expect("the quarantine list");
     let listed: Value = serde_json::from_str(&listed).expect("JSON");
     let first = &listed[0];
     assert_eq!(first["quarantined"], "true", "{listed}");
-    let content = first["content"].as_str().expect("a content").to_owned();
+    let content = first["content"]
+        .as_str()
+        .expect("a content field")
+        .to_owned();
     let release = ["quarantine", "release", "00"];
     assert!(prepared.fleet.run_ctl(&release).await.is_err());
     let release = ["quarantine", "release", &content];
-    prepared.fleet.run_ctl(&release).await.expect("released");
-    let listed = prepared.fleet.run_ctl(&list).await.expect("a list");
+    prepared
+        .fleet
+        .run_ctl(&release)
+        .await
+        .expect("the release succeeds");
+    let listed = prepared
+        .fleet
+        .run_ctl(&list)
+        .await
+        .expect("the quarantine list");
     assert!(!listed.contains(&content), "{listed}");
 }
 
--- a/crates/lab/tests/incarnations.rs
+++ b/crates/lab/tests/incarnations.rs
@@ -60,7 +60,7 @@
     let mut updates = Vec::new();
     while let Some(update) = state.update_after(view.known) {
         updates.push(update.clone());
-        *view = view.updated(update).expect("news");
+        *view = view.updated(update).expect("an update that applies");
     }
     updates
 }
@@ -70,7 +70,7 @@
 }
 
 fn encoded_bytes(update: &ServingUpdate) -> usize {
-    update.write_to_vec().expect("bytes").len()
+    update.write_to_vec().expect("an encodable update").len()
 }
 
 #[test]
--- a/crates/lab/tests/partial_crash_reports.rs
+++ b/crates/lab/tests/partial_crash_reports.rs
@@ -176,7 +176,7 @@
         let crashes = World::new(seed).run();
         assert!(
             crashes <= MAX_CRASHES,
-            "seed {seed}: {crashes} replicas ended"
+            "seed {seed}: {crashes} replicas crashed"
         );
     }
 }
--- a/crates/lab/tests/replay.rs
+++ b/crates/lab/tests/replay.rs
@@ -8,8 +8,8 @@
 fn committed_traces_meet_their_expected_outcomes() {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../traces");
     let mut replayed = 0;
-    for entry in fs::read_dir(folder).expect("the traces") {
-        let trace = entry.expect("an entry").path();
+    for entry in fs::read_dir(folder).expect("the folder of traces") {
+        let trace = entry.expect("a folder entry").path();
         if trace
             .extension()
             .is_none_or(|extension| extension != "jsonl")
@@ -17,7 +17,11 @@
             continue;
         }
         let checked = replay(&trace, &trace.with_extension("toml")).expect("a replay");
-        assert!(!checked.is_empty(), "{} states nothing", trace.display());
+        assert!(
+            !checked.is_empty(),
+            "{} has no expected outcomes",
+            trace.display()
+        );
         for outcome in &checked {
             println!("{}: {outcome}", trace.display());
             assert!(outcome.holds(), "{}: {outcome}", trace.display());
