--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -15,7 +15,7 @@
 
 use crate::load::documents::ModelRequest;
 
-/// Largest response body read at once.
+/// Largest JSON response body.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 /// Time after which a request counts as lost.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(60);
