--- a/crates/lab/src/experiment/router.rs
+++ b/crates/lab/src/experiment/router.rs
@@ -1,4 +1,4 @@
-//! The router's side of a run: the daemon's scheduler and admission, fed by late events.
+//! Router in virtual time, with the scheduler and admission of the daemon.
 
 use railtack_backend_api::LoadReport;
 use railtack_core::{
@@ -14,52 +14,52 @@
 
 use crate::experiment::{policy::Policy, trace::TraceRequest};
 
-/// Sequence of an engine's cache events.
+/// Sequence number of a cache event of an engine.
 pub type EventSequence = u64;
 
-/// One router.
+/// Router in virtual time.
 pub struct VirtualRouter {
-    /// The daemon's scheduler.
+    /// Scheduler of the daemon.
     pub scheduler: Scheduler,
     admission: Admission,
-    /// The daemon's retry budget.
+    /// Retry budget of the daemon.
     pub budget: RetryBudget,
     policy: Policy,
     next: usize,
-    heard: Vec<EventSequence>,
+    last_sequence: Vec<EventSequence>,
     limits: TenantLimits,
 }
 
-/// What an oracle sees of one engine.
+/// Exact state of one engine, for [`Policy::Oracle`].
 #[derive(Clone, Copy, Debug)]
 pub struct ExactEngine {
-    /// Leading blocks cached.
+    /// Number of leading blocks of the prompt that are cached.
     pub held_blocks: u32,
-    /// Load now.
+    /// Current load.
     pub load: LoadReport,
-    /// Whether it runs.
+    /// Whether the engine runs.
     pub up: bool,
 }
 
-/// What an engine is wanted for.
+/// Request for which an engine is chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
-    /// Class of the work.
+pub struct EngineQuery<'a> {
+    /// Priority of the request.
     pub class: Priority,
-    /// The prompt.
+    /// Block hashes of the prompt.
     pub chain: &'a PrefixChain,
-    /// Where its shared segments end, blocks.
+    /// Ends of the shared segments, in blocks.
     pub boundaries: &'a [u32],
-    /// Engines that failed the request.
+    /// Engines at which the request has failed.
     pub excluded: &'a [EngineSlot],
 }
 
-/// The chosen engine and what was expected there.
+/// Chosen engine and expected work.
 #[derive(Clone, Copy, Debug)]
 pub struct Choice {
-    /// The engine.
+    /// Engine that was chosen.
     pub engine: EngineSlot,
-    /// Prompt tokens that it was expected to compute.
+    /// Prompt tokens that the engine is expected to compute.
     pub uncached_tokens: u64,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl VirtualRouter {
-    /// A router that knows all engines and nothing of their caches.
+    /// Creates a router that knows all engines and has an empty prefix index.
     pub fn new(policy: Policy, engines: u32, routers: u32) -> Self {
         let mut scheduler = Scheduler::new(SchedulerOptions::default());
         for engine in 0..engines {
@@ -85,7 +85,7 @@
             budget: RetryBudget::default(),
             policy,
             next: 0,
-            heard: vec![0; engines as usize],
+            last_sequence: vec![0; engines as usize],
             limits: TenantLimits {
                 tokens_per_second: 100_000_000,
                 burst_tokens: 1_000_000_000,
@@ -94,61 +94,69 @@
         }
     }
 
-    /// Hears of a crash, a restart, or that an engine is there.
-    pub fn hear_status(&mut self, engine: u32, life: u64, up: bool) {
-        let (slot, knowledge) = self.scheduler.engines.update(description(engine, life, up));
-        if knowledge == railtack_routing::engines::CacheValidity::Invalidated {
+    /// Updates the incarnation and the availability of an engine.
+    pub fn update_engine(&mut self, engine: u32, incarnation: u64, up: bool) {
+        let (slot, validity) = self
+            .scheduler
+            .engines
+            .update(description(engine, incarnation, up));
+        if validity == railtack_routing::engines::CacheValidity::Invalidated {
             self.scheduler.index.remove_engine(slot);
-            self.heard[engine as usize] = 0;
+            self.last_sequence[engine as usize] = 0;
         }
     }
 
-    /// Hears a cache event; false if events before it were lost.
-    pub fn hear_event(
+    /// Applies a cache event. Returns false if events before it were lost.
+    pub fn apply_cache_event(
         &mut self,
         engine: u32,
         sequence: EventSequence,
         stored: &[BlockHash],
         removed: &[BlockHash],
     ) -> bool {
-        let heard = &mut self.heard[engine as usize];
-        if sequence <= *heard {
+        let last_sequence = &mut self.last_sequence[engine as usize];
+        if sequence <= *last_sequence {
             return true;
         }
-        let follows = sequence == *heard + 1;
-        *heard = sequence;
+        let is_consecutive = sequence == *last_sequence + 1;
+        *last_sequence = sequence;
         let slot = EngineSlot(engine as u16);
         self.scheduler.index.insert(slot, stored.iter().copied());
         self.scheduler.index.remove(slot, removed.iter().copied());
-        if !follows {
+        if !is_consecutive {
             self.scheduler.engines.view_mut(slot).cache_view_stale = true;
         }
-        follows
+        is_consecutive
     }
 
-    /// Takes an engine's whole listing, as after a gap.
-    pub fn resynchronise(&mut self, engine: u32, sequence: EventSequence, blocks: &[BlockHash]) {
+    /// Replaces the cached blocks of an engine with its full listing, after a gap in its events.
+    pub fn replace_cached_blocks(
+        &mut self,
+        engine: u32,
+        sequence: EventSequence,
+        blocks: &[BlockHash],
+    ) {
         let slot = EngineSlot(engine as u16);
-        self.heard[engine as usize] = sequence;
+        self.last_sequence[engine as usize] = sequence;
         self.scheduler.index.remove_engine(slot);
         self.scheduler.index.insert(slot, blocks.iter().copied());
         self.scheduler.engines.view_mut(slot).cache_view_stale = false;
     }
 
-    /// Chooses an engine.
+    /// Chooses an engine by the policy. Returns `None` if no engine can be used.
     pub fn choose(
         &mut self,
-        asked: Asked<'_>,
+        query: EngineQuery<'_>,
         exact: impl Fn(&PrefixChain) -> Vec<ExactEngine>,
         now_us: u64,
         seed: u64,
     ) -> Option<(Choice, CandidateScore)> {
-        let Asked {
+        let EngineQuery {
             class,
             chain,
             boundaries,
             excluded,
-        } = asked;
+        } = query;
         let key = model_key();
         let score = match self.policy {
             Policy::RoundRobin => {
@@ -160,20 +168,20 @@
                 self.unscored(engine, chain)
             }
             Policy::ConsistentHash => {
-                let engine = self.by_hash(chain, boundaries, excluded)?;
+                let engine = self.consistent_hash(chain, boundaries, excluded)?;
                 self.unscored(engine, chain)
             }
             Policy::Railtack => {
-                let shape = RoutingRequest {
+                let request = RoutingRequest {
                     key: &key,
                     chain,
                     boundaries,
                     priority: class,
                     excluded,
                 };
-                self.scheduler.choose(shape, now_us, seed)?.chosen
+                self.scheduler.choose(request, now_us, seed)?.chosen
             }
-            Policy::Oracle => self.by_oracle(class, chain, excluded, exact(chain))?,
+            Policy::Oracle => self.choose_by_exact_state(class, chain, excluded, exact(chain))?,
         };
         let choice = Choice {
             engine: score.engine,
@@ -182,7 +190,7 @@
         Some((choice, score))
     }
 
-    /// Asks the daemon's admission; only the policies with our scheduler have one.
+    /// Runs the admission of the daemon. The baseline policies admit every request.
     pub fn admit(
         &mut self,
         request: &TraceRequest,
@@ -208,7 +216,7 @@
         )
     }
 
-    fn usable(&self, engine: EngineSlot, excluded: &[EngineSlot]) -> bool {
+    fn is_usable(&self, engine: EngineSlot, excluded: &[EngineSlot]) -> bool {
         self.scheduler.engines.view(engine).available && !excluded.contains(&engine)
     }
 
@@ -221,7 +229,7 @@
         let slots = self.slots();
         for _ in 0..slots.len() {
             self.next = (self.next + 1) % slots.len();
-            if self.usable(slots[self.next], excluded) {
+            if self.is_usable(slots[self.next], excluded) {
                 return Some(slots[self.next]);
             }
         }
@@ -235,11 +243,11 @@
         };
         self.slots()
             .into_iter()
-            .filter(|engine| self.usable(*engine, excluded))
+            .filter(|engine| self.is_usable(*engine, excluded))
             .min_by_key(load)
     }
 
-    fn by_hash(
+    fn consistent_hash(
         &self,
         chain: &PrefixChain,
         boundaries: &[u32],
@@ -249,11 +257,11 @@
         let prefix = chain.blocks.get(deepest - 1).copied().unwrap_or_default();
         self.slots()
             .into_iter()
-            .filter(|engine| self.usable(*engine, excluded))
+            .filter(|engine| self.is_usable(*engine, excluded))
             .max_by_key(|engine| xxh3_64_with_seed(&engine.0.to_le_bytes(), prefix.short()))
     }
 
-    fn by_oracle(
+    fn choose_by_exact_state(
         &self,
         class: Priority,
         chain: &PrefixChain,
@@ -293,16 +301,16 @@
         }
     }
 
-    /// The table, for notes on what was sent.
+    /// Returns the engine table, in which sent requests are recorded.
     pub fn engines(&mut self) -> &mut EngineTable {
         &mut self.scheduler.engines
     }
 }
 
-fn description(engine: u32, life: u64, up: bool) -> EngineDescription {
+fn description(engine: u32, incarnation: u64, up: bool) -> EngineDescription {
     EngineDescription {
         id: EngineId(engine),
-        incarnation: EngineIncarnation(life),
+        incarnation: EngineIncarnation(incarnation),
         zone: "zone".into(),
         key: model_key(),
         available: up,
--- a/crates/lab/src/fleet/running.rs
+++ b/crates/lab/src/fleet/running.rs
@@ -1,4 +1,4 @@
-//! Starting a fleet, and what can be done to it while it runs.
+//! Starts a fleet and operates it while it runs.
 
 use std::{
     fs,
@@ -20,69 +20,70 @@
     fleet::{
         FleetShape, LabProcess,
         process::{self, Program},
-        settings::{ControlPlace, Places, SettingsWriter},
+        settings::{ControlEndpoints, Endpoints, SettingsWriter},
     },
 };
 
-/// Time for a process to come up.
+/// Time in which a process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between two looks at a starting process.
-const READY_PAUSE: Duration = Duration::from_millis(10);
-/// Lines of a process's log that are shown if it is not ready in time.
-const LINES_SHOWN: usize = 40;
-/// Time for one call.
+/// Time between two readiness checks of a starting process.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Log lines attached to the error if a process is not ready in time.
+const LOG_TAIL_LINES: usize = 40;
+/// Timeout of one HTTP call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Tries of an operator's command while the fleet starts.
-const OPERATOR_TRIES: u32 = 40;
-/// Pause between them.
-const OPERATOR_PAUSE: Duration = Duration::from_millis(100);
+/// Most retries of a `railtackctl` command while the fleet starts.
+const CTL_RETRIES: u32 = 40;
+/// Time between two of these retries.
+const CTL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A running fleet. Dropping it kills its processes.
 pub struct Fleet {
-    /// Sizes.
+    /// Sizes of the fleet.
     pub shape: FleetShape,
-    /// Addresses.
-    pub places: Places,
-    /// Where settings, logs and data are.
+    /// Addresses of all processes.
+    pub endpoints: Endpoints,
+    /// Folder of settings, logs and data.
     pub folder: PathBuf,
-    /// Control replicas, in the order of the places.
+    /// Control replicas, in the order of `endpoints.control`.
     pub control: Vec<LabProcess>,
-    /// Routers, in the order of the places.
+    /// Routers, in the order of `endpoints.routers`.
     pub routers: Vec<LabProcess>,
-    /// Engines, in the order of the places.
+    /// Engines, in the order of `endpoints.engines`.
     pub engines: Vec<LabProcess>,
-    /// Services, in the order of the places.
+    /// Service replicas, in the order of `endpoints.services`.
     pub services: Vec<LabProcess>,
-    /// The platform.
+    /// Process of the platform.
     pub platform: LabProcess,
-    /// Machines that are listed and do not exist.
-    pub phantoms: Vec<Machine>,
+    /// Machines that the platform lists although nothing listens at their addresses.
+    pub unreachable_machines: Vec<Machine>,
     client: HttpClient,
 }
 
 impl Fleet {
-    /// Starts every process of a fleet and waits until all routers are ready.
+    /// Starts every process, publishes the list of machines, adds the control replicas as members and waits
+    /// until all engines respond.
     pub async fn start(shape: FleetShape, folder: &Path) -> Result<Self, Report<LabError>> {
         fs::create_dir_all(folder).change_context_lazy(|| LabError::File {
             path: folder.to_owned(),
         })?;
-        let places = Places::draw(&shape)?;
+        let endpoints = Endpoints::allocate(&shape)?;
         let writer = SettingsWriter {
             folder,
             shape: &shape,
-            places: &places,
+            endpoints: &endpoints,
         };
-        let platform = start_one("platform", Program::Emulator, &writer.platform()?, folder)?;
+        let platform = start_process("platform", Program::Emulator, &writer.platform()?, folder)?;
         let mut engines = Vec::new();
-        for place in &places.engines {
-            let file = writer.engine(place)?;
+        for endpoint in &endpoints.engines {
+            let file = writer.engine(endpoint)?;
             let arguments = vec![
                 "--settings".to_owned(),
                 file.display().to_string(),
                 "--platform".to_owned(),
-                places.platform.to_string(),
+                endpoints.platform.to_string(),
             ];
-            let name = format!("engine-{}", place.engine);
+            let name = format!("engine-{}", endpoint.engine);
             engines.push(LabProcess::start(
                 &name,
                 Program::Emulator,
@@ -91,69 +92,71 @@
             )?);
         }
         let mut services = Vec::new();
-        for place in &places.services {
-            let name = format!("service-{}", place.number);
-            let file = writer.service(place)?;
-            services.push(start_one(&name, Program::Emulator, &file, folder)?);
+        for endpoint in &endpoints.services {
+            let name = format!("service-{}", endpoint.number);
+            let file = writer.service(endpoint)?;
+            services.push(start_process(&name, Program::Emulator, &file, folder)?);
         }
         let mut control = Vec::new();
-        for place in &places.control {
-            let file = writer.control(place)?;
+        for endpoint in &endpoints.control {
+            let file = writer.control(endpoint)?;
             if control.is_empty() {
                 initialize_control(&file).await?;
             }
-            let name = format!("control-{}", place.replica);
-            control.push(start_one(&name, Program::Control, &file, folder)?);
+            let name = format!("control-{}", endpoint.replica);
+            control.push(start_process(&name, Program::Control, &file, folder)?);
         }
         let mut routers = Vec::new();
-        for place in &places.routers {
-            let name = format!("router-{}", place.router);
-            let file = writer.router(place)?;
-            routers.push(start_one(&name, Program::Router, &file, folder)?);
+        for endpoint in &endpoints.routers {
+            let name = format!("router-{}", endpoint.router);
+            let file = writer.router(endpoint)?;
+            routers.push(start_process(&name, Program::Router, &file, folder)?);
         }
         let fleet = Self {
             shape,
-            places,
+            endpoints,
             folder: folder.to_owned(),
             control,
             routers,
             engines,
             services,
             platform,
-            phantoms: Vec::new(),
+            unreachable_machines: Vec::new(),
             client: HttpClient::new(CALL_TIMEOUT),
         };
-        fleet.join_up().await?;
+        fleet.assemble().await?;
         Ok(fleet)
     }
 
-    async fn join_up(&self) -> Result<(), Report<LabError>> {
-        self.wait_until_up("platform", self.places.platform, "/machines")
+    async fn assemble(&self) -> Result<(), Report<LabError>> {
+        self.wait_until_ready("platform", self.endpoints.platform, "/machines")
             .await?;
         self.publish_machines(&[]).await?;
-        for place in self.places.control.iter().skip(1) {
-            let address = place.listen.to_string();
-            self.operate_until_done(&["members", "add", &address])
+        for endpoint in self.endpoints.control.iter().skip(1) {
+            let address = endpoint.listen.to_string();
+            self.run_ctl_until_success(&["members", "add", &address])
                 .await?;
         }
-        for place in &self.places.engines {
-            let name = format!("engine-{}", place.engine);
-            self.wait_until_up(&name, place.listen, "/status").await?;
+        for endpoint in &self.endpoints.engines {
+            let name = format!("engine-{}", endpoint.engine);
+            self.wait_until_ready(&name, endpoint.listen, "/status")
+                .await?;
         }
         Ok(())
     }
 
     /// Waits until every router is ready to serve.
     pub async fn wait_for_routers(&self) -> Result<(), Report<LabError>> {
-        for place in &self.places.routers {
-            let name = format!("router-{}", place.router);
-            self.wait_until_up(&name, place.admin, "/readyz").await?;
+        for endpoint in &self.endpoints.routers {
+            let name = format!("router-{}", endpoint.router);
+            self.wait_until_ready(&name, endpoint.admin, "/readyz")
+                .await?;
         }
         Ok(())
     }
 
-    /// Waits until an address answers a path with success; returns how long it took.
-    pub async fn wait_until_up(
+    /// Waits until a GET of `path` at `address` gets status 200. Returns the time waited.
+    pub async fn wait_until_ready(
         &self,
         name: &str,
         address: SocketAddr,
@@ -161,24 +164,24 @@
     ) -> Result<Duration, Report<LabError>> {
         let started = Instant::now();
         while started.elapsed() < READY_TIMEOUT {
-            if self.is_up(address, path).await {
+            if self.is_ready(address, path).await {
                 return Ok(started.elapsed());
             }
-            sleep(READY_PAUSE).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
         let not_ready = LabError::NotReady {
             name: name.to_owned(),
             limit_ms: READY_TIMEOUT.as_millis() as u64,
         };
-        Err(Report::new(not_ready).attach(self.last_lines(name)))
+        Err(Report::new(not_ready).attach(self.log_tail(name)))
     }
 
-    /// The end of what a process has logged, for failures that are not seen again.
-    fn last_lines(&self, name: &str) -> String {
-        let log = LabProcess::log_of(name, &self.folder);
+    /// Returns the last lines of the log of a process.
+    fn log_tail(&self, name: &str) -> String {
+        let log = LabProcess::log_path(name, &self.folder);
         match fs::read_to_string(&log) {
             Ok(text) => {
-                let lines: Vec<&str> = text.lines().rev().take(LINES_SHOWN).collect();
+                let lines: Vec<&str> = text.lines().rev().take(LOG_TAIL_LINES).collect();
                 let lines: Vec<&str> = lines.into_iter().rev().collect();
                 format!("last lines of {name}:\n{}", lines.join("\n"))
             }
@@ -186,42 +189,47 @@
         }
     }
 
-    /// Whether an address answers a path with success.
-    pub async fn is_up(&self, address: SocketAddr, path: &str) -> bool {
+    /// Whether a GET of `path` at `address` gets status 200.
+    pub async fn is_ready(&self, address: SocketAddr, path: &str) -> bool {
         let uri = format!("http://{address}{path}");
         let Ok(request) = hyper::Request::get(uri).body(http_body_util::Full::default()) else {
             return false;
         };
-        let answer = tokio::time::timeout(CALL_TIMEOUT, self.client.send(request)).await;
-        matches!(answer, Ok(Ok(response)) if response.status() == 200)
+        let response = tokio::time::timeout(CALL_TIMEOUT, self.client.send(request)).await;
+        matches!(response, Ok(Ok(response)) if response.status() == 200)
     }
 
-    /// Starts one more control replica and makes it a voter; returns how long that took.
+    /// Starts another control replica and adds it as a member. Returns the time taken.
     pub async fn add_control(&mut self) -> Result<Duration, Report<LabError>> {
         let started = Instant::now();
-        let number = self.places.control.iter().map(|place| place.replica).max();
-        let place = ControlPlace::draw(number.unwrap_or_default() + 1)?;
+        let number = self
+            .endpoints
+            .control
+            .iter()
+            .map(|endpoint| endpoint.replica)
+            .max();
+        let endpoint = ControlEndpoints::allocate(number.unwrap_or_default() + 1)?;
         let writer = SettingsWriter {
             folder: &self.folder,
             shape: &self.shape,
-            places: &self.places,
+            endpoints: &self.endpoints,
         };
-        let file = writer.control(&place)?;
-        let name = format!("control-{}", place.replica);
-        let process = start_one(&name, Program::Control, &file, &self.folder)?;
+        let file = writer.control(&endpoint)?;
+        let name = format!("control-{}", endpoint.replica);
+        let process = start_process(&name, Program::Control, &file, &self.folder)?;
         self.control.push(process);
-        let address = place.listen.to_string();
-        self.places.control.push(place);
-        self.operate_until_done(&["members", "add", &address])
+        let address = endpoint.listen.to_string();
+        self.endpoints.control.push(endpoint);
+        self.run_ctl_until_success(&["members", "add", &address])
             .await?;
         Ok(started.elapsed())
     }
 
-    /// Publishes the list of machines, some of them leaving.
+    /// Publishes the list of machines at the platform, with the given engines marked as leaving.
     pub async fn publish_machines(&self, leaving: &[EngineId]) -> Result<(), Report<LabError>> {
         let machines = self.machines(leaving);
         let content = serde_json::to_vec(&machines).unwrap_or_default();
-        let request = hyper::Request::put(format!("http://{}/machines", self.places.platform))
+        let request = hyper::Request::put(format!("http://{}/machines", self.endpoints.platform))
             .body(http_body_util::Full::from(content))
             .change_context(LabError::Runtime)?;
         self.client
@@ -234,29 +242,32 @@
     }
 
     fn machines(&self, leaving: &[EngineId]) -> Vec<Machine> {
-        let engines = self.places.engines.iter().map(|place| Machine {
+        let engines = self.endpoints.engines.iter().map(|endpoint| Machine {
             kind: MachineKind::Engine {
-                engine: EngineId(place.engine),
+                engine: EngineId(endpoint.engine),
                 model: ModelName::from(self.shape.model),
             },
-            address: place.listen,
-            zone: ZoneName::from(self.shape.zone(place.engine - 1)),
-            leaving: leaving.contains(&EngineId(place.engine)),
+            address: endpoint.listen,
+            zone: ZoneName::from(self.shape.zone(endpoint.engine - 1)),
+            leaving: leaving.contains(&EngineId(endpoint.engine)),
         });
-        let services = self.places.services.iter().map(|place| Machine {
+        let services = self.endpoints.services.iter().map(|endpoint| Machine {
             kind: MachineKind::Service {
-                service: place.service.to_owned(),
+                service: endpoint.service.to_owned(),
             },
-            address: place.listen,
-            zone: ZoneName::from(self.shape.zone(place.number)),
+            address: endpoint.listen,
+            zone: ZoneName::from(self.shape.zone(endpoint.number)),
             leaving: false,
         });
-        let phantoms = self.phantoms.iter().cloned();
-        engines.chain(services).chain(phantoms).collect()
+        let unreachable_machines = self.unreachable_machines.iter().cloned();
+        engines
+            .chain(services)
+            .chain(unreachable_machines)
+            .collect()
     }
 
-    /// Runs `railtackctl` against this fleet; its output if it succeeded.
-    pub async fn operate(&self, arguments: &[&str]) -> Result<String, Report<LabError>> {
+    /// Runs `railtackctl` against this fleet. Returns its standard output.
+    pub async fn run_ctl(&self, arguments: &[&str]) -> Result<String, Report<LabError>> {
         let failed = |code| LabError::Operator {
             command: arguments.join(" "),
             code,
@@ -264,7 +275,7 @@
         let output = process::command(Program::Ctl)
             .change_context_lazy(|| failed(-1))?
             .arg("--control")
-            .arg(self.places.control_list())
+            .arg(self.endpoints.control_list())
             .args(arguments)
             .stdin(Stdio::null())
             .output()
@@ -276,42 +287,42 @@
         Err(Report::new(failed(output.status.code().unwrap_or(-1))))
     }
 
-    /// Runs an operator's command until it succeeds, while the fleet comes up.
-    async fn operate_until_done(&self, arguments: &[&str]) -> Result<(), Report<LabError>> {
-        let mut last = self.operate(arguments).await;
-        for _ in 0..OPERATOR_TRIES {
+    /// Runs a `railtackctl` command and retries it while the fleet starts.
+    async fn run_ctl_until_success(&self, arguments: &[&str]) -> Result<(), Report<LabError>> {
+        let mut last = self.run_ctl(arguments).await;
+        for _ in 0..CTL_RETRIES {
             if last.is_ok() {
                 break;
             }
-            sleep(OPERATOR_PAUSE).await;
-            last = self.operate(arguments).await;
+            sleep(CTL_RETRY_INTERVAL).await;
+            last = self.run_ctl(arguments).await;
         }
         last.map(|_| ())
     }
 
-    /// State of every engine that answers.
+    /// Returns the status of every engine that responds.
     pub async fn engine_statuses(&self) -> Vec<EngineStatus> {
         let mut statuses = Vec::new();
-        for place in &self.places.engines {
+        for endpoint in &self.endpoints.engines {
             let status = self
                 .client
-                .get_json::<EngineStatus>(place.listen, "/status", CALL_TIMEOUT)
+                .get_json::<EngineStatus>(endpoint.listen, "/status", CALL_TIMEOUT)
                 .await;
             statuses.extend(status);
         }
         statuses
     }
 
-    /// Executions of each key over all services.
+    /// Returns the executions of each key, summed over all service replicas.
     pub async fn executions(&self) -> Result<ExecutionCounts, Report<LabError>> {
         let mut total = ExecutionCounts::default();
-        for place in &self.places.services {
+        for endpoint in &self.endpoints.services {
             let counts = self
                 .client
-                .get_json::<ExecutionCounts>(place.listen, "/executions", CALL_TIMEOUT)
+                .get_json::<ExecutionCounts>(endpoint.listen, "/executions", CALL_TIMEOUT)
                 .await
                 .change_context_lazy(|| LabError::NoAnswer {
-                    name: format!("service-{}", place.number),
+                    name: format!("service-{}", endpoint.number),
                 })?;
             for (key, count) in counts.by_key {
                 *total.by_key.entry(key).or_default() += count;
@@ -322,7 +333,7 @@
         Ok(total)
     }
 
-    /// The revision that a router has in force, if it answers.
+    /// Returns the configuration revision that a router has applied, or `None` if it does not respond.
     pub async fn router_revision(&self, admin: SocketAddr) -> Option<u64> {
         let content = self
             .client
@@ -332,22 +343,22 @@
         content.get("revision")?.as_u64()
     }
 
-    /// Position in `control` of the present leader.
+    /// Returns the position in `control` of the current leader.
     pub async fn leader(&self) -> Option<usize> {
-        let output = self.operate(&["--output", "json", "status"]).await.ok()?;
+        let output = self.run_ctl(&["--output", "json", "status"]).await.ok()?;
         let status: Value = serde_json::from_str(&output).ok()?;
         let leader = status
             .as_array()?
             .iter()
             .find_map(|replica| replica.get("leader")?.as_str()?.parse::<u64>().ok())?;
-        self.places
+        self.endpoints
             .control
             .iter()
-            .position(|place| u64::from(place.replica) == leader)
+            .position(|endpoint| u64::from(endpoint.replica) == leader)
     }
 }
 
-fn start_one(
+fn start_process(
     name: &str,
     program: Program,
     settings: &Path,
--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that checks what it gets.
+//! HTTP client that sends requests to routers and checks the responses.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,38 +13,38 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, timeout};
 
-use crate::load::documents::ModelQuestion;
+use crate::load::documents::ModelRequest;
 
-/// Largest answer read as a whole, bytes.
-const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
-/// Time after which a caller gives up; nothing may take this long.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Largest JSON response body.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
+/// Time after which a request counts as lost.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How a request ended, as its caller saw it.
+/// Outcome of a request, as the caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Finding {
-    /// The whole answer to its own request.
-    Whole {
-        /// Time to the first token of a streamed answer, or to a whole one, microseconds.
+pub enum CallOutcome {
+    /// Complete and correct response.
+    Complete {
+        /// Time to the first token of a stream, or to the head of another response, microseconds.
         first_token_us: u64,
     },
-    /// A typed refusal.
+    /// Typed refusal.
     Refused {
-        /// Code.
+        /// Code of the refusal.
         code: RefusalCode,
-        /// Whether it ran, as far as the router says.
+        /// Whether the request was executed, according to the router.
         execution: Execution,
     },
-    /// The router could not be reached; nothing was promised.
+    /// The router could not be reached.
     Unreachable,
-    /// The connection to the router broke in the middle, and the caller can tell.
+    /// The connection broke before the response was complete, which the caller can detect.
     Broken,
-    /// An answer that looks whole and is not, or is somebody else's.
+    /// Response that looks complete but has the wrong content.
     Wrong {
-        /// What came.
+        /// Content of the response, possibly cut.
         got: String,
     },
-    /// No end came.
+    /// No end of the response within the timeout.
     Lost,
 }
 
@@ -59,13 +59,13 @@
     execution: Execution,
 }
 
-/// The shape in which a model is asked.
+/// Mode of the response to a model request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskShape {
+pub enum ResponseMode {
     /// `/v1/completions`, streamed.
     Stream,
-    /// `/v1/completions`, whole.
-    Whole,
+    /// `/v1/completions`, as one JSON response.
+    Unary,
 }
 
 /// Sends requests as one tenant.
@@ -76,7 +76,7 @@
 }
 
 impl Caller {
-    /// A caller with a bearer key.
+    /// Creates a caller that authenticates with a bearer key.
     pub fn new(client: HttpClient, key: &str) -> Self {
         Self {
             client,
@@ -84,72 +84,77 @@
         }
     }
 
-    /// Asks a model and compares the answer with the only right one.
-    pub async fn ask(
+    /// Sends a model request and compares the response with the expected text.
+    pub async fn generate(
         &self,
         router: SocketAddr,
-        question: &ModelQuestion,
-        shape: AskShape,
-    ) -> Finding {
+        request: &ModelRequest,
+        mode: ResponseMode,
+    ) -> CallOutcome {
         let mut body = json!({
-            "template": question.template,
-            "prompt": question.question,
-            "max_tokens": question.max_tokens,
-            "stream": shape == AskShape::Stream,
+            "template": request.template,
+            "prompt": request.prompt_suffix,
+            "max_tokens": request.max_tokens,
+            "stream": mode == ResponseMode::Stream,
         });
-        if let Some(file) = &question.file {
+        if let Some(file) = &request.file {
             body["parameters"] = json!({ "file": file });
         }
-        let expected = completion_text(&question.prompt, question.max_tokens);
+        let expected = completion_text(&request.prompt, request.max_tokens);
         let started = Instant::now();
-        let exchange = async {
+        let call = async {
             let response = match self.post(router, "/v1/completions", &body, None).await {
                 Ok(response) => response,
-                Err(finding) => return finding,
+                Err(outcome) => return outcome,
             };
             if response.status() != 200 {
                 return refusal(response).await;
             }
-            match shape {
-                AskShape::Stream => read_stream(response, &expected, started).await,
-                AskShape::Whole => read_whole(response, &expected, started).await,
+            match mode {
+                ResponseMode::Stream => read_stream(response, &expected, started).await,
+                ResponseMode::Unary => read_unary(response, &expected, started).await,
             }
         };
-        timeout(PATIENCE, exchange).await.unwrap_or(Finding::Lost)
+        timeout(CALLER_TIMEOUT, call)
+            .await
+            .unwrap_or(CallOutcome::Lost)
     }
 
-    /// Calls an ordinary service.
+    /// Calls a service that is not a model, with an optional idempotency key.
     pub async fn call(
         &self,
         router: SocketAddr,
         service: &str,
         path: &str,
         key: Option<&str>,
-    ) -> Finding {
+    ) -> CallOutcome {
         let started = Instant::now();
         let route = format!("/services/{service}/{path}");
-        let exchange = async {
+        let call = async {
             let response = match self.post(router, &route, &json!({}), key).await {
                 Ok(response) => response,
-                Err(finding) => return finding,
+                Err(outcome) => return outcome,
             };
             if response.status() != 200 {
                 return refusal(response).await;
             }
             let first_token_us = started.elapsed().as_micros() as u64;
-            let Some(answer) = read_json(response).await else {
-                return Finding::Broken;
+            let Some(content) = read_json(response).await else {
+                return CallOutcome::Broken;
             };
-            let is_own = answer["path"] == format!("/{path}") && answer["key"].as_str() == key;
-            if is_own {
-                Finding::Whole { first_token_us }
+            let matches_request =
+                content["path"] == format!("/{path}") && content["key"].as_str() == key;
+            if matches_request {
+                CallOutcome::Complete { first_token_us }
             } else {
-                Finding::Wrong {
-                    got: answer.to_string(),
+                CallOutcome::Wrong {
+                    got: content.to_string(),
                 }
             }
         };
-        timeout(PATIENCE, exchange).await.unwrap_or(Finding::Lost)
+        timeout(CALLER_TIMEOUT, call)
+            .await
+            .unwrap_or(CallOutcome::Lost)
     }
 
     async fn post(
@@ -158,7 +163,7 @@
         path: &str,
         body: &Value,
         key: Option<&str>,
-    ) -> Result<Response<Incoming>, Finding> {
+    ) -> Result<Response<Incoming>, CallOutcome> {
         let mut builder = Request::post(format!("http://{router}{path}"))
             .header("authorization", format!("Bearer {}", self.key));
         if let Some(key) = key {
@@ -167,57 +172,61 @@
         let content = Bytes::from(body.to_string());
         let request = builder
             .body(Full::new(content))
-            .map_err(|_| Finding::Unreachable)?;
+            .map_err(|_| CallOutcome::Unreachable)?;
         self.client
             .send(request)
             .await
             .map_err(|error| match error {
-                railtack_http::SendError::NotSent => Finding::Unreachable,
-                railtack_http::SendError::MaybeSent => Finding::Broken,
+                railtack_http::SendError::NotSent => CallOutcome::Unreachable,
+                railtack_http::SendError::MaybeSent => CallOutcome::Broken,
             })
     }
 }
 
-async fn refusal(response: Response<Incoming>) -> Finding {
+async fn refusal(response: Response<Incoming>) -> CallOutcome {
     let Some(content) = read_json(response).await else {
-        return Finding::Broken;
+        return CallOutcome::Broken;
     };
     match serde_json::from_value::<RefusalBody>(content.clone()) {
         Ok(refusal) => refused(refusal),
-        Err(_) => Finding::Wrong {
+        Err(_) => CallOutcome::Wrong {
             got: content.to_string(),
         },
     }
 }
 
-fn refused(refusal: RefusalBody) -> Finding {
-    Finding::Refused {
+fn refused(refusal: RefusalBody) -> CallOutcome {
+    CallOutcome::Refused {
         code: refusal.error.code,
         execution: refusal.error.execution,
     }
 }
 
 async fn read_json(response: Response<Incoming>) -> Option<Value> {
-    let content = read_body(response.into_body(), ANSWER_LIMIT, PATIENCE).await;
+    let content = read_body(response.into_body(), MAX_RESPONSE_BYTES, CALLER_TIMEOUT).await;
     serde_json::from_slice(&content.ok()?).ok()
 }
 
-async fn read_whole(response: Response<Incoming>, expected: &str, started: Instant) -> Finding {
+async fn read_unary(response: Response<Incoming>, expected: &str, started: Instant) -> CallOutcome {
     let first_token_us = started.elapsed().as_micros() as u64;
-    let Some(answer) = read_json(response).await else {
-        return Finding::Broken;
+    let Some(content) = read_json(response).await else {
+        return CallOutcome::Broken;
     };
-    let text = answer["choices"][0]["text"].as_str().unwrap_or_default();
+    let text = content["choices"][0]["text"].as_str().unwrap_or_default();
     compare(text, expected, first_token_us)
 }
 
-async fn read_stream(response: Response<Incoming>, expected: &str, started: Instant) -> Finding {
+async fn read_stream(
+    response: Response<Incoming>,
+    expected: &str,
+    started: Instant,
+) -> CallOutcome {
     let mut text = String::new();
     let mut first_token_us = None;
     let mut lines = lines(response.into_body());
     while let Some(line) = lines.next().await {
         let Ok(line) = line else {
-            return Finding::Broken;
+            return CallOutcome::Broken;
         };
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
@@ -229,21 +238,21 @@
             return refused(refusal);
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
-        let piece = event["choices"][0]["text"].as_str().unwrap_or_default();
-        if !piece.is_empty() && first_token_us.is_none() {
+        let delta = event["choices"][0]["text"].as_str().unwrap_or_default();
+        if !delta.is_empty() && first_token_us.is_none() {
             first_token_us = Some(started.elapsed().as_micros() as u64);
         }
-        text.push_str(piece);
+        text.push_str(delta);
     }
-    // No end came, so the caller knows that the answer was cut.
-    Finding::Broken
+    // The stream has no `[DONE]`, so the caller can detect that it was cut.
+    CallOutcome::Broken
 }
 
-fn compare(text: &str, expected: &str, first_token_us: u64) -> Finding {
+fn compare(text: &str, expected: &str, first_token_us: u64) -> CallOutcome {
     if text == expected {
-        Finding::Whole { first_token_us }
+        CallOutcome::Complete { first_token_us }
     } else {
-        Finding::Wrong {
+        CallOutcome::Wrong {
             got: text.chars().take(80).collect(),
         }
     }
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,11 +1,11 @@
-//! Load on a running fleet: what operators submit, what callers ask, and whether they got it.
+//! Load on a running fleet: documents, requests, and checks of the responses.
 
 pub mod caller;
 pub mod documents;
 pub mod keyed;
 pub mod summary;
 
-pub use caller::{Caller, Finding};
-pub use documents::{LoadDocuments, ModelQuestion};
+pub use caller::{CallOutcome, Caller};
+pub use documents::{LoadDocuments, ModelRequest};
 pub use keyed::KeyedRecord;
 pub use summary::Summary;
--- a/crates/lab/src/load/summary.rs
+++ b/crates/lab/src/load/summary.rs
@@ -1,29 +1,29 @@
-//! What many callers found.
+//! Summary of the outcomes of many requests.
 
 use std::{collections::BTreeMap, fmt};
 
 use hdrhistogram::Histogram;
 use railtack_core::{Execution, RefusalCode};
 
-use crate::load::caller::Finding;
+use crate::load::caller::CallOutcome;
 
 /// Largest time recorded, microseconds.
 const LONGEST_US: u64 = 120_000_000;
 
-/// Counts of findings and times to first token.
+/// Counts of outcomes, and a histogram of the times to first token.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// Whole answers.
-    pub whole: u64,
-    /// Refusals by code and what they say of execution.
+    /// Complete responses.
+    pub completed: u64,
+    /// Refusals by code and execution.
     pub refusals: BTreeMap<(RefusalCode, &'static str), u64>,
-    /// Connections that broke in a way that the caller can tell.
+    /// Connections that broke before the response was complete, which the caller can detect.
     pub broken: u64,
     /// Routers that could not be reached.
     pub unreachable: u64,
-    /// Answers that were wrong without the caller being able to tell.
+    /// Contents of responses that look complete but are wrong.
     pub wrong: Vec<String>,
-    /// Requests without any end.
+    /// Requests without an end of the response within the timeout.
     pub lost: u64,
     times: Histogram<u64>,
 }
@@ -33,7 +33,7 @@
         // The bounds are constant and valid.
         let times = Histogram::new_with_bounds(1, LONGEST_US, 3);
         Self {
-            whole: 0,
+            completed: 0,
             refusals: BTreeMap::new(),
             broken: 0,
             unreachable: 0,
@@ -45,32 +45,32 @@
 }
 
 impl Summary {
-    /// Counts one finding.
-    pub fn add(&mut self, finding: &Finding) {
-        match finding {
-            Finding::Whole { first_token_us } => {
-                self.whole += 1;
+    /// Counts one outcome.
+    pub fn add(&mut self, outcome: &CallOutcome) {
+        match outcome {
+            CallOutcome::Complete { first_token_us } => {
+                self.completed += 1;
                 self.times.saturating_record((*first_token_us).max(1));
             }
-            Finding::Refused { code, execution } => {
-                let ran = execution_text(*execution);
-                *self.refusals.entry((*code, ran)).or_default() += 1;
+            CallOutcome::Refused { code, execution } => {
+                let execution = execution_text(*execution);
+                *self.refusals.entry((*code, execution)).or_default() += 1;
             }
-            Finding::Unreachable => self.unreachable += 1,
-            Finding::Broken => self.broken += 1,
-            Finding::Wrong { got } => self.wrong.push(got.clone()),
-            Finding::Lost => self.lost += 1,
+            CallOutcome::Unreachable => self.unreachable += 1,
+            CallOutcome::Broken => self.broken += 1,
+            CallOutcome::Wrong { got } => self.wrong.push(got.clone()),
+            CallOutcome::Lost => self.lost += 1,
         }
     }
 
-    /// Everything counted.
+    /// Returns the number of outcomes counted.
     pub fn total(&self) -> u64 {
         let refused: u64 = self.refusals.values().sum();
         let wrong = self.wrong.len() as u64;
-        self.whole + refused + self.unreachable + self.broken + wrong + self.lost
+        self.completed + refused + self.unreachable + self.broken + wrong + self.lost
     }
 
-    /// A quantile of the time to first token, milliseconds.
+    /// Returns a quantile of the time to first token, milliseconds.
     pub fn first_token_ms(&self, quantile: f64) -> f64 {
         self.times.value_at_quantile(quantile) as f64 / 1_000.0
     }
@@ -79,7 +79,7 @@
 impl fmt::Display for Summary {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(formatter, "requests               {}", self.total())?;
-        writeln!(formatter, "whole answers          {}", self.whole)?;
+        writeln!(formatter, "whole answers          {}", self.completed)?;
         writeln!(
             formatter,
             "time to first token    p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms",
