--- a/crates/lab/tests/advertised_limits.rs
+++ b/crates/lab/tests/advertised_limits.rs
@@ -5,7 +5,7 @@
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
-use railtack_emulator::{LIMIT_TEXT, limit::BINDS_AFTER};
+use railtack_emulator::{LIMIT_TRIGGER, limit::ENFORCEMENT_DELAY};
 use railtack_lab::demo::PreparedFleet;
 use serde_json::{Value, json};
 use support::{post, router_addresses, tenant_key};
@@ -79,7 +79,7 @@
         status(tenant_key, router, path, &advertising_request).await,
         200
     );
-    let refused = send_for(prepared, RUN_TIME + BINDS_AFTER, path, make_request).await;
+    let refused = send_for(prepared, RUN_TIME + ENFORCEMENT_DELAY, path, make_request).await;
     assert_eq!(refused, 0, "the other back end serves all requests");
 }
 
@@ -88,7 +88,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let prepared = start_fleet(folder.path(), 41).await;
     let advertising_request =
-        json!({ "template": "counter-answer", "prompt": LIMIT_TEXT, "max_tokens": 4 });
+        json!({ "template": "counter-answer", "prompt": LIMIT_TRIGGER, "max_tokens": 4 });
     exceed_limit(&prepared, "/v1/completions", advertising_request, |number| {
         json!({ "template": "counter-answer", "prompt": format!("harmless {number}"), "max_tokens": 4 })
     })
@@ -102,7 +102,7 @@
 async fn all_routers_respect_the_limit_of_a_back_end() {
     let folder = tempfile::tempdir().expect("a folder");
     let prepared = start_fleet(folder.path(), 42).await;
-    let advertising_request = json!({ "text": LIMIT_TEXT });
+    let advertising_request = json!({ "text": LIMIT_TRIGGER });
     exceed_limit(
         &prepared,
         "/services/register-lookup/parcel/7",
