--- a/crates/control/src/serving/order_dispatcher.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -12,7 +12,7 @@
 use railtack_clock::BootInstant;
 use railtack_rpc::serving::{ServingCommand, ServingOutcome};
 use railtack_serving::{
-    Availability, BackEndSignals, Bounds, ModelWeights, MonotonicTime, PendingOrder, ReplicaRecord,
+    Availability, BackendSignals, Bounds, ModelWeights, MonotonicTime, PendingOrder, ReplicaRecord,
 };
 use tokio::time::{Instant, sleep, timeout};
 
@@ -243,9 +243,9 @@
     /// Records the back-off that a replica asked for while it sheds load. Until it has passed, the
     /// replica gets no orders or requests for reports.
     fn record_back_off(&self, record: &ReplicaRecord, delay: Duration) {
-        let signals = BackEndSignals {
+        let signals = BackendSignals {
             back_off: Some(delay),
-            ..BackEndSignals::default()
+            ..BackendSignals::default()
         };
         spdlog::info!("replica asked for a back-off from orders", kv: {
             replica = record.id.clone(),
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, body::Incoming, http::response};
 use railtack_http::{ReceiveError, read_body};
 use railtack_serving::{
-    BackEndSignals, ContentKey, LimitHeader, ReplicaKey, ReplicaRecord, RequestLimit, SignalChanges,
+    BackendSignals, ContentKey, LimitHeader, ReplicaKey, ReplicaRecord, RequestLimit, SignalChanges,
 };
 use tokio::time::{Instant, timeout_at};
 
@@ -72,7 +72,7 @@
     /// Status of the response, if one was received.
     pub status: Option<u16>,
     /// Signals of the replica in the response head.
-    pub signals: BackEndSignals,
+    pub signals: BackendSignals,
 }
 
 impl FailedExchange {
@@ -82,7 +82,7 @@
             proof: ExchangeProof::NotRun,
             cause,
             status: None,
-            signals: BackEndSignals::default(),
+            signals: BackendSignals::default(),
         }
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Adds the response that caused the failure.
-    fn with_response(self, status: u16, signals: BackEndSignals) -> Self {
+    fn with_response(self, status: u16, signals: BackendSignals) -> Self {
         Self {
             status: Some(status),
             signals,
@@ -118,7 +118,7 @@
             proof: ExchangeProof::MayHaveRun,
             cause,
             status: None,
-            signals: BackEndSignals::default(),
+            signals: BackendSignals::default(),
         }
     }
 }
@@ -273,8 +273,8 @@
 }
 
 /// Applies the signals of a response head. Most have none and skip the lock on all replicas.
-fn apply_signals(state: &ProxyState, target: &Target, signals: BackEndSignals) -> SignalChanges {
-    if signals == BackEndSignals::default() {
+fn apply_signals(state: &ProxyState, target: &Target, signals: BackendSignals) -> SignalChanges {
+    if signals == BackendSignals::default() {
         return SignalChanges::default();
     }
     let replica = &target.record.id;
--- a/crates/proxy/src/backend.rs
+++ b/crates/proxy/src/backend.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, http::response};
-use railtack_serving::{BackEndSignals, LimitError, LimitHeader, ReplicaRecord, RequestLimit};
+use railtack_serving::{BackendSignals, LimitError, LimitHeader, ReplicaRecord, RequestLimit};
 
 use crate::request::ProxiedRequest;
 
@@ -70,7 +70,7 @@
     /// Classifies a response by its head.
     fn classify(&self, request: &ProxiedRequest, head: &response::Parts) -> ResponseClass;
     /// Returns the replica's signals in the head of a response.
-    fn signals(&self, head: &response::Parts) -> BackEndSignals;
+    fn signals(&self, head: &response::Parts) -> BackendSignals;
     /// Whether a response header is hop-by-hop and not forwarded.
     fn is_hop_by_hop(&self, name: &str) -> bool;
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use railtack_proxy::{
     BackendProtocol, Dispatch, ProxiedRequest, ProxyOptions, ProxyState, ResponseClass,
 };
-use railtack_serving::{BackEndSignals, Bounds, Policy, QuotaBounds};
+use railtack_serving::{BackendSignals, Bounds, Policy, QuotaBounds};
 
 /// A replica protocol that is never used.
 struct UnusedProtocol;
@@ -22,8 +22,8 @@
         ResponseClass::OtherRequest
     }
 
-    fn signals(&self, _: &response::Parts) -> BackEndSignals {
-        BackEndSignals::default()
+    fn signals(&self, _: &response::Parts) -> BackendSignals {
+        BackendSignals::default()
     }
 
     fn is_hop_by_hop(&self, _: &str) -> bool {
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -38,5 +38,5 @@
 }
 
 fn is_ready(state: &RouterState) -> bool {
-    state.require_serving().is_ok() && state.back_ends_known()
+    state.require_serving().is_ok() && state.backends_known()
 }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -23,7 +23,7 @@
     completions,
     decisions::{CandidateRecord, DecisionRecord},
     limits,
-    quarantine::{self, BackEndIncarnation, engine_incarnation_id},
+    quarantine::{self, BackendIncarnation, engine_incarnation_id},
     relay::{EndMarker, Relay},
     request_log::RequestLog,
     responses::ResponseEvent,
@@ -203,7 +203,7 @@
         self.on_attempt_started(&attempt);
         let outcome = self.exchange(&mut attempt, &request).await;
         self.on_attempt_finished(&attempt, &outcome);
-        self.report_back_end_health(&attempt, &outcome);
+        self.report_backend_health(&attempt, &outcome);
         let may_still_run = matches!(
             outcome,
             AttemptOutcome::ClientDisconnected
@@ -217,7 +217,7 @@
     }
 
     /// Reports to the quarantine whether the engine survived the request.
-    fn report_back_end_health(&self, attempt: &Attempt, outcome: &AttemptOutcome) {
+    fn report_backend_health(&self, attempt: &Attempt, outcome: &AttemptOutcome) {
         match outcome {
             AttemptOutcome::Completed(_) => {
                 quarantine::record_success(self.state, self.job.content_key)
@@ -251,9 +251,9 @@
         Some((request, address))
     }
 
-    fn incarnation_of(&self, attempt: &Attempt) -> BackEndIncarnation {
+    fn incarnation_of(&self, attempt: &Attempt) -> BackendIncarnation {
         let id = lock(&self.state.scheduler).engines.view(attempt.engine).id;
-        BackEndIncarnation {
+        BackendIncarnation {
             id: engine_incarnation_id(id, attempt.incarnation),
             address: attempt.address,
         }
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, Response, body::Incoming};
 use railtack_backend_api::{EngineError, EngineRefusal, EngineRequest, StreamFrame};
 use railtack_http::{SendError, lines, read_body, retry_after};
-use railtack_serving::BackEndSignals;
+use railtack_serving::BackendSignals;
 use tokio::time::{sleep, timeout, timeout_at};
 
 use super::{Attempt, Dispatch};
@@ -186,9 +186,9 @@
     /// Records the engine's `Retry-After` delay.
     fn record_back_off(&self, attempt: &Attempt, delay: Duration) {
         let now = self.state.uptime();
-        let signals = BackEndSignals {
+        let signals = BackendSignals {
             back_off: Some(delay),
-            ..BackEndSignals::default()
+            ..BackendSignals::default()
         };
         let mut scheduler = lock(&self.state.scheduler);
         let view = scheduler.engines.view_mut(attempt.engine);
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -10,7 +10,7 @@
 };
 use railtack_rpc::permits::{PermitReply, PermitRequest};
 use railtack_serving::{
-    AdvertisedState, BackEndSignals, LimitHeader, MonotonicTime, RequestLimit, SignalChanges,
+    AdvertisedState, BackendSignals, LimitHeader, MonotonicTime, RequestLimit, SignalChanges,
 };
 
 use crate::{
@@ -30,7 +30,7 @@
         apply: impl FnOnce(&mut AdvertisedState) -> T,
     ) -> T {
         if incarnation_id.parse::<SocketAddr>().is_ok() {
-            return apply(lock(&self.back_end_availability).of(incarnation_id));
+            return apply(lock(&self.backend_availability).of(incarnation_id));
         }
         let mut scheduler = lock(&self.scheduler);
         let views = scheduler.engines.views();
@@ -56,7 +56,7 @@
 
     fn known_limit(&self, incarnation_id: &str) -> Option<KnownLimit> {
         let advertised = match incarnation_id.parse::<SocketAddr>() {
-            Ok(_) => lock(&self.back_end_availability).limit(incarnation_id),
+            Ok(_) => lock(&self.backend_availability).limit(incarnation_id),
             Err(_) => self.with_advertised(incarnation_id, |advertised| advertised.limit()),
         }?;
         Some(KnownLimit {
@@ -121,9 +121,9 @@
             return;
         }
         LimitHeader::Present(_) => {
-            let signals = BackEndSignals {
+            let signals = BackendSignals {
                 limit: header,
-                ..BackEndSignals::default()
+                ..BackendSignals::default()
             };
             let now = state.uptime();
             log_new_limit(
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -49,7 +49,7 @@
     /// Index of the last applied configuration entry.
     pub applied: Gauge<u64, AtomicU64>,
     /// Crashes of back ends that were running requests of this router.
-    pub back_end_crashes: Counter,
+    pub backend_crashes: Counter,
     /// Permits denied because the rate limit of an engine or back end was exhausted.
     pub permits_denied: Counter,
     /// Responses with an invalid rate limit header.
@@ -77,7 +77,7 @@
             first_token: Histogram::new(exponential_buckets(0.001, 2.0, 16)),
             event_gaps: Counter::default(),
             applied: Gauge::default(),
-            back_end_crashes: Counter::default(),
+            backend_crashes: Counter::default(),
             permits_denied: Counter::default(),
             invalid_limits: Counter::default(),
             quarantined: Gauge::default(),
@@ -153,7 +153,7 @@
         registry.register(
             "router_back_end_ends",
             "Back ends that ended while they had requests of this router",
-            self.back_end_crashes.clone(),
+            self.backend_crashes.clone(),
         );
         registry.register(
             "router_permits_withheld",
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -24,7 +24,7 @@
 
 /// One incarnation of an engine or back end.
 #[derive(Clone, Debug)]
-pub struct BackEndIncarnation {
+pub struct BackendIncarnation {
     /// Unique id of the incarnation.
     pub id: String,
     /// Listen address.
@@ -76,7 +76,7 @@
 /// whether the back end has exited, i.e. whether its port refuses connections.
 pub fn record_broken_connection(
     state: &Arc<RouterState>,
-    incarnation: BackEndIncarnation,
+    incarnation: BackendIncarnation,
     content: ContentKey,
 ) {
     if lock(&state.crash_tracker).record_broken_connection(&incarnation.id, content, Instant::now())
@@ -86,7 +86,7 @@
     }
 }
 
-async fn check_crashed(state: &RouterState, incarnation: &BackEndIncarnation) {
+async fn check_crashed(state: &RouterState, incarnation: &BackendIncarnation) {
     let has_ended = is_port_closed(incarnation.address, PORT_CHECK_TIMEOUT).await;
     spdlog::info!("replica looked at after a connection broke", kv: {
         replica = incarnation.id.clone(),
@@ -94,14 +94,14 @@
         has_ended,
     });
     if has_ended {
-        state.metrics.back_end_crashes.inc();
+        state.metrics.backend_crashes.inc();
         sleep(REPORT_BATCH_DELAY).await;
         report_crash(state, incarnation).await;
     }
     lock(&state.crash_tracker).remove(&incarnation.id);
 }
 
-async fn report_crash(state: &RouterState, incarnation: &BackEndIncarnation) {
+async fn report_crash(state: &RouterState, incarnation: &BackendIncarnation) {
     loop {
         let contents = lock(&state.crash_tracker).take_unreported(&incarnation.id);
         if contents.is_empty() {
--- a/crates/router/src/services.rs
+++ b/crates/router/src/services.rs
@@ -13,7 +13,7 @@
 use railtack_http::{Body, SendError, body, read_body, retry_after, send_on_new_connection};
 use railtack_proxy::permits::{Permit, PermitDecision};
 use railtack_rpc::protocol::StoredResponse;
-use railtack_serving::{BackEndSignals, ContentKey, RequestContent};
+use railtack_serving::{BackendSignals, ContentKey, RequestContent};
 use railtack_settings::documents::Target;
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_128;
@@ -32,7 +32,7 @@
 const MAX_KEY_BYTES: usize = 255;
 const MAX_REPEATABLE_ATTEMPTS: u32 = 3;
 /// Retry delay returned if no back end of the service is available, milliseconds.
-const NO_BACK_END_RETRY_MS: u64 = 1_000;
+const NO_BACKEND_RETRY_MS: u64 = 1_000;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum time of an exchange with a service. Must stay well below the age at which an unsettled
 /// claim counts as lost.
@@ -273,7 +273,7 @@
     match &result {
         Ok(_) => quarantine::record_success(state, forwarded.content_key),
         Err(SendError::MaybeSent) => {
-            let incarnation = state.back_end_incarnation(address);
+            let incarnation = state.backend_incarnation(address);
             quarantine::record_broken_connection(state, incarnation, forwarded.content_key);
         }
         Err(SendError::NotSent) => {}
@@ -352,7 +352,7 @@
 
 fn next_backend(state: &RouterState, service: &str) -> Option<SocketAddr> {
     let now = state.uptime();
-    let mut available = lock(&state.back_end_availability);
+    let mut available = lock(&state.backend_availability);
     available.remove_expired(now);
     let mut services = lock(&state.services);
     let backends = services.get_mut(service)?;
@@ -372,11 +372,11 @@
         address = address.to_string(),
         back_off_ms = delay.as_millis() as u64,
     });
-    let signals = BackEndSignals {
+    let signals = BackendSignals {
         back_off: Some(delay),
-        ..BackEndSignals::default()
+        ..BackendSignals::default()
     };
-    let mut available = lock(&state.back_end_availability);
+    let mut available = lock(&state.backend_availability);
     available.record(&address.to_string(), signals, state.uptime());
 }
 
@@ -384,7 +384,7 @@
 /// is available already or all are leaving.
 fn available_in_ms(state: &RouterState, service: &str) -> Option<u64> {
     let now = state.uptime();
-    let available = lock(&state.back_end_availability);
+    let available = lock(&state.backend_availability);
     let services = lock(&state.services);
     let live = services.get(service)?.live.iter();
     let delays = live.filter_map(|address| available.available_in(&address.to_string(), now));
@@ -394,7 +394,7 @@
 
 fn no_backend_refusal(state: &RouterState, service: &str) -> Refusal {
     let detail = format!("no back end of {service} takes calls");
-    let retry_after_ms = available_in_ms(state, service).unwrap_or(NO_BACK_END_RETRY_MS);
+    let retry_after_ms = available_in_ms(state, service).unwrap_or(NO_BACKEND_RETRY_MS);
     Refusal::not_run(RefusalCode::NoBackend, detail).retry_after_ms(retry_after_ms)
 }
 
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -22,7 +22,7 @@
 
 use crate::{
     control_link::ControlLink, decisions::DecisionLog, lease::Lease, metrics::RouterMetrics,
-    quarantine::BackEndIncarnation, refusal::Refusal, resolved::ResolvedConfiguration,
+    quarantine::BackendIncarnation, refusal::Refusal, resolved::ResolvedConfiguration,
 };
 
 const ENGINE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -52,7 +52,7 @@
     pub services: Mutex<HashMap<String, ServiceBackends>>,
     /// Availability advertised by the back ends of HTTP services, by address. Separate from `services`,
     /// which is rebuilt with each machine list.
-    pub back_end_availability: Mutex<Availability>,
+    pub backend_availability: Mutex<Availability>,
     /// Tenant limits and fair shares.
     pub admission: Mutex<Admission>,
     /// Remaining retries of each tenant.
@@ -101,7 +101,7 @@
             scheduler: Mutex::new(Scheduler::new(options)),
             engine_addresses: Mutex::default(),
             services: Mutex::default(),
-            back_end_availability: Mutex::default(),
+            backend_availability: Mutex::default(),
             admission: Mutex::default(),
             retry_budgets: Mutex::default(),
             decisions: Mutex::default(),
@@ -160,7 +160,7 @@
     }
 
     /// Whether the machine list was received and, if it contains engines, at least one is available.
-    pub fn back_ends_known(&self) -> bool {
+    pub fn backends_known(&self) -> bool {
         let engines_listed = !lock(&self.engine_addresses).is_empty();
         let scheduler = lock(&self.scheduler);
         let engine_available = scheduler.engines.views().iter().any(|view| view.available);
@@ -170,9 +170,9 @@
     /// Returns the incarnation of a service's back end. Such back ends report no incarnation, so each
     /// crash that this router observes starts a new one. Two routers that observe the same crash count
     /// it twice.
-    pub fn back_end_incarnation(&self, address: SocketAddr) -> BackEndIncarnation {
-        let crashes = self.metrics.back_end_crashes.get();
-        BackEndIncarnation {
+    pub fn backend_incarnation(&self, address: SocketAddr) -> BackendIncarnation {
+        let crashes = self.metrics.backend_crashes.get();
+        BackendIncarnation {
             id: format!("{address}#{}#{crashes}", self.settings.router_id.0),
             address,
         }
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -14,7 +14,7 @@
     EngineSlot, ModelKey, PrefixIndex, RoutingRequest, Scheduler, SchedulerOptions,
     engines::{CacheValidity, EngineDescription},
 };
-use railtack_serving::BackEndSignals;
+use railtack_serving::BackendSignals;
 use railtack_settings::documents::Priority;
 
 const BLOCK_TOKENS: u32 = 16;
@@ -142,9 +142,9 @@
     const BACK_OFF_US: u64 = 3_000_000;
     let mut scheduler = scheduler(1);
     let chain = chain("short");
-    let signals = BackEndSignals {
+    let signals = BackendSignals {
         back_off: Some(Duration::from_micros(BACK_OFF_US)),
-        ..BackEndSignals::default()
+        ..BackendSignals::default()
     };
     let view = scheduler.engines.view_mut(EngineSlot(0));
     view.advertised.record(signals, Duration::ZERO);
--- a/crates/serving/src/availability.rs
+++ b/crates/serving/src/availability.rs
@@ -21,7 +21,7 @@
 
 /// What the head of one response says about the back end itself, independent of the outcome of the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BackEndSignals {
+pub struct BackendSignals {
     /// Time for which the back end wants no requests from this process.
     pub back_off: Option<Duration>,
     /// Whether the back end is leaving and must get no more requests.
@@ -64,7 +64,7 @@
 
 impl AdvertisedState {
     /// Applies the signals of a response.
-    pub fn record(&mut self, signals: BackEndSignals, now: MonotonicTime) -> SignalChanges {
+    pub fn record(&mut self, signals: BackendSignals, now: MonotonicTime) -> SignalChanges {
         if let Some(time) = signals.back_off {
             let until = now.saturating_add(time);
             self.back_off_until = until.max(self.back_off_until);
@@ -136,7 +136,7 @@
 /// Advertised state of back ends, by the ids of their incarnations.
 #[derive(Clone, Debug, Default)]
 pub struct Availability {
-    back_ends: HashMap<String, AdvertisedState>,
+    backends: HashMap<String, AdvertisedState>,
 }
 
 impl Availability {
@@ -144,7 +144,7 @@
     pub fn record(
         &mut self,
         incarnation_id: &str,
-        signals: BackEndSignals,
+        signals: BackendSignals,
         now: MonotonicTime,
     ) -> SignalChanges {
         let is_empty = signals.back_off.is_none()
@@ -153,39 +153,38 @@
         if is_empty {
             return SignalChanges::default();
         }
-        let back_end = self.back_ends.entry(incarnation_id.to_owned()).or_default();
-        back_end.record(signals, now)
+        let backend = self.backends.entry(incarnation_id.to_owned()).or_default();
+        backend.record(signals, now)
     }
 
     /// Returns the state of a back end, which is added if it is missing.
     pub fn of(&mut self, incarnation_id: &str) -> &mut AdvertisedState {
-        self.back_ends.entry(incarnation_id.to_owned()).or_default()
+        self.backends.entry(incarnation_id.to_owned()).or_default()
     }
 
     /// Whether a back end accepts requests.
     pub fn accepts_requests(&self, incarnation_id: &str, now: MonotonicTime) -> bool {
-        self.back_ends
+        self.backends
             .get(incarnation_id)
-            .is_none_or(|back_end| back_end.accepts_requests(now))
+            .is_none_or(|backend| backend.accepts_requests(now))
     }
 
     /// Time until a back end accepts requests; `None` if it is leaving.
     pub fn available_in(&self, incarnation_id: &str, now: MonotonicTime) -> Option<Duration> {
-        let back_end = self.back_ends.get(incarnation_id);
-        back_end.map_or(Some(Duration::ZERO), |back_end| back_end.available_in(now))
+        let backend = self.backends.get(incarnation_id);
+        backend.map_or(Some(Duration::ZERO), |backend| backend.available_in(now))
     }
 
     /// The limit that a back end advertises.
     pub fn limit(&self, incarnation_id: &str) -> Option<AdvertisedLimit> {
-        self.back_ends.get(incarnation_id)?.limit
+        self.backends.get(incarnation_id)?.limit
     }
 
     /// All limits, with the ids of the back ends.
     pub fn limits(&self) -> impl Iterator<Item = (&str, AdvertisedLimit)> {
-        let limited = self.back_ends.iter();
-        limited.filter_map(|(incarnation_id, back_end)| {
-            Some((incarnation_id.as_str(), back_end.limit?))
-        })
+        let limited = self.backends.iter();
+        limited
+            .filter_map(|(incarnation_id, backend)| Some((incarnation_id.as_str(), backend.limit?)))
     }
 
     /// Records that `limit` admits no request from this router before `limited_until`.
@@ -195,8 +194,8 @@
         limit: RequestLimit,
         limited_until: MonotonicTime,
     ) {
-        let back_end = self.back_ends.entry(incarnation_id.to_owned()).or_default();
-        back_end.set_limited_until(limit, limited_until);
+        let backend = self.backends.entry(incarnation_id.to_owned()).or_default();
+        backend.set_limited_until(limit, limited_until);
     }
 
     /// The limit because of which a back end accepts no requests at present.
@@ -205,22 +204,21 @@
         incarnation_id: &str,
         now: MonotonicTime,
     ) -> Option<RequestLimit> {
-        let back_end = self.back_ends.get(incarnation_id)?;
-        back_end
+        let backend = self.backends.get(incarnation_id)?;
+        backend
             .exhausted_limit
-            .filter(|_| now < back_end.limited_until)
+            .filter(|_| now < backend.limited_until)
     }
 
     /// Removes the limit of a back end unless it was received after `advertised_at`.
     pub fn clear_limit(&mut self, incarnation_id: &str, advertised_at: MonotonicTime) {
-        if let Some(back_end) = self.back_ends.get_mut(incarnation_id) {
-            back_end.clear_limit(advertised_at);
+        if let Some(backend) = self.backends.get_mut(incarnation_id) {
+            backend.clear_limit(advertised_at);
         }
     }
 
     /// Removes expired state.
     pub fn remove_expired(&mut self, now: MonotonicTime) {
-        self.back_ends
-            .retain(|_, back_end| back_end.is_relevant(now));
+        self.backends.retain(|_, backend| backend.is_relevant(now));
     }
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod settings;
 
 pub use availability::{
-    AdvertisedLimit, AdvertisedState, Availability, BackEndSignals, MonotonicTime, SignalChanges,
+    AdvertisedLimit, AdvertisedState, Availability, BackendSignals, MonotonicTime, SignalChanges,
 };
 pub use configuration::{
     CallerLimits, EngineConfig, RequestKind, Route, ServiceConfig, ServingConfiguration,
--- a/crates/serving/tests/availability.rs
+++ b/crates/serving/tests/availability.rs
@@ -4,16 +4,16 @@
 
 use quickcheck::quickcheck;
 use railtack_serving::{
-    Availability, BackEndSignals, LimitHeader, MonotonicTime, RequestLimit, SignalChanges,
+    Availability, BackendSignals, LimitHeader, MonotonicTime, RequestLimit, SignalChanges,
 };
 
 const REPLICA: &str = "i-1";
 const OTHER: &str = "i-2";
 
-fn back_off(time: Duration) -> BackEndSignals {
-    BackEndSignals {
+fn back_off(time: Duration) -> BackendSignals {
+    BackendSignals {
         back_off: Some(time),
-        ..BackEndSignals::default()
+        ..BackendSignals::default()
     }
 }
 
@@ -39,7 +39,7 @@
     let mut availability = Availability::default();
     availability.record(REPLICA, back_off(Duration::from_secs(3)), start);
     availability.record(REPLICA, back_off(Duration::from_secs(1)), start);
-    availability.record(REPLICA, BackEndSignals::default(), start);
+    availability.record(REPLICA, BackendSignals::default(), start);
     assert!(!availability.accepts_requests(REPLICA, start + Duration::from_secs(2)));
 }
 
@@ -54,9 +54,9 @@
 #[test]
 fn a_leaving_replica_accepts_no_more_requests() {
     let start = MonotonicTime::from_secs(7);
-    let leaving = BackEndSignals {
+    let leaving = BackendSignals {
         is_leaving: true,
-        ..BackEndSignals::default()
+        ..BackendSignals::default()
     };
     let mut availability = Availability::default();
     assert!(
@@ -67,18 +67,18 @@
         !availability.record(REPLICA, leaving, start).is_leaving,
         "repeated signal"
     );
-    availability.record(REPLICA, BackEndSignals::default(), start);
+    availability.record(REPLICA, BackendSignals::default(), start);
     let late = start + Duration::from_secs(60);
     availability.remove_expired(late);
     assert_eq!(availability.available_in(REPLICA, late), None);
     assert!(!availability.accepts_requests(REPLICA, late));
 }
 
-fn limited(per_s: f64) -> (BackEndSignals, RequestLimit) {
+fn limited(per_s: f64) -> (BackendSignals, RequestLimit) {
     let limit = RequestLimit::per_s(per_s).expect("a limit");
-    let signals = BackEndSignals {
+    let signals = BackendSignals {
         limit: LimitHeader::Present(limit),
-        ..BackEndSignals::default()
+        ..BackendSignals::default()
     };
     (signals, limit)
 }
@@ -96,7 +96,7 @@
         SignalChanges::default()
     );
     // A response without a limit may be older than the limit.
-    availability.record(REPLICA, BackEndSignals::default(), later);
+    availability.record(REPLICA, BackendSignals::default(), later);
     let known = availability.limit(REPLICA).expect("a limit");
     assert_eq!((known.limit, known.advertised_at), (limit, later));
     availability.clear_limit(REPLICA, start);
