--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -356,7 +356,7 @@
 fn unconfirmed_watch_reply() -> WatchReply {
     WatchReply {
         confirmed_age_ms: None,
-        held_ms: 0,
+        delayed_ms: 0,
         zone: String::new(),
         members: Vec::new(),
         routers: 0,
--- a/crates/control/src/serving/quota.rs
+++ b/crates/control/src/serving/quota.rs
@@ -118,7 +118,7 @@
             account,
             quota,
             cost: quota.cost(request.declared_tokens),
-            max_wait: Duration::from_millis(u64::from(request.longest_wait_ms)),
+            max_wait: Duration::from_millis(u64::from(request.max_wait_ms)),
         };
         let decision = self.withdraw(view.term, &request.subject, withdrawal);
         self.reply(decision, &withdrawal, view.term)
--- a/crates/control/src/serving/watch.rs
+++ b/crates/control/src/serving/watch.rs
@@ -7,7 +7,7 @@
 };
 
 use railtack_clock::BootInstant;
-use railtack_rpc::serving::{CONFIRMATION_LIMIT_MS, WatchReply, WatchRequest};
+use railtack_rpc::serving::{MAX_CONFIRMATION_AGE_MS, WatchReply, WatchRequest};
 use railtack_serving::Bounds;
 use tokio::time::{Instant, sleep, timeout_at};
 
@@ -77,7 +77,7 @@
         let received_at = Instant::now();
         // The router subtracts the age of the confirmation from this time, so both have to count
         // suspensions.
-        let held_since = BootInstant::now();
+        let delayed_since = BootInstant::now();
         self.liveness.record_router_request(&request.router);
         let observations = std::mem::take(&mut request.observations);
         self.liveness
@@ -86,15 +86,15 @@
         let deadline = received_at + Duration::from_millis(request.wait_ms.min(MAX_WAIT_MS));
         let mut receiver = self.leader_client.node().view();
         // If the router is ahead of this replica, wait until the replica has caught up.
-        let known = request.known;
-        let known_through = if request.wants_records {
-            known.records
+        let position = request.position;
+        let through = if request.wants_records {
+            position.records
         } else {
-            known.changes
+            position.changes
         };
         let changed = receiver.wait_for(|view| {
             let changed_at = view.serving.changed_at();
-            changed_at > known_through && changed_at >= known.state
+            changed_at > through && changed_at >= position.state
         });
         let reply_due = async {
             tokio::select! {
@@ -109,15 +109,15 @@
         sleep(delay).await;
         let view = self.leader_client.view();
         let update = if !request.accepts_partial {
-            view.serving.full_update_after(known)
+            view.serving.full_update_after(position)
         } else if request.wants_records {
-            view.serving.update_after(known)
+            view.serving.update_after(position)
         } else {
-            view.serving.known_changes_after(known)
+            view.serving.known_changes_after(position)
         };
         WatchReply {
             confirmed_age_ms: self.confirmed_age_ms(&view),
-            held_ms: held_since.elapsed().as_millis() as u64,
+            delayed_ms: delayed_since.elapsed().as_millis() as u64,
             zone: self.zone.clone(),
             members: view.voters.clone(),
             routers: self.liveness.router_count(),
@@ -136,7 +136,7 @@
     async fn confirmation(&self) {
         loop {
             let age = self.confirmed_age_ms(&self.leader_client.view());
-            if age.is_some_and(|age| age < CONFIRMATION_LIMIT_MS) {
+            if age.is_some_and(|age| age < MAX_CONFIRMATION_AGE_MS) {
                 return;
             }
             sleep(CONFIRM_INTERVAL).await;
@@ -187,7 +187,7 @@
 /// succession are batched, and a change after a pause is sent at once. The delay stays within the
 /// wait that the request allows; a router without a lease allows none.
 pub fn batching_delay(request: &WatchRequest, elapsed: Duration, interval: Duration) -> Duration {
-    let is_incomplete = request.known.state == 0 || !request.known.is_complete();
+    let is_incomplete = request.position.state == 0 || !request.position.is_complete();
     if is_incomplete || !request.has_lease {
         return Duration::ZERO;
     }
--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -39,7 +39,7 @@
             unknown_records: 0,
         };
         self.build_update(known, limits)
-            .filter(|update| update.known != known)
+            .filter(|update| update.position != known)
     }
 
     /// Returns all changes in one update, for routers of builds that do not accept partial updates
@@ -77,7 +77,7 @@
             .filter(|lists| lists.changed_at > known.state)
             .cloned();
         Some(ServingUpdate {
-            known: position,
+            position,
             configuration,
             complete,
             replicas,
--- a/crates/control/tests/previous_builds.rs
+++ b/crates/control/tests/previous_builds.rs
@@ -101,8 +101,11 @@
     let ControlRequest::Watch { request: watch } = request("watch-request") else {
         panic!("not a watch request");
     };
-    assert_eq!((watch.router.as_str(), watch.known.state), ("router-1", 7));
-    assert!(watch.known.is_complete() && watch.known.is_current());
+    assert_eq!(
+        (watch.router.as_str(), watch.position.state),
+        ("router-1", 7)
+    );
+    assert!(watch.position.is_complete() && watch.position.is_current());
     assert_eq!((watch.wait_ms, watch.observations.len()), (500, 1));
 
     let ControlResponse::Watch(reply) = response("watch-reply") else {
@@ -110,8 +113,8 @@
     };
     assert_eq!((reply.confirmed_age_ms, reply.routers), (Some(35), 2));
     let update = reply.update.expect("an update");
-    assert!(update.known.is_complete() && update.complete);
-    assert_eq!((update.known.state, update.replicas.len()), (9, 1));
+    assert!(update.position.is_complete() && update.complete);
+    assert_eq!((update.position.state, update.replicas.len()), (9, 1));
     assert_eq!(
         update.configuration.expect("a configuration").tenants.len(),
         2
--- a/crates/control/tests/registration_queue.rs
+++ b/crates/control/tests/registration_queue.rs
@@ -210,7 +210,7 @@
     update: ServingUpdate,
     known: WatchPosition,
 ) -> WatchPosition {
-    assert!(update.known.state >= known.state);
+    assert!(update.position.state >= known.state);
     assert!(update.complete == (known.state == 0));
     for replica in &update.removed {
         copy.remove(replica);
@@ -218,7 +218,7 @@
     for record in update.replicas {
         copy.insert(record.id.clone(), record);
     }
-    update.known
+    update.position
 }
 
 /// Whether a copy holds no outdated record.
--- a/crates/control/tests/watch.rs
+++ b/crates/control/tests/watch.rs
@@ -11,7 +11,7 @@
 fn request(known: u64, wait_ms: u64) -> WatchRequest {
     WatchRequest {
         router: "r".to_owned(),
-        known: WatchPosition::at(known),
+        position: WatchPosition::at(known),
         wants_records: true,
         accepts_partial: true,
         wait_ms,
@@ -57,7 +57,7 @@
         Duration::ZERO
     );
     let partial = WatchRequest {
-        known: WatchPosition {
+        position: WatchPosition {
             state: 9,
             changes: 5,
             records: 5,
--- a/crates/lab/tests/lives.rs
+++ b/crates/lab/tests/lives.rs
@@ -57,7 +57,7 @@
 /// Brings a router's copy up to date; what it was told.
 fn follow(view: &mut ServingView, state: &ServingState) -> Vec<ServingUpdate> {
     let mut told = Vec::new();
-    while let Some(update) = state.update_after(view.known) {
+    while let Some(update) = state.update_after(view.position) {
         told.push(update.clone());
         *view = view.updated(update).expect("news");
     }
--- a/crates/proxy/src/control_watch.rs
+++ b/crates/proxy/src/control_watch.rs
@@ -14,7 +14,7 @@
 use railtack_clock::BootInstant;
 use railtack_rpc::{
     ControlConnection, call_context,
-    serving::{CONFIRMATION_LIMIT_MS, ServingUpdate, WatchReply, WatchRequest},
+    serving::{MAX_CONFIRMATION_AGE_MS, ServingUpdate, WatchReply, WatchRequest},
 };
 use tokio::time::{Instant, sleep};
 
@@ -79,9 +79,9 @@
         failures_in_a_row = 0;
         let is_current = reply
             .confirmed_age_ms
-            .is_some_and(|age| age < CONFIRMATION_LIMIT_MS);
+            .is_some_and(|age| age < MAX_CONFIRMATION_AGE_MS);
         let has_update = reply.update.is_some();
-        let held = Duration::from_millis(reply.held_ms);
+        let delay = Duration::from_millis(reply.delayed_ms);
         targets.update_members(address, &reply);
         state.control_peers.set_members(targets.addresses());
         state.control_peers.update_level(reply.group_level);
@@ -94,7 +94,7 @@
         // An immediate reply without an update must not be followed by an immediate request:
         // hundreds of routers would overload the control replica.
         let moves_on = !targets.is_settled(&state.options.zone, address);
-        if !has_update && held < MIN_FAILURE_PAUSE && !moves_on {
+        if !has_update && delay < MIN_FAILURE_PAUSE && !moves_on {
             sleep(MIN_FAILURE_PAUSE).await;
         }
     }
@@ -112,7 +112,7 @@
         state.metrics.lease_age_ms.set(age.as_millis() as u64);
         let is_confirmed = state.is_confirmed();
         if was_confirmed && !is_confirmed {
-            let known = state.view.load().known.state;
+            let known = state.view.load().position.state;
             spdlog::warn!("lease lost", kv: { known, age_ms = age.as_millis() as u64 });
         }
         was_confirmed = is_confirmed;
@@ -141,12 +141,12 @@
     connection: Arc<ControlConnection>,
     wants_records: bool,
 ) -> Option<WatchReply> {
-    let known = state.view.load().known;
+    let position = state.view.load().position;
     // Replies are only held if there is nothing to send; missing records arrive immediately.
     let hold_time = max_hold_time(state.routers.load(Ordering::Relaxed));
     let request = WatchRequest {
         router: state.options.node.clone(),
-        known,
+        position,
         wait_ms: hold_time.as_millis() as u64,
         wants_records,
         accepts_partial: true,
@@ -177,12 +177,12 @@
     }
     // The lease covers what the router knows, so all updates are applied before the confirmation.
     // Not all replicas have to be known: in a large fleet their records take seconds to arrive.
-    if state.view.load().known.can_serve() {
+    if state.view.load().position.can_serve() {
         state.apply_confirmation(&reply, requested_at);
     }
     if !was_confirmed && state.is_confirmed() {
-        let known = state.view.load().known;
-        spdlog::info!("lease gained", kv: { known = known.state, is_whole = known.is_complete() });
+        let position = state.view.load().position;
+        spdlog::info!("lease gained", kv: { known = position.state, is_whole = position.is_complete() });
     }
 }
 
@@ -196,9 +196,9 @@
     let table = next.table.as_ref();
     let revision = table.map_or(0, |table| table.configuration().revision);
     spdlog::info!("view updated", kv: {
-        known = next.known.state,
-        changes_known = next.known.changes,
-        records_known = next.known.records,
+        known = next.position.state,
+        changes_known = next.position.changes,
+        records_known = next.position.records,
         revision,
         replicas = next.replicas.size(),
     });
--- a/crates/proxy/src/lease.rs
+++ b/crates/proxy/src/lease.rs
@@ -36,8 +36,8 @@
         let Some(age_ms) = reply.confirmed_age_ms else {
             return;
         };
-        // The reply was made at least `held_ms` after the request was sent.
-        let made_at = requested_at + Duration::from_millis(reply.held_ms);
+        // The reply was made at least `delayed_ms` after the request was sent.
+        let made_at = requested_at + Duration::from_millis(reply.delayed_ms);
         let confirmed_at = made_at.checked_sub(Duration::from_millis(age_ms));
         self.confirmed_at = self.confirmed_at.max(confirmed_at);
     }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -195,7 +195,7 @@
         self.record_outcome(&target, outcome);
         crash_detection::request_succeeded(&self.state, self.content);
         let response = self.build_response(head, railtack_http::full(content));
-        if failed && self.admitted.route.kind.may_repeat() {
+        if failed && self.admitted.route.kind.is_retryable() {
             return Ok(ExchangeStep::Failure(response));
         }
         self.log
@@ -236,7 +236,7 @@
             save_to: target.save_to.as_deref(),
             last_event,
         };
-        let non_retryable = !self.admitted.route.kind.may_repeat();
+        let non_retryable = !self.admitted.route.kind.is_retryable();
         let deadline = self.head_deadline();
         let sent = attempt::exchange(
             &self.state,
@@ -271,7 +271,7 @@
     pub fn response_deadline(&self) -> Instant {
         let route = &self.admitted.route;
         let can_retry_elsewhere =
-            route.kind.may_repeat() && self.replicas_used + 1 < route.max_attempts;
+            route.kind.is_retryable() && self.replicas_used + 1 < route.max_attempts;
         if !can_retry_elsewhere {
             return self.admitted.deadline;
         }
@@ -308,14 +308,14 @@
     pub fn can_resume(&self) -> bool {
         let route = &self.admitted.route;
         self.state.options.policy.resume
-            && route.kind.may_repeat()
+            && route.kind.is_retryable()
             && self.replicas_used < route.max_attempts
     }
 
     async fn next_step(&self, proof: ExchangeProof) -> NextStep {
         let facts = ExchangeFacts {
             proof,
-            may_repeat: self.admitted.route.kind.may_repeat(),
+            is_retryable: self.admitted.route.kind.is_retryable(),
             replicas_used: self.replicas_used,
             max_attempts: self.admitted.route.max_attempts,
             declined: self.declined,
@@ -399,7 +399,7 @@
             proof = format!("{:?}", failed.proof),
             status = failed.status.unwrap_or_default(),
             back_off_ms = failed.signals.back_off.map_or(0, |time| time.as_millis() as u64),
-            known = self.state.view.load().known.state,
+            known = self.state.view.load().position.state,
         });
         self.state.metrics.record_exchange_end(failed.cause);
         failed
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -60,7 +60,7 @@
             name: tenant.clone(),
         },
         declared_tokens: request.declared_tokens,
-        longest_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
+        max_wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
     };
     loop {
         match request_grant(state, &grant_request, until).await {
@@ -98,7 +98,7 @@
             service: service.to_owned(),
         },
         declared_tokens: None,
-        longest_wait_ms: 0,
+        max_wait_ms: 0,
     };
     loop {
         match request_grant(state, &grant_request, until).await {
--- a/crates/proxy/src/retry_decision.rs
+++ b/crates/proxy/src/retry_decision.rs
@@ -23,7 +23,7 @@
     /// What the last exchange proves.
     pub proof: ExchangeProof,
     /// Whether the request may run more than once.
-    pub may_repeat: bool,
+    pub is_retryable: bool,
     /// Number of replicas that may have run the request.
     pub replicas_used: u32,
     /// Maximum number of replicas that may run it.
@@ -56,7 +56,7 @@
         ExchangeProof::Withheld => true,
         ExchangeProof::NotRun => facts.declined < MAX_DECLINES,
         ExchangeProof::MayHaveRun | ExchangeProof::RanAndFailed => {
-            facts.may_repeat && facts.replicas_used < facts.max_attempts
+            facts.is_retryable && facts.replicas_used < facts.max_attempts
         }
     };
     if can_retry && facts.in_time {
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -146,7 +146,7 @@
         target.backlog = self.prefill_backlog(&candidate, &target, ranked);
         if let Some(retry_after) = self.overload_retry_after(target.backlog) {
             self.log
-                .record_candidate(&target, &candidate, cost, view.known.state);
+                .record_candidate(&target, &candidate, cost, view.position.state);
             return Err(NoTarget::TooLate { retry_after });
         }
         let store = self.store(configuration);
@@ -159,7 +159,7 @@
             .filter(|_| self.should_save(target.cached_tokens, configuration))
             .map(|store| store.address.clone());
         self.log
-            .record_selection(&target, &candidate, cost, view.known.state);
+            .record_selection(&target, &candidate, cost, view.position.state);
         self.log.prefix = self.path.key().unwrap_or_default();
         self.log.shared_tokens = self.path.shared_tokens();
         self.log.weights = self.expected_weights(&target.record).unwrap_or_default();
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -178,7 +178,7 @@
         let before = self.view.load_full();
         lock(&self.replicas).apply_view(&before, &next);
         lock(&self.weight_versions).update(&next.weights, Instant::now());
-        let known = next.known.state;
+        let known = next.position.state;
         self.metrics
             .set_replicas(next.replicas.values().map(|record| &**record));
         if let Some(table) = &next.table {
@@ -236,7 +236,8 @@
         let gained = !was_confirmed && self.is_confirmed();
         if gained {
             // Requests that wait for the first lease are woken like those that wait for a view.
-            self.view_changed.send_replace(self.view.load().known.state);
+            self.view_changed
+                .send_replace(self.view.load().position.state);
         }
         gained
     }
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ServingView {
     /// Positions in the control group's log up to which the view is complete.
-    pub known: WatchPosition,
+    pub position: WatchPosition,
     /// Routes, services and tenants; `None` until the first configuration is received.
     pub table: Option<Arc<RouteTable>>,
     /// Replicas by incarnation id. A persistent map: views share unchanged records.
@@ -29,14 +29,14 @@
 impl ServingView {
     /// Returns the view after an update; `None` if the update is not newer.
     pub fn updated(&self, update: ServingUpdate) -> Option<Self> {
-        let received = update.known;
-        let is_older = received.state < self.known.state;
-        if is_older || received == self.known {
+        let received = update.position;
+        let is_older = received.state < self.position.state;
+        if is_older || received == self.position {
             return None;
         }
         let mut next = self.clone();
         next.ready = OnceLock::new();
-        next.known = received;
+        next.position = received;
         if let Some(configuration) = update.configuration {
             next.table = Some(Arc::new(RouteTable::new(configuration)));
         }
--- a/crates/proxy/tests/control_watch.rs
+++ b/crates/proxy/tests/control_watch.rs
@@ -73,7 +73,7 @@
         }
         WatchReply {
             confirmed_age_ms: Some(0),
-            held_ms: 0,
+            delayed_ms: 0,
             zone: self.zone.to_owned(),
             members: self.members,
             routers: 1_000,
@@ -180,7 +180,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let update = ServingUpdate {
-        known,
+        position: known,
         complete: true,
         configuration: Some(ServingConfiguration::default()),
         ..ServingUpdate::default()
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -27,10 +27,10 @@
     Duration::from_millis(count)
 }
 
-fn reply(confirmed_age_ms: Option<u64>, held_ms: u64) -> WatchReply {
+fn reply(confirmed_age_ms: Option<u64>, delayed_ms: u64) -> WatchReply {
     WatchReply {
         confirmed_age_ms,
-        held_ms,
+        delayed_ms,
         zone: String::new(),
         members: Vec::new(),
         routers: 1,
@@ -78,7 +78,7 @@
 fn facts(proof: ExchangeProof) -> ExchangeFacts {
     ExchangeFacts {
         proof,
-        may_repeat: true,
+        is_retryable: true,
         replicas_used: 1,
         max_attempts: 2,
         declined: 0,
@@ -89,7 +89,7 @@
 #[test]
 fn a_non_retryable_request_is_retried_only_if_proven_not_run() {
     let non_retryable = |proof, replicas_used| ExchangeFacts {
-        may_repeat: false,
+        is_retryable: false,
         replicas_used,
         ..facts(proof)
     };
@@ -125,7 +125,7 @@
 #[test]
 fn a_request_that_was_not_sent_is_retried_until_the_deadline() {
     let not_sent = ExchangeFacts {
-        may_repeat: false,
+        is_retryable: false,
         declined: 3,
         replicas_used: 0,
         ..facts(ExchangeProof::Withheld)
--- a/crates/proxy/tests/entry.rs
+++ b/crates/proxy/tests/entry.rs
@@ -69,7 +69,7 @@
 /// Gives the router a configuration and a confirmation.
 fn confirm(state: &ProxyState) {
     let update = ServingUpdate {
-        known: WatchPosition::at(1),
+        position: WatchPosition::at(1),
         configuration: Some(configuration()),
         complete: true,
         ..ServingUpdate::default()
@@ -78,7 +78,7 @@
     state.set_view(view);
     let reply = WatchReply {
         confirmed_age_ms: Some(0),
-        held_ms: 0,
+        delayed_ms: 0,
         zone: String::new(),
         members: Vec::new(),
         routers: 1,
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -79,7 +79,7 @@
         withdraw_retry: impl FnOnce() -> bool,
     ) -> NextStep {
         self.count += 1;
-        let may_repeat = match outcome {
+        let is_retryable = match outcome {
             AttemptOutcome::Completed(end) => return NextStep::Completed(end),
             AttemptOutcome::ClientDisconnected => return NextStep::Abandon,
             AttemptOutcome::DeadlineExceeded => {
@@ -94,7 +94,7 @@
                 self.lost < CRASHES_TO_QUARANTINE && withdraw_retry()
             }
         };
-        if may_repeat && self.count < ATTEMPT_LIMIT {
+        if is_retryable && self.count < ATTEMPT_LIMIT {
             return NextStep::Retry;
         }
         self.fail_without_engine()
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -30,7 +30,7 @@
         apply: impl FnOnce(&mut AdvertisedState) -> T,
     ) -> T {
         if incarnation_id.parse::<SocketAddr>().is_ok() {
-            return apply(lock(&self.backend_availability).of(incarnation_id));
+            return apply(lock(&self.backend_availability).state_mut(incarnation_id));
         }
         let mut scheduler = lock(&self.scheduler);
         let views = scheduler.engines.views();
--- a/crates/rpc/src/layout/watch.rs
+++ b/crates/rpc/src/layout/watch.rs
@@ -16,7 +16,7 @@
 #[derive(Readable)]
 struct WireRequest {
     router: String,
-    known: LogIndex,
+    position: LogIndex,
     wait_ms: u64,
     observations: Vec<ReplicaObservation>,
     #[speedy(default_on_eof)]
@@ -25,7 +25,7 @@
 
 #[derive(Readable, Writable)]
 struct LaterRequest {
-    known: WatchPosition,
+    position: WatchPosition,
     wants_records: bool,
     has_lease: bool,
 }
@@ -33,7 +33,7 @@
 #[derive(Writable)]
 struct WrittenRequest<'a> {
     router: &'a str,
-    known: LogIndex,
+    position: LogIndex,
     wait_ms: u64,
     observations: &'a [ReplicaObservation],
     later: Option<LaterRequest>,
@@ -43,11 +43,11 @@
     fn from(request: &'a WatchRequest) -> Self {
         Self {
             router: &request.router,
-            known: request.known.complete_through(),
+            position: request.position.complete_through(),
             wait_ms: request.wait_ms,
             observations: &request.observations,
             later: request.accepts_partial.then_some(LaterRequest {
-                known: request.known,
+                position: request.position,
                 wants_records: request.wants_records,
                 has_lease: request.has_lease,
             }),
@@ -59,13 +59,13 @@
     fn from(wire: WireRequest) -> Self {
         let accepts_partial = wire.later.is_some();
         let later = wire.later.unwrap_or(LaterRequest {
-            known: WatchPosition::at(wire.known),
+            position: WatchPosition::at(wire.position),
             wants_records: true,
             has_lease: true,
         });
         Self {
             router: wire.router,
-            known: later.known,
+            position: later.position,
             wait_ms: wire.wait_ms,
             wants_records: later.wants_records,
             has_lease: later.has_lease,
@@ -78,7 +78,7 @@
 #[derive(Readable)]
 struct WireReply {
     confirmed_age_ms: Option<u64>,
-    held_ms: u64,
+    delayed_ms: u64,
     zone: String,
     members: Vec<String>,
     routers: u32,
@@ -113,7 +113,7 @@
 
 #[derive(Readable)]
 struct LaterUpdate {
-    known: WatchPosition,
+    position: WatchPosition,
     quarantine: Option<QuarantineUpdate>,
     quotas: Vec<(String, TenantQuota)>,
 }
@@ -121,7 +121,7 @@
 #[derive(Writable)]
 struct WrittenReply<'a> {
     confirmed_age_ms: Option<u64>,
-    held_ms: u64,
+    delayed_ms: u64,
     zone: &'a str,
     members: &'a [String],
     routers: u32,
@@ -155,7 +155,7 @@
 
 #[derive(Writable)]
 struct WrittenLaterUpdate<'a> {
-    known: WatchPosition,
+    position: WatchPosition,
     quarantine: Option<&'a QuarantineUpdate>,
     quotas: Vec<(String, TenantQuota)>,
 }
@@ -166,7 +166,7 @@
         let fleet = reply.fleet.as_ref();
         Self {
             confirmed_age_ms: reply.confirmed_age_ms,
-            held_ms: reply.held_ms,
+            delayed_ms: reply.delayed_ms,
             zone: &reply.zone,
             members: &reply.members,
             routers: reply.routers,
@@ -187,7 +187,7 @@
 impl<'a> From<&'a ServingUpdate> for WrittenUpdate<'a> {
     fn from(update: &'a ServingUpdate) -> Self {
         Self {
-            through: update.known.state,
+            through: update.position.state,
             configuration: update.configuration.as_ref(),
             complete: update.complete,
             replicas: &update.replicas,
@@ -201,7 +201,7 @@
     fn from(update: &'a ServingUpdate) -> Self {
         let configuration = update.configuration.as_ref();
         Self {
-            known: update.known,
+            position: update.position,
             quarantine: update.quarantine.as_ref(),
             quotas: configuration
                 .map(ServingConfiguration::quotas)
@@ -218,7 +218,7 @@
             .map_or((Vec::new(), None), |later| (later.limited, later.update));
         Self {
             confirmed_age_ms: wire.confirmed_age_ms,
-            held_ms: wire.held_ms,
+            delayed_ms: wire.delayed_ms,
             zone: wire.zone,
             members: wire.members,
             routers: wire.routers,
@@ -236,7 +236,7 @@
 impl WireUpdate {
     fn with(self, later: Option<LaterUpdate>) -> ServingUpdate {
         let later = later.unwrap_or_else(|| LaterUpdate {
-            known: WatchPosition::at(self.through),
+            position: WatchPosition::at(self.through),
             quarantine: None,
             quotas: Vec::new(),
         });
@@ -245,7 +245,7 @@
             configuration.set_quotas(later.quotas);
         }
         ServingUpdate {
-            known: later.known,
+            position: later.position,
             configuration,
             complete: self.complete,
             replicas: self.replicas,
--- a/crates/rpc/src/serving.rs
+++ b/crates/rpc/src/serving.rs
@@ -63,7 +63,7 @@
     /// Name of the router.
     pub router: String,
     /// Position that the router has reached.
-    pub known: WatchPosition,
+    pub position: WatchPosition,
     /// Maximum time for which the reply may be delayed until there is a change, milliseconds.
     pub wait_ms: u64,
     /// Whether to send records of replicas that the router does not have. A router that still searches for a
@@ -80,7 +80,7 @@
 
 /// Age from which a confirmation no longer renews a lease, milliseconds. The router then switches to another
 /// control replica. A replica that reaches the leader confirms its state several times per second.
-pub const CONFIRMATION_LIMIT_MS: u64 = 1_200;
+pub const MAX_CONFIRMATION_AGE_MS: u64 = 1_200;
 
 /// Reply to [`WatchRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
     /// was.
     pub confirmed_age_ms: Option<u64>,
     /// Time for which the reply was delayed, milliseconds.
-    pub held_ms: u64,
+    pub delayed_ms: u64,
     /// Zone of the control replica.
     pub zone: String,
     /// Internal addresses of the voters.
@@ -154,7 +154,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ServingUpdate {
     /// Position of the router after it has applied the update.
-    pub known: WatchPosition,
+    pub position: WatchPosition,
     /// The configuration, if it changed.
     pub configuration: Option<ServingConfiguration>,
     /// Whether `replicas` contains all replicas instead of changed ones only.
@@ -268,7 +268,7 @@
     /// Tokens that the caller declares; `None` if it declares none.
     pub declared_tokens: Option<u64>,
     /// Maximum time for which the request may wait for its grant, milliseconds.
-    pub longest_wait_ms: u32,
+    pub max_wait_ms: u32,
 }
 
 /// Reply to [`QuotaRequest`].
--- a/crates/serving/src/availability.rs
+++ b/crates/serving/src/availability.rs
@@ -158,7 +158,7 @@
     }
 
     /// Returns the state of a back end, which is added if it is missing.
-    pub fn of(&mut self, incarnation_id: &str) -> &mut AdvertisedState {
+    pub fn state_mut(&mut self, incarnation_id: &str) -> &mut AdvertisedState {
         self.backends.entry(incarnation_id.to_owned()).or_default()
     }
 
--- a/crates/serving/src/configuration.rs
+++ b/crates/serving/src/configuration.rs
@@ -22,7 +22,7 @@
 
 impl RequestKind {
     /// Whether the same request may safely run twice.
-    pub fn may_repeat(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
