--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -285,7 +285,7 @@
                 record.attempt.to_string(),
                 candidate.engine.to_string(),
                 if chosen { "yes" } else { "" }.to_owned(),
-                candidate.held_tokens.to_string(),
+                candidate.cached_tokens.to_string(),
                 candidate.uncached_tokens.to_string(),
                 (candidate.first_token_us / 1_000).to_string(),
                 candidate.running.to_string(),
--- a/crates/lab/src/experiment/router.rs
+++ b/crates/lab/src/experiment/router.rs
@@ -273,7 +273,7 @@
             view.sent_since_report = 0;
             let candidate = Candidate {
                 engine: slot,
-                held_blocks: engine.held_blocks,
+                cached_blocks: engine.held_blocks,
                 affinity_blocks: 0,
             };
             Some(scoring::score(
@@ -286,7 +286,7 @@
     fn unscored(&self, engine: EngineSlot, chain: &PrefixChain) -> CandidateScore {
         CandidateScore {
             engine,
-            held_tokens: 0,
+            cached_tokens: 0,
             uncached_tokens: chain.total_tokens,
             first_token_us: 0,
             cost: 0.0,
--- a/crates/router/src/decisions.rs
+++ b/crates/router/src/decisions.rs
@@ -32,7 +32,8 @@
     /// Engine id.
     pub engine: EngineId,
     /// Prompt tokens known to be in the engine's cache.
-    pub held_tokens: u32,
+    #[serde(rename = "held_tokens")]
+    pub cached_tokens: u32,
     /// Estimated prompt tokens that the engine would have to compute.
     pub uncached_tokens: u32,
     /// Estimated time to first token, microseconds.
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -195,7 +195,7 @@
             incarnation: request.incarnation,
             address,
             uncached_tokens: u64::from(decision.chosen.uncached_tokens),
-            cached_blocks: decision.chosen.held_tokens / self.job.chain.block_tokens.max(1),
+            cached_blocks: decision.chosen.cached_tokens / self.job.chain.block_tokens.max(1),
             awaiting_first_token: true,
             permit,
         };
@@ -328,7 +328,7 @@
             let view = scheduler.engines.view(score.engine);
             CandidateRecord {
                 engine: view.id,
-                held_tokens: score.held_tokens,
+                cached_tokens: score.cached_tokens,
                 uncached_tokens: score.uncached_tokens,
                 first_token_us: score.first_token_us,
                 running: view.load.running,
@@ -346,7 +346,7 @@
         };
         drop(scheduler);
         self.log
-            .record_choice(record.engine, decision.chosen.held_tokens);
+            .record_choice(record.engine, decision.chosen.cached_tokens);
         lock(&self.state.decisions).push(record);
     }
 
--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -23,7 +23,7 @@
     /// Slot of the engine.
     pub engine: EngineSlot,
     /// Leading blocks that the engine has cached according to the index.
-    pub held_blocks: u32,
+    pub cached_blocks: u32,
     /// Leading blocks for which rendezvous hashing selects the engine. All routers prefer it for
     /// this prefix, so it has probably cached these blocks even without an event.
     pub affinity_blocks: u32,
@@ -46,9 +46,9 @@
     seed: u64,
 ) -> Candidates {
     let mut candidates = Candidates::new();
-    for (engine, held_blocks) in &overlaps.holders {
+    for (engine, cached_blocks) in &overlaps.holders {
         if belongs(*engine) {
-            add(&mut candidates, *engine, *held_blocks, 0);
+            add(&mut candidates, *engine, *cached_blocks, 0);
         }
     }
     add_affinity(&mut candidates, group, chain, boundaries);
@@ -117,20 +117,20 @@
     }
 }
 
-fn add(candidates: &mut Candidates, engine: EngineSlot, held_blocks: u32, affinity_blocks: u32) {
+fn add(candidates: &mut Candidates, engine: EngineSlot, cached_blocks: u32, affinity_blocks: u32) {
     let has_room = candidates.len() < MAX_CANDIDATES;
     let known = candidates
         .iter_mut()
         .find(|candidate| candidate.engine == engine);
     match known {
         Some(candidate) => {
-            candidate.held_blocks = candidate.held_blocks.max(held_blocks);
+            candidate.cached_blocks = candidate.cached_blocks.max(cached_blocks);
             candidate.affinity_blocks = candidate.affinity_blocks.max(affinity_blocks);
         }
         None if has_room => {
             candidates.push(Candidate {
                 engine,
-                held_blocks,
+                cached_blocks,
                 affinity_blocks,
             });
         }
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -128,16 +128,16 @@
         self.index.insert(engine, chain.blocks.iter().copied());
     }
 
-    /// Reverts [`Scheduler::expect_cached`] for a prompt that was not computed, except for `held_blocks`.
+    /// Reverts [`Scheduler::expect_cached`] for a prompt that was not computed, except for `cached_blocks`.
     pub fn withdraw_expectation(
         &mut self,
         engine: EngineSlot,
         chain: &PrefixChain,
-        held_blocks: u32,
+        cached_blocks: u32,
     ) {
-        let held = (held_blocks as usize).min(chain.blocks.len());
+        let cached = (cached_blocks as usize).min(chain.blocks.len());
         self.index
-            .remove(engine, chain.blocks[held..].iter().copied());
+            .remove(engine, chain.blocks[cached..].iter().copied());
     }
 
     fn score(&self, request: &RoutingRequest<'_>, candidate: Candidate) -> CandidateScore {
@@ -168,7 +168,7 @@
             .take(MAX_CANDIDATES)
             .map(|engine| Candidate {
                 engine,
-                held_blocks: 0,
+                cached_blocks: 0,
                 affinity_blocks: 0,
             })
             .collect()
--- a/crates/routing/src/scoring.rs
+++ b/crates/routing/src/scoring.rs
@@ -58,7 +58,7 @@
     /// Slot of the engine.
     pub engine: EngineSlot,
     /// Prompt tokens that the engine has cached according to the index.
-    pub held_tokens: u32,
+    pub cached_tokens: u32,
     /// Estimated number of prompt tokens that the engine has to process.
     pub uncached_tokens: u32,
     /// Estimated time to first token.
@@ -77,14 +77,14 @@
     same_zone: bool,
     index_empty: bool,
 ) -> CandidateScore {
-    let held_tokens = chain.tokens_at(candidate.held_blocks as usize);
+    let cached_tokens = chain.tokens_at(candidate.cached_blocks as usize);
     let affinity_tokens = chain.tokens_at(candidate.affinity_blocks as usize);
     let trust = if index_empty || view.cache_view_stale {
         weights.affinity_trust_unindexed
     } else {
         weights.affinity_trust
     };
-    let expected = f64::from(held_tokens).max(f64::from(affinity_tokens) * trust);
+    let expected = f64::from(cached_tokens).max(f64::from(affinity_tokens) * trust);
     let uncached = (f64::from(chain.total_tokens) - expected).max(1.0);
     let compute_us = uncached * weights.prefill_token_us;
     let queue_us = queue_us(weights, view, priority);
@@ -100,7 +100,7 @@
     };
     CandidateScore {
         engine: candidate.engine,
-        held_tokens,
+        cached_tokens,
         uncached_tokens: uncached as u32,
         first_token_us: first_token_us as Micros,
         cost: latency * first_token_us + compute * compute_us,
