--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -45,7 +45,7 @@
 const INPUT_QUEUE_CAPACITY: usize = 4_096;
 
 /// Input of the replica's thread. Requests carry the channel for their reply.
-pub enum Input {
+pub enum NodeInput {
     /// A message from another replica, and information on its sender.
     Deliver(Message, PeerInfo),
     /// Proposes a command and replies once it is applied or fails.
@@ -86,20 +86,20 @@
 /// Handle to the replica's thread.
 #[derive(Clone)]
 pub struct NodeHandle {
-    inputs: SyncSender<Input>,
+    inputs: SyncSender<NodeInput>,
     view: watch::Receiver<NodeView>,
 }
 
 impl NodeHandle {
     /// Queues a message; drops it if the queue is full, as a network may.
     pub fn deliver(&self, message: Message, sender: PeerInfo) {
-        let _ = self.inputs.try_send(Input::Deliver(message, sender));
+        let _ = self.inputs.try_send(NodeInput::Deliver(message, sender));
     }
 
     /// Queues a request and waits for its reply. Fails if the queue is full or the thread has stopped.
     pub async fn request<T>(
         &self,
-        make_input: impl FnOnce(oneshot::Sender<T>) -> Input,
+        make_input: impl FnOnce(oneshot::Sender<T>) -> NodeInput,
     ) -> Result<T, Report<ControlError>> {
         let (sender, receiver) = oneshot::channel();
         self.inputs
@@ -117,7 +117,7 @@
 
     /// Stops the thread after its current round.
     pub fn stop(&self) {
-        let _ = self.inputs.try_send(Input::Stop);
+        let _ = self.inputs.try_send(NodeInput::Stop);
     }
 }
 
@@ -218,7 +218,10 @@
     /// Runs the replica; reopens it from durable state after a storage failure.
     ///
     /// The in-memory state of the failed replica may not be durable, so it is discarded.
-    fn run_with_reopen(&mut self, inputs: &Receiver<Input>) -> Result<(), Report<ControlError>> {
+    fn run_with_reopen(
+        &mut self,
+        inputs: &Receiver<NodeInput>,
+    ) -> Result<(), Report<ControlError>> {
         loop {
             let Err(mut report) = self.run(inputs) else {
                 return Ok(());
@@ -245,15 +248,15 @@
         }
     }
 
-    fn run(&mut self, inputs: &Receiver<Input>) -> Result<(), Report<ControlError>> {
+    fn run(&mut self, inputs: &Receiver<NodeInput>) -> Result<(), Report<ControlError>> {
         loop {
             match inputs.recv_timeout(self.options.tick) {
-                Ok(Input::Stop) | Err(RecvTimeoutError::Disconnected) => return Ok(()),
+                Ok(NodeInput::Stop) | Err(RecvTimeoutError::Disconnected) => return Ok(()),
                 Ok(input) => self.handle(input)?,
                 Err(RecvTimeoutError::Timeout) => {}
             }
             for input in inputs.try_iter().take(MAX_INPUTS_PER_ROUND) {
-                if matches!(input, Input::Stop) {
+                if matches!(input, NodeInput::Stop) {
                     return Ok(());
                 }
                 self.handle(input)?;
@@ -302,47 +305,47 @@
         Ok(advance)
     }
 
-    fn handle(&mut self, input: Input) -> Result<(), Report<ControlError>> {
+    fn handle(&mut self, input: NodeInput) -> Result<(), Report<ControlError>> {
         let now = self.now();
         match input {
-            Input::Deliver(message, sender) => {
+            NodeInput::Deliver(message, sender) => {
                 self.levels.record(message.from, sender.level, now);
                 if self.check_level(message.from, sender.level) {
                     self.peers.record_address(message.from, sender.address);
                     self.replica.receive(message, now);
                 }
             }
-            Input::Propose(proposal, reply) => self.propose(&proposal, reply),
-            Input::Poll(request, reply) => {
+            NodeInput::Propose(proposal, reply) => self.propose(&proposal, reply),
+            NodeInput::Poll(request, reply) => {
                 let _ = reply.send(self.poll(&request, now));
             }
-            Input::Configuration(reply) => {
+            NodeInput::Configuration(reply) => {
                 let _ = reply.send(self.replica.state().configuration().clone());
             }
-            Input::Identify(reply) => {
+            NodeInput::Identify(reply) => {
                 let _ = reply.send(self.identity());
             }
-            Input::Status(reply) => {
+            NodeInput::Status(reply) => {
                 let _ = reply.send(self.status());
             }
-            Input::ChangeMembership(change, reply) => {
+            NodeInput::ChangeMembership(change, reply) => {
                 let _ = reply.send(self.change_membership(&change));
             }
-            Input::Snapshot(reply) => {
+            NodeInput::Snapshot(reply) => {
                 self.replica.compact()?;
                 let _ = reply.send(self.replica.raft().log().snapshot().last_index);
             }
-            Input::LeaderView(reply) => {
+            NodeInput::LeaderView(reply) => {
                 let _ = reply.send(self.leader_view());
             }
-            Input::ReadIndex(reply) => self.start_read(reply, now),
-            Input::Join(request, reply) => {
+            NodeInput::ReadIndex(reply) => self.start_read(reply, now),
+            NodeInput::Join(request, reply) => {
                 let _ = reply.send(self.join(request, now));
             }
-            Input::Leave(replica, reply) => {
+            NodeInput::Leave(replica, reply) => {
                 let _ = reply.send(self.leave(replica, now));
             }
-            Input::Stop => {}
+            NodeInput::Stop => {}
         }
         Ok(())
     }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -16,7 +16,7 @@
     configuration::RevisionCheck,
     errors::ControlError,
     state::ControlState,
-    store::{Folder, Identity, ReplicaStore},
+    store::{DataFolder, Identity, ReplicaStore},
 };
 
 /// Maximum number of entries in one append message.
@@ -102,7 +102,7 @@
     /// Opens a replica from its data folder. With a new folder the replica has no members and waits
     /// until a leader adds it.
     pub fn open(
-        folder: &dyn Folder,
+        folder: &dyn DataFolder,
         options: ReplicaOptions,
         now: Millis,
     ) -> Result<Self, Report<ControlError>> {
@@ -121,7 +121,7 @@
 
     /// Initializes an empty data folder as the only voter of a new cluster.
     pub fn initialize(
-        folder: &dyn Folder,
+        folder: &dyn DataFolder,
         options: &ReplicaOptions,
         address: &str,
     ) -> Result<(), Report<ControlError>> {
@@ -137,7 +137,7 @@
     /// Initializes an empty data folder as one of the initial members of a new cluster. All of them
     /// must be initialized with the same members.
     pub fn initialize_with_members(
-        folder: &dyn Folder,
+        folder: &dyn DataFolder,
         options: &ReplicaOptions,
         members: Vec<Member>,
     ) -> Result<(), Report<ControlError>> {
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -42,7 +42,7 @@
     configuration::RevisionCheck,
     errors::ControlError,
     metrics::ControlMetrics,
-    node::{self, Input, LeaderView, NodeHandle, NodeOptions},
+    node::{self, LeaderView, NodeHandle, NodeInput, NodeOptions},
     peers::Peers,
     replica::{Replica, ReplicaOptions},
     rollout::{self, ObservedEngines, RolloutStep},
@@ -184,7 +184,7 @@
         let registry = Arc::clone(&registry);
         let handle = handle.clone();
         async move {
-            let status = handle.request(Input::Status).await;
+            let status = handle.request(NodeInput::Status).await;
             let ready = status.is_ok_and(|status| status.leader.is_some());
             observability::respond(request.uri().path(), &registry, ready)
                 .unwrap_or_else(|| body::with_content_type(404, "text/plain", body::empty()))
@@ -204,7 +204,7 @@
 /// Additional services of a replica that serves routers by watches.
 #[derive(Clone)]
 pub(crate) struct GroupServices {
-    pub(crate) link: Arc<LeaderClient>,
+    pub(crate) leader_client: Arc<LeaderClient>,
     pub(crate) watch: Arc<WatchServer>,
     pub(crate) liveness: Arc<Liveness>,
     pub(crate) quotas: Arc<QuotaServer>,
@@ -237,7 +237,7 @@
     async fn poll(self, _: Context, request: PollRequest) -> PollReply {
         let reply = self
             .handle
-            .request(|sender| Input::Poll(request, sender))
+            .request(|sender| NodeInput::Poll(request, sender))
             .await;
         reply.unwrap_or_else(|_| stopped_poll_reply())
     }
@@ -246,23 +246,23 @@
         proposal.at = unix_millis();
         let reply = self
             .handle
-            .request(|sender| Input::Propose(proposal, sender))
+            .request(|sender| NodeInput::Propose(proposal, sender))
             .await;
         reply.unwrap_or(ProposeReply::Unknown)
     }
 
     async fn configuration(self, _: Context) -> Configuration {
-        let reply = self.handle.request(Input::Configuration).await;
+        let reply = self.handle.request(NodeInput::Configuration).await;
         reply.unwrap_or_default()
     }
 
     async fn identify(self, _: Context) -> ReplicaIdentity {
-        let reply = self.handle.request(Input::Identify).await;
+        let reply = self.handle.request(NodeInput::Identify).await;
         reply.unwrap_or_else(|_| unknown_identity())
     }
 
     async fn status(self, _: Context) -> StatusReply {
-        let reply = self.handle.request(Input::Status).await;
+        let reply = self.handle.request(NodeInput::Status).await;
         reply.unwrap_or_else(|_| StatusReply {
             identity: unknown_identity(),
             term: 0,
@@ -281,7 +281,7 @@
     async fn change_membership(self, _: Context, change: MembershipChange) -> MembershipReply {
         let reply = self
             .handle
-            .request(|sender| Input::ChangeMembership(change, sender))
+            .request(|sender| NodeInput::ChangeMembership(change, sender))
             .await;
         reply.unwrap_or(MembershipReply::NotLeader { leader: None })
     }
@@ -296,7 +296,7 @@
     async fn join(self, _: Context, request: JoinRequest) -> JoinReply {
         let reply = self
             .handle
-            .request(|sender| Input::Join(request, sender))
+            .request(|sender| NodeInput::Join(request, sender))
             .await;
         reply.unwrap_or(JoinReply::NotLeader { leader: None })
     }
@@ -304,13 +304,13 @@
     async fn leave(self, _: Context, replica: ReplicaId) -> JoinReply {
         let reply = self
             .handle
-            .request(|sender| Input::Leave(replica, sender))
+            .request(|sender| NodeInput::Leave(replica, sender))
             .await;
         reply.unwrap_or(JoinReply::NotLeader { leader: None })
     }
 
     async fn read_index(self, _: Context) -> ReadIndexReply {
-        let reply = self.handle.request(Input::ReadIndex).await;
+        let reply = self.handle.request(NodeInput::ReadIndex).await;
         reply.unwrap_or(ReadIndexReply::NotLeader { leader: None })
     }
 
@@ -331,7 +331,9 @@
         let Some(group) = self.group.as_ref() else {
             return false;
         };
-        let removal = group.liveness.remove_if_silent(&group.link, &replica);
+        let removal = group
+            .liveness
+            .remove_if_silent(&group.leader_client, &replica);
         removal.await
     }
 
@@ -347,7 +349,7 @@
     }
 
     async fn snapshot(self, _: Context) -> u64 {
-        let reply = self.handle.request(Input::Snapshot).await;
+        let reply = self.handle.request(NodeInput::Snapshot).await;
         reply.unwrap_or_default()
     }
 }
@@ -400,7 +402,7 @@
     let mut interval = tokio::time::interval(ROLLOUT_INTERVAL);
     loop {
         interval.tick().await;
-        let Ok(view) = handle.request(Input::LeaderView).await else {
+        let Ok(view) = handle.request(NodeInput::LeaderView).await else {
             return;
         };
         let active_view = view.filter(|view| !view.configuration.models.is_empty());
@@ -432,7 +434,7 @@
         };
         // If recording fails, the next iteration retries.
         let _ = handle
-            .request(|sender| Input::Propose(proposal, sender))
+            .request(|sender| NodeInput::Propose(proposal, sender))
             .await;
     }
     for (engine, issued) in send {
--- a/crates/control/src/serving/daemon.rs
+++ b/crates/control/src/serving/daemon.rs
@@ -122,7 +122,7 @@
     ));
     let permits = Arc::new(PermitServer::new(node.clone(), started, metrics.clone()));
     let service = ControlService::new(node, Arc::clone(&permits)).with_group(GroupServices {
-        link: Arc::clone(&leader_client),
+        leader_client: Arc::clone(&leader_client),
         watch: Arc::clone(&watch),
         liveness: Arc::clone(&liveness),
         quotas: Arc::clone(&quotas),
--- a/crates/control/src/serving/leader.rs
+++ b/crates/control/src/serving/leader.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 use crate::{
-    node::{Input, NodeHandle},
+    node::{NodeHandle, NodeInput},
     serving::errors::Unavailable,
     view::NodeView,
 };
@@ -133,7 +133,7 @@
     ) -> Option<ProposeReply> {
         let reply = self
             .node
-            .request(|sender| Input::Propose(proposal.clone(), sender));
+            .request(|sender| NodeInput::Propose(proposal.clone(), sender));
         timeout(timeout_after, reply).await.ok()?.ok()
     }
 
@@ -177,7 +177,7 @@
     async fn read_index(&self) -> Option<LogIndex> {
         let leader = self.view().leader?;
         let reply = if leader == self.local_address {
-            let reply = self.node.request(Input::ReadIndex);
+            let reply = self.node.request(NodeInput::ReadIndex);
             timeout(ATTEMPT_TIMEOUT, reply).await.ok()?.ok()?
         } else {
             let connection = self.connection(&leader)?;
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -10,18 +10,18 @@
 use crate::errors::ControlError;
 
 /// A data folder. The log and the snapshot store each open a separate handle.
-pub trait Folder {
+pub trait DataFolder {
     /// Opens a handle to the folder.
     fn open(&self) -> Box<dyn Media>;
 }
 
-impl Folder for MemoryMedia {
+impl DataFolder for MemoryMedia {
     fn open(&self) -> Box<dyn Media> {
         Box::new(self.clone())
     }
 }
 
-impl Folder for railtack_storage::FileMedia {
+impl DataFolder for railtack_storage::FileMedia {
     fn open(&self) -> Box<dyn Media> {
         Box::new(self.clone())
     }
@@ -66,7 +66,7 @@
 
 impl ReplicaStore {
     /// Opens a data folder and recovers its content.
-    pub fn open(folder: &dyn Folder) -> Result<OpenedStore, Report<ControlError>> {
+    pub fn open(folder: &dyn DataFolder) -> Result<OpenedStore, Report<ControlError>> {
         let snapshots = SnapshotStore::new(folder.open());
         let snapshot = match snapshots.load().change_context(ControlError::Storage)? {
             Some(bytes) => decode::<Snapshot>(&bytes)?,
