--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -21,13 +21,13 @@
     /// Polls received from routers.
     pub polls: Counter,
     /// Quota requests received from routers.
-    pub quota_asked: Counter,
+    pub quota_requests: Counter,
     /// Quota requests that were rejected.
-    pub quota_refused: Counter,
+    pub quota_rejected: Counter,
     /// Permit requests for back ends with a limit.
-    pub permits_asked: Counter,
+    pub permit_requests: Counter,
     /// Permit requests that were denied.
-    pub permits_withheld: Counter,
+    pub permits_denied: Counter,
     /// Quarantined requests, which are sent to no replica because replicas crashed under them.
     pub quarantined: Gauge,
     /// Suspect requests, under which replicas crashed recently.
@@ -35,9 +35,9 @@
     /// Registrations of back-end replicas that this replica proposed and the group applied.
     pub registrations: Counter,
     /// Heartbeats rejected because too many registrations were pending.
-    pub registrations_refused: Counter,
+    pub registrations_rejected: Counter,
     /// Heartbeats for a service that the configuration does not name.
-    pub registrations_unnamed: Counter,
+    pub registrations_unknown_service: Counter,
     /// Messages to other replicas dropped because the peer was slow, unreachable or unknown.
     pub dropped_messages: Counter,
     /// Messages and join requests rejected because the sender's build does not support the group's feature
@@ -67,15 +67,15 @@
             applied: Counter::default(),
             rounds: Counter::default(),
             polls: Counter::default(),
-            quota_asked: Counter::default(),
-            quota_refused: Counter::default(),
-            permits_asked: Counter::default(),
-            permits_withheld: Counter::default(),
+            quota_requests: Counter::default(),
+            quota_rejected: Counter::default(),
+            permit_requests: Counter::default(),
+            permits_denied: Counter::default(),
             quarantined: Gauge::default(),
             suspects: Gauge::default(),
             registrations: Counter::default(),
-            registrations_refused: Counter::default(),
-            registrations_unnamed: Counter::default(),
+            registrations_rejected: Counter::default(),
+            registrations_unknown_service: Counter::default(),
             dropped_messages: Counter::default(),
             rejected_below_level: Counter::default(),
             group_level: Gauge::default(),
@@ -104,32 +104,32 @@
         registry.register(
             "control_registrations_refused",
             "Heartbeats refused because too many replicas waited to be recorded",
-            self.registrations_refused.clone(),
+            self.registrations_rejected.clone(),
         );
         registry.register(
             "control_registrations_unnamed",
             "Heartbeats for a service that the configuration does not name",
-            self.registrations_unnamed.clone(),
+            self.registrations_unknown_service.clone(),
         );
         registry.register(
             "control_quota_asked",
             "Parts of tenants' quotas asked for",
-            self.quota_asked.clone(),
+            self.quota_requests.clone(),
         );
         registry.register(
             "control_quota_refused",
             "Parts of tenants' quotas refused",
-            self.quota_refused.clone(),
+            self.quota_rejected.clone(),
         );
         registry.register(
             "control_permits_asked",
             "Permits for back ends with a limit asked for",
-            self.permits_asked.clone(),
+            self.permit_requests.clone(),
         );
         registry.register(
             "control_permits_withheld",
             "Permits for back ends with a limit withheld",
-            self.permits_withheld.clone(),
+            self.permits_denied.clone(),
         );
         registry.register(
             "control_quarantined",
--- a/crates/control/src/serving/handle.rs
+++ b/crates/control/src/serving/handle.rs
@@ -119,7 +119,7 @@
     ) -> Result<HeartbeatTarget, Unavailable> {
         let view = self.leader_client.view();
         if !is_service_configured(&view, &record) {
-            self.metrics.registrations_unnamed.inc();
+            self.metrics.registrations_unknown_service.inc();
             spdlog::info!("heartbeat for an unknown service", kv: {
                 replica = record.id,
                 service = record.service,
--- a/crates/control/src/serving/permits.rs
+++ b/crates/control/src/serving/permits.rs
@@ -109,14 +109,14 @@
                 retry_after_ms,
             };
         }
-        self.metrics.permits_asked.inc();
+        self.metrics.permit_requests.inc();
         match term.ledger.acquire(&request.incarnation_id, now) {
             PermitDecision::Granted(limit) => PermitReply::Granted {
                 limit,
                 stamp: term.stamp(now),
             },
             PermitDecision::Denied { limit, retry_after } => {
-                self.metrics.permits_withheld.inc();
+                self.metrics.permits_denied.inc();
                 PermitReply::Denied {
                     limit,
                     retry_after_ms: retry_after.as_millis() as u32 + 1,
--- a/crates/control/src/serving/quota.rs
+++ b/crates/control/src/serving/quota.rs
@@ -98,7 +98,7 @@
                 leader: view.leader.clone(),
             };
         }
-        self.metrics.quota_asked.inc();
+        self.metrics.quota_requests.inc();
         let (account, quota) = match &request.subject {
             QuotaSubject::Tenant { name } => {
                 let Some(quota) = configured_quota(&view, name) else {
@@ -136,7 +136,7 @@
     }
 
     fn refuse(&self, retry_after: Duration, rate_per_s: u64, level: f64, term: u64) -> QuotaReply {
-        self.metrics.quota_refused.inc();
+        self.metrics.quota_rejected.inc();
         QuotaReply::Refused {
             retry_after_ms: retry_after.as_millis() as u32,
             rate_per_s,
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -103,7 +103,7 @@
         sender: Option<ReplySender>,
     ) -> Result<(), Unavailable> {
         if !self.lock().enqueue(record, sender) {
-            self.metrics.registrations_refused.inc();
+            self.metrics.registrations_rejected.inc();
             return Err(Unavailable::Busy);
         }
         self.enqueued.notify_one();
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -305,10 +305,10 @@
     match advertised {
         LimitHeader::Absent => {}
         LimitHeader::Present(_) => {
-            state.metrics.limits_named.inc();
+            state.metrics.advertised_limits.inc();
         }
         LimitHeader::Invalid(error) => {
-            state.metrics.limits_unread.inc();
+            state.metrics.invalid_limits.inc();
             spdlog::info!("invalid rate limit", kv: {
                 replica = replica.to_owned(),
                 cause = error.to_string(),
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -116,7 +116,7 @@
 
 /// Reports a crashed replica to the control group, with all requests it may have crashed on.
 async fn report_crash(state: &ProxyState, replica: &str, proof: &str) {
-    state.metrics.replica_ends.inc();
+    state.metrics.replica_crashes.inc();
     // Without responses from other replicas, this router's own network may have failed.
     let hears_others =
         lock(&state.replicas).any_other_responded(replica, RECENT_RESPONSE_WINDOW, Instant::now());
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -56,7 +56,7 @@
         limit: RequestLimit,
         available_at: MonotonicTime,
     ) {
-        self.metrics.permits_withheld.inc();
+        self.metrics.permits_denied.inc();
         let mut replicas = lock(&self.replicas);
         replicas
             .availability
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -53,13 +53,13 @@
     /// Responses in which a replica asked for a back-off period.
     pub back_offs: Counter,
     /// Responses in which a replica advertised a rate limit.
-    pub limits_named: Counter,
+    pub advertised_limits: Counter,
     /// Requests not sent to a replica because a permit was denied.
-    pub permits_withheld: Counter,
+    pub permits_denied: Counter,
     /// Responses with an invalid rate limit.
-    pub limits_unread: Counter,
+    pub invalid_limits: Counter,
     /// Replicas that crashed while running requests of this router.
-    pub replica_ends: Counter,
+    pub replica_crashes: Counter,
     /// Requests currently quarantined.
     pub quarantined: Gauge,
     /// Streams resumed at another replica.
@@ -89,10 +89,10 @@
             retries_denied: Counter::default(),
             quota_unanswered: Counter::default(),
             back_offs: Counter::default(),
-            limits_named: Counter::default(),
-            permits_withheld: Counter::default(),
-            limits_unread: Counter::default(),
-            replica_ends: Counter::default(),
+            advertised_limits: Counter::default(),
+            permits_denied: Counter::default(),
+            invalid_limits: Counter::default(),
+            replica_crashes: Counter::default(),
             quarantined: Gauge::default(),
             resumed: Counter::default(),
             prompt_tokens: Counter::default(),
@@ -133,17 +133,17 @@
         registry.register(
             "proxy_limits_named",
             "Answers in which a replica named a limit on requests",
-            self.limits_named.clone(),
+            self.advertised_limits.clone(),
         );
         registry.register(
             "proxy_permits_withheld",
             "Requests not sent to a replica because its limit had no room",
-            self.permits_withheld.clone(),
+            self.permits_denied.clone(),
         );
         registry.register(
             "proxy_limits_unread",
             "Answers whose limit on requests could not be read",
-            self.limits_unread.clone(),
+            self.invalid_limits.clone(),
         );
         registry.register(
             "proxy_quota_unanswered",
@@ -153,7 +153,7 @@
         registry.register(
             "proxy_replica_ends",
             "Replicas that ended while they had requests of this router",
-            self.replica_ends.clone(),
+            self.replica_crashes.clone(),
         );
         registry.register(
             "proxy_quarantined",
