--- a/crates/control/src/errors.rs
+++ b/crates/control/src/errors.rs
@@ -29,7 +29,7 @@
         address: std::net::SocketAddr,
     },
     /// The settings are invalid.
-    #[error("the settings are invalid")]
+    #[error("invalid settings")]
     Settings,
     /// The replica's thread has stopped or rejected a request.
     #[error("the replica has stopped")]
--- a/crates/control/src/serving/order_dispatcher.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -247,7 +247,7 @@
             back_off: Some(delay),
             ..BackendSignals::default()
         };
-        spdlog::info!("replica asked for a back-off from orders", kv: {
+        spdlog::info!("replica requested back-off from orders", kv: {
             replica = record.id.clone(),
             back_off_ms = delay.as_millis() as u64,
         });
--- a/crates/ctl/src/errors.rs
+++ b/crates/ctl/src/errors.rs
@@ -49,7 +49,7 @@
         reason: &'static str,
     },
     /// The runtime cannot be started.
-    #[error("the runtime cannot be started")]
+    #[error("cannot start the async runtime")]
     Runtime,
 }
 
--- a/crates/emulator/src/errors.rs
+++ b/crates/emulator/src/errors.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EmulatorError {
     /// The settings were refused.
-    #[error("the settings were refused")]
+    #[error("invalid settings")]
     Settings,
     /// The listener cannot be opened.
     #[error("cannot listen on {address}")]
@@ -17,6 +17,6 @@
         address: SocketAddr,
     },
     /// The runtime cannot be started.
-    #[error("the runtime cannot be started")]
+    #[error("cannot start the async runtime")]
     Runtime,
 }
--- a/crates/lab/src/errors.rs
+++ b/crates/lab/src/errors.rs
@@ -51,7 +51,7 @@
         name: String,
     },
     /// The asynchronous runtime could not be started.
-    #[error("runtime")]
+    #[error("cannot start the async runtime")]
     Runtime,
     /// The run was made, and what it showed breaks a promise.
     #[error("{violations} violations")]
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -309,7 +309,7 @@
         }
         LimitHeader::Invalid(error) => {
             state.metrics.invalid_limits.inc();
-            spdlog::info!("invalid rate limit", kv: {
+            spdlog::info!("invalid rate limit header", kv: {
                 replica = replica.to_owned(),
                 cause = error.to_string(),
             });
--- a/crates/proxy/src/control_peers.rs
+++ b/crates/proxy/src/control_peers.rs
@@ -80,7 +80,7 @@
         match connection.call(call).await {
             Ok(reply) => Some((reply, address)),
             Err(report) => {
-                spdlog::info!("call to the leader failed", kv: {
+                spdlog::info!("request to the leader failed", kv: {
                     subject,
                     address = address.to_string(),
                     cause = report.to_string(),
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -275,7 +275,7 @@
 /// Proposes a command until it is recorded, following changes of leader. Recording is idempotent.
 async fn propose_until_recorded(state: &ProxyState, command: ServingCommand) {
     if !state.control_peers.supports_grants() {
-        spdlog::info!("report skipped: not supported by the control group yet");
+        spdlog::info!("report skipped: not supported at the group's feature level");
         return;
     }
     let Ok(_permit) = state.report_slots.try_acquire() else {
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -114,7 +114,7 @@
         LimitHeader::Absent => SignalChanges::default(),
         LimitHeader::Invalid(error) => {
             state.metrics.invalid_limits.inc();
-            spdlog::info!("rate limit header invalid", kv: {
+            spdlog::info!("invalid rate limit header", kv: {
                 replica = incarnation_id.to_owned(),
                 cause = error.to_string(),
             });
@@ -143,7 +143,7 @@
 
 fn log_new_limit(incarnation_id: &str, changes: SignalChanges) -> SignalChanges {
     if let Some(limit) = changes.limit {
-        spdlog::info!("rate limit advertised", kv: {
+        spdlog::info!("back end advertised a rate limit", kv: {
             replica = incarnation_id.to_owned(),
             per_s = limit.requests_per_s(),
         });
--- a/crates/storage/src/errors.rs
+++ b/crates/storage/src/errors.rs
@@ -23,7 +23,7 @@
         offset: u64,
     },
     /// The file has a format that this version does not support.
-    #[error("{file} has an unsupported format")]
+    #[error("{file} was written in a former format that is no longer supported")]
     UnsupportedFormat {
         /// File within the data folder.
         file: String,
