--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -24,32 +24,32 @@
     /// Returns the changes after the position of a router; `None` if there are none, or if the
     /// router is ahead of this replica. The update holds all other changes, and as many records as
     /// fit.
-    pub fn update_after(&self, known: WatchPosition) -> Option<ServingUpdate> {
+    pub fn update_after(&self, position: WatchPosition) -> Option<ServingUpdate> {
         let limits = UpdateLimits {
             records: MAX_RECORDS_PER_UPDATE,
             unknown_records: MAX_RECORDS_PER_UPDATE,
         };
-        self.build_update(known, limits)
+        self.build_update(position, limits)
     }
 
     /// Like [`Self::update_after`], but without records that the router has not received before.
-    pub fn known_changes_after(&self, known: WatchPosition) -> Option<ServingUpdate> {
+    pub fn known_changes_after(&self, position: WatchPosition) -> Option<ServingUpdate> {
         let limits = UpdateLimits {
             records: MAX_RECORDS_PER_UPDATE,
             unknown_records: 0,
         };
-        self.build_update(known, limits)
-            .filter(|update| update.position != known)
+        self.build_update(position, limits)
+            .filter(|update| update.position != position)
     }
 
     /// Returns all changes in one update, for routers of builds that do not accept partial updates
     /// and identify replicas by name alone.
-    pub fn full_update_after(&self, known: WatchPosition) -> Option<ServingUpdate> {
+    pub fn full_update_after(&self, position: WatchPosition) -> Option<ServingUpdate> {
         let limits = UpdateLimits {
             records: usize::MAX,
             unknown_records: usize::MAX,
         };
-        let mut update = self.build_update(known, limits)?;
+        let mut update = self.build_update(position, limits)?;
         for record in &mut update.replicas {
             record.id = record.replica_name().to_owned();
         }
@@ -61,27 +61,27 @@
         Some(update)
     }
 
-    fn build_update(&self, known: WatchPosition, limits: UpdateLimits) -> Option<ServingUpdate> {
-        if known.state > self.changed_at || known.records >= self.changed_at {
+    fn build_update(&self, position: WatchPosition, limits: UpdateLimits) -> Option<ServingUpdate> {
+        if position.state > self.changed_at || position.records >= self.changed_at {
             return None;
         }
-        let complete = known.state == 0 || known.state < self.tombstones.evicted_through();
-        let (replicas, position) = if complete {
+        let complete = position.state == 0 || position.state < self.tombstones.evicted_through();
+        let (replicas, new_position) = if complete {
             self.initial_records(limits)
         } else {
-            self.records_after(known, limits)
+            self.records_after(position, limits)
         };
         let configuration =
-            (self.configuration_at > known.state).then(|| self.configuration().clone());
+            (self.configuration_at > position.state).then(|| self.configuration().clone());
         let quarantine = Some(self.quarantine.update())
-            .filter(|lists| lists.changed_at > known.state)
+            .filter(|lists| lists.changed_at > position.state)
             .cloned();
         Some(ServingUpdate {
-            position,
+            position: new_position,
             configuration,
             complete,
             replicas,
-            removed: self.removed_after(known.state),
+            removed: self.removed_after(position.state),
             weights: self.target_weights(),
             quarantine,
         })
@@ -91,25 +91,25 @@
     fn initial_records(&self, limits: UpdateLimits) -> (Vec<ReplicaRecord>, WatchPosition) {
         let (records, records_through) =
             self.records_between(0, self.changed_at, limits.unknown_records);
-        let position = WatchPosition {
+        let new_position = WatchPosition {
             state: self.changed_at,
             changes: self.changed_at,
             records: records_through,
         };
-        (records, position)
+        (records, new_position)
     }
 
     /// Records for one update: first the changes of records that the router has, then as many of
     /// the others as fit.
     fn records_after(
         &self,
-        known: WatchPosition,
+        position: WatchPosition,
         limits: UpdateLimits,
     ) -> (Vec<ReplicaRecord>, WatchPosition) {
         let (mut records, changes_through) =
-            self.records_between(known.changes, self.changed_at, limits.records);
-        let had_all_records = known.records >= known.changes;
-        let mut records_through = known.records;
+            self.records_between(position.changes, self.changed_at, limits.records);
+        let had_all_records = position.records >= position.changes;
+        let mut records_through = position.records;
         let remaining = limits
             .records
             .saturating_sub(records.len())
@@ -118,21 +118,21 @@
             records_through = changes_through;
         } else if changes_through == self.changed_at && remaining > 0 {
             let (new_records, sent_through) =
-                self.records_between(known.records, known.changes, remaining);
+                self.records_between(position.records, position.changes, remaining);
             records.extend(new_records);
             // The router has all records now.
-            records_through = if sent_through == known.changes {
+            records_through = if sent_through == position.changes {
                 changes_through
             } else {
                 sent_through
             };
         }
-        let position = WatchPosition {
+        let new_position = WatchPosition {
             state: self.changed_at,
             changes: changes_through,
             records: records_through,
         };
-        (records, position)
+        (records, new_position)
     }
 
     /// Records whose last change lies between two positions, in the order of their changes, and the
@@ -158,8 +158,8 @@
         (records, through)
     }
 
-    fn removed_after(&self, known: LogIndex) -> Vec<String> {
-        self.tombstones.removed_after(known).cloned().collect()
+    fn removed_after(&self, after: LogIndex) -> Vec<String> {
+        self.tombstones.removed_after(after).cloned().collect()
     }
 
     fn target_weights(&self) -> Vec<ModelWeights> {
--- a/crates/control/tests/registration_queue.rs
+++ b/crates/control/tests/registration_queue.rs
@@ -164,19 +164,19 @@
         state.apply(position as u64 + 1, ServingCommand::RegisterAll(batch));
     }
     let mut index = 100;
-    let mut known = WatchPosition::default();
+    let mut position = WatchPosition::default();
     let mut copy = BTreeMap::new();
     let mut updates = 0;
-    while let Some(update) = state.update_after(known) {
+    while let Some(update) = state.update_after(position) {
         updates += 1;
         assert!(
             update.replicas.len() <= 4 * MAX_BATCH_RECORDS,
             "{}",
             update.replicas.len()
         );
-        known = apply(&mut copy, update, known);
+        position = apply(&mut copy, update, position);
         // The router may serve from each partial copy.
-        assert!(known.is_current());
+        assert!(position.is_current());
         assert!(is_subset(&copy, &state));
         if updates <= 5 {
             // One replica that the router has received leaves the group, and another one starts
@@ -197,7 +197,7 @@
         }
     }
     assert!(updates > 10, "{updates}");
-    assert_eq!(known, WatchPosition::at(state.changed_at()));
+    assert_eq!(position, WatchPosition::at(state.changed_at()));
     let recorded = state.replicas().iter();
     let recorded = recorded.map(|(id, record)| (id.clone(), record.clone()));
     assert_eq!(copy, recorded.collect());
@@ -208,10 +208,10 @@
 fn apply(
     copy: &mut BTreeMap<String, ReplicaRecord>,
     update: ServingUpdate,
-    known: WatchPosition,
+    position: WatchPosition,
 ) -> WatchPosition {
-    assert!(update.position.state >= known.state);
-    assert!(update.complete == (known.state == 0));
+    assert!(update.position.state >= position.state);
+    assert!(update.complete == (position.state == 0));
     for replica in &update.removed {
         copy.remove(replica);
     }
@@ -240,7 +240,7 @@
             let batch = (first..first + 100).map(record).collect();
             state.apply(index, ServingCommand::RegisterAll(batch));
         }
-        let mut known = WatchPosition::default();
+        let mut position = WatchPosition::default();
         let mut copy = BTreeMap::new();
         let mut holds = true;
         for (kind, number, polls) in events {
@@ -253,14 +253,14 @@
                 _ => ServingCommand::RegisterAll(vec![leaving(number)]),
             };
             state.apply(index, command);
-            if polls && let Some(update) = state.update_after(known) {
-                known = apply(&mut copy, update, known);
-                holds &= !known.is_current() || is_subset(&copy, &state);
+            if polls && let Some(update) = state.update_after(position) {
+                position = apply(&mut copy, update, position);
+                holds &= !position.is_current() || is_subset(&copy, &state);
             }
         }
-        while let Some(update) = state.update_after(known) {
-            known = apply(&mut copy, update, known);
-            holds &= !known.is_current() || is_subset(&copy, &state);
+        while let Some(update) = state.update_after(position) {
+            position = apply(&mut copy, update, position);
+            holds &= !position.is_current() || is_subset(&copy, &state);
         }
         holds && copy.len() == state.replicas().size() && is_subset(&copy, &state)
     }
--- a/crates/control/tests/watch.rs
+++ b/crates/control/tests/watch.rs
@@ -8,10 +8,10 @@
 
 const MAX_INTERVAL: Duration = Duration::from_millis(400);
 
-fn request(known: u64, wait_ms: u64) -> WatchRequest {
+fn request(state: u64, wait_ms: u64) -> WatchRequest {
     WatchRequest {
         router: "r".to_owned(),
-        position: WatchPosition::at(known),
+        position: WatchPosition::at(state),
         wants_records: true,
         accepts_partial: true,
         wait_ms,
--- a/crates/proxy/src/control_watch.rs
+++ b/crates/proxy/src/control_watch.rs
@@ -167,8 +167,8 @@
     let was_confirmed = state.is_confirmed();
     state.routers.store(reply.routers, Ordering::Relaxed);
     if let Some(digest) = reply.fleet.take() {
-        if let Some(dark) = lock(&state.fleet).apply(digest, Instant::now()) {
-            spdlog::info!("unresponsive replicas changed", kv: { dark });
+        if let Some(unresponsive) = lock(&state.fleet).apply(digest, Instant::now()) {
+            spdlog::info!("unresponsive replicas changed", kv: { dark = unresponsive });
         }
         limits::resend_unknown_limits(state);
     }
--- a/crates/proxy/tests/control_watch.rs
+++ b/crates/proxy/tests/control_watch.rs
@@ -175,12 +175,12 @@
     assert!(requests <= 25, "{requests} requests in one second");
 }
 
-/// Whether a router that receives `known` gains a lease within 500 ms.
-async fn gains_lease(known: WatchPosition) -> bool {
+/// Whether a router that receives `position` gains a lease within 500 ms.
+async fn gains_lease(position: WatchPosition) -> bool {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let update = ServingUpdate {
-        position: known,
+        position,
         complete: true,
         configuration: Some(ServingConfiguration::default()),
         ..ServingUpdate::default()
--- a/crates/rpc/tests/codec.rs
+++ b/crates/rpc/tests/codec.rs
@@ -45,9 +45,9 @@
             body: Body::Vote { last_index, last_term: term },
         };
         let bytes = message.write_to_vec().expect("writing into memory");
-        let whole = Message::read_from_buffer(&bytes).expect("what was written is read");
+        let decoded = Message::read_from_buffer(&bytes).expect("what was written is read");
         let truncated = &bytes[..length % bytes.len()];
-        whole == message && Message::read_from_buffer(truncated).is_err()
+        decoded == message && Message::read_from_buffer(truncated).is_err()
     }
 
     fn corrupted_proposals_do_not_panic(at: u64, position: usize, value: u8) -> bool {
