--- a/crates/control/src/serving/daemon.rs
+++ b/crates/control/src/serving/daemon.rs
@@ -60,7 +60,7 @@
     pub listen: SocketAddr,
     /// Data folder.
     pub data: PathBuf,
-    /// Whether the whole deployment starts for the first time.
+    /// Whether the deployment starts for the first time.
     pub bootstrap: bool,
     /// Internal addresses of some control replicas.
     pub seeds: Vec<SocketAddr>,
--- a/crates/control/src/serving/fleet.rs
+++ b/crates/control/src/serving/fleet.rs
@@ -1,6 +1,6 @@
 //! Aggregates the observations of all routers at the back-end replicas. Pure: times are passed in.
 //!
-//! A single router sees only a small part of a replica's requests. It cannot tell a busy replica
+//! A single router sees only a small part of a replica's requests. It cannot distinguish a busy replica
 //! from an idle one, and detects a crash only by losing a request. So each router reports its open
 //! requests and the time since it last received anything to a control replica; the control replicas
 //! forward the sums to the leader, which builds a digest for all routers.
--- a/crates/control/src/serving/order_channel.rs
+++ b/crates/control/src/serving/order_channel.rs
@@ -32,7 +32,7 @@
     Fenced,
     /// The back end refused for another reason, or is another replica.
     Refused,
-    /// The back end refused and asked for no requests from this machine for this time.
+    /// The back end refused and requested a back-off of this duration from this machine.
     BackOff(Duration),
     /// No reply; the order may still be executed.
     Unknown,
@@ -41,7 +41,7 @@
 /// Error of a request for a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportError {
-    /// The back end refused and asked for no requests from this machine for this time.
+    /// The back end refused and requested a back-off of this duration from this machine.
     BackOff(Duration),
     /// No valid reply.
     NoReply,
--- a/crates/control/src/serving/order_dispatcher.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -79,7 +79,7 @@
     last_sent: HashMap<String, Instant>,
     /// Replicas with a running task.
     in_progress: HashSet<String>,
-    /// Replicas that asked for no requests from this machine for some time.
+    /// Replicas that requested a back-off from this machine.
     availability: Availability,
 }
 
@@ -111,7 +111,7 @@
         self.refused_token.load(Ordering::Relaxed)
     }
 
-    /// Reserves a replica for a task; returns false if one is running or the replica asked for a
+    /// Reserves a replica for a task; returns false if one is running or the replica requested a
     /// back-off.
     pub fn try_reserve(&self, replica: &str) -> bool {
         let mut state = self.lock();
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Records the back-off that a replica asked for while it sheds load. Until it has passed, the
+    /// Records the back-off that a replica requested while it sheds load. Until it has passed, the
     /// replica gets no orders or requests for reports.
     fn record_back_off(&self, record: &ReplicaRecord, delay: Duration) {
         let signals = BackendSignals {
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Asks the leader to remove a silent replica from an address. Only the leader knows all
+    /// Requests that the leader remove a silent replica from an address. Only the leader knows all
     /// heartbeats.
     async fn remove_if_silent(&self, holder: &str) -> bool {
         let Some(leader) = self.leader_client.view().leader else {
--- a/crates/control/src/serving_state/updates.rs
+++ b/crates/control/src/serving_state/updates.rs
@@ -8,7 +8,7 @@
 use super::ServingState;
 
 /// Records in one update, about 70 kB. A router's link of 10 Mbit/s carries them in 60 ms; a larger
-/// message may miss its deadline and is then lost as a whole.
+/// message may miss its deadline and is then lost completely.
 const MAX_RECORDS_PER_UPDATE: usize = 512;
 
 /// Limits of one update.
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -154,7 +154,7 @@
             return Err(FailedExchange::not_sent("quarantined"));
         }
         let sent_at = Instant::now();
-        // The replica may have asked for back-off or announced its shutdown meanwhile.
+        // The replica may have requested back-off or announced its shutdown meanwhile.
         if !accepts_requests(state, target) {
             return Err(FailedExchange::not_sent("takes no requests"));
         }
--- a/crates/proxy/src/homes.rs
+++ b/crates/proxy/src/homes.rs
@@ -37,8 +37,8 @@
     usize::try_from(busy).unwrap_or(usize::MAX)
 }
 
-/// Returns the size of the group for a first segment. It is sized for the load of the whole
-/// service, since one router cannot tell how much of that begins with a given segment.
+/// Returns the size of the group for a first segment. It is sized for the load of the entire
+/// service, since one router does not know how much of that begins with a given segment.
 pub fn group_size(busy_replicas: usize) -> usize {
     let needed = busy_replicas.saturating_mul(GROUP_HEADROOM_FACTOR);
     let mut size = MIN_GROUP_SIZE;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -50,13 +50,13 @@
     pub retries_denied: Counter,
     /// Requests refused because no leader replied about their quota.
     pub quota_unanswered: Counter,
-    /// Responses in which a replica asked for a back-off period.
+    /// Responses in which a replica requested a back-off period.
     pub back_offs: Counter,
     /// Responses in which a replica advertised a rate limit.
     pub advertised_limits: Counter,
     /// Requests not sent to a replica because a permit was denied.
     pub permits_denied: Counter,
-    /// Responses with an invalid rate limit.
+    /// Responses with an invalid rate limit header.
     pub invalid_limits: Counter,
     /// Replicas that crashed while running requests of this router.
     pub replica_crashes: Counter,
--- a/crates/proxy/src/refusal.rs
+++ b/crates/proxy/src/refusal.rs
@@ -45,7 +45,7 @@
     /// The service is overloaded: the first event would be late.
     #[error("overloaded")]
     Overloaded,
-    /// Every candidate asked for a back-off period.
+    /// Every candidate requested a back-off period.
     #[error("backing_off")]
     BackingOff,
     /// Every candidate has reached its advertised rate limit.
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -49,7 +49,7 @@
 pub enum NoTarget {
     /// No replica accepts work.
     NoneAvailable,
-    /// Every candidate asked for a back-off period.
+    /// Every candidate requested a back-off period.
     BackingOff {
         /// Time until the first of the periods ends.
         available_in: Duration,
