--- a/crates/control/src/serving/order_dispatcher.rs
+++ b/crates/control/src/serving/order_dispatcher.rs
@@ -12,7 +12,7 @@
 use railtack_clock::BootInstant;
 use railtack_rpc::serving::{ServingCommand, ServingOutcome};
 use railtack_serving::{
-    Availability, BackEndSignals, Bounds, ModelWeights, MonotonicTime, PendingOrder, ReplicaRecord,
+    Availability, BackendSignals, Bounds, ModelWeights, MonotonicTime, PendingOrder, ReplicaRecord,
 };
 use tokio::time::{Instant, sleep, timeout};
 
@@ -79,7 +79,7 @@
     last_sent: HashMap<String, Instant>,
     /// Replicas with a running task.
     in_progress: HashSet<String>,
-    /// Replicas that asked for no requests from this machine for some time.
+    /// Replicas that requested a back-off from this machine.
     availability: Availability,
 }
 
@@ -111,7 +111,7 @@
         self.refused_token.load(Ordering::Relaxed)
     }
 
-    /// Reserves a replica for a task; returns false if one is running or the replica asked for a
+    /// Reserves a replica for a task; returns false if one is running or the replica requested a
     /// back-off.
     pub fn try_reserve(&self, replica: &str) -> bool {
         let mut state = self.lock();
@@ -240,14 +240,14 @@
         }
     }
 
-    /// Records the back-off that a replica asked for while it sheds load. Until it has passed, the
+    /// Records the back-off that a replica requested while it sheds load. Until it has passed, the
     /// replica gets no orders or requests for reports.
     fn record_back_off(&self, record: &ReplicaRecord, delay: Duration) {
-        let signals = BackEndSignals {
+        let signals = BackendSignals {
             back_off: Some(delay),
-            ..BackEndSignals::default()
+            ..BackendSignals::default()
         };
-        spdlog::info!("replica asked for a back-off from orders", kv: {
+        spdlog::info!("replica requested back-off from orders", kv: {
             replica = record.id.clone(),
             back_off_ms = delay.as_millis() as u64,
         });
--- a/crates/control/src/serving/registrar.rs
+++ b/crates/control/src/serving/registrar.rs
@@ -103,7 +103,7 @@
         sender: Option<ReplySender>,
     ) -> Result<(), Unavailable> {
         if !self.lock().enqueue(record, sender) {
-            self.metrics.registrations_refused.inc();
+            self.metrics.registrations_rejected.inc();
             return Err(Unavailable::Busy);
         }
         self.enqueued.notify_one();
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Asks the leader to remove a silent replica from an address. Only the leader knows all
+    /// Requests that the leader remove a silent replica from an address. Only the leader knows all
     /// heartbeats.
     async fn remove_if_silent(&self, holder: &str) -> bool {
         let Some(leader) = self.leader_client.view().leader else {
--- a/crates/emulator/src/errors.rs
+++ b/crates/emulator/src/errors.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EmulatorError {
     /// The settings are not valid.
-    #[error("the settings were refused")]
+    #[error("invalid settings")]
     Settings,
     /// The listen address cannot be bound.
     #[error("cannot listen on {address}")]
@@ -17,6 +17,6 @@
         address: SocketAddr,
     },
     /// The async runtime cannot be started.
-    #[error("the runtime cannot be started")]
+    #[error("cannot start the async runtime")]
     Runtime,
 }
--- a/crates/lab/src/errors.rs
+++ b/crates/lab/src/errors.rs
@@ -51,7 +51,7 @@
         name: String,
     },
     /// The asynchronous runtime could not be started.
-    #[error("runtime")]
+    #[error("cannot start the async runtime")]
     Runtime,
     /// The run completed and violated guarantees.
     #[error("{violations} violations")]
--- a/crates/proxy/src/crash_detection.rs
+++ b/crates/proxy/src/crash_detection.rs
@@ -116,7 +116,7 @@
 
 /// Reports a crashed replica to the control group, with all requests it may have crashed on.
 async fn report_crash(state: &ProxyState, replica: &str, proof: &str) {
-    state.metrics.replica_ends.inc();
+    state.metrics.replica_crashes.inc();
     // Without responses from other replicas, this router's own network may have failed.
     let hears_others =
         lock(&state.replicas).any_other_responded(replica, RECENT_RESPONSE_WINDOW, Instant::now());
@@ -275,7 +275,7 @@
 /// Proposes a command until it is recorded, following changes of leader. Recording is idempotent.
 async fn propose_until_recorded(state: &ProxyState, command: ServingCommand) {
     if !state.control_peers.supports_grants() {
-        spdlog::info!("report skipped: not supported by the control group yet");
+        spdlog::info!("report skipped: not supported at the group's feature level");
         return;
     }
     let Ok(_permit) = state.report_slots.try_acquire() else {
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -10,7 +10,7 @@
 };
 use railtack_rpc::permits::{PermitReply, PermitRequest};
 use railtack_serving::{
-    AdvertisedState, BackEndSignals, LimitHeader, MonotonicTime, RequestLimit, SignalChanges,
+    AdvertisedState, BackendSignals, LimitHeader, MonotonicTime, RequestLimit, SignalChanges,
 };
 
 use crate::{
@@ -30,7 +30,7 @@
         apply: impl FnOnce(&mut AdvertisedState) -> T,
     ) -> T {
         if incarnation_id.parse::<SocketAddr>().is_ok() {
-            return apply(lock(&self.back_end_availability).of(incarnation_id));
+            return apply(lock(&self.backend_availability).state_mut(incarnation_id));
         }
         let mut scheduler = lock(&self.scheduler);
         let views = scheduler.engines.views();
@@ -56,7 +56,7 @@
 
     fn known_limit(&self, incarnation_id: &str) -> Option<KnownLimit> {
         let advertised = match incarnation_id.parse::<SocketAddr>() {
-            Ok(_) => lock(&self.back_end_availability).limit(incarnation_id),
+            Ok(_) => lock(&self.backend_availability).limit(incarnation_id),
             Err(_) => self.with_advertised(incarnation_id, |advertised| advertised.limit()),
         }?;
         Some(KnownLimit {
@@ -114,16 +114,16 @@
         LimitHeader::Absent => SignalChanges::default(),
         LimitHeader::Invalid(error) => {
             state.metrics.invalid_limits.inc();
-            spdlog::info!("rate limit header invalid", kv: {
+            spdlog::info!("invalid rate limit header", kv: {
                 replica = incarnation_id.to_owned(),
                 cause = error.to_string(),
             });
             return;
         }
         LimitHeader::Present(_) => {
-            let signals = BackEndSignals {
+            let signals = BackendSignals {
                 limit: header,
-                ..BackEndSignals::default()
+                ..BackendSignals::default()
             };
             let now = state.uptime();
             log_new_limit(
@@ -143,7 +143,7 @@
 
 fn log_new_limit(incarnation_id: &str, changes: SignalChanges) -> SignalChanges {
     if let Some(limit) = changes.limit {
-        spdlog::info!("rate limit advertised", kv: {
+        spdlog::info!("back end advertised a rate limit", kv: {
             replica = incarnation_id.to_owned(),
             per_s = limit.requests_per_s(),
         });
