--- a/crates/ctl/src/logs/explanation.rs
+++ b/crates/ctl/src/logs/explanation.rs
@@ -137,21 +137,21 @@
         .filter(|replica| !replica.is_empty())
         .collect();
 
-    let mut found: Vec<(&TimedLine, Subject)> = Vec::new();
-    found.extend(request_lines.iter().map(|timed| (*timed, Subject::Request)));
+    let mut selected: Vec<(&TimedLine, Subject)> = Vec::new();
+    selected.extend(request_lines.iter().map(|timed| (*timed, Subject::Request)));
     for run_id in &run_ids {
         let states = process_state(timeline, run_id, &request_lines);
-        found.extend(
+        selected.extend(
             states
                 .into_iter()
                 .map(|timed| (timed, Subject::ProcessState)),
         );
     }
     let leader = last_before(timeline, ended_us, |line| line.payload == LEADER_EVENT);
-    found.extend(leader.map(|timed| (timed, Subject::ProcessState)));
+    selected.extend(leader.map(|timed| (timed, Subject::ProcessState)));
     for replica in &replicas {
         let events = replica_events(timeline, replica, request, arrived_us, ended_us);
-        found.extend(events.into_iter().map(|timed| (timed, Subject::Replica)));
+        selected.extend(events.into_iter().map(|timed| (timed, Subject::Replica)));
     }
     let contents: BTreeSet<&str> = request_lines
         .iter()
@@ -159,10 +159,10 @@
         .collect();
     for content in &contents {
         let events = content_events(timeline, content, request, ended_us);
-        found.extend(events.into_iter().map(|timed| (timed, Subject::Content)));
+        selected.extend(events.into_iter().map(|timed| (timed, Subject::Content)));
     }
-    found.sort_by_key(|(timed, _)| (timed.at_us, timed.line.sequence));
-    let entries = found
+    selected.sort_by_key(|(timed, _)| (timed.at_us, timed.line.sequence));
+    let entries = selected
         .into_iter()
         .map(|(timed, subject)| to_entry(timed, subject, arrived_us));
     Some(Explanation {
