--- a/crates/lab/tests/incarnations.rs
+++ b/crates/lab/tests/incarnations.rs
@@ -58,7 +58,7 @@
 /// Brings the view of a router up to date. Returns the updates that it received.
 fn catch_up(view: &mut ServingView, state: &ServingState) -> Vec<ServingUpdate> {
     let mut updates = Vec::new();
-    while let Some(update) = state.update_after(view.known) {
+    while let Some(update) = state.update_after(view.position) {
         updates.push(update.clone());
         *view = view.updated(update).expect("an update that applies");
     }
