--- a/crates/lab/tests/bad_input.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -39,7 +39,7 @@
         code,
     };
     let counter_answer = |extra: Value| {
-        let mut body = json!({ "template": "counter-response", "prompt": "q" });
+        let mut body = json!({ "template": "counter-answer", "prompt": "q" });
         if let (Some(body), Value::Object(extra)) = (body.as_object_mut(), extra) {
             body.extend(extra);
         }
@@ -275,7 +275,7 @@
     assert_eq!(exit_code(&["template", "submit", &path]).await, 4);
     write("name = \"bad\"\ncolour = 1\n");
     assert_eq!(exit_code(&["template", "submit", &path]).await, 1);
-    write("name = \"counter-response\"\n[target.model]\nmodel = \"valuation\"\n");
+    write("name = \"counter-answer\"\n[target.model]\nmodel = \"valuation\"\n");
     assert_eq!(
         exit_code(&["template", "submit", &path]).await,
         3,
--- a/crates/lab/tests/fatal_requests.rs
+++ b/crates/lab/tests/fatal_requests.rs
@@ -74,7 +74,7 @@
 async fn a_prompt_that_ends_engines_is_refused_by_every_router() {
     let folder = tempfile::tempdir().expect("a folder");
     let prepared = start_fleet(folder.path(), 21).await;
-    let fatal = json!({ "template": "counter-refusal", "prompt": FATAL_TEXT, "max_tokens": 4 });
+    let fatal = json!({ "template": "counter-answer", "prompt": FATAL_TEXT, "max_tokens": 4 });
     send_until_quarantined(&prepared, "/v1/completions", &fatal).await;
     check_quarantine_list_and_release(&prepared).await;
     let running = prepared.fleet.engine_statuses().await.len();
