--- a/crates/ctl/src/logs/outcomes.rs
+++ b/crates/ctl/src/logs/outcomes.rs
@@ -1,4 +1,4 @@
-//! What became of all requests in a set of logs, and what decided it. Pure.
+//! Groups the requests in a set of logs by route, outcome and cause. Performs no I/O.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,40 +8,41 @@
 
 use crate::logs::timeline::Timeline;
 
-/// Requests of one route that ended alike for the same reason.
+/// Requests with the same route, outcome and cause.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct OutcomeGroup {
-    /// Name of the route; empty if none was found.
+    /// Name of the route; empty if none was logged.
     pub route: String,
-    /// How the requests ended, as their router logged it.
+    /// Outcome as logged by the router.
     pub outcome: String,
-    /// What decided it: the last failed exchange, a retry that the budget denied, or nothing.
+    /// Cause of the last failed exchange, a retry denied by the budget, or both; empty for neither.
     pub cause: String,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Replicas that they were sent to, beyond the first of each.
+    /// Attempts beyond the first one of each request.
     pub further_attempts: u64,
-    /// Time to the first byte at the median of those that brought one, milliseconds.
+    /// Median time to first byte, milliseconds. Requests without a response byte are left out.
     pub first_byte_median_ms: u64,
-    /// The same for the slowest of a hundred, milliseconds.
+    /// 99th percentile of the time to first byte, milliseconds.
     pub first_byte_p99_ms: u64,
-    /// Tokens of their prompts that others share.
+    /// Prompt tokens in prefixes that are shared with other requests.
     pub shared_tokens: u64,
-    /// Of these, tokens that the router knew it had sent to the same replica before.
-    pub presumed_kept_tokens: u64,
+    /// Part of `shared_tokens` that the router had sent to the same replica before.
+    #[serde(rename = "presumed_kept_tokens")]
+    pub presumed_cached_tokens: u64,
 }
 
-/// What a router logged of a request before its last line.
+/// Failures and retries logged for a request before its final line.
 #[derive(Debug, Default)]
-struct Tries {
+struct AttemptHistory {
     last_failure: Option<String>,
-    was_denied: bool,
+    retry_denied: bool,
 }
 
-impl Tries {
+impl AttemptHistory {
     fn cause(&self) -> String {
         let failure = self.last_failure.as_deref().unwrap_or_default();
-        match (self.was_denied, failure) {
+        match (self.retry_denied, failure) {
             (true, "") => "retry denied by the budget".to_owned(),
             (true, failure) => format!("{failure}; retry denied by the budget"),
             (false, failure) => failure.to_owned(),
@@ -50,88 +51,88 @@
 }
 
 #[derive(Debug, Default)]
-struct Collected {
+struct GroupBuilder {
     group: OutcomeGroup,
     first_bytes_ms: Vec<u64>,
 }
 
-/// Groups the requests whose last line is among `timeline`, the largest groups first.
-pub fn outcomes(timeline: &Timeline) -> Vec<OutcomeGroup> {
-    let mut tries: HashMap<String, Tries> = HashMap::new();
-    let mut collected: BTreeMap<(String, String, String), Collected> = BTreeMap::new();
-    for placed in timeline.lines() {
-        let line = &placed.line;
-        let Some(request) = text(line, "request") else {
+/// Groups the requests whose final line is in `timeline`. The largest group comes first.
+pub fn group_by_outcome(timeline: &Timeline) -> Vec<OutcomeGroup> {
+    let mut histories: HashMap<String, AttemptHistory> = HashMap::new();
+    let mut builders: BTreeMap<(String, String, String), GroupBuilder> = BTreeMap::new();
+    for timed in timeline.lines() {
+        let line = &timed.line;
+        let Some(request) = str_field(line, "request") else {
             continue;
         };
         match line.payload.as_str() {
             "exchange failed" => {
-                tries.entry(request).or_default().last_failure = text(line, "cause");
+                histories.entry(request).or_default().last_failure = str_field(line, "cause");
             }
             "retry" => {
-                let denied = line.kv.get("in_budget") == Some(&Value::Bool(false));
-                tries.entry(request).or_default().was_denied = denied;
+                let is_denied = line.kv.get("in_budget") == Some(&Value::Bool(false));
+                histories.entry(request).or_default().retry_denied = is_denied;
             }
             "request" => {
-                let cause = tries.remove(&request).unwrap_or_default().cause();
-                note(&mut collected, line, cause);
+                let cause = histories.remove(&request).unwrap_or_default().cause();
+                add_request(&mut builders, line, cause);
             }
             _ => {}
         }
     }
-    let mut groups: Vec<OutcomeGroup> = collected.into_values().map(finished).collect();
+    let mut groups: Vec<OutcomeGroup> = builders.into_values().map(build_group).collect();
     groups.sort_by_key(|group| std::cmp::Reverse(group.requests));
     groups
 }
 
-fn note(
-    collected: &mut BTreeMap<(String, String, String), Collected>,
+fn add_request(
+    builders: &mut BTreeMap<(String, String, String), GroupBuilder>,
     line: &LogLine,
     cause: String,
 ) {
-    let route = text(line, "route").unwrap_or_default();
-    let outcome = text(line, "outcome").unwrap_or_default();
+    let route = str_field(line, "route").unwrap_or_default();
+    let outcome = str_field(line, "outcome").unwrap_or_default();
     let key = (route.clone(), outcome.clone(), cause.clone());
-    let entry = collected.entry(key).or_default();
-    entry.group.route = route;
-    entry.group.outcome = outcome;
-    entry.group.cause = cause;
-    entry.group.requests += 1;
-    entry.group.further_attempts += number(line, "attempts").saturating_sub(1);
-    let shared = number(line, "shared_tokens");
-    entry.group.shared_tokens += shared;
-    entry.group.presumed_kept_tokens += number(line, "kept_tokens").min(shared);
-    let first_byte_ms = number(line, "first_byte_ms");
+    let builder = builders.entry(key).or_default();
+    builder.group.route = route;
+    builder.group.outcome = outcome;
+    builder.group.cause = cause;
+    builder.group.requests += 1;
+    builder.group.further_attempts += u64_field(line, "attempts").saturating_sub(1);
+    let shared = u64_field(line, "shared_tokens");
+    builder.group.shared_tokens += shared;
+    builder.group.presumed_cached_tokens += u64_field(line, "kept_tokens").min(shared);
+    let first_byte_ms = u64_field(line, "first_byte_ms");
     if first_byte_ms > 0 {
-        entry.first_bytes_ms.push(first_byte_ms);
+        builder.first_bytes_ms.push(first_byte_ms);
     }
 }
 
-fn finished(mut collected: Collected) -> OutcomeGroup {
-    collected.first_bytes_ms.sort_unstable();
-    let at = |percent: usize| {
-        let last = collected.first_bytes_ms.len().saturating_sub(1);
-        let position = (collected.first_bytes_ms.len() * percent / 100).min(last);
-        collected
+fn build_group(mut builder: GroupBuilder) -> OutcomeGroup {
+    builder.first_bytes_ms.sort_unstable();
+    let percentile = |percent: usize| {
+        let last = builder.first_bytes_ms.len().saturating_sub(1);
+        let position = (builder.first_bytes_ms.len() * percent / 100).min(last);
+        builder
             .first_bytes_ms
             .get(position)
             .copied()
             .unwrap_or_default()
     };
     OutcomeGroup {
-        first_byte_median_ms: at(50),
-        first_byte_p99_ms: at(99),
-        ..collected.group
+        first_byte_median_ms: percentile(50),
+        first_byte_p99_ms: percentile(99),
+        ..builder.group
     }
 }
 
-fn text(line: &LogLine, field: &str) -> Option<String> {
-    line.kv.get(field)?.as_str().map(str::to_owned)
+fn str_field(line: &LogLine, name: &str) -> Option<String> {
+    line.kv.get(name)?.as_str().map(str::to_owned)
 }
 
-fn number(line: &LogLine, field: &str) -> u64 {
+fn u64_field(line: &LogLine, name: &str) -> u64 {
     line.kv
-        .get(field)
+        .get(name)
         .and_then(Value::as_u64)
         .unwrap_or_default()
 }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,9 +1,9 @@
-//! Printing: tables for people, JSON for programs.
+//! Output as aligned tables or JSON.
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// How results are printed.
+/// Output format of results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
     /// Aligned columns.
@@ -12,7 +12,7 @@
     Json,
 }
 
-/// Rows with a heading.
+/// Table with a heading row.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     headings: Vec<&'static str>,
@@ -20,7 +20,7 @@
 }
 
 impl Table {
-    /// A table without rows.
+    /// Creates a table without rows.
     pub fn new(headings: impl IntoIterator<Item = &'static str>) -> Self {
         Self {
             headings: headings.into_iter().collect(),
@@ -28,21 +28,21 @@
         }
     }
 
-    /// Adds a row.
-    pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
+    /// Adds a row, which may have fewer cells than the table has headings.
+    pub fn add_row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// Prints the table in the wanted format.
+    /// Prints the table to standard output.
     pub fn print(&self, format: OutputFormat) {
         match format {
-            OutputFormat::Table => print!("{}", self.text()),
-            OutputFormat::Json => print_json(&self.objects()),
+            OutputFormat::Table => print!("{}", self.to_text()),
+            OutputFormat::Json => print_json(&self.to_json()),
         }
     }
 
-    /// The table as aligned text.
-    pub fn text(&self) -> String {
+    /// Returns the table as text with aligned columns.
+    pub fn to_text(&self) -> String {
         let mut widths: Vec<usize> = self.headings.iter().map(|heading| heading.len()).collect();
         for row in &self.rows {
             for (width, cell) in widths.iter_mut().zip(row) {
@@ -50,14 +50,14 @@
             }
         }
         let headings = self.headings.iter().map(|heading| heading.to_uppercase());
-        let mut text = line(headings, &widths);
+        let mut text = format_row(headings, &widths);
         for row in &self.rows {
-            text.push_str(&line(row.iter().cloned(), &widths));
+            text.push_str(&format_row(row.iter().cloned(), &widths));
         }
         text
     }
 
-    fn objects(&self) -> Value {
+    fn to_json(&self) -> Value {
         let objects = self.rows.iter().map(|row| {
             let fields = self.headings.iter().zip(row);
             let fields = fields.map(|(heading, cell)| (heading.to_string(), cell.clone().into()));
@@ -67,16 +67,16 @@
     }
 }
 
-/// Prints a value as JSON.
+/// Prints a value to standard output as indented JSON.
 pub fn print_json<T: Serialize>(value: &T) {
-    // Printing our own types cannot fail: they have string keys only.
+    // Serialization cannot fail: all maps in printed types have string keys.
     println!(
         "{}",
         serde_json::to_string_pretty(value).unwrap_or_default()
     );
 }
 
-fn line(cells: impl Iterator<Item = String>, widths: &[usize]) -> String {
+fn format_row(cells: impl Iterator<Item = String>, widths: &[usize]) -> String {
     let padded: Vec<String> = cells
         .zip(widths)
         .map(|(cell, &width)| format!("{cell:<width$}"))
--- a/crates/emulator/src/engine_server/streams.rs
+++ b/crates/emulator/src/engine_server/streams.rs
@@ -1,4 +1,4 @@
-//! What an engine sends bit by bit: the frames of answers, and its events.
+//! Streaming responses: completion frames as server-sent events, and engine events as JSON lines.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,10 +10,10 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-use super::EngineStandIn;
-use crate::answer::token_text;
+use super::EngineServer;
+use crate::completion::token_text;
 
-impl EngineStandIn {
+impl EngineServer {
     pub(super) fn stream_from(&self, attempt: u128, from: u32) -> Response<Body> {
         let (sender, stream_body) = streaming();
         tokio::spawn(self.clone().write_stream(attempt, from, sender));
@@ -23,20 +23,20 @@
     async fn write_stream(self, attempt: u128, from: u32, mut sender: BodySender) {
         let mut next = from;
         loop {
-            let Some((frames, changed, ended)) = self.frames_from(attempt, next) else {
+            let Some((frames, changed, has_ended)) = self.frames_from(attempt, next) else {
                 return;
             };
-            // Asked for before the frames are sent, so that no change in between is missed.
+            // Registers for notification before sending, so that no change in between is missed.
             let notified = changed.notified();
             tokio::pin!(notified);
             notified.as_mut().enable();
             for frame in frames {
                 next = frame.sequence + 1;
-                if sender.send(event_line(&frame)).await.is_err() {
+                if sender.send(sse_event(&frame)).await.is_err() {
                     return;
                 }
             }
-            if ended {
+            if has_ended {
                 return;
             }
             if self.has_frames_from(attempt, next) {
@@ -47,8 +47,8 @@
     }
 
     fn has_frames_from(&self, attempt: u128, next: u32) -> bool {
-        let shared = self.lock();
-        shared
+        let state = self.lock();
+        state
             .streams
             .get(&attempt)
             .is_none_or(|stream| stream.produced > next || stream.end.is_some())
@@ -59,8 +59,8 @@
         attempt: u128,
         next: u32,
     ) -> Option<(Vec<StreamFrame>, Arc<Notify>, bool)> {
-        let shared = self.lock();
-        let stream = shared.streams.get(&attempt)?;
+        let state = self.lock();
+        let stream = state.streams.get(&attempt)?;
         let mut frames: Vec<StreamFrame> = (next..stream.produced)
             .map(|sequence| StreamFrame {
                 attempt: Hex(attempt),
@@ -87,11 +87,12 @@
         body::with_content_type(200, "application/x-ndjson", stream_body)
     }
 
-    /// Sends new events and a load report at every interval, until the reader goes away.
+    /// Sends new events and a load report at every interval, until the reader disconnects or the
+    /// engine has drained.
     async fn write_events(self, mut after: u64, mut sender: BodySender) {
         let interval = Duration::from_millis(self.settings.reporting.load_interval_ms);
         loop {
-            let mut events = self.lock().feed.after(after, self.now_us());
+            let mut events = self.lock().feed.events_after(after, self.now_us());
             after = events.last().map_or(after, |event| event.sequence);
             events.push(self.load_event(after));
             for event in events {
@@ -106,10 +107,11 @@
         }
     }
 
-    /// Readers of events must not hold up a planned stop.
+    /// Returns whether the engine has drained. Event streams end then, so that they do not delay
+    /// shutdown.
     fn is_idle_and_draining(&self) -> bool {
-        let shared = self.lock();
-        shared.gate.draining && !shared.model.has_work()
+        let state = self.lock();
+        state.gate.draining && !state.model.has_work()
     }
 
     fn load_event(&self, sequence: u64) -> EngineEvent {
@@ -122,7 +124,7 @@
     }
 }
 
-fn event_line(frame: &StreamFrame) -> Bytes {
+fn sse_event(frame: &StreamFrame) -> Bytes {
     let text = serde_json::to_string(frame).unwrap_or_default();
     Bytes::from(format!("data: {text}\n\n"))
 }
