--- a/crates/lab/src/scale/cluster.rs
+++ b/crates/lab/src/scale/cluster.rs
@@ -84,7 +84,7 @@
                 .endpoints
                 .control
                 .iter()
-                .map(|place| ControlConnection::new(place.listen, Duration::from_secs(1)))
+                .map(|endpoint| ControlConnection::new(endpoint.listen, Duration::from_secs(1)))
                 .collect();
             let (poll_count, bytes) = (Arc::clone(&poll_count), Arc::clone(&bytes));
             tasks.push(tokio::spawn(async move {
@@ -173,9 +173,9 @@
         .endpoints
         .control
         .iter()
-        .map(|place| ControlAddress {
-            replica_id: place.replica,
-            address: place.listen,
+        .map(|endpoint| ControlAddress {
+            replica_id: endpoint.replica,
+            address: endpoint.listen,
         })
         .collect();
     for open in PROPOSERS {
--- a/crates/lab/src/scale/homes.rs
+++ b/crates/lab/src/scale/homes.rs
@@ -60,9 +60,9 @@
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let mut times = time_histogram();
     for _ in 0..CHOICES {
-        let (first_part, home) = (random.random(), random.random());
+        let (ring_position, home) = (random.random(), random.random());
         let started = Instant::now();
-        std::hint::black_box(choice(first_part, home));
+        std::hint::black_box(choice(ring_position, home));
         times.saturating_record(started.elapsed().as_nanos() as u64);
     }
     times
@@ -76,8 +76,8 @@
         let started = Instant::now();
         let ring = Ring::new(records.iter().cloned());
         let build_time = started.elapsed();
-        let in_group = measure_choices(|first_part, home| {
-            let candidates = ring.iter_from(first_part);
+        let in_group = measure_choices(|ring_position, home| {
+            let candidates = ring.iter_from(ring_position);
             choose_home(
                 &group_homes(home, candidates, MIN_GROUP_SIZE, |_| true),
                 home,
