--- a/crates/lab/src/errors.rs
+++ b/crates/lab/src/errors.rs
@@ -50,7 +50,7 @@
         /// Name of the process in the fleet.
         name: String,
     },
-    /// The asynchronous runtime could not be started.
+    /// The runtime, a control client or the signal handler failed.
     #[error("runtime")]
     Runtime,
     /// The run completed and violated guarantees.
--- a/crates/lab/src/scale/cluster.rs
+++ b/crates/lab/src/scale/cluster.rs
@@ -242,7 +242,7 @@
     for request in &mut requests {
         request.max_tokens = request.max_tokens.min(MAX_OUTPUT_TOKENS);
     }
-    // Fills the caches first.
+    // Fills the engine caches, so that the measured requests find their prefixes cached.
     for request in &requests {
         caller
             .generate(router.listen, request, ResponseMode::Stream)
--- a/crates/lab/tests/fatal_requests.rs
+++ b/crates/lab/tests/fatal_requests.rs
@@ -15,11 +15,11 @@
 use serde_json::{Value, json};
 use support::{REQUEST_TIMEOUT, post, router_addresses, tenant_key};
 
-/// Number of engines, and of back ends of each service. More than one request may crash.
+/// Number of engines, and of back ends of each service. One request must not crash all of them.
 const BACK_ENDS: u32 = 8;
 /// Most back ends that may crash: three identify the request, and one more copy may be in flight.
 const MAX_CRASHES: usize = 4;
-/// Time between two arrivals of the request; longer than it takes until routers have learned of a crash.
+/// Time between two arrivals of the request; longer than it takes until all routers know of a crash.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(700);
 
 async fn start_fleet(folder: &Path, seed: u64) -> PreparedFleet {
