--- a/crates/lab/tests/fatal_requests.rs
+++ b/crates/lab/tests/fatal_requests.rs
@@ -15,11 +15,11 @@
 use serde_json::{Value, json};
 use support::{REQUEST_TIMEOUT, post, router_addresses, tenant_key};
 
-/// Number of engines, and of back ends of each service. More than one request may crash.
+/// Number of engines, and of back ends of each service. One request must not crash all of them.
 const BACK_ENDS: u32 = 8;
 /// Most back ends that may crash: three identify the request, and one more copy may be in flight.
 const MAX_CRASHES: usize = 4;
-/// Time between two arrivals of the request; longer than it takes until routers have learned of a crash.
+/// Time between two arrivals of the request; longer than it takes until all routers know of a crash.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(700);
 
 async fn start_fleet(folder: &Path, seed: u64) -> PreparedFleet {
@@ -74,7 +74,7 @@
 async fn a_prompt_that_ends_engines_is_refused_by_every_router() {
     let folder = tempfile::tempdir().expect("a folder");
     let prepared = start_fleet(folder.path(), 21).await;
-    let fatal = json!({ "template": "counter-refusal", "prompt": CRASH_TRIGGER, "max_tokens": 4 });
+    let fatal = json!({ "template": "counter-answer", "prompt": CRASH_TRIGGER, "max_tokens": 4 });
     send_until_quarantined(&prepared, "/v1/completions", &fatal).await;
     check_quarantine_list_and_release(&prepared).await;
     let running = prepared.fleet.engine_statuses().await.len();
