--- a/crates/lab/src/fault/background.rs
+++ b/crates/lab/src/fault/background.rs
@@ -31,19 +31,19 @@
 
 /// What a load found.
 #[derive(Clone, Debug, Default)]
-pub struct LoadReport {
+pub struct BackgroundReport {
     /// All findings.
     pub summary: Summary,
     /// Moments of whole answers, in order of arrival.
-    pub answered_at: Vec<Instant>,
+    pub completed_at: Vec<Instant>,
 }
 
-impl LoadReport {
+impl BackgroundReport {
     /// Longest time without a whole answer after a moment, seconds.
-    pub fn longest_gap_after(&self, moment: Instant) -> f64 {
-        let mut previous = moment;
+    pub fn longest_gap_after(&self, start: Instant) -> f64 {
+        let mut previous = start;
         let mut longest = Duration::ZERO;
-        for at in self.answered_at.iter().filter(|at| **at >= moment) {
+        for at in self.completed_at.iter().filter(|at| **at >= start) {
             longest = longest.max(*at - previous);
             previous = *at;
         }
@@ -51,12 +51,12 @@
     }
 
     /// Answers that were lost, wrong, or cut where the caller was promised none would be.
-    pub fn bad(&self) -> f64 {
+    pub fn wrong_or_lost(&self) -> f64 {
         (self.summary.wrong.len() as u64 + self.summary.lost) as f64
     }
 
     /// Requests that were cut off: begun and broken, or ended by an error.
-    pub fn cut_off(&self) -> f64 {
+    pub fn interrupted(&self) -> f64 {
         let unknown: u64 = self
             .summary
             .refusals
@@ -72,13 +72,13 @@
 /// cannot be reached, asks the next router, as a client with several addresses does.
 pub struct BackgroundLoad {
     stop: Arc<AtomicBool>,
-    report: Arc<Mutex<LoadReport>>,
+    report: Arc<Mutex<BackgroundReport>>,
     callers: Vec<JoinHandle<()>>,
 }
 
 struct Shared {
     stop: Arc<AtomicBool>,
-    report: Arc<Mutex<LoadReport>>,
+    report: Arc<Mutex<BackgroundReport>>,
     questions: Vec<(usize, ModelQuestion)>,
     next: AtomicUsize,
     routers: Vec<std::net::SocketAddr>,
@@ -125,7 +125,7 @@
     }
 
     /// Lets open requests end and tells what was found.
-    pub async fn finish(self) -> LoadReport {
+    pub async fn finish(self) -> BackgroundReport {
         self.stop.store(true, Ordering::Relaxed);
         for caller in self.callers {
             // A caller that panicked has counted nothing; the totals show it.
@@ -148,7 +148,7 @@
         };
         let address = shared.routers[router % shared.routers.len()];
         let finding = shared.callers[*tenant].ask(address, question, shape).await;
-        let moves_on = matches!(
+        let try_next_router = matches!(
             finding,
             Finding::Unreachable
                 | Finding::Refused {
@@ -159,11 +159,11 @@
         {
             let mut report = shared.report.lock().unwrap_or_else(PoisonError::into_inner);
             if matches!(finding, Finding::Whole { .. }) {
-                report.answered_at.push(Instant::now());
+                report.completed_at.push(Instant::now());
             }
             report.summary.add(&finding);
         }
-        if moves_on {
+        if try_next_router {
             router += 1;
             sleep(RETRY_PAUSE).await;
         }
--- a/crates/lab/src/fault/command.rs
+++ b/crates/lab/src/fault/command.rs
@@ -7,7 +7,7 @@
 use crate::{
     LabError,
     demo::{self, FleetOptions, PreparedFleet},
-    fault::{FaultCase, Finding, control, engines, keys, routers},
+    fault::{FaultCase, Measurement, control, engines, keys, routers},
     fleet::FleetShape,
 };
 
@@ -17,11 +17,14 @@
     let mut violations = 0;
     for case in cases {
         println!("{}", case.name());
-        let findings = run_case(case, &options).await?;
-        for finding in &findings {
-            println!("  {finding}");
+        let measurements = run_case(case, &options).await?;
+        for measurement in &measurements {
+            println!("  {measurement}");
         }
-        violations += findings.iter().filter(|finding| !finding.holds()).count() as u64;
+        violations += measurements
+            .iter()
+            .filter(|measurement| !measurement.is_within_limit())
+            .count() as u64;
     }
     if violations > 0 {
         return Err(Report::new(LabError::Violations { violations }));
@@ -32,7 +35,7 @@
 async fn run_case(
     case: FaultCase,
     options: &FleetOptions,
-) -> Result<Vec<Finding>, Report<LabError>> {
+) -> Result<Vec<Measurement>, Report<LabError>> {
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let shape = FleetShape::demonstration(options.kind);
     let folder = options.folder().join(case.name());
@@ -41,29 +44,29 @@
         ..options.clone()
     };
     let mut prepared = demo::prepare(shape, &options, &mut random).await?;
-    let findings = dispatch(case, &mut prepared).await?;
+    let measurements = run_on_fleet(case, &mut prepared).await?;
     drop(prepared);
     // What is left of a temporary folder does no harm.
     let _ = std::fs::remove_dir_all(folder);
-    Ok(findings)
+    Ok(measurements)
 }
 
-async fn dispatch(
+async fn run_on_fleet(
     case: FaultCase,
     prepared: &mut PreparedFleet,
-) -> Result<Vec<Finding>, Report<LabError>> {
+) -> Result<Vec<Measurement>, Report<LabError>> {
     match case {
         FaultCase::RouterRestart => routers::restart(prepared).await,
-        FaultCase::Herd => routers::herd(prepared).await,
-        FaultCase::Freeze => control::freeze(prepared).await,
+        FaultCase::RestartAllRouters => routers::restart_all(prepared).await,
+        FaultCase::FreezeControl => control::freeze(prepared).await,
         FaultCase::QuorumLoss => control::quorum_loss(prepared).await,
         FaultCase::Failover => control::failover(prepared).await,
-        FaultCase::LostFolder => control::lost_folder(prepared).await,
-        FaultCase::Keys => keys::run(prepared).await,
+        FaultCase::LostControlFolder => control::lost_folder(prepared).await,
+        FaultCase::IdempotencyKeys => keys::run(prepared).await,
         FaultCase::RollingRestart => routers::rolling_restart(prepared).await,
-        FaultCase::EngineCrash => engines::crash(prepared).await,
-        FaultCase::EngineFreeze => engines::freeze(prepared).await,
-        FaultCase::Leaving => engines::leave(prepared).await,
-        FaultCase::Weights => engines::change_weights(prepared).await,
+        FaultCase::CrashEngines => engines::crash(prepared).await,
+        FaultCase::FreezeEngine => engines::freeze(prepared).await,
+        FaultCase::EngineLeaving => engines::mark_leaving(prepared).await,
+        FaultCase::WeightsRollout => engines::change_weights(prepared).await,
     }
 }
--- a/crates/lab/src/fault/control.rs
+++ b/crates/lab/src/fault/control.rs
@@ -8,7 +8,7 @@
 use crate::{
     LabError,
     demo::PreparedFleet,
-    fault::{Finding, background::BackgroundLoad},
+    fault::{Measurement, background::BackgroundLoad},
     fleet::Fault,
 };
 
@@ -18,7 +18,7 @@
 const CHANGES: u64 = 1_000;
 
 /// Submits a small template under a new name; answers with the time of acceptance.
-async fn change_something(
+async fn submit_template(
     prepared: &PreparedFleet,
     number: u64,
 ) -> Result<Instant, Report<LabError>> {
@@ -42,7 +42,7 @@
 }
 
 /// Time from acceptance until routers have a revision, seconds.
-async fn time_in_force(
+async fn time_until_applied(
     prepared: &PreparedFleet,
     routers: &[usize],
     revision: u64,
@@ -60,7 +60,7 @@
 }
 
 /// Changes configuration while one control replica and one router are frozen.
-pub async fn freeze(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+pub async fn freeze(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let mut slowest: f64 = 0.0;
     for round in 0..3_u64 {
         let position = round as usize % prepared.fleet.control.len();
@@ -69,9 +69,9 @@
             .await?;
         prepared.fleet.routers[0].inflict(Fault::Freeze).await?;
         let before = revision_of(prepared, 1).await;
-        let accepted_at = change_something(prepared, round).await?;
+        let accepted_at = submit_template(prepared, round).await?;
         let others: Vec<usize> = (1..prepared.fleet.routers.len()).collect();
-        let took = time_in_force(prepared, &others, before + 1, accepted_at).await;
+        let took = time_until_applied(prepared, &others, before + 1, accepted_at).await;
         slowest = slowest.max(took);
         sleep(Duration::from_secs(7).saturating_sub(accepted_at.elapsed())).await;
         prepared.fleet.routers[0].inflict(Fault::Thaw).await?;
@@ -81,7 +81,7 @@
         prepared.fleet.wait_for_routers().await?;
         let thawed = revision_of(prepared, 0).await;
         if thawed <= before {
-            return Ok(vec![Finding::at_most(
+            return Ok(vec![Measurement::at_most(
                 "frozen router served older configuration",
                 1.0,
                 0.0,
@@ -89,17 +89,19 @@
         }
     }
     Ok(vec![
-        Finding::at_most(
+        Measurement::at_most(
             "slowest change in force on reachable routers, s",
             slowest,
             2.0,
         ),
-        Finding::at_most("frozen router served older configuration", 0.0, 0.0),
+        Measurement::at_most("frozen router served older configuration", 0.0, 0.0),
     ])
 }
 
 /// Freezes two of three control replicas: routers must stop serving within their lease.
-pub async fn quorum_loss(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+pub async fn quorum_loss(
+    prepared: &mut PreparedFleet,
+) -> Result<Vec<Measurement>, Report<LabError>> {
     for position in 0..2 {
         prepared.fleet.control[position]
             .inflict(Fault::Freeze)
@@ -123,12 +125,12 @@
     let thawed_at = Instant::now();
     prepared.fleet.wait_for_routers().await?;
     Ok(vec![
-        Finding::at_most(
+        Measurement::at_most(
             "routers serve without a quorum for, s",
             stopped_after.as_secs_f64(),
             7.0,
         ),
-        Finding::at_most(
+        Measurement::at_most(
             "serving again after, s",
             thawed_at.elapsed().as_secs_f64(),
             2.0,
@@ -137,7 +139,7 @@
 }
 
 /// Kills the leader under load; then restarts a replica after many changes.
-pub async fn failover(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+pub async fn failover(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let mut slowest: f64 = 0.0;
     let load = BackgroundLoad::start(prepared, CALLERS, 8);
     for round in 0..3_u64 {
@@ -146,7 +148,7 @@
         };
         prepared.fleet.control[leader].inflict(Fault::Kill).await?;
         let killed_at = Instant::now();
-        change_something(prepared, 10_000 + round).await?;
+        submit_template(prepared, 10_000 + round).await?;
         slowest = slowest.max(killed_at.elapsed().as_secs_f64());
         prepared.fleet.control[leader].restart()?;
         sleep(Duration::from_secs(1)).await;
@@ -166,12 +168,12 @@
         .folder
         .join(format!("control-{}", place.replica));
     Ok(vec![
-        Finding::at_most("slowest change across a failover, s", slowest, 2.0),
-        Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::at_most("requests cut off", report.cut_off(), 0.0),
-        Finding::report("changes made", changes as f64),
-        Finding::at_most("restart after the changes, s", restart.as_secs_f64(), 2.0),
-        Finding::at_most("data folder, MB", folder_bytes(&data) as f64 / 1e6, 64.0),
+        Measurement::at_most("slowest change across a failover, s", slowest, 2.0),
+        Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
+        Measurement::at_most("requests cut off", report.interrupted(), 0.0),
+        Measurement::informational("changes made", changes as f64),
+        Measurement::at_most("restart after the changes, s", restart.as_secs_f64(), 2.0),
+        Measurement::at_most("data folder, MB", folder_bytes(&data) as f64 / 1e6, 64.0),
     ])
 }
 
@@ -188,7 +190,9 @@
 }
 
 /// Deletes a replica's folder, restarts it, and replaces it by a new one.
-pub async fn lost_folder(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+pub async fn lost_folder(
+    prepared: &mut PreparedFleet,
+) -> Result<Vec<Measurement>, Report<LabError>> {
     let before = revision_of(prepared, 0).await;
     let position = prepared.fleet.control.len() - 1;
     let replica = prepared.fleet.places.control[position].replica;
@@ -199,31 +203,31 @@
     fs::remove_dir_all(&data).change_context_lazy(|| LabError::File { path: data.clone() })?;
     prepared.fleet.control[position].restart()?;
     sleep(Duration::from_secs(1)).await;
-    let votes_as_before = prepared.voters_with_known_disk(replica).await? != 0;
-    let accepted_at = change_something(prepared, 20_000).await?;
+    let is_still_voter = prepared.voters_with_known_disk(replica).await? != 0;
+    let accepted_at = submit_template(prepared, 20_000).await?;
     let all: Vec<usize> = (0..prepared.fleet.routers.len()).collect();
-    let in_force = time_in_force(prepared, &all, before + 1, accepted_at).await;
+    let apply_time = time_until_applied(prepared, &all, before + 1, accepted_at).await;
     prepared
         .fleet
         .operate(&["members", "remove", &replica.to_string()])
         .await?;
-    let replaced = prepared.fleet.add_control().await?;
-    let accepted_at = change_something(prepared, 20_001).await?;
-    let after_repair = time_in_force(prepared, &all, before + 2, accepted_at).await;
+    let replacement_time = prepared.fleet.add_control().await?;
+    let accepted_at = submit_template(prepared, 20_001).await?;
+    let after_repair = time_until_applied(prepared, &all, before + 2, accepted_at).await;
     // A second machine is lost right after the repair.
     prepared.fleet.control[0].inflict(Fault::Kill).await?;
     let killed_at = Instant::now();
-    change_something(prepared, 20_002).await?;
+    submit_template(prepared, 20_002).await?;
     let after_second = killed_at.elapsed().as_secs_f64();
     Ok(vec![
-        Finding::at_most(
+        Measurement::at_most(
             "replica with an empty folder counted as a voter",
-            f64::from(u8::from(votes_as_before)),
+            f64::from(u8::from(is_still_voter)),
             0.0,
         ),
-        Finding::at_most("change in force with one folder lost, s", in_force, 2.0),
-        Finding::report("replacement took, s", replaced.as_secs_f64()),
-        Finding::at_most("change in force after the repair, s", after_repair, 2.0),
-        Finding::at_most("change after a second loss, s", after_second, 2.0),
+        Measurement::at_most("change in force with one folder lost, s", apply_time, 2.0),
+        Measurement::informational("replacement took, s", replacement_time.as_secs_f64()),
+        Measurement::at_most("change in force after the repair, s", after_repair, 2.0),
+        Measurement::at_most("change after a second loss, s", after_second, 2.0),
     ])
 }
--- a/crates/lab/src/fault/engines.rs
+++ b/crates/lab/src/fault/engines.rs
@@ -9,19 +9,19 @@
 use crate::{
     LabError,
     demo::PreparedFleet,
-    fault::{Finding, background::BackgroundLoad},
+    fault::{Measurement, background::BackgroundLoad},
     fleet::Fault,
 };
 
 /// Callers of the background load.
 const CALLERS: usize = 8;
 /// Time after which a leaving engine may get no new work.
-const LEAVING_LIMIT: Duration = Duration::from_secs(3);
+const LEAVING_GRACE: Duration = Duration::from_secs(3);
 /// Time for a rollout.
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(400);
 
 /// Kills engines under load; they come back empty.
-pub async fn crash(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+pub async fn crash(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 4);
     for position in 0..prepared.fleet.engines.len() {
         sleep(Duration::from_millis(500)).await;
@@ -34,14 +34,14 @@
     sleep(Duration::from_secs(1)).await;
     let report = load.finish().await;
     Ok(vec![
-        Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::report("requests ended by an explicit error", report.cut_off()),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
+        Measurement::informational("requests ended by an explicit error", report.interrupted()),
+        Measurement::informational("whole answers", report.summary.whole as f64),
     ])
 }
 
 /// Freezes an engine under load for longer than routers wait for it.
-pub async fn freeze(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+pub async fn freeze(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 5);
     sleep(Duration::from_secs(1)).await;
     let frozen_at = Instant::now();
@@ -51,43 +51,45 @@
     sleep(Duration::from_secs(2)).await;
     let report = load.finish().await;
     Ok(vec![
-        Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::at_most(
+        Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
+        Measurement::at_most(
             "longest time without any answer, s",
             report.longest_gap_after(frozen_at),
             3.0,
         ),
-        Finding::at_most(
+        Measurement::at_most(
             "slowest first token, s",
             report.summary.first_token_ms(1.0) / 1e3,
             6.0,
         ),
-        Finding::report("requests ended by an explicit error", report.cut_off()),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Measurement::informational("requests ended by an explicit error", report.interrupted()),
+        Measurement::informational("whole answers", report.summary.whole as f64),
     ])
 }
 
 /// Marks an engine as leaving in the platform's list, which lags.
-pub async fn leave(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+pub async fn mark_leaving(
+    prepared: &mut PreparedFleet,
+) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 6);
     sleep(Duration::from_secs(1)).await;
     let leaving = EngineId(prepared.fleet.places.engines[0].engine);
     prepared.fleet.publish_machines(&[leaving]).await?;
-    sleep(LEAVING_LIMIT).await;
+    sleep(LEAVING_GRACE).await;
     let before = requests_of(prepared, leaving).await;
     sleep(Duration::from_secs(3)).await;
     let after = requests_of(prepared, leaving).await;
     prepared.fleet.publish_machines(&[]).await?;
     let report = load.finish().await;
     Ok(vec![
-        Finding::at_most(
+        Measurement::at_most(
             "new requests 3 s after leaving",
             after.saturating_sub(before) as f64,
             0.0,
         ),
-        Finding::at_most("requests cut off", report.cut_off(), 0.0),
-        Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Measurement::at_most("requests cut off", report.interrupted(), 0.0),
+        Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
+        Measurement::informational("whole answers", report.summary.whole as f64),
     ])
 }
 
@@ -100,7 +102,7 @@
 /// Changes the weights of the model under load.
 pub async fn change_weights(
     prepared: &mut PreparedFleet,
-) -> Result<Vec<Finding>, Report<LabError>> {
+) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 7);
     sleep(Duration::from_secs(1)).await;
     let file = prepared.fleet.folder.join("model-next.toml");
@@ -139,14 +141,14 @@
     let report = load.finish().await;
     let engines = prepared.fleet.engines.len() as f64;
     Ok(vec![
-        Finding::at_most(
+        Measurement::at_most(
             "most engines loading at once",
             most_loading as f64,
             (engines / 4.0).ceil(),
         ),
-        Finding::at_most("requests cut off", report.cut_off(), 0.0),
-        Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::report("rollout took, s", took.as_secs_f64()),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Measurement::at_most("requests cut off", report.interrupted(), 0.0),
+        Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
+        Measurement::informational("rollout took, s", took.as_secs_f64()),
+        Measurement::informational("whole answers", report.summary.whole as f64),
     ])
 }
--- a/crates/lab/src/fault/keys.rs
+++ b/crates/lab/src/fault/keys.rs
@@ -32,10 +32,12 @@
 /// Time for connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause between faults.
-const FAULT_PAUSE: Duration = Duration::from_millis(400);
+const FAULT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Sends every key once or several times, to different routers.
-pub async fn run(prepared: &mut PreparedFleet) -> Result<Vec<fault::Finding>, Report<LabError>> {
+pub async fn run(
+    prepared: &mut PreparedFleet,
+) -> Result<Vec<fault::Measurement>, Report<LabError>> {
     let mut random = ChaCha8Rng::seed_from_u64(9);
     let mut arrivals = Vec::new();
     for key in 0..KEYS {
@@ -48,9 +50,9 @@
         let other = position.saturating_sub(random.random_range(0..12));
         arrivals.swap(position, other);
     }
-    list_phantom_service(prepared).await?;
+    register_unreachable_service(prepared).await?;
     let total = arrivals.len();
-    let told: Arc<Mutex<KeyedRecord>> = Arc::default();
+    let record: Arc<Mutex<KeyedRecord>> = Arc::default();
     let client = HttpClient::new(CONNECT_TIMEOUT);
     let caller = Caller::new(client, &prepared.documents.tenants[0].key);
     let service = prepared.documents.service_names().1.to_owned();
@@ -61,20 +63,21 @@
         .iter()
         .map(|place| place.listen)
         .collect();
-    let sending = {
-        let told = Arc::clone(&told);
+    let sender = {
+        let record = Arc::clone(&record);
         tokio::spawn(async move {
             stream::iter(arrivals)
                 .for_each_concurrent(CONCURRENCY, |(key, router)| {
                     let caller = caller.clone();
                     let service = service.clone();
-                    let told = Arc::clone(&told);
+                    let record = Arc::clone(&record);
                     let address = routers[router];
                     async move {
                         let name = key_name(key);
                         let path = format!("once/{key}");
                         let finding = caller.call(address, &service, &path, Some(&name)).await;
-                        told.lock()
+                        record
+                            .lock()
                             .unwrap_or_else(PoisonError::into_inner)
                             .note(key, &finding);
                     }
@@ -82,30 +85,32 @@
                 .await;
         })
     };
-    let faults = inflict_until_done(prepared, &sending).await?;
+    let faults = inject_faults_until_done(prepared, &sender).await?;
     // The sender's own panics show as keys of which nothing was told.
-    let _ = sending.await;
+    let _ = sender.await;
     sleep(Duration::from_secs(1)).await;
     let executions = prepared.fleet.executions().await?.by_key;
-    let told = told.lock().unwrap_or_else(PoisonError::into_inner);
-    let judged = told.judge(&executions);
-    let (whole, not_run, unknown) = told.totals();
+    let record = record.lock().unwrap_or_else(PoisonError::into_inner);
+    let judged = record.judge(&executions);
+    let (whole, not_run, unknown) = record.totals();
     Ok(vec![
-        fault::Finding::report("keys", KEYS as f64),
-        fault::Finding::report("arrivals", total as f64),
-        fault::Finding::report("faults", faults as f64),
-        fault::Finding::report("answered", whole as f64),
-        fault::Finding::report("told not run", not_run as f64),
-        fault::Finding::report("told unknown", unknown as f64),
-        fault::Finding::at_most("keys executed twice", judged.ran_twice as f64, 0.0),
-        fault::Finding::at_most("untrue \"not run\"", judged.untrue_not_run as f64, 0.0),
-        fault::Finding::at_most("answers without an execution", judged.unfounded as f64, 0.0),
+        fault::Measurement::informational("keys", KEYS as f64),
+        fault::Measurement::informational("arrivals", total as f64),
+        fault::Measurement::informational("faults", faults as f64),
+        fault::Measurement::informational("answered", whole as f64),
+        fault::Measurement::informational("told not run", not_run as f64),
+        fault::Measurement::informational("told unknown", unknown as f64),
+        fault::Measurement::at_most("keys executed twice", judged.ran_twice as f64, 0.0),
+        fault::Measurement::at_most("untrue \"not run\"", judged.untrue_not_run as f64, 0.0),
+        fault::Measurement::at_most("answers without an execution", judged.unfounded as f64, 0.0),
     ])
 }
 
 /// Lists a replica of the service at which nothing listens, so that some sends are proven not to
 /// have happened.
-async fn list_phantom_service(prepared: &mut PreparedFleet) -> Result<(), Report<LabError>> {
+async fn register_unreachable_service(
+    prepared: &mut PreparedFleet,
+) -> Result<(), Report<LabError>> {
     let service = prepared.documents.service_names().1.to_owned();
     let place = ControlPlace::draw(0)?;
     prepared.fleet.phantoms.push(Machine {
@@ -120,13 +125,13 @@
 }
 
 /// Kills a router or the leading control replica again and again while requests are sent.
-async fn inflict_until_done(
+async fn inject_faults_until_done(
     prepared: &mut PreparedFleet,
-    sending: &tokio::task::JoinHandle<()>,
+    sender: &tokio::task::JoinHandle<()>,
 ) -> Result<u64, Report<LabError>> {
     let mut faults: u64 = 0;
-    while !sending.is_finished() {
-        sleep(FAULT_PAUSE).await;
+    while !sender.is_finished() {
+        sleep(FAULT_INTERVAL).await;
         let number = faults as usize;
         if faults.is_multiple_of(3) {
             if let Some(leader) = prepared.fleet.leader().await {
--- a/crates/lab/src/fault/mod.rs
+++ b/crates/lab/src/fault/mod.rs
@@ -17,61 +17,61 @@
     /// A router is killed and restarted under load.
     RouterRestart,
     /// Every router is killed and restarted at once.
-    Herd,
+    RestartAllRouters,
     /// A control replica is frozen while configuration changes; a frozen router comes back.
-    Freeze,
+    FreezeControl,
     /// A majority of control replicas is frozen.
     QuorumLoss,
     /// The leading control replica is killed under load.
     Failover,
     /// A control replica's folder is deleted, and the replica is replaced.
-    LostFolder,
+    LostControlFolder,
     /// Keyed requests with duplicates under kills of routers and control leaders.
-    Keys,
+    IdempotencyKeys,
     /// Routers and engines are restarted one by one under load.
     RollingRestart,
     /// Engines are killed under load.
-    EngineCrash,
+    CrashEngines,
     /// An engine is frozen under load.
-    EngineFreeze,
+    FreezeEngine,
     /// An engine leaves.
-    Leaving,
+    EngineLeaving,
     /// The weights of a model change under load.
-    Weights,
+    WeightsRollout,
 }
 
 impl FaultCase {
     /// All cases.
     pub const ALL: [Self; 12] = [
         Self::RouterRestart,
-        Self::Herd,
-        Self::Freeze,
+        Self::RestartAllRouters,
+        Self::FreezeControl,
         Self::QuorumLoss,
         Self::Failover,
-        Self::LostFolder,
-        Self::Keys,
+        Self::LostControlFolder,
+        Self::IdempotencyKeys,
         Self::RollingRestart,
-        Self::EngineCrash,
-        Self::EngineFreeze,
-        Self::Leaving,
-        Self::Weights,
+        Self::CrashEngines,
+        Self::FreezeEngine,
+        Self::EngineLeaving,
+        Self::WeightsRollout,
     ];
 
     /// Name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::RouterRestart => "router-restart",
-            Self::Herd => "herd",
-            Self::Freeze => "freeze",
+            Self::RestartAllRouters => "herd",
+            Self::FreezeControl => "freeze",
             Self::QuorumLoss => "quorum-loss",
             Self::Failover => "failover",
-            Self::LostFolder => "lost-folder",
-            Self::Keys => "keys",
+            Self::LostControlFolder => "lost-folder",
+            Self::IdempotencyKeys => "keys",
             Self::RollingRestart => "rolling-restart",
-            Self::EngineCrash => "engine-crash",
-            Self::EngineFreeze => "engine-freeze",
-            Self::Leaving => "leaving",
-            Self::Weights => "weights",
+            Self::CrashEngines => "engine-crash",
+            Self::FreezeEngine => "engine-freeze",
+            Self::EngineLeaving => "leaving",
+            Self::WeightsRollout => "weights",
         }
     }
 }
@@ -88,7 +88,7 @@
 
 /// One thing that a case measures, and what it must be.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Finding {
+pub struct Measurement {
     /// What was measured.
     pub name: &'static str,
     /// The figure.
@@ -97,7 +97,7 @@
     pub limit: Option<f64>,
 }
 
-impl Finding {
+impl Measurement {
     /// A figure that may not exceed `limit`.
     pub fn at_most(name: &'static str, value: f64, limit: f64) -> Self {
         Self {
@@ -108,7 +108,7 @@
     }
 
     /// A figure that is only reported.
-    pub fn report(name: &'static str, value: f64) -> Self {
+    pub fn informational(name: &'static str, value: f64) -> Self {
         Self {
             name,
             value,
@@ -117,16 +117,16 @@
     }
 
     /// Whether the figure is within its limit.
-    pub fn holds(&self) -> bool {
+    pub fn is_within_limit(&self) -> bool {
         self.limit.is_none_or(|limit| self.value <= limit)
     }
 }
 
-impl fmt::Display for Finding {
+impl fmt::Display for Measurement {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:<52} {:>10.3}", self.name, self.value)?;
         match self.limit {
-            Some(limit) if self.holds() => write!(formatter, "  (limit {limit})"),
+            Some(limit) if self.is_within_limit() => write!(formatter, "  (limit {limit})"),
             Some(limit) => write!(formatter, "  EXCEEDS {limit}"),
             None => Ok(()),
         }
--- a/crates/lab/src/fault/routers.rs
+++ b/crates/lab/src/fault/routers.rs
@@ -8,7 +8,7 @@
 use crate::{
     LabError,
     demo::PreparedFleet,
-    fault::{Finding, background::BackgroundLoad},
+    fault::{Measurement, background::BackgroundLoad},
     fleet::Fault,
 };
 
@@ -18,7 +18,7 @@
 const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Kills and restarts one router under load, several times.
-pub async fn restart(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+pub async fn restart(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 1);
     let mut slowest = Duration::ZERO;
     for round in 0..5 {
@@ -29,24 +29,26 @@
             .await?;
         prepared.fleet.routers[position].restart()?;
         let admin = prepared.fleet.places.routers[position].admin;
-        let took = prepared
+        let restart_time = prepared
             .fleet
             .wait_until_up("router", admin, "/readyz")
             .await?;
-        slowest = slowest.max(took);
+        slowest = slowest.max(restart_time);
     }
     let report = load.finish().await;
     Ok(vec![
-        Finding::at_most("slowest restart until ready, s", slowest.as_secs_f64(), 1.0),
-        Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Measurement::at_most("slowest restart until ready, s", slowest.as_secs_f64(), 1.0),
+        Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
+        Measurement::informational("whole answers", report.summary.whole as f64),
     ])
 }
 
 /// Kills and restarts all routers at once.
-pub async fn herd(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+pub async fn restart_all(
+    prepared: &mut PreparedFleet,
+) -> Result<Vec<Measurement>, Report<LabError>> {
     let mut slowest = Duration::ZERO;
-    let mut older = 0;
+    let mut stale = 0;
     for _ in 0..3 {
         let load = BackgroundLoad::start(prepared, CALLERS, 2);
         sleep(Duration::from_secs(1)).await;
@@ -62,17 +64,17 @@
         slowest = slowest.max(started.elapsed());
         for place in &prepared.fleet.places.routers {
             let revision = prepared.fleet.router_revision(place.admin).await;
-            older += u64::from(revision.unwrap_or_default() < before);
+            stale += u64::from(revision.unwrap_or_default() < before);
         }
         load.finish().await;
     }
     Ok(vec![
-        Finding::at_most(
+        Measurement::at_most(
             "slowest herd restart until all are ready, s",
             slowest.as_secs_f64(),
             3.0,
         ),
-        Finding::at_most("routers with older configuration", older as f64, 0.0),
+        Measurement::at_most("routers with older configuration", stale as f64, 0.0),
     ])
 }
 
@@ -88,7 +90,7 @@
 /// Restarts routers and engines one by one by planned stops under load.
 pub async fn rolling_restart(
     prepared: &mut PreparedFleet,
-) -> Result<Vec<Finding>, Report<LabError>> {
+) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 3);
     sleep(Duration::from_millis(500)).await;
     let mut unclean = 0;
@@ -116,10 +118,10 @@
     }
     let report = load.finish().await;
     Ok(vec![
-        Finding::at_most("requests cut off", report.cut_off(), 0.0),
-        Finding::report("connections broken", report.summary.broken as f64),
-        Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::at_most("processes that did not stop cleanly", unclean as f64, 0.0),
-        Finding::report("whole answers", report.summary.whole as f64),
+        Measurement::at_most("requests cut off", report.interrupted(), 0.0),
+        Measurement::informational("connections broken", report.summary.broken as f64),
+        Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
+        Measurement::at_most("processes that did not stop cleanly", unclean as f64, 0.0),
+        Measurement::informational("whole answers", report.summary.whole as f64),
     ])
 }
--- a/crates/lab/src/simulate/command.rs
+++ b/crates/lab/src/simulate/command.rs
@@ -85,7 +85,7 @@
 }
 
 fn run_mutants(seeds: Range<u64>) -> Result<(), Report<LabError>> {
-    let mut unnoticed = 0;
+    let mut undetected = 0;
     for mutant in Mutant::ALL {
         let report = run_range(mutant.scenario(), Some(mutant), seeds.clone());
         match report.failing.first() {
@@ -99,7 +99,7 @@
                 first.violation,
             ),
             None => {
-                unnoticed += 1;
+                undetected += 1;
                 println!(
                     "{:<22} NOT NOTICED by {} seeds",
                     mutant.name(),
@@ -108,9 +108,9 @@
             }
         }
     }
-    if unnoticed > 0 {
+    if undetected > 0 {
         return Err(Report::new(LabError::Violations {
-            violations: unnoticed,
+            violations: undetected,
         }));
     }
     Ok(())
--- a/crates/lab/src/simulate/control/administration.rs
+++ b/crates/lab/src/simulate/control/administrator.rs
@@ -5,11 +5,11 @@
 
 use crate::simulate::control::{
     replicas::address,
-    world::{Broken, Event, World},
+    world::{CheckFailure, Event, World},
 };
 
 /// Time between two looks.
-const LOOK_INTERVAL: u64 = 200;
+const CHECK_INTERVAL: u64 = 200;
 
 /// A replacement that is under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,22 +26,23 @@
 
 /// What the administrator is doing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Administration {
+pub struct Administrator {
     /// The open replacement.
-    pub open: Option<Replacement>,
+    pub replacement: Option<Replacement>,
 }
 
 impl World {
     /// Does the next step of an open replacement at the present leader.
-    pub fn administer(&mut self) -> Result<(), Broken> {
-        self.schedule.after(LOOK_INTERVAL, Event::Administer);
-        let Some(open) = self.administration.open else {
+    pub fn advance_replacement(&mut self) -> Result<(), CheckFailure> {
+        self.schedule
+            .after(CHECK_INTERVAL, Event::AdministratorCheck);
+        let Some(replacement) = self.administrator.replacement else {
             return Ok(());
         };
         let Some(leader) = self.leaders().first().copied() else {
             return Ok(());
         };
-        let added_disk = self.disk_of(open.added);
+        let added_disk = self.disk_of(replacement.added);
         let Some(process) = self
             .replicas
             .get_mut(&leader)
@@ -50,11 +51,11 @@
             return Ok(());
         };
         let raft = process.replica.raft();
-        let is_settled = raft.membership_index() <= raft.commit_index();
-        let change = next_change(raft.membership(), open, added_disk);
-        let has_voter = raft.membership().is_voter(ReplicaId(open.added));
+        let is_committed = raft.membership_index() <= raft.commit_index();
+        let change = next_change(raft.membership(), replacement, added_disk);
+        let has_voter = raft.membership().is_voter(ReplicaId(replacement.added));
         match change {
-            None if is_settled && has_voter => self.administration.open = None,
+            None if is_committed && has_voter => self.administrator.replacement = None,
             None => {}
             Some(change) => {
                 // A refused step is tried again at the next look.
@@ -72,26 +73,26 @@
 
 fn next_change(
     membership: &Membership,
-    open: Replacement,
+    replacement: Replacement,
     added_disk: Option<DiskId>,
 ) -> Option<MembershipChange> {
     let removal = membership
-        .member(ReplicaId(open.lost))
-        .filter(|member| member.disk == open.lost_disk)
+        .member(ReplicaId(replacement.lost))
+        .filter(|member| member.disk == replacement.lost_disk)
         .map(|member| MembershipChange::Remove(member.replica));
-    let addition = match membership.member(ReplicaId(open.added)) {
+    let addition = match membership.member(ReplicaId(replacement.added)) {
         Some(member) if member.voter => None,
         Some(member) => Some(MembershipChange::Promote(member.replica)),
         None => added_disk.map(|disk| {
             MembershipChange::AddLearner(Member {
-                replica: ReplicaId(open.added),
+                replica: ReplicaId(replacement.added),
                 disk,
-                address: address(open.added),
+                address: address(replacement.added),
                 voter: false,
             })
         }),
     };
-    if open.add_first {
+    if replacement.add_first {
         addition.or(removal)
     } else {
         removal.or(addition)
--- a/crates/lab/src/simulate/control/checks.rs
+++ b/crates/lab/src/simulate/control/checks.rs
@@ -8,7 +8,7 @@
 use railtack_settings::documents::Document;
 use speedy::Readable;
 
-use crate::simulate::{Promise, control::world::Broken};
+use crate::simulate::{Invariant, control::world::CheckFailure};
 
 /// An entry as it was first applied anywhere.
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 struct Observation {
     invoked_at: u64,
-    answered_at: u64,
+    completed_at: u64,
     outcome: Outcome,
 }
 
@@ -29,22 +29,22 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyRecord {
     executions: u32,
-    told_not_run: bool,
-    told_completed: bool,
+    reported_not_run: bool,
+    reported_completed: bool,
 }
 
 /// Everything seen.
 #[derive(Debug, Default)]
-pub struct Checks {
+pub struct HistoryChecker {
     history: BTreeMap<u64, HistoryEntry>,
     observations: BTreeMap<OperationId, Observation>,
     accepted: Vec<(u64, u64)>,
     keys: BTreeMap<u64, KeyRecord>,
 }
 
-impl Checks {
+impl HistoryChecker {
     /// A replica applied an entry: it must be the one that others applied at that place.
-    pub fn applied(&mut self, replica: u32, applied: &Applied) -> Result<(), Broken> {
+    pub fn record_applied(&mut self, replica: u32, applied: &Applied) -> Result<(), CheckFailure> {
         let index = applied.position.index;
         let Some(known) = self.history.get(&index) else {
             let entry = HistoryEntry {
@@ -58,23 +58,23 @@
             return Ok(());
         }
         let detail = format!("replica {replica} applied another entry at {index}");
-        Err((Promise::OneHistory, detail))
+        Err((Invariant::LogAgreement, detail))
     }
 
     /// An operator was told an outcome.
-    pub fn observed(
+    pub fn record_outcome(
         &mut self,
         operation: OperationId,
         invoked_at: u64,
-        answered_at: u64,
+        completed_at: u64,
         outcome: Outcome,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), CheckFailure> {
         if let Outcome::Accepted { revision } = outcome {
-            self.accepted.push((answered_at, revision.0));
+            self.accepted.push((completed_at, revision.0));
         }
         let observation = Observation {
             invoked_at,
-            answered_at,
+            completed_at,
             outcome,
         };
         self.observations.insert(operation, observation);
@@ -82,37 +82,44 @@
     }
 
     /// Highest revision that an operator was told of up to a moment.
-    pub fn accepted_before(&self, moment: u64) -> u64 {
-        let told = self.accepted.iter().filter(|(at, _)| *at <= moment);
-        told.map(|(_, revision)| *revision).max().unwrap_or(0)
+    pub fn newest_revision_accepted_by(&self, time: u64) -> u64 {
+        let accepted = self.accepted.iter().filter(|(at, _)| *at <= time);
+        accepted.map(|(_, revision)| *revision).max().unwrap_or(0)
     }
 
     /// The service ran a key.
-    pub fn executed(&mut self, key: u64) -> Result<(), Broken> {
+    pub fn record_execution(&mut self, key: u64) -> Result<(), CheckFailure> {
         let record = self.keys.entry(key).or_default();
         record.executions += 1;
         if record.executions > 1 {
-            return Err((Promise::AtMostOnce, format!("key {key} ran twice")));
+            return Err((Invariant::AtMostOnce, format!("key {key} ran twice")));
         }
         check_key(key, *record)
     }
 
     /// A caller was told something of a key.
-    pub fn told(&mut self, key: u64, execution: Execution) -> Result<(), Broken> {
+    pub fn record_reported_execution(
+        &mut self,
+        key: u64,
+        execution: Execution,
+    ) -> Result<(), CheckFailure> {
         let record = self.keys.entry(key).or_default();
-        record.told_not_run |= execution == Execution::NotRun;
-        record.told_completed |= execution == Execution::Completed;
+        record.reported_not_run |= execution == Execution::NotRun;
+        record.reported_completed |= execution == Execution::Completed;
         check_key(key, *record)
     }
 
     /// The whole history must follow the rules, and agree with what operators saw and when.
-    pub fn check_history(&self) -> Result<(), Broken> {
-        let mut model = Specification::default();
+    pub fn check_history(&self) -> Result<(), CheckFailure> {
+        let mut model = ReferenceModel::default();
         let mut first_index = BTreeMap::new();
         for (index, entry) in &self.history {
             let proposal = Proposal::read_from_buffer(&entry.encoded);
             let Ok(proposal) = proposal else {
-                return Err((Promise::OneHistory, format!("entry {index} is unreadable")));
+                return Err((
+                    Invariant::LogAgreement,
+                    format!("entry {index} is unreadable"),
+                ));
             };
             model.check(*index, proposal.command, &entry.outcome, &mut first_index)?;
         }
@@ -122,65 +129,65 @@
     fn check_observations(
         &self,
         first_index: &BTreeMap<OperationId, (u64, Outcome)>,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), CheckFailure> {
         let mut seen = Vec::new();
         for (operation, observation) in &self.observations {
             let Some((index, outcome)) = first_index.get(operation) else {
                 let detail = format!("{operation} was answered and is not in the history");
-                return Err((Promise::OneHistory, detail));
+                return Err((Invariant::LogAgreement, detail));
             };
             if *outcome != observation.outcome {
                 let detail = format!("{operation} was told another outcome than it has");
-                return Err((Promise::Linearizable, detail));
+                return Err((Invariant::Linearizable, detail));
             }
-            seen.push((observation.invoked_at, observation.answered_at, *index));
+            seen.push((observation.invoked_at, observation.completed_at, *index));
         }
         check_real_time(seen)
     }
 }
 
 /// Whoever was answered before another began must stand before it.
-fn check_real_time(mut seen: Vec<(u64, u64, u64)>) -> Result<(), Broken> {
+fn check_real_time(mut seen: Vec<(u64, u64, u64)>) -> Result<(), CheckFailure> {
     seen.sort_by_key(|(_, _, index)| *index);
     let mut latest_invocation = 0;
-    for (invoked_at, answered_at, index) in seen {
-        if answered_at < latest_invocation {
+    for (invoked_at, completed_at, index) in seen {
+        if completed_at < latest_invocation {
             let detail = format!("entry {index} stands after one that began after its answer");
-            return Err((Promise::Linearizable, detail));
+            return Err((Invariant::Linearizable, detail));
         }
         latest_invocation = latest_invocation.max(invoked_at);
     }
     Ok(())
 }
 
-fn check_key(key: u64, record: KeyRecord) -> Result<(), Broken> {
-    if record.told_not_run && record.executions > 0 {
+fn check_key(key: u64, record: KeyRecord) -> Result<(), CheckFailure> {
+    if record.reported_not_run && record.executions > 0 {
         let detail = format!("key {key} ran, and a caller was told that it did not");
-        return Err((Promise::TrueRefusal, detail));
+        return Err((Invariant::AccurateExecution, detail));
     }
-    if record.told_completed && record.executions != 1 {
+    if record.reported_completed && record.executions != 1 {
         let detail = format!("key {key} did not run, and a caller was told that it did");
-        return Err((Promise::TrueRefusal, detail));
+        return Err((Invariant::AccurateExecution, detail));
     }
     Ok(())
 }
 
 /// The rules, written down a second time and as simply as possible.
 #[derive(Default)]
-struct Specification {
+struct ReferenceModel {
     revision: u64,
     documents: BTreeMap<String, u64>,
     granted: BTreeMap<String, AttemptId>,
 }
 
-impl Specification {
+impl ReferenceModel {
     fn check(
         &mut self,
         index: u64,
         command: Command,
         outcome: &Outcome,
         first_index: &mut BTreeMap<OperationId, (u64, Outcome)>,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), CheckFailure> {
         match command {
             Command::Configure { operation, change } => {
                 if let Some((_, first)) = first_index.get(&operation) {
@@ -188,7 +195,7 @@
                         return Ok(());
                     }
                     let detail = format!("{operation} has two outcomes");
-                    return Err((Promise::Linearizable, detail));
+                    return Err((Invariant::Linearizable, detail));
                 }
                 first_index.insert(operation, (index, outcome.clone()));
                 self.check_change(index, &change, outcome)
@@ -202,7 +209,7 @@
                     return Ok(());
                 }
                 let detail = format!("key {} was granted to two attempts", request.key);
-                Err((Promise::AtMostOnce, detail))
+                Err((Invariant::AtMostOnce, detail))
             }
             _ => Ok(()),
         }
@@ -213,13 +220,13 @@
         index: u64,
         change: &ConfigurationChange,
         outcome: &Outcome,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), CheckFailure> {
         let ConfigurationChange::Put { expected, document } = change else {
             return Ok(());
         };
         let name = document_name(document);
         let current = self.documents.get(&name).copied().unwrap_or(0);
-        let wanted = if current == expected.0 {
+        let expected = if current == expected.0 {
             self.revision += 1;
             self.documents.insert(name, self.revision);
             Outcome::Accepted {
@@ -230,11 +237,11 @@
                 current: Revision(current),
             }
         };
-        if *outcome == wanted {
+        if *outcome == expected {
             return Ok(());
         }
-        let detail = format!("entry {index} has outcome {outcome:?}, expected {wanted:?}");
-        Err((Promise::Linearizable, detail))
+        let detail = format!("entry {index} has outcome {outcome:?}, expected {expected:?}");
+        Err((Invariant::Linearizable, detail))
     }
 }
 
--- a/crates/lab/src/simulate/control/engines.rs
+++ b/crates/lab/src/simulate/control/engines.rs
@@ -8,12 +8,12 @@
 use rand::RngExt;
 
 use crate::simulate::{
-    Mutant, Promise,
+    Invariant, Mutant,
     control::{
         operators::MODEL,
-        world::{Broken, ENGINES, Event, World},
+        world::{CheckFailure, ENGINES, Event, World},
     },
-    network::Place,
+    network::Node,
 };
 
 /// Time between two looks at the engines, as in the daemon.
@@ -22,9 +22,9 @@
 /// An engine, as far as orders concern it.
 pub struct SimEngine {
     /// Counts its processes.
-    pub life: u32,
+    pub incarnation: u32,
     /// Whether its process runs.
-    pub up: bool,
+    pub is_running: bool,
     /// What it lets in.
     pub gate: Gate,
     /// Highest token taken in this life.
@@ -37,8 +37,8 @@
         for number in 1..=ENGINES {
             let gate = self.new_gate(number, 1);
             let engine = SimEngine {
-                life: 1,
-                up: true,
+                incarnation: 1,
+                is_running: true,
                 gate,
                 highest_token: 0,
             };
@@ -46,13 +46,13 @@
         }
     }
 
-    fn new_gate(&self, number: u32, life: u32) -> Gate {
+    fn new_gate(&self, number: u32, incarnation: u32) -> Gate {
         let checks = GateChecks {
             fencing: !self.is_mutant(Mutant::NoFencing),
             ..GateChecks::default()
         };
         Gate::new(
-            EngineIncarnation(u64::from(number) << 32 | u64::from(life)),
+            EngineIncarnation(u64::from(number) << 32 | u64::from(incarnation)),
             ModelName::from(MODEL),
             WeightsVersion(1),
             checks,
@@ -61,13 +61,17 @@
 
     /// An engine's process ends and starts anew, with the weights of its settings.
     pub fn restart_engine(&mut self, number: u32) {
-        let Some(life) = self.engines.get(&number).map(|engine| engine.life + 1) else {
+        let Some(incarnation) = self
+            .engines
+            .get(&number)
+            .map(|engine| engine.incarnation + 1)
+        else {
             return;
         };
-        let gate = self.new_gate(number, life);
+        let gate = self.new_gate(number, incarnation);
         let engine = SimEngine {
-            life,
-            up: true,
+            incarnation,
+            is_running: true,
             gate,
             highest_token: 0,
         };
@@ -75,19 +79,19 @@
     }
 
     /// A replica that believes it leads looks at the engines.
-    pub fn roll_out(&mut self, number: u32, life: u32) -> Result<(), Broken> {
+    pub fn run_rollout_step(&mut self, number: u32, incarnation: u32) -> Result<(), CheckFailure> {
         let Some(machine) = self.replicas.get(&number) else {
             return Ok(());
         };
-        if machine.life != life || machine.process.is_none() {
+        if machine.incarnation != incarnation || machine.process.is_none() {
             return Ok(());
         }
-        let event = Event::Rollout {
+        let event = Event::RolloutCheck {
             replica: number,
-            life,
+            incarnation,
         };
         self.schedule.after(ROLLOUT_INTERVAL, event);
-        let statuses = self.statuses_seen_by(number);
+        let statuses = self.reachable_statuses(number);
         let listed: Vec<(EngineId, ModelName)> = (1..=ENGINES)
             .map(|engine| (EngineId(engine), ModelName::from(MODEL)))
             .collect();
@@ -126,8 +130,8 @@
                 model: target.name,
                 weights_version: target.weights_version,
             };
-            let place = Place::Engine(engine.0);
-            if let Some(delay) = self.network.once(Place::Replica(number), place) {
+            let node = Node::Engine(engine.0);
+            if let Some(delay) = self.network.connection_delay(Node::Replica(number), node) {
                 let event = Event::Order {
                     engine: engine.0,
                     order,
@@ -138,14 +142,14 @@
         self.advance(number)
     }
 
-    fn statuses_seen_by(&self, replica: u32) -> Vec<EngineStatus> {
-        let from = Place::Replica(replica);
+    fn reachable_statuses(&self, replica: u32) -> Vec<EngineStatus> {
+        let from = Node::Replica(replica);
         let reachable = self.engines.iter().filter(|(number, engine)| {
-            let place = Place::Engine(**number);
-            engine.up
-                && !self.is_frozen(place)
-                && !self.network.is_cut(from, place)
-                && !self.network.is_cut(place, from)
+            let node = Node::Engine(**number);
+            engine.is_running
+                && !self.is_frozen(node)
+                && !self.network.is_cut(from, node)
+                && !self.network.is_cut(node, from)
         });
         reachable
             .map(|(number, engine)| status(*number, engine))
@@ -153,10 +157,14 @@
     }
 
     /// An order arrives at an engine.
-    pub fn take_order(&mut self, number: u32, order: OrderRequest) -> Result<(), Broken> {
+    pub fn handle_order(&mut self, number: u32, order: OrderRequest) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let load_time = self.random.random_range(300..2_000);
-        let Some(engine) = self.engines.get_mut(&number).filter(|engine| engine.up) else {
+        let Some(engine) = self
+            .engines
+            .get_mut(&number)
+            .filter(|engine| engine.is_running)
+        else {
             return Ok(());
         };
         let token = order.token;
@@ -164,18 +172,18 @@
             return Ok(());
         }
         self.trace
-            .note(now, || format!("engine {number} takes order {token}"));
+            .record(now, || format!("engine {number} takes order {token}"));
         if token <= engine.highest_token {
             let detail = format!(
                 "engine {number} took order {token} after {}",
                 engine.highest_token
             );
-            return Err((Promise::Fenced, detail));
+            return Err((Invariant::Fencing, detail));
         }
         engine.highest_token = token;
-        let event = Event::Loaded {
+        let event = Event::WeightsLoaded {
             engine: number,
-            life: engine.life,
+            incarnation: engine.incarnation,
             order,
         };
         self.schedule.after(load_time, event);
@@ -183,26 +191,26 @@
     }
 
     /// An engine has its weights.
-    pub fn loaded(&mut self, number: u32, life: u32, order: OrderRequest) {
+    pub fn finish_loading(&mut self, number: u32, incarnation: u32, order: OrderRequest) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
-        if engine.life == life && engine.gate.is_current(&order) {
+        if engine.incarnation == incarnation && engine.gate.is_current(&order) {
             engine.gate.loaded(order);
             self.activity.completed += 1;
         }
     }
 
     /// With every engine up, at least one must be in service.
-    pub fn check_engines(&self) -> Result<(), Broken> {
+    pub fn check_engines(&self) -> Result<(), CheckFailure> {
         let all_load = !self.engines.is_empty()
             && self
                 .engines
                 .values()
-                .all(|engine| engine.up && engine.gate.loading);
+                .all(|engine| engine.is_running && engine.gate.loading);
         if all_load {
             let detail = "every engine loads weights at the same time".to_owned();
-            return Err((Promise::Rollout, detail));
+            return Err((Invariant::Rollout, detail));
         }
         Ok(())
     }
--- a/crates/lab/src/simulate/control/faults.rs
+++ b/crates/lab/src/simulate/control/faults.rs
@@ -5,10 +5,10 @@
 use crate::simulate::{
     Scenario,
     control::{
-        administration::Replacement,
-        world::{Broken, ENGINES, Event, ROUTERS, World},
+        administrator::Replacement,
+        world::{CheckFailure, ENGINES, Event, ROUTERS, World},
     },
-    network::Place,
+    network::Node,
 };
 
 /// Kinds of fault.
@@ -78,12 +78,12 @@
 
 impl World {
     /// Injects one fault and plans the next; sometimes two come together.
-    pub fn inject_fault(&mut self) -> Result<(), Broken> {
+    pub fn inject_fault(&mut self) -> Result<(), CheckFailure> {
         if self.healed {
             return Ok(());
         }
         let pause = self.random.random_range(300..2_500);
-        self.schedule.after(pause, Event::Fault);
+        self.schedule.after(pause, Event::InjectFault);
         let count = if self.random.random_bool(0.25) { 2 } else { 1 };
         for _ in 0..count {
             let choices = FaultKind::choices(self.scenario);
@@ -94,9 +94,9 @@
         Ok(())
     }
 
-    fn inject(&mut self, kind: FaultKind) -> Result<(), Broken> {
+    fn inject(&mut self, kind: FaultKind) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
-        self.trace.note(now, || format!("fault: {kind:?}"));
+        self.trace.record(now, || format!("fault: {kind:?}"));
         match kind {
             FaultKind::CrashReplica => {
                 let replica = self.draw_replica();
@@ -109,16 +109,16 @@
                 }
             }
             FaultKind::FreezeReplica => {
-                let place = Place::Replica(self.draw_replica());
-                self.freeze(place);
+                let node = Node::Replica(self.draw_replica());
+                self.freeze(node);
             }
             FaultKind::FreezeRouter => {
-                let place = Place::Router(self.random.random_range(1..=ROUTERS));
-                self.freeze(place);
+                let node = Node::Router(self.random.random_range(1..=ROUTERS));
+                self.freeze(node);
             }
             FaultKind::FreezeEngine => {
-                let place = Place::Engine(self.random.random_range(1..=ENGINES));
-                self.freeze(place);
+                let node = Node::Engine(self.random.random_range(1..=ENGINES));
+                self.freeze(node);
             }
             FaultKind::IsolateReplica => {
                 let replica = self.draw_replica();
@@ -163,35 +163,35 @@
     fn crash_and_restart(&mut self, replica: u32) {
         self.crash_replica(replica);
         let pause = self.random.random_range(50..2_500);
-        let event = Event::Restart(Place::Replica(replica));
+        let event = Event::Restart(Node::Replica(replica));
         self.schedule.after(pause, event);
     }
 
     fn kill_and_restart_router(&mut self, router: u32) {
         self.kill_router(router);
         let pause = self.random.random_range(50..1_500);
-        let event = Event::Restart(Place::Router(router));
+        let event = Event::Restart(Node::Router(router));
         self.schedule.after(pause, event);
     }
 
-    fn freeze(&mut self, place: Place) {
+    fn freeze(&mut self, node: Node) {
         let until = self.schedule.now() + self.random.random_range(300..9_000);
-        self.frozen.insert(place, until);
+        self.frozen.insert(node, until);
     }
 
     /// Cuts a replica off from everyone, in silence.
     fn isolate(&mut self, replica: u32) {
-        let place = Place::Replica(replica);
+        let node = Node::Replica(replica);
         let pause = self.random.random_range(300..8_000);
-        for other in self.other_places(place) {
-            self.cut_for(place, other, pause);
-            self.cut_for(other, place, pause);
+        for other in self.other_nodes(node) {
+            self.cut_for(node, other, pause);
+            self.cut_for(other, node, pause);
         }
     }
 
     fn cut_one_way(&mut self) {
-        let from = Place::Replica(self.draw_replica());
-        let others = self.other_places(from);
+        let from = Node::Replica(self.draw_replica());
+        let others = self.other_nodes(from);
         let to = others[self.random.random_range(0..others.len())];
         let pause = self.random.random_range(300..9_000);
         let (from, to) = if self.random.random_bool(0.5) {
@@ -204,33 +204,33 @@
 
     /// Cuts a router off from some or all replicas for longer than its lease.
     fn cut_router(&mut self) {
-        let router = Place::Router(self.random.random_range(1..=ROUTERS));
+        let router = Node::Router(self.random.random_range(1..=ROUTERS));
         let pause = self.random.random_range(2_000..14_000);
         let replicas: Vec<u32> = self.replicas.keys().copied().collect();
         let cut_all = self.random.random_bool(0.5);
         for replica in replicas {
             if cut_all || self.random.random_bool(0.5) {
-                self.cut_for(router, Place::Replica(replica), pause);
-                self.cut_for(Place::Replica(replica), router, pause);
+                self.cut_for(router, Node::Replica(replica), pause);
+                self.cut_for(Node::Replica(replica), router, pause);
             }
         }
     }
 
-    fn cut_for(&mut self, from: Place, to: Place, pause: u64) {
+    fn cut_for(&mut self, from: Node, to: Node, pause: u64) {
         self.network.cut(from, to);
-        self.schedule.after(pause, Event::Mend(from, to));
+        self.schedule.after(pause, Event::Reconnect(from, to));
     }
 
-    fn other_places(&self, place: Place) -> Vec<Place> {
-        let replicas = self.replicas.keys().map(|number| Place::Replica(*number));
-        let routers = self.routers.keys().map(|number| Place::Router(*number));
-        let engines = self.engines.keys().map(|number| Place::Engine(*number));
-        let operators = (0..self.operators.len() as u32).map(Place::Operator);
+    fn other_nodes(&self, node: Node) -> Vec<Node> {
+        let replicas = self.replicas.keys().map(|number| Node::Replica(*number));
+        let routers = self.routers.keys().map(|number| Node::Router(*number));
+        let engines = self.engines.keys().map(|number| Node::Engine(*number));
+        let operators = (0..self.operators.len() as u32).map(Node::Operator);
         replicas
             .chain(routers)
             .chain(engines)
             .chain(operators)
-            .filter(|other| *other != place)
+            .filter(|other| *other != node)
             .collect()
     }
 
@@ -239,8 +239,8 @@
     ///
     /// Only one disk is lost at a time: the next may go as soon as the replacement votes.
     fn lose_disk(&mut self, replica: u32) {
-        let is_voter = self.is_settled_voter(replica);
-        if self.administration.open.is_some() || !is_voter {
+        let is_voter = self.is_committed_voter(replica);
+        if self.administrator.replacement.is_some() || !is_voter {
             return;
         }
         let Some(machine) = self.replicas.get_mut(&replica) else {
@@ -252,10 +252,10 @@
         let lost_disk = process.replica.identity().disk;
         machine.process = None;
         machine.media.wipe();
-        self.frozen.remove(&Place::Replica(replica));
+        self.frozen.remove(&Node::Replica(replica));
         let added = self.replicas.keys().max().copied().unwrap_or_default() + 1;
         let add_first = self.random.random_bool(0.5);
-        self.administration.open = Some(Replacement {
+        self.administrator.replacement = Some(Replacement {
             lost: replica,
             lost_disk,
             added,
@@ -263,18 +263,18 @@
         });
         let now = self.schedule.now();
         self.trace
-            .note(now, || format!("replica {replica} loses its disk"));
+            .record(now, || format!("replica {replica} loses its disk"));
         let pause = self.random.random_range(10..200);
-        let event = Event::Restart(Place::Replica(replica));
+        let event = Event::Restart(Node::Replica(replica));
         self.schedule.after(pause, event);
         self.add_machine(added);
         let pause = self.random.random_range(100..2_000);
-        let event = Event::Restart(Place::Replica(added));
+        let event = Event::Restart(Node::Replica(added));
         self.schedule.after(pause, event);
     }
 
     /// Whether the newest leader's committed membership has this replica as a voter.
-    fn is_settled_voter(&self, replica: u32) -> bool {
+    fn is_committed_voter(&self, replica: u32) -> bool {
         let leader = self.leaders().first().copied();
         let process = leader.and_then(|leader| self.replicas[&leader].process.as_ref());
         process.is_some_and(|process| {
@@ -296,28 +296,28 @@
             .replicas
             .iter()
             .filter(|(number, machine)| {
-                **number != leader && machine.process.is_some() && self.is_settled_voter(**number)
+                **number != leader && machine.process.is_some() && self.is_committed_voter(**number)
             })
             .map(|(number, _)| *number)
             .collect();
         let &[lagging, losing] = followers.as_slice() else {
             return;
         };
-        if self.lagging_for(leader, lagging) < LAG_WANTED {
+        if self.lag_entries(leader, lagging) < MIN_LAG_ENTRIES {
             let pause = self.random.random_range(400..1_500);
-            self.cut_for(Place::Replica(leader), Place::Replica(lagging), pause);
-            self.cut_for(Place::Replica(losing), Place::Replica(lagging), pause);
+            self.cut_for(Node::Replica(leader), Node::Replica(lagging), pause);
+            self.cut_for(Node::Replica(losing), Node::Replica(lagging), pause);
             return;
         }
         self.network
-            .mend(Place::Replica(leader), Place::Replica(lagging));
+            .reconnect(Node::Replica(leader), Node::Replica(lagging));
         self.network
-            .mend(Place::Replica(losing), Place::Replica(lagging));
+            .reconnect(Node::Replica(losing), Node::Replica(lagging));
         self.lose_disk(losing);
         self.crash_and_restart(leader);
     }
 
-    fn lagging_for(&self, leader: u32, follower: u32) -> u64 {
+    fn lag_entries(&self, leader: u32, follower: u32) -> u64 {
         let last = |number: &u32| {
             let process = self.replicas[number].process.as_ref();
             process.map_or(0, |process| process.replica.raft().log().last_index())
@@ -326,10 +326,10 @@
     }
 
     /// A process starts again.
-    pub fn restart(&mut self, place: Place) -> Result<(), Broken> {
-        match place {
-            Place::Replica(number) => self.start_replica(number),
-            Place::Router(number) => {
+    pub fn restart(&mut self, node: Node) -> Result<(), CheckFailure> {
+        match node {
+            Node::Replica(number) => self.start_replica(number),
+            Node::Router(number) => {
                 self.start_router(number);
                 Ok(())
             }
@@ -338,7 +338,7 @@
     }
 
     /// Ends all faults. Processes that are down start again.
-    pub fn heal(&mut self) -> Result<(), Broken> {
+    pub fn heal(&mut self) -> Result<(), CheckFailure> {
         self.healed = true;
         self.network.heal();
         self.frozen.clear();
@@ -355,4 +355,4 @@
 }
 
 /// Entries by which a follower must lag before the leader is taken away.
-const LAG_WANTED: u64 = 1;
+const MIN_LAG_ENTRIES: u64 = 1;
--- a/crates/lab/src/simulate/control/mod.rs
+++ b/crates/lab/src/simulate/control/mod.rs
@@ -1,6 +1,6 @@
 //! Control replicas, routers, operators and engines in virtual time.
 
-mod administration;
+mod administrator;
 mod checks;
 mod engines;
 mod faults;
--- a/crates/lab/src/simulate/control/operators.rs
+++ b/crates/lab/src/simulate/control/operators.rs
@@ -10,8 +10,8 @@
 
 use crate::simulate::{
     Scenario,
-    control::world::{Broken, Event, OPERATORS, TaskOwner, World},
-    network::Place,
+    control::world::{CheckFailure, Event, OPERATORS, TaskOwner, World},
+    network::Node,
 };
 
 /// Documents that the operators fight over.
@@ -19,12 +19,12 @@
 /// Time that an operator waits before it resends.
 const OPERATOR_TIMEOUT: u64 = 2_500;
 /// Sends of one operation.
-const SENDS: u32 = 4;
+const MAX_SENDS: u32 = 4;
 /// Model whose weights are changed.
 pub const MODEL: &str = "model";
 
 /// A change that is under way.
-pub struct OpenOperation {
+pub struct PendingOperation {
     operation: OperationId,
     change: ConfigurationChange,
     document: u32,
@@ -36,8 +36,8 @@
 #[derive(Default)]
 pub struct SimOperator {
     /// Revision of each document, as the operator last heard it.
-    known: BTreeMap<u32, Revision>,
-    open: Option<OpenOperation>,
+    known_revisions: BTreeMap<u32, Revision>,
+    pending: Option<PendingOperation>,
 }
 
 impl World {
@@ -46,30 +46,31 @@
         for operator in 0..OPERATORS {
             self.operators.push(SimOperator::default());
             let delay = 1_000 + u64::from(operator) * 10;
-            self.schedule.after(delay, Event::OperatorTurn { operator });
+            self.schedule
+                .after(delay, Event::OperatorAction { operator });
         }
     }
 
     /// An operator begins a change, or resends the open one.
-    pub fn operator_turn(&mut self, operator: u32) {
+    pub fn run_operator(&mut self, operator: u32) {
         let now = self.schedule.now();
-        if self.operators[operator as usize].open.is_none() {
+        if self.operators[operator as usize].pending.is_none() {
             if self.healed {
                 return;
             }
             self.begin_operation(operator, now);
         }
-        let Some(open) = &mut self.operators[operator as usize].open else {
+        let Some(pending) = &mut self.operators[operator as usize].pending else {
             return;
         };
-        open.sends += 1;
+        pending.sends += 1;
         let command = Command::Configure {
-            operation: open.operation.clone(),
-            change: open.change.clone(),
+            operation: pending.operation.clone(),
+            change: pending.change.clone(),
         };
         // Starting a task cannot break a promise by itself.
         let _ = self.start_task(
-            Place::Operator(operator),
+            Node::Operator(operator),
             command,
             OPERATOR_TIMEOUT,
             TaskOwner::Operator(operator),
@@ -77,20 +78,20 @@
     }
 
     fn begin_operation(&mut self, operator: u32, now: u64) {
-        let number = self.number();
+        let number = self.next_id();
         let document = self.random.random_range(0..DOCUMENTS);
         let content = if self.scenario == Scenario::Rollout && document == 0 {
             self.draw_model()
         } else {
             template(document, number)
         };
-        let expected = self.believed_revision(operator, document);
+        let expected = self.draw_expected_revision(operator, document);
         let change = ConfigurationChange::Put {
             expected,
             document: content,
         };
         let operation = OperationId(format!("operation-{number}"));
-        self.operators[operator as usize].open = Some(OpenOperation {
+        self.operators[operator as usize].pending = Some(PendingOperation {
             operation,
             change,
             document,
@@ -107,14 +108,14 @@
     }
 
     /// What an operator believes: usually what some replica has, sometimes what it heard before.
-    fn believed_revision(&mut self, operator: u32, document: u32) -> Revision {
-        let heard = self.operators[operator as usize]
-            .known
+    fn draw_expected_revision(&mut self, operator: u32, document: u32) -> Revision {
+        let last_known = self.operators[operator as usize]
+            .known_revisions
             .get(&document)
             .copied()
             .unwrap_or_default();
         if self.random.random_bool(0.3) {
-            return heard;
+            return last_known;
         }
         let running: Vec<u32> = self
             .replicas
@@ -123,12 +124,12 @@
             .map(|(number, _)| *number)
             .collect();
         if running.is_empty() {
-            return heard;
+            return last_known;
         }
         let number = running[self.random.random_range(0..running.len())];
         let process = self.replicas[&number].process.as_ref();
         let Some(process) = process else {
-            return heard;
+            return last_known;
         };
         let configuration = process.replica.state().configuration();
         let templates = configuration.templates.get(&template_name(document));
@@ -142,16 +143,17 @@
     }
 
     /// An operator learns what came of its change, or that nobody knows.
-    pub fn operator_told(
+    pub fn handle_operation_outcome(
         &mut self,
         operator: u32,
         proposed: ProposalOutcome,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let pause = self.random.random_range(20..600);
-        self.schedule.after(pause, Event::OperatorTurn { operator });
+        self.schedule
+            .after(pause, Event::OperatorAction { operator });
         let state = &mut self.operators[operator as usize];
-        let Some(open) = state.open.take() else {
+        let Some(pending) = state.pending.take() else {
             return Ok(());
         };
         match proposed {
@@ -159,22 +161,23 @@
                 match &outcome {
                     Outcome::Accepted { revision } => {
                         self.activity.completed += 1;
-                        state.known.insert(open.document, *revision);
+                        state.known_revisions.insert(pending.document, *revision);
                     }
                     Outcome::Conflict { current } => {
                         self.activity.refused += 1;
-                        state.known.insert(open.document, *current);
+                        state.known_revisions.insert(pending.document, *current);
                     }
                     _ => {}
                 }
-                let (sent, heard) = (open.invoked_at, now);
+                let (invoked_at, completed_at) = (pending.invoked_at, now);
                 self.trace
-                    .note(now, || format!("{} ended: {outcome:?}", open.operation));
-                self.checks.observed(open.operation, sent, heard, outcome)
+                    .record(now, || format!("{} ended: {outcome:?}", pending.operation));
+                self.checks
+                    .record_outcome(pending.operation, invoked_at, completed_at, outcome)
             }
             ProposalOutcome::Unknown | ProposalOutcome::NotProposed => {
-                if open.sends < SENDS {
-                    state.open = Some(open);
+                if pending.sends < MAX_SENDS {
+                    state.pending = Some(pending);
                 }
                 Ok(())
             }
--- a/crates/lab/src/simulate/control/replicas.rs
+++ b/crates/lab/src/simulate/control/replicas.rs
@@ -11,17 +11,17 @@
 use rand::RngExt;
 
 use crate::simulate::{
-    Mutant, Promise,
-    control::world::{Broken, Clock, Event, REPLICAS, Reply, Request, World},
-    network::Place,
+    Invariant, Mutant,
+    control::world::{CheckFailure, Clock, Event, REPLICAS, Reply, Request, World},
+    network::Node,
 };
 
 /// Time between a replica's ticks.
-const TICK: u64 = 10;
+const TICK_INTERVAL: u64 = 10;
 /// Shortest election timeout.
 const ELECTION_TIMEOUT: Millis = 300;
 /// Time between heartbeats.
-const HEARTBEAT: Millis = 60;
+const HEARTBEAT_INTERVAL: Millis = 60;
 /// Entries after which a snapshot is made; small, so that snapshots are met often.
 const SNAPSHOT_ENTRIES: u64 = 60;
 /// Retention of claims; longer than any run.
@@ -34,7 +34,7 @@
     /// The replica.
     pub replica: Replica,
     /// Who waits for its proposals.
-    pub pending: PendingProposals<(Place, u64)>,
+    pub pending: PendingProposals<(Node, u64)>,
 }
 
 /// A replica's machine.
@@ -44,7 +44,7 @@
     /// The process, while it runs.
     pub process: Option<ReplicaProcess>,
     /// Counts the processes.
-    pub life: u32,
+    pub incarnation: u32,
     /// Its clock.
     pub clock: Clock,
 }
@@ -83,14 +83,17 @@
         let machine = SimReplica {
             media,
             process: None,
-            life: 0,
+            incarnation: 0,
             clock,
         };
         self.replicas.insert(number, machine);
     }
 
     fn options(&self, number: u32) -> ReplicaOptions {
-        let life = self.replicas.get(&number).map_or(0, |known| known.life);
+        let incarnation = self
+            .replicas
+            .get(&number)
+            .map_or(0, |known| known.incarnation);
         let revision_check = if self.is_mutant(Mutant::NoRevisionCheck) {
             RevisionCheck::Skipped
         } else {
@@ -99,21 +102,21 @@
         ReplicaOptions {
             cluster: "simulated".to_owned(),
             replica: ReplicaId(number),
-            new_disk: DiskId(u64::from(number) << 32 | u64::from(life)),
+            new_disk: DiskId(u64::from(number) << 32 | u64::from(incarnation)),
             election_timeout: ELECTION_TIMEOUT,
-            heartbeat_interval: HEARTBEAT,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             snapshot_entries: SNAPSHOT_ENTRIES,
             snapshot_bytes: usize::MAX,
             accept_stored_id: false,
             claim_retention_ms: CLAIM_RETENTION,
-            seed: u64::from(number) << 32 | u64::from(life),
+            seed: u64::from(number) << 32 | u64::from(incarnation),
             check_disk_identity: !self.is_mutant(Mutant::StaleVote),
             revision_check,
         }
     }
 
     /// Starts a replica's process from what its folder holds.
-    pub fn start_replica(&mut self, number: u32) -> Result<(), Broken> {
+    pub fn start_replica(&mut self, number: u32) -> Result<(), CheckFailure> {
         let options = self.options(number);
         let now = self.schedule.now();
         let Some(machine) = self.replicas.get_mut(&number) else {
@@ -122,8 +125,8 @@
         if machine.process.is_some() {
             return Ok(());
         }
-        machine.life += 1;
-        let life = machine.life;
+        machine.incarnation += 1;
+        let incarnation = machine.incarnation;
         machine.media.fail_syncs(false);
         let local = machine.clock.read(now);
         let opened = Replica::open(&machine.media, options, local);
@@ -132,26 +135,27 @@
             Err(report) => {
                 // What was synced must be readable after any crash.
                 let detail = format!("replica {number} cannot start: {report}");
-                return Err((Promise::OneHistory, detail));
+                return Err((Invariant::LogAgreement, detail));
             }
         };
         machine.process = Some(ReplicaProcess {
             replica,
             pending: PendingProposals::default(),
         });
-        self.trace
-            .note(now, || format!("replica {number} starts, life {life}"));
+        self.trace.record(now, || {
+            format!("replica {number} starts, life {incarnation}")
+        });
         self.schedule.after(
             1,
             Event::Tick {
                 replica: number,
-                life,
+                incarnation,
             },
         );
         if !self.engines.is_empty() || self.scenario == crate::simulate::Scenario::Rollout {
-            let event = Event::Rollout {
+            let event = Event::RolloutCheck {
                 replica: number,
-                life,
+                incarnation,
             };
             self.schedule.after(500, event);
         }
@@ -166,18 +170,19 @@
             && machine.process.take().is_some()
         {
             machine.media.crash(torn);
-            self.frozen.remove(&Place::Replica(number));
-            self.trace.note(now, || format!("replica {number} crashes"));
+            self.frozen.remove(&Node::Replica(number));
+            self.trace
+                .record(now, || format!("replica {number} crashes"));
         }
     }
 
     /// Handles a timer.
-    pub fn tick(&mut self, number: u32, life: u32) -> Result<(), Broken> {
+    pub fn tick(&mut self, number: u32, incarnation: u32) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(machine) = self.replicas.get_mut(&number) else {
             return Ok(());
         };
-        if machine.life != life {
+        if machine.incarnation != incarnation {
             return Ok(());
         }
         let local = machine.clock.read(now);
@@ -186,17 +191,17 @@
         };
         process.replica.tick(local);
         self.schedule.after(
-            TICK,
+            TICK_INTERVAL,
             Event::Tick {
                 replica: number,
-                life,
+                incarnation,
             },
         );
         self.advance(number)
     }
 
     /// Takes a message from another replica.
-    pub fn deliver(&mut self, message: Message) -> Result<(), Broken> {
+    pub fn deliver(&mut self, message: Message) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let number = message.to.0;
         let Some(machine) = self.replicas.get_mut(&number) else {
@@ -211,13 +216,13 @@
     }
 
     /// Takes a call of a router or an operator.
-    pub fn take_call(
+    pub fn handle_call(
         &mut self,
         number: u32,
-        from: Place,
+        from: Node,
         call: u64,
         request: Request,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(machine) = self.replicas.get_mut(&number) else {
             return Ok(());
@@ -247,10 +252,10 @@
         }
     }
 
-    fn reply(&mut self, number: u32, to: Place, call: u64, reply: Reply) {
-        if let Some(delay) = self.network.once(Place::Replica(number), to) {
+    fn reply(&mut self, number: u32, to: Node, call: u64, reply: Reply) {
+        if let Some(delay) = self.network.connection_delay(Node::Replica(number), to) {
             let event = Event::Reply {
-                place: to,
+                node: to,
                 call,
                 reply,
             };
@@ -259,7 +264,7 @@
     }
 
     /// Persists, sends and applies, as the daemon's thread does after each round of inputs.
-    pub fn advance(&mut self, number: u32) -> Result<(), Broken> {
+    pub fn advance(&mut self, number: u32) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(process) = self
             .replicas
@@ -273,29 +278,29 @@
             Err(_) => {
                 // A replica that cannot sync stops instead of acknowledging.
                 self.trace
-                    .note(now, || format!("replica {number} stops: storage"));
+                    .record(now, || format!("replica {number} stops: storage"));
                 self.crash_replica(number);
                 let pause = self.random.random_range(500..3_000);
-                let event = Event::Restart(Place::Replica(number));
+                let event = Event::Restart(Node::Replica(number));
                 self.schedule.after(pause, event);
                 return Ok(());
             }
         };
         let mut answers = Vec::new();
         for applied in advance.applied {
-            self.checks.applied(number, &applied)?;
+            self.checks.record_applied(number, &applied)?;
             answers.extend(process.pending.applied(applied));
         }
         if process.replica.raft().role() != Role::Leader {
             answers.extend(process.pending.fail_all());
         }
-        for ((place, call), reply) in answers {
-            self.reply(number, place, call, Reply::Proposed(reply));
+        for ((node, call), reply) in answers {
+            self.reply(number, node, call, Reply::Proposed(reply));
         }
         for message in advance.messages {
-            let from = Place::Replica(number);
-            let to = Place::Replica(message.to.0);
-            for delay in self.network.datagram(from, to) {
+            let from = Node::Replica(number);
+            let to = Node::Replica(message.to.0);
+            for delay in self.network.datagram_delays(from, to) {
                 let event = Event::Raft(Box::new(message.clone()));
                 self.schedule.after(delay, event);
             }
@@ -322,7 +327,7 @@
     pub fn trace_replicas(&mut self) {
         let now = self.schedule.now();
         for (number, machine) in &self.replicas {
-            self.trace.note(now, || match &machine.process {
+            self.trace.record(now, || match &machine.process {
                 None => format!("replica {number} is down"),
                 Some(process) => {
                     let raft = process.replica.raft();
@@ -345,21 +350,22 @@
     }
 
     /// Replicas that have applied equally much must have the same state.
-    pub fn check_replicas_agree(&self) -> Result<(), Broken> {
+    pub fn check_replicas_agree(&self) -> Result<(), CheckFailure> {
         let mut known: Vec<(LogIndex, u32)> = Vec::new();
         for (number, machine) in &self.replicas {
             let Some(process) = &machine.process else {
                 continue;
             };
             let applied = process.replica.raft().applied_index();
-            let twin = known.iter().find(|(index, _)| *index == applied);
-            if let Some((_, other)) = twin {
-                let theirs = self.replicas[other].process.as_ref();
-                let same =
-                    theirs.is_some_and(|theirs| theirs.replica.state() == process.replica.state());
+            let peer = known.iter().find(|(index, _)| *index == applied);
+            if let Some((_, other)) = peer {
+                let peer_process = self.replicas[other].process.as_ref();
+                let same = peer_process.is_some_and(|peer_process| {
+                    peer_process.replica.state() == process.replica.state()
+                });
                 if !same {
                     let detail = format!("replicas {other} and {number} differ at {applied}");
-                    return Err((Promise::OneHistory, detail));
+                    return Err((Invariant::LogAgreement, detail));
                 }
             }
             known.push((applied, *number));
--- a/crates/lab/src/simulate/control/routers.rs
+++ b/crates/lab/src/simulate/control/routers.rs
@@ -13,41 +13,41 @@
 use rand::RngExt;
 
 use crate::simulate::{
-    Mutant, Promise,
+    Invariant, Mutant,
     control::world::{
-        Broken, CallPurpose, Clock, Event, PROPOSE_PAUSE, PROPOSE_TIMEOUT, REPLICAS, ROUTERS,
-        Reply, Request, Task, TaskOwner, World,
+        CallPurpose, CheckFailure, Clock, Event, PROPOSE_PAUSE, PROPOSE_TIMEOUT, ProposalTask,
+        REPLICAS, ROUTERS, Reply, Request, TaskOwner, World,
     },
-    network::Place,
+    network::Node,
 };
 
 /// Length of the lease, as by default.
-const LEASE: u64 = 5_000;
+const LEASE_DURATION: u64 = 5_000;
 /// Time between polls, as by default.
 const POLL_INTERVAL: u64 = 500;
 /// Time between polls while a router is behind, as in the daemon.
-const CATCH_UP_PAUSE: u64 = 20;
+const CATCH_UP_INTERVAL: u64 = 20;
 /// Time for one poll, as in the daemon.
 const POLL_TIMEOUT: u64 = 400;
 /// A change must be in force everywhere this long after its acceptance.
-const IN_FORCE_LIMIT: u64 = 7_000;
+const MAX_STALENESS: u64 = 7_000;
 /// Time that a router waits for the service.
 const SERVICE_TIMEOUT: u64 = 2_000;
 /// Time for recording a claim, as in the daemon.
 const CLAIM_TIMEOUT: u64 = 5_000;
 /// Keys that callers use again.
-const RECENT_KEYS: usize = 6;
+const MAX_RECENT_KEYS: usize = 6;
 /// Share of sends that the service's machine refuses to connect to.
-const CONNECT_FAILURES: f64 = 0.1;
+const CONNECT_FAILURE_PROBABILITY: f64 = 0.1;
 /// Share of requests, and of answers, that are lost on the way.
-const SERVICE_LOSS: f64 = 0.08;
+const SERVICE_LOSS_PROBABILITY: f64 = 0.08;
 
 /// A router.
 pub struct SimRouter {
     /// Counts its processes.
-    pub life: u32,
+    pub incarnation: u32,
     /// Whether its process runs.
-    pub up: bool,
+    pub is_running: bool,
     /// Its clock.
     pub clock: Clock,
     /// Configuration in force.
@@ -63,9 +63,9 @@
     /// The router.
     pub router: u32,
     /// Where it stands.
-    pub run: IdempotentRequest,
+    pub request: IdempotentRequest,
     /// Whether an answer of the service is waited for.
-    pub waits_for_service: bool,
+    pub awaits_response: bool,
 }
 
 impl World {
@@ -74,8 +74,8 @@
         for number in 1..=ROUTERS {
             let clock = Clock::draw(&mut self.random);
             let router = SimRouter {
-                life: 0,
-                up: false,
+                incarnation: 0,
+                is_running: false,
                 clock,
                 resolved: ResolvedConfiguration::default(),
                 lease: new_lease(),
@@ -90,28 +90,28 @@
         let Some(router) = self.routers.get_mut(&number) else {
             return;
         };
-        if router.up {
+        if router.is_running {
             return;
         }
-        router.life += 1;
-        router.up = true;
+        router.incarnation += 1;
+        router.is_running = true;
         router.resolved = ResolvedConfiguration::default();
         router.lease = new_lease();
         let event = Event::Poll {
             router: number,
-            life: router.life,
+            incarnation: router.incarnation,
         };
         self.schedule.after(1, event);
     }
 
     /// Ends a router; its callers see broken connections.
     pub fn kill_router(&mut self, number: u32) {
-        let place = Place::Router(number);
+        let node = Node::Router(number);
         if let Some(router) = self.routers.get_mut(&number) {
-            router.up = false;
+            router.is_running = false;
         }
-        self.frozen.remove(&place);
-        self.tasks.retain(|_, task| task.place != place);
+        self.frozen.remove(&node);
+        self.tasks.retain(|_, task| task.node != node);
         // Its connections end with it, and with them the answers that are still on their way.
         self.calls.retain(
             |_, purpose| !matches!(purpose, CallPurpose::Poll { router, .. } if *router == number),
@@ -119,16 +119,16 @@
         self.arrivals.retain(|_, arrival| arrival.router != number);
         let now = self.schedule.now();
         self.trace
-            .note(now, || format!("router {number} is killed"));
+            .record(now, || format!("router {number} is killed"));
     }
 
     /// Polls every replica.
-    pub fn poll(&mut self, number: u32, life: u32) {
+    pub fn poll(&mut self, number: u32, incarnation: u32) {
         let now = self.schedule.now();
         let Some(router) = self.routers.get(&number) else {
             return;
         };
-        if router.life != life || !router.up {
+        if router.incarnation != incarnation || !router.is_running {
             return;
         }
         let local = router.clock.read(now);
@@ -145,10 +145,10 @@
             });
             let purpose = CallPurpose::Poll {
                 router: number,
-                asked_at: local,
+                sent_at: local,
             };
             self.call(
-                Place::Router(number),
+                Node::Router(number),
                 replica,
                 request,
                 purpose,
@@ -159,11 +159,11 @@
             POLL_INTERVAL
         } else {
             // The daemon asks again at once while it is unconfirmed; a little slower here.
-            CATCH_UP_PAUSE * 5
+            CATCH_UP_INTERVAL * 5
         };
         let event = Event::Poll {
             router: number,
-            life,
+            incarnation,
         };
         self.schedule.after(pause, event);
     }
@@ -171,15 +171,15 @@
     /// Calls a replica.
     pub fn call(
         &mut self,
-        from: Place,
+        from: Node,
         replica: u32,
         request: Request,
         purpose: CallPurpose,
-        limit: u64,
+        timeout: u64,
     ) {
-        let call = self.number();
+        let call = self.next_id();
         self.calls.insert(call, purpose);
-        if let Some(delay) = self.network.once(from, Place::Replica(replica)) {
+        if let Some(delay) = self.network.connection_delay(from, Node::Replica(replica)) {
             let event = Event::Call {
                 replica,
                 from,
@@ -188,37 +188,43 @@
             };
             self.schedule.after(delay, event);
         }
-        let event = Event::CallTimeout { place: from, call };
-        self.schedule.after(limit, event);
+        let event = Event::CallTimeout { node: from, call };
+        self.schedule.after(timeout, event);
     }
 
     /// Takes an answer; one that comes after its timeout is dropped.
-    pub fn take_reply(&mut self, call: u64, reply: Reply) -> Result<(), Broken> {
+    pub fn handle_reply(&mut self, call: u64, reply: Reply) -> Result<(), CheckFailure> {
         match (self.calls.remove(&call), reply) {
-            (Some(CallPurpose::Poll { router, asked_at }), Reply::Polled(reply)) => {
-                self.take_poll(router, asked_at, &reply);
+            (Some(CallPurpose::Poll { router, sent_at }), Reply::Polled(reply)) => {
+                self.apply_poll_reply(router, sent_at, &reply);
                 Ok(())
             }
-            (Some(CallPurpose::Task(task)), Reply::Proposed(reply)) => {
-                self.task_answered(task, ReplicaResponse::Reply(reply))
+            (Some(CallPurpose::Proposal(task)), Reply::Proposed(reply)) => {
+                self.handle_proposal_response(task, ReplicaResponse::Reply(reply))
             }
-            (Some(CallPurpose::Task(task)), Reply::Refused) => {
-                self.task_answered(task, ReplicaResponse::Unreachable)
+            (Some(CallPurpose::Proposal(task)), Reply::Refused) => {
+                self.handle_proposal_response(task, ReplicaResponse::Unreachable)
             }
             _ => Ok(()),
         }
     }
 
     /// No answer came in time.
-    pub fn time_out(&mut self, call: u64) -> Result<(), Broken> {
+    pub fn handle_call_timeout(&mut self, call: u64) -> Result<(), CheckFailure> {
         match self.calls.remove(&call) {
-            Some(CallPurpose::Task(task)) => self.task_answered(task, ReplicaResponse::NoReply),
+            Some(CallPurpose::Proposal(task)) => {
+                self.handle_proposal_response(task, ReplicaResponse::NoReply)
+            }
             _ => Ok(()),
         }
     }
 
-    fn take_poll(&mut self, number: u32, asked_at: u64, reply: &PollReply) {
-        let Some(router) = self.routers.get_mut(&number).filter(|router| router.up) else {
+    fn apply_poll_reply(&mut self, number: u32, sent_at: u64, reply: &PollReply) {
+        let Some(router) = self
+            .routers
+            .get_mut(&number)
+            .filter(|router| router.is_running)
+        else {
             return;
         };
         if let Some(update) = &reply.update
@@ -226,11 +232,11 @@
         {
             router.resolved = newer;
         }
-        router.lease.record_poll_reply(reply, asked_at);
+        router.lease.record_poll_reply(reply, sent_at);
     }
 
     /// Whether a router would serve now.
-    fn serves(&self, router: &SimRouter) -> bool {
+    fn is_serving(&self, router: &SimRouter) -> bool {
         let local = router.clock.read(self.schedule.now());
         let applied = router.resolved.applied;
         if self.is_mutant(Mutant::NoLease) {
@@ -240,72 +246,72 @@
     }
 
     /// No router may serve configuration that was superseded long ago.
-    pub fn check_routers(&self) -> Result<(), Broken> {
+    pub fn check_routers(&self) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let required = self
             .checks
-            .accepted_before(now.saturating_sub(IN_FORCE_LIMIT));
+            .newest_revision_accepted_by(now.saturating_sub(MAX_STALENESS));
         for (number, router) in &self.routers {
-            let is_running = router.up && !self.is_frozen(Place::Router(*number));
+            let is_running = router.is_running && !self.is_frozen(Node::Router(*number));
             let revision = router.resolved.configuration.revision.0;
-            if is_running && self.serves(router) && revision < required {
+            if is_running && self.is_serving(router) && revision < required {
                 let detail = format!(
                     "router {number} serves revision {revision}; {required} was accepted 7 s ago"
                 );
-                return Err((Promise::InForce, detail));
+                return Err((Invariant::BoundedStaleness, detail));
             }
         }
         Ok(())
     }
 
     /// Every router serves the newest configuration again.
-    pub fn check_routers_recovered(&self) -> Result<(), Broken> {
+    pub fn check_routers_recovered(&self) -> Result<(), CheckFailure> {
         let newest = self
             .checks
-            .accepted_before(self.schedule.now() - IN_FORCE_LIMIT);
+            .newest_revision_accepted_by(self.schedule.now() - MAX_STALENESS);
         for (number, router) in &self.routers {
             let revision = router.resolved.configuration.revision.0;
-            if !router.up || !self.serves(router) || revision < newest {
+            if !router.is_running || !self.is_serving(router) || revision < newest {
                 let detail = format!("router {number} does not serve revision {newest}");
-                return Err((Promise::Recovery, detail));
+                return Err((Invariant::Recovery, detail));
             }
         }
         Ok(())
     }
 
     /// A caller sends a key, new or used, to some router.
-    pub fn caller_turn(&mut self) -> Result<(), Broken> {
+    pub fn send_keyed_request(&mut self) -> Result<(), CheckFailure> {
         let pause = self.random.random_range(5..120);
         if !self.healed {
-            self.schedule.after(pause, Event::CallerTurn);
+            self.schedule.after(pause, Event::CallerRequest);
         }
         let key = self.draw_key();
         let number = self.random.random_range(1..=ROUTERS);
         let router = &self.routers[&number];
-        if !router.up || self.is_frozen(Place::Router(number)) {
+        if !router.is_running || self.is_frozen(Node::Router(number)) {
             return Ok(());
         }
-        if !self.serves(router) {
+        if !self.is_serving(router) {
             // Nothing is known of the key's other arrivals, so the refusal says "unknown".
             self.activity.refused += 1;
             return Ok(());
         }
-        let attempt = AttemptId(u128::from(self.number()));
-        let (run, step) = IdempotentRequest::begin(
+        let attempt = AttemptId(u128::from(self.next_id()));
+        let (request, step) = IdempotentRequest::begin(
             TenantName::from("tenant"),
             IdempotencyKey(key.to_string()),
             u128::from(key),
             attempt,
         );
-        let arrival = self.number();
+        let arrival = self.next_id();
         let state = Arrival {
             key,
             router: number,
-            run,
-            waits_for_service: false,
+            request,
+            awaits_response: false,
         };
         self.arrivals.insert(arrival, state);
-        self.carry_out(arrival, step)
+        self.execute_step(arrival, step)
     }
 
     fn draw_key(&mut self) -> u64 {
@@ -313,23 +319,23 @@
             let position = self.random.random_range(0..self.recent_keys.len());
             return self.recent_keys[position];
         }
-        let key = self.number();
+        let key = self.next_id();
         self.recent_keys.push(key);
-        if self.recent_keys.len() > RECENT_KEYS {
+        if self.recent_keys.len() > MAX_RECENT_KEYS {
             self.recent_keys.remove(0);
         }
         key
     }
 
-    fn carry_out(&mut self, arrival: u64, step: IdempotentStep) -> Result<(), Broken> {
+    fn execute_step(&mut self, arrival: u64, step: IdempotentStep) -> Result<(), CheckFailure> {
         let Some(state) = self.arrivals.get_mut(&arrival) else {
             return Ok(());
         };
-        let place = Place::Router(state.router);
+        let node = Node::Router(state.router);
         match step {
             IdempotentStep::Propose(command) => {
                 let owner = TaskOwner::Arrival(arrival);
-                self.start_task(place, command, CLAIM_TIMEOUT, owner)
+                self.start_task(node, command, CLAIM_TIMEOUT, owner)
             }
             IdempotentStep::Send => self.send_to_service(arrival),
             IdempotentStep::Respond {
@@ -339,7 +345,7 @@
                 let key = state.key;
                 self.arrivals.remove(&arrival);
                 if let Some(command) = settlement {
-                    self.start_task(place, command, 60_000, TaskOwner::Background)?;
+                    self.start_task(node, command, 60_000, TaskOwner::Background)?;
                 }
                 let execution = match &response {
                     Ok(_) => Execution::Completed,
@@ -349,92 +355,92 @@
                     Execution::Completed => self.activity.completed += 1,
                     _ => self.activity.refused += 1,
                 }
-                self.checks.told(key, execution)
+                self.checks.record_reported_execution(key, execution)
             }
         }
     }
 
-    fn send_to_service(&mut self, arrival: u64) -> Result<(), Broken> {
-        if self.random.random_bool(CONNECT_FAILURES) {
-            return self.service_result(arrival, Err(SendError::NotSent));
+    fn send_to_service(&mut self, arrival: u64) -> Result<(), CheckFailure> {
+        if self.random.random_bool(CONNECT_FAILURE_PROBABILITY) {
+            return self.finish_service_call(arrival, Err(SendError::NotSent));
         }
         let Some(state) = self.arrivals.get_mut(&arrival) else {
             return Ok(());
         };
-        state.waits_for_service = true;
-        let place = Place::Router(state.router);
+        state.awaits_response = true;
+        let node = Node::Router(state.router);
         let key = state.key;
-        let event = Event::ServiceTimeout { place, arrival };
+        let event = Event::ServiceTimeout { node, arrival };
         self.schedule.after(SERVICE_TIMEOUT, event);
-        if self.random.random_bool(SERVICE_LOSS) {
+        if self.random.random_bool(SERVICE_LOSS_PROBABILITY) {
             return Ok(());
         }
         // The service runs it when it arrives; a router that dies meanwhile does not matter.
-        self.checks.executed(key)?;
-        if !self.random.random_bool(SERVICE_LOSS) {
+        self.checks.record_execution(key)?;
+        if !self.random.random_bool(SERVICE_LOSS_PROBABILITY) {
             let delay = self.random.random_range(2..200);
-            let event = Event::ServiceAnswer { place, arrival };
+            let event = Event::ServiceResponse { node, arrival };
             self.schedule.after(delay, event);
         }
         Ok(())
     }
 
     /// The service's answer arrives.
-    pub fn service_answered(&mut self, arrival: u64) -> Result<(), Broken> {
+    pub fn handle_service_response(&mut self, arrival: u64) -> Result<(), CheckFailure> {
         let answer = StoredResponse {
             status: 200,
             content_type: "text/plain".to_owned(),
             body: Some(Vec::new()),
         };
-        self.service_result_if_waiting(arrival, Ok(answer))
+        self.finish_service_call_if_pending(arrival, Ok(answer))
     }
 
     /// The service's answer does not arrive.
-    pub fn service_timed_out(&mut self, arrival: u64) -> Result<(), Broken> {
-        self.service_result_if_waiting(arrival, Err(SendError::MaybeSent))
+    pub fn handle_service_timeout(&mut self, arrival: u64) -> Result<(), CheckFailure> {
+        self.finish_service_call_if_pending(arrival, Err(SendError::MaybeSent))
     }
 
-    fn service_result_if_waiting(
+    fn finish_service_call_if_pending(
         &mut self,
         arrival: u64,
         result: Result<StoredResponse, SendError>,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), CheckFailure> {
         let waiting = self
             .arrivals
             .get_mut(&arrival)
-            .is_some_and(|state| std::mem::take(&mut state.waits_for_service));
+            .is_some_and(|state| std::mem::take(&mut state.awaits_response));
         if waiting {
-            return self.service_result(arrival, result);
+            return self.finish_service_call(arrival, result);
         }
         Ok(())
     }
 
-    fn service_result(
+    fn finish_service_call(
         &mut self,
         arrival: u64,
         result: Result<StoredResponse, SendError>,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), CheckFailure> {
         let Some(state) = self.arrivals.get_mut(&arrival) else {
             return Ok(());
         };
-        let step = state.run.on_response(result);
-        self.carry_out(arrival, step)
+        let step = state.request.on_response(result);
+        self.execute_step(arrival, step)
     }
 
     /// Begins a proposal.
     pub fn start_task(
         &mut self,
-        place: Place,
+        node: Node,
         command: Command,
-        limit: u64,
+        timeout: u64,
         owner: TaskOwner,
-    ) -> Result<(), Broken> {
-        let task = self.number();
-        let state = Task {
-            place,
+    ) -> Result<(), CheckFailure> {
+        let task = self.next_id();
+        let state = ProposalTask {
+            node,
             command,
-            run: ProposalAttempts::default(),
-            deadline: self.schedule.now() + limit,
+            attempts: ProposalAttempts::default(),
+            deadline: self.schedule.now() + timeout,
             owner,
         };
         self.tasks.insert(task, state);
@@ -442,15 +448,15 @@
     }
 
     /// Sends a task's proposal to the leader if there is one, otherwise to anyone.
-    pub fn send_task(&mut self, task: u64) -> Result<(), Broken> {
+    pub fn send_task(&mut self, task: u64) -> Result<(), CheckFailure> {
         let Some(state) = self.tasks.get(&task) else {
             return Ok(());
         };
         if self.schedule.now() >= state.deadline {
-            let proposed = state.run.outcome_at_deadline();
-            return self.task_ended(task, proposed);
+            let proposed = state.attempts.outcome_at_deadline();
+            return self.finish_task(task, proposed);
         }
-        let place = state.place;
+        let node = state.node;
         let proposal = Proposal {
             at: 0,
             command: state.command.clone(),
@@ -460,26 +466,30 @@
         let leader = self.leaders().first().copied();
         let knows_leader = self.random.random_bool(0.8);
         let target = leader.filter(|_| knows_leader).unwrap_or(anyone);
-        let purpose = CallPurpose::Task(task);
+        let purpose = CallPurpose::Proposal(task);
         let request = Request::Propose(proposal);
-        self.call(place, target, request, purpose, PROPOSE_TIMEOUT);
+        self.call(node, target, request, purpose, PROPOSE_TIMEOUT);
         Ok(())
     }
 
-    fn task_answered(&mut self, task: u64, answer: ReplicaResponse) -> Result<(), Broken> {
+    fn handle_proposal_response(
+        &mut self,
+        task: u64,
+        answer: ReplicaResponse,
+    ) -> Result<(), CheckFailure> {
         let Some(state) = self.tasks.get_mut(&task) else {
             return Ok(());
         };
-        if let Some(proposed) = state.run.record(answer) {
-            return self.task_ended(task, proposed);
+        if let Some(proposed) = state.attempts.record(answer) {
+            return self.finish_task(task, proposed);
         }
-        let place = state.place;
+        let node = state.node;
         self.schedule
-            .after(PROPOSE_PAUSE, Event::Resend { place, task });
+            .after(PROPOSE_PAUSE, Event::Resend { node, task });
         Ok(())
     }
 
-    fn task_ended(&mut self, task: u64, proposed: ProposalOutcome) -> Result<(), Broken> {
+    fn finish_task(&mut self, task: u64, proposed: ProposalOutcome) -> Result<(), CheckFailure> {
         let Some(state) = self.tasks.remove(&task) else {
             return Ok(());
         };
@@ -488,15 +498,15 @@
                 let Some(state) = self.arrivals.get_mut(&arrival) else {
                     return Ok(());
                 };
-                let step = state.run.on_proposal(proposed);
-                self.carry_out(arrival, step)
+                let step = state.request.on_proposal(proposed);
+                self.execute_step(arrival, step)
             }
-            TaskOwner::Operator(operator) => self.operator_told(operator, proposed),
+            TaskOwner::Operator(operator) => self.handle_operation_outcome(operator, proposed),
             TaskOwner::Background => Ok(()),
         }
     }
 }
 
 fn new_lease() -> Lease {
-    Lease::new(LEASE, (1..=REPLICAS).map(ReplicaId))
+    Lease::new(LEASE_DURATION, (1..=REPLICAS).map(ReplicaId))
 }
--- a/crates/lab/src/simulate/control/world.rs
+++ b/crates/lab/src/simulate/control/world.rs
@@ -10,16 +10,16 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::simulate::{
-    Activity, Mutant, Promise, Scenario, SeedOutcome, Violation,
+    Activity, Invariant, Mutant, Scenario, SeedOutcome, Violation,
     control::{
-        administration::Administration,
-        checks::Checks,
+        administrator::Administrator,
+        checks::HistoryChecker,
         engines::SimEngine,
         operators::SimOperator,
         replicas::SimReplica,
         routers::{Arrival, SimRouter},
     },
-    network::{Network, NetworkOptions, Place},
+    network::{Network, NetworkOptions, Node},
     schedule::Schedule,
     trace::Trace,
 };
@@ -37,7 +37,7 @@
 /// End of the run; the time after the faults is for recovery.
 const RUN_END: u64 = 45_000;
 /// Time between two looks at the invariants.
-const WATCH_INTERVAL: u64 = 50;
+const CHECK_INTERVAL: u64 = 50;
 /// Time for one send of a proposal, as in the router.
 pub const PROPOSE_TIMEOUT: u64 = 1_500;
 /// Pause before the next send, as in the router.
@@ -67,76 +67,72 @@
 #[derive(Debug)]
 pub enum Event {
     /// A replica's timer.
-    Tick { replica: u32, life: u32 },
+    Tick { replica: u32, incarnation: u32 },
     /// A message between replicas arrives.
     Raft(Box<Message>),
     /// A call arrives at a replica.
     Call {
         replica: u32,
-        from: Place,
+        from: Node,
         call: u64,
         request: Request,
     },
     /// An answer arrives.
-    Reply {
-        place: Place,
-        call: u64,
-        reply: Reply,
-    },
+    Reply { node: Node, call: u64, reply: Reply },
     /// No answer came in time.
-    CallTimeout { place: Place, call: u64 },
+    CallTimeout { node: Node, call: u64 },
     /// A task sends its proposal again.
-    Resend { place: Place, task: u64 },
+    Resend { node: Node, task: u64 },
     /// A router polls the replicas.
-    Poll { router: u32, life: u32 },
+    Poll { router: u32, incarnation: u32 },
     /// An operator acts.
-    OperatorTurn { operator: u32 },
+    OperatorAction { operator: u32 },
     /// A caller sends a request that may not be repeated.
-    CallerTurn,
+    CallerRequest,
     /// The service answers an arrival.
-    ServiceAnswer { place: Place, arrival: u64 },
+    ServiceResponse { node: Node, arrival: u64 },
     /// The service's answer did not come.
-    ServiceTimeout { place: Place, arrival: u64 },
+    ServiceTimeout { node: Node, arrival: u64 },
     /// A replica looks at the engines.
-    Rollout { replica: u32, life: u32 },
+    RolloutCheck { replica: u32, incarnation: u32 },
     /// An order arrives.
     Order { engine: u32, order: OrderRequest },
     /// An engine has loaded weights.
-    Loaded {
+    WeightsLoaded {
         engine: u32,
-        life: u32,
+        incarnation: u32,
         order: OrderRequest,
     },
     /// A process starts again.
-    Restart(Place),
+    Restart(Node),
     /// A cut ends.
-    Mend(Place, Place),
+    Reconnect(Node, Node),
     /// The administrator looks after lost replicas.
-    Administer,
+    AdministratorCheck,
     /// Something breaks.
-    Fault,
+    InjectFault,
     /// Nothing breaks any more.
     Heal,
     /// The invariants are looked at.
-    Watch,
+    CheckInvariants,
 }
 
 impl Event {
     /// The process that handles the event; a frozen one handles it when it thaws.
-    fn place(&self) -> Option<Place> {
+    fn node(&self) -> Option<Node> {
         match self {
             Self::Tick { replica, .. }
-            | Self::Rollout { replica, .. }
-            | Self::Call { replica, .. } => Some(Place::Replica(*replica)),
-            Self::Raft(message) => Some(Place::Replica(message.to.0)),
-            Self::Poll { router, .. } => Some(Place::Router(*router)),
-            Self::Reply { place, .. }
-            | Self::CallTimeout { place, .. }
-            | Self::Resend { place, .. }
-            | Self::ServiceAnswer { place, .. }
-            | Self::ServiceTimeout { place, .. } => Some(*place),
-            Self::Order { engine, .. } | Self::Loaded { engine, .. } => {
-                Some(Place::Engine(*engine))
+            | Self::RolloutCheck { replica, .. }
+            | Self::Call { replica, .. } => Some(Node::Replica(*replica)),
+            Self::Raft(message) => Some(Node::Replica(message.to.0)),
+            Self::Poll { router, .. } => Some(Node::Router(*router)),
+            Self::Reply { node, .. }
+            | Self::CallTimeout { node, .. }
+            | Self::Resend { node, .. }
+            | Self::ServiceResponse { node, .. }
+            | Self::ServiceTimeout { node, .. } => Some(*node),
+            Self::Order { engine, .. } | Self::WeightsLoaded { engine, .. } => {
+                Some(Node::Engine(*engine))
             }
             _ => None,
         }
@@ -156,13 +152,13 @@
 
 /// A proposal that is sent to one replica after another.
 #[derive(Debug)]
-pub struct Task {
+pub struct ProposalTask {
     /// Who sends it.
-    pub place: Place,
+    pub node: Node,
     /// What to commit.
     pub command: Command,
     /// What is known of it.
-    pub run: ProposalAttempts,
+    pub attempts: ProposalAttempts,
     /// When to give up.
     pub deadline: u64,
     /// Who waits for it.
@@ -173,9 +169,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallPurpose {
     /// For a task.
-    Task(u64),
+    Proposal(u64),
     /// A router's poll, with the router's time when it was sent.
-    Poll { router: u32, asked_at: u64 },
+    Poll { router: u32, sent_at: u64 },
 }
 
 /// A machine's clock: its own offset and rate.
@@ -203,10 +199,10 @@
 }
 
 /// Events after which a run counts as stuck.
-const EVENT_LIMIT: u64 = 2_000_000;
+const MAX_EVENTS: u64 = 2_000_000;
 
 /// A broken promise and what was seen.
-pub type Broken = (Promise, String);
+pub type CheckFailure = (Invariant, String);
 
 /// Everything.
 pub struct World {
@@ -221,24 +217,24 @@
     pub engines: BTreeMap<u32, SimEngine>,
     pub arrivals: BTreeMap<u64, Arrival>,
     pub recent_keys: Vec<u64>,
-    pub tasks: BTreeMap<u64, Task>,
+    pub tasks: BTreeMap<u64, ProposalTask>,
     pub calls: BTreeMap<u64, CallPurpose>,
-    pub frozen: BTreeMap<Place, u64>,
-    pub administration: Administration,
-    pub checks: Checks,
+    pub frozen: BTreeMap<Node, u64>,
+    pub administrator: Administrator,
+    pub checks: HistoryChecker,
     pub activity: Activity,
     pub healed: bool,
     pub trace: Trace,
-    next_number: u64,
+    next_id: u64,
 }
 
 /// Runs one seed.
 pub fn run(scenario: Scenario, mutant: Option<Mutant>, seed: u64, keep_trace: bool) -> SeedOutcome {
     let mut world = World::new(scenario, mutant, seed, keep_trace);
-    let broken = world.start().and_then(|()| world.run_to_end());
-    let violation = broken.err().map(|(promise, detail)| Violation {
+    let result = world.start().and_then(|()| world.run_to_end());
+    let violation = result.err().map(|(invariant, detail)| Violation {
         at_ms: world.schedule.now(),
-        promise,
+        invariant,
         detail,
     });
     SeedOutcome {
@@ -252,11 +248,11 @@
     fn new(scenario: Scenario, mutant: Option<Mutant>, seed: u64, keep_trace: bool) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let options = NetworkOptions {
-            delay: random.random_range(2..20),
-            late: random.random_range(0.0..0.02),
-            late_delay: random.random_range(500..4_000),
-            loss: random.random_range(0.0..0.05),
-            repeat: random.random_range(0.0..0.05),
+            max_delay: random.random_range(2..20),
+            late_probability: random.random_range(0.0..0.02),
+            max_late_delay: random.random_range(500..4_000),
+            loss_probability: random.random_range(0.0..0.05),
+            duplicate_probability: random.random_range(0.0..0.05),
         };
         let network = Network::new(options, ChaCha8Rng::seed_from_u64(random.random()));
         Self {
@@ -274,16 +270,16 @@
             tasks: BTreeMap::new(),
             calls: BTreeMap::new(),
             frozen: BTreeMap::new(),
-            administration: Administration::default(),
-            checks: Checks::default(),
+            administrator: Administrator::default(),
+            checks: HistoryChecker::default(),
             activity: Activity::default(),
             healed: false,
             trace: Trace::new(keep_trace),
-            next_number: 0,
+            next_id: 0,
         }
     }
 
-    fn start(&mut self) -> Result<(), Broken> {
+    fn start(&mut self) -> Result<(), CheckFailure> {
         self.start_replicas();
         self.start_routers();
         self.start_operators();
@@ -291,24 +287,24 @@
             self.start_engines();
         }
         if self.scenario == Scenario::Claims {
-            self.schedule.after(2_000, Event::CallerTurn);
+            self.schedule.after(2_000, Event::CallerRequest);
         }
-        self.schedule.after(2_000, Event::Fault);
-        self.schedule.after(200, Event::Administer);
-        self.schedule.after(WATCH_INTERVAL, Event::Watch);
+        self.schedule.after(2_000, Event::InjectFault);
+        self.schedule.after(200, Event::AdministratorCheck);
+        self.schedule.after(CHECK_INTERVAL, Event::CheckInvariants);
         self.schedule.at(FAULTS_END, Event::Heal);
         Ok(())
     }
 
-    fn run_to_end(&mut self) -> Result<(), Broken> {
+    fn run_to_end(&mut self) -> Result<(), CheckFailure> {
         let mut events: u64 = 0;
         while let Some(event) = self.schedule.next(RUN_END) {
             events += 1;
-            if events > EVENT_LIMIT {
-                let detail = format!("more than {EVENT_LIMIT} events");
-                return Err((Promise::Recovery, detail));
+            if events > MAX_EVENTS {
+                let detail = format!("more than {MAX_EVENTS} events");
+                return Err((Invariant::Recovery, detail));
             }
-            if let Some(until) = event.place().and_then(|place| self.frozen_until(place)) {
+            if let Some(until) = event.node().and_then(|node| self.frozen_until(node)) {
                 self.schedule.at(until, event);
                 continue;
             }
@@ -318,66 +314,75 @@
         self.checks.check_history()
     }
 
-    fn handle(&mut self, event: Event) -> Result<(), Broken> {
+    fn handle(&mut self, event: Event) -> Result<(), CheckFailure> {
         match event {
-            Event::Tick { replica, life } => self.tick(replica, life),
+            Event::Tick {
+                replica,
+                incarnation,
+            } => self.tick(replica, incarnation),
             Event::Raft(message) => self.deliver(*message),
             Event::Call {
                 replica,
                 from,
                 call,
                 request,
-            } => self.take_call(replica, from, call, request),
-            Event::Reply { call, reply, .. } => self.take_reply(call, reply),
-            Event::CallTimeout { call, .. } => self.time_out(call),
+            } => self.handle_call(replica, from, call, request),
+            Event::Reply { call, reply, .. } => self.handle_reply(call, reply),
+            Event::CallTimeout { call, .. } => self.handle_call_timeout(call),
             Event::Resend { task, .. } => self.send_task(task),
-            Event::Poll { router, life } => {
-                self.poll(router, life);
+            Event::Poll {
+                router,
+                incarnation,
+            } => {
+                self.poll(router, incarnation);
                 Ok(())
             }
-            Event::OperatorTurn { operator } => {
-                self.operator_turn(operator);
+            Event::OperatorAction { operator } => {
+                self.run_operator(operator);
                 Ok(())
             }
-            Event::CallerTurn => self.caller_turn(),
-            Event::ServiceAnswer { arrival, .. } => self.service_answered(arrival),
-            Event::ServiceTimeout { arrival, .. } => self.service_timed_out(arrival),
-            Event::Rollout { replica, life } => self.roll_out(replica, life),
-            Event::Order { engine, order } => self.take_order(engine, order),
-            Event::Loaded {
+            Event::CallerRequest => self.send_keyed_request(),
+            Event::ServiceResponse { arrival, .. } => self.handle_service_response(arrival),
+            Event::ServiceTimeout { arrival, .. } => self.handle_service_timeout(arrival),
+            Event::RolloutCheck {
+                replica,
+                incarnation,
+            } => self.run_rollout_step(replica, incarnation),
+            Event::Order { engine, order } => self.handle_order(engine, order),
+            Event::WeightsLoaded {
                 engine,
-                life,
+                incarnation,
                 order,
             } => {
-                self.loaded(engine, life, order);
+                self.finish_loading(engine, incarnation, order);
                 Ok(())
             }
-            Event::Restart(place) => self.restart(place),
-            Event::Mend(one, other) => {
-                self.network.mend(one, other);
+            Event::Restart(node) => self.restart(node),
+            Event::Reconnect(one, other) => {
+                self.network.reconnect(one, other);
                 Ok(())
             }
-            Event::Administer => self.administer(),
-            Event::Fault => self.inject_fault(),
+            Event::AdministratorCheck => self.advance_replacement(),
+            Event::InjectFault => self.inject_fault(),
             Event::Heal => self.heal(),
-            Event::Watch => self.watch(),
+            Event::CheckInvariants => self.check_invariants(),
         }
     }
 
-    fn frozen_until(&self, place: Place) -> Option<u64> {
-        let until = self.frozen.get(&place).copied()?;
+    fn frozen_until(&self, node: Node) -> Option<u64> {
+        let until = self.frozen.get(&node).copied()?;
         (until > self.schedule.now()).then_some(until)
     }
 
     /// Whether a process is frozen now.
-    pub fn is_frozen(&self, place: Place) -> bool {
-        self.frozen_until(place).is_some()
+    pub fn is_frozen(&self, node: Node) -> bool {
+        self.frozen_until(node).is_some()
     }
 
     /// A number never used before in this run.
-    pub fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    pub fn next_id(&mut self) -> u64 {
+        self.next_id += 1;
+        self.next_id
     }
 
     /// Whether a part of the system is left out on purpose.
@@ -385,19 +390,19 @@
         self.mutant == Some(mutant)
     }
 
-    fn watch(&mut self) -> Result<(), Broken> {
-        self.schedule.after(WATCH_INTERVAL, Event::Watch);
+    fn check_invariants(&mut self) -> Result<(), CheckFailure> {
+        self.schedule.after(CHECK_INTERVAL, Event::CheckInvariants);
         self.check_routers()?;
         self.check_engines()
     }
 
     /// After the faults the system must have come back by itself.
-    fn check_recovery(&mut self) -> Result<(), Broken> {
+    fn check_recovery(&mut self) -> Result<(), CheckFailure> {
         let leaders = self.leaders();
         if leaders.len() != 1 {
             self.trace_replicas();
             let detail = format!("{} leaders 15 s after the last fault", leaders.len());
-            return Err((Promise::Recovery, detail));
+            return Err((Invariant::Recovery, detail));
         }
         self.check_routers_recovered()?;
         self.check_replicas_agree()
--- a/crates/lab/src/simulate/mod.rs
+++ b/crates/lab/src/simulate/mod.rs
@@ -142,36 +142,54 @@
     /// Virtual time, milliseconds.
     pub at_ms: u64,
     /// Which promise.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// What was seen.
     pub detail: String,
 }
 
 /// What must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Promise {
+pub enum Invariant {
     /// All replicas apply the same entries at the same places, and none is lost.
-    OneHistory,
+    LogAgreement,
     /// Changes take effect once, in an order that agrees with real time.
     Linearizable,
     /// No router serves configuration that was superseded 7 s ago.
-    InForce,
+    BoundedStaleness,
     /// A key runs at most once.
     AtMostOnce,
     /// "Not run" and "completed" are true.
-    TrueRefusal,
+    AccurateExecution,
     /// An engine takes only newer orders.
-    Fenced,
+    Fencing,
     /// A rollout leaves a replica of each model in service.
     Rollout,
     /// Once the faults end, the system works again.
     Recovery,
     /// An answer is whole, in order, and the caller's own.
-    WholeAnswer,
+    CompleteResponse,
     /// No cached block of another tenant, another life or other weights is used.
     CacheSafety,
 }
 
+impl Invariant {
+    /// Name in reports.
+    fn label(self) -> &'static str {
+        match self {
+            Self::LogAgreement => "OneHistory",
+            Self::Linearizable => "Linearizable",
+            Self::BoundedStaleness => "InForce",
+            Self::AtMostOnce => "AtMostOnce",
+            Self::AccurateExecution => "TrueRefusal",
+            Self::Fencing => "Fenced",
+            Self::Rollout => "Rollout",
+            Self::Recovery => "Recovery",
+            Self::CompleteResponse => "WholeAnswer",
+            Self::CacheSafety => "CacheSafety",
+        }
+    }
+}
+
 /// What one run did, so that a run without violations can be told from a run without events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Activity {
@@ -220,8 +238,10 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
-            "{:?} broken at {} ms: {}",
-            self.promise, self.at_ms, self.detail
+            "{} broken at {} ms: {}",
+            self.invariant.label(),
+            self.at_ms,
+            self.detail
         )
     }
 }
--- a/crates/lab/src/simulate/streams/engines.rs
+++ b/crates/lab/src/simulate/streams/engines.rs
@@ -15,10 +15,10 @@
 use rand::RngExt;
 
 use crate::simulate::{
-    Mutant, Promise,
+    Invariant, Mutant,
     streams::{
-        requests::{BLOCK_TOKENS, Origin, origins},
-        world::{Broken, Channel, Event, KnownEngine, World},
+        requests::{BLOCK_TOKENS, BlockOrigin, origins},
+        world::{CheckFailure, ConnectionId, EngineView, Event, World},
     },
 };
 
@@ -29,7 +29,7 @@
 /// Time that loading takes, milliseconds.
 const LOAD_TIME: u64 = 300;
 /// Time between looks at whether running answers have ended.
-const IDLE_CHECK: u64 = 10;
+const IDLE_CHECK_INTERVAL: u64 = 10;
 
 /// A request as it is sent to an engine.
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
     /// The router's request.
     pub request: u64,
     /// The connection.
-    pub channel: Channel,
+    pub connection: ConnectionId,
     /// The attempt.
     pub attempt: u128,
     /// The life that was chosen.
@@ -60,32 +60,32 @@
 #[derive(Debug)]
 struct SimStream {
     request: u64,
-    channel: Channel,
+    connection: ConnectionId,
     seed: u64,
-    first: u32,
-    produced: u32,
+    first_token: u32,
+    produced_tokens: u32,
     end: Option<StreamEnd>,
     /// When the last frame sent so far arrives; frames of one connection keep their order.
     last_arrival: u64,
-    origins: Vec<(BlockHash, Origin)>,
+    origins: Vec<(BlockHash, BlockOrigin)>,
 }
 
 /// An engine.
 pub struct SimEngine {
     /// Counts its processes.
-    pub life: u32,
+    pub incarnation: u32,
     /// What it lets in.
     pub gate: Gate,
     model: EngineModel,
     streams: BTreeMap<u128, SimStream>,
     step: Option<StepOutcome>,
     /// Whose text each cached block stands for.
-    cached: BTreeMap<BlockHash, Origin>,
+    cached: BTreeMap<BlockHash, BlockOrigin>,
 }
 
 impl World {
     /// Starts an engine with an empty cache.
-    pub fn start_engine(&mut self, number: u32, life: u32) {
+    pub fn start_engine(&mut self, number: u32, incarnation: u32) {
         let costs = EngineCosts {
             cache_blocks: CACHE_BLOCKS,
             ..EngineCosts::default()
@@ -95,13 +95,13 @@
             ..GateChecks::default()
         };
         let gate = Gate::new(
-            EngineIncarnation(u64::from(number) << 32 | u64::from(life)),
+            EngineIncarnation(u64::from(number) << 32 | u64::from(incarnation)),
             ModelName::from(MODEL),
             WeightsVersion(1),
             checks,
         );
         let engine = SimEngine {
-            life,
+            incarnation,
             gate,
             model: EngineModel::new(costs),
             streams: BTreeMap::new(),
@@ -112,14 +112,14 @@
     }
 
     /// An engine dies: its connections break, some of them late.
-    pub fn lose_streams(&mut self, number: u32) {
+    pub fn break_connections(&mut self, number: u32) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
         for stream in std::mem::take(&mut engine.streams).into_values() {
             let event = Event::Closed {
                 request: stream.request,
-                channel: stream.channel,
+                connection: stream.connection,
             };
             let delay = self.random.random_range(1..300);
             self.schedule.after(delay, event);
@@ -127,21 +127,21 @@
     }
 
     /// The router hears an engine's state now and then.
-    pub fn hear_status(&mut self, engine: u32) {
+    pub fn update_engine_view(&mut self, engine: u32) {
         let pause = self.random.random_range(100..900);
-        if self.goes_on() || !self.requests.is_empty() {
+        if self.faults_enabled() || !self.requests.is_empty() {
             self.schedule.after(pause, Event::Status { engine });
         }
         let gate = &self.engines[&engine].gate;
-        let known = KnownEngine {
+        let known = EngineView {
             incarnation: gate.incarnation,
             weights_version: gate.weights_version,
         };
-        self.known.insert(engine, known);
+        self.engine_views.insert(engine, known);
     }
 
     /// A dispatch arrives.
-    pub fn dispatched(&mut self, number: u32, dispatch: Dispatch) -> Result<(), Broken> {
+    pub fn handle_dispatch(&mut self, number: u32, dispatch: Dispatch) -> Result<(), CheckFailure> {
         let Some(engine) = self.engines.get_mut(&number) else {
             return Ok(());
         };
@@ -150,20 +150,20 @@
             .gate
             .admit(dispatch.incarnation, &model, dispatch.weights_version);
         if admitted.is_err() {
-            self.answer_refused(dispatch.request, dispatch.channel);
+            self.refuse(dispatch.request, dispatch.connection);
             return Ok(());
         }
         if dispatch.incarnation != engine.gate.incarnation {
             let detail = format!("engine {number} took a request meant for a dead life");
-            return Err((Promise::CacheSafety, detail));
+            return Err((Invariant::CacheSafety, detail));
         }
         let chain = PrefixChain::from_text(dispatch.namespace, &dispatch.prompt, BLOCK_TOKENS);
         let stream = SimStream {
             request: dispatch.request,
-            channel: dispatch.channel,
+            connection: dispatch.connection,
             seed: answer_seed(&dispatch.prompt),
-            first: dispatch.delivered,
-            produced: dispatch.delivered,
+            first_token: dispatch.delivered,
+            produced_tokens: dispatch.delivered,
             end: None,
             last_arrival: 0,
             origins: origins(
@@ -185,33 +185,38 @@
         self.step(number)
     }
 
-    fn answer_refused(&mut self, request: u64, channel: Channel) {
+    fn refuse(&mut self, request: u64, connection: ConnectionId) {
         let delay = self.random.random_range(1..10);
-        self.schedule
-            .after(delay, Event::Refused { request, channel });
+        self.schedule.after(
+            delay,
+            Event::Refused {
+                request,
+                connection,
+            },
+        );
     }
 
     /// A resumption arrives: the frames from there on are sent over the new connection.
-    pub fn resumed(
+    pub fn handle_resume(
         &mut self,
         number: u32,
         attempt: u128,
         from: u32,
-        channel: Channel,
+        connection: ConnectionId,
         request: u64,
     ) {
         let stream = self
             .engines
             .get_mut(&number)
             .and_then(|engine| engine.streams.get_mut(&attempt))
-            .filter(|stream| from >= stream.first);
+            .filter(|stream| from >= stream.first_token);
         let Some(stream) = stream else {
-            self.answer_refused(request, channel);
+            self.refuse(request, connection);
             return;
         };
-        stream.channel = channel;
+        stream.connection = connection;
         stream.last_arrival = 0;
-        let produced = stream.produced;
+        let produced = stream.produced_tokens;
         let has_end = stream.end.is_some();
         for index in from..produced {
             self.send_frame(number, attempt, index, false);
@@ -222,7 +227,7 @@
     }
 
     /// Begins a step if the engine has work and is not in one.
-    pub fn step(&mut self, number: u32) -> Result<(), Broken> {
+    pub fn step(&mut self, number: u32) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(engine) = self.engines.get_mut(&number) else {
             return Ok(());
@@ -231,27 +236,27 @@
             return Ok(());
         }
         let outcome = engine.model.step(now * 1_000);
-        engine.check_admitted(number, &outcome)?;
-        engine.note_changes(&outcome);
+        engine.check_cached_blocks(number, &outcome)?;
+        engine.record_cache_changes(&outcome);
         let duration = outcome.duration_us.div_ceil(1_000);
-        let life = engine.life;
+        let incarnation = engine.incarnation;
         engine.step = Some(outcome);
         self.schedule.after(
             duration,
             Event::StepEnd {
                 engine: number,
-                life,
+                incarnation,
             },
         );
         Ok(())
     }
 
     /// A step ends: its tokens are sent.
-    pub fn step_ended(&mut self, number: u32, life: u32) {
+    pub fn finish_step(&mut self, number: u32, incarnation: u32) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
-        if engine.life != life {
+        if engine.incarnation != incarnation {
             return;
         }
         let Some(outcome) = engine.step.take() else {
@@ -265,7 +270,7 @@
             else {
                 continue;
             };
-            stream.produced = output.index + 1;
+            stream.produced_tokens = output.index + 1;
             self.send_frame(number, output.attempt, output.index, false);
             if let Some(end) = output.end {
                 let end = StreamEnd {
@@ -289,10 +294,10 @@
     /// the connection of another request.
     fn send_frame(&mut self, number: u32, attempt: u128, index: u32, is_end: bool) {
         let now = self.schedule.now();
-        let breaks = self.random.random_bool(self.cut_share);
+        let disconnects = self.random.random_bool(self.disconnect_probability);
         let delay = self.random.random_range(1..15);
-        let strange = self.random.random_bool(0.02);
-        let strange_delay = self.random.random_range(1..400);
+        let misdelivered = self.random.random_bool(0.02);
+        let misdelivery_delay = self.random.random_range(1..400);
         let Some(stream) = self
             .engines
             .get_mut(&number)
@@ -300,7 +305,7 @@
         else {
             return;
         };
-        let (request, channel) = (stream.request, stream.channel);
+        let (request, connection) = (stream.request, stream.connection);
         let end = stream.end.filter(|_| is_end);
         let text = if is_end {
             String::new()
@@ -315,28 +320,38 @@
         };
         let arrival = stream.last_arrival.max(now + delay);
         stream.last_arrival = arrival;
-        if breaks {
-            self.schedule
-                .at(arrival, Event::Closed { request, channel });
+        if disconnects {
+            self.schedule.at(
+                arrival,
+                Event::Closed {
+                    request,
+                    connection,
+                },
+            );
             return;
         }
-        if strange {
-            let victim = self.any_request();
+        if misdelivered {
+            let recipient = self.draw_request();
             let event = Event::Frame {
-                request: victim.unwrap_or(request),
+                request: recipient.unwrap_or(request),
                 frame: frame.clone(),
             };
-            self.schedule.after(strange_delay, event);
+            self.schedule.after(misdelivery_delay, event);
         }
         let event = Event::Frame { request, frame };
         self.schedule.at(arrival, event);
         if is_end {
-            self.schedule
-                .at(arrival, Event::Closed { request, channel });
+            self.schedule.at(
+                arrival,
+                Event::Closed {
+                    request,
+                    connection,
+                },
+            );
         }
     }
 
-    fn any_request(&mut self) -> Option<u64> {
+    fn draw_request(&mut self) -> Option<u64> {
         let open: Vec<u64> = self.requests.keys().copied().collect();
         if open.is_empty() {
             return None;
@@ -345,7 +360,7 @@
     }
 
     /// An order arrives.
-    pub fn take_order(&mut self, number: u32, order: OrderRequest) {
+    pub fn handle_order(&mut self, number: u32, order: OrderRequest) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
@@ -354,27 +369,27 @@
         }
         let event = Event::LoadWhenIdle {
             engine: number,
-            life: engine.life,
+            incarnation: engine.incarnation,
             order,
         };
         self.schedule.after(LOAD_TIME, event);
     }
 
     /// An engine loads once its running answers have ended.
-    pub fn load_when_idle(&mut self, number: u32, life: u32, order: OrderRequest) {
+    pub fn load_when_idle(&mut self, number: u32, incarnation: u32, order: OrderRequest) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
-        if engine.life != life || !engine.gate.is_current(&order) {
+        if engine.incarnation != incarnation || !engine.gate.is_current(&order) {
             return;
         }
         if engine.model.has_work() {
             let event = Event::LoadWhenIdle {
                 engine: number,
-                life,
+                incarnation,
                 order,
             };
-            self.schedule.after(IDLE_CHECK, event);
+            self.schedule.after(IDLE_CHECK_INTERVAL, event);
             return;
         }
         engine.model.clear_cache();
@@ -394,7 +409,7 @@
 
 impl SimEngine {
     /// Every cached token must stem from the same tenant, text and weights.
-    fn check_admitted(&self, number: u32, outcome: &StepOutcome) -> Result<(), Broken> {
+    fn check_cached_blocks(&self, number: u32, outcome: &StepOutcome) -> Result<(), CheckFailure> {
         for (attempt, cached_tokens) in &outcome.admitted {
             let Some(stream) = self.streams.get(attempt) else {
                 continue;
@@ -403,14 +418,14 @@
             for (hash, origin) in stream.origins.iter().take(blocks) {
                 if self.cached.get(hash) != Some(origin) {
                     let detail = format!("engine {number} reused a block of another origin");
-                    return Err((Promise::CacheSafety, detail));
+                    return Err((Invariant::CacheSafety, detail));
                 }
             }
         }
         Ok(())
     }
 
-    fn note_changes(&mut self, outcome: &StepOutcome) {
+    fn record_cache_changes(&mut self, outcome: &StepOutcome) {
         for hash in &outcome.changes.removed {
             self.cached.remove(hash);
         }
--- a/crates/lab/src/simulate/streams/requests.rs
+++ b/crates/lab/src/simulate/streams/requests.rs
@@ -15,10 +15,10 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 use crate::simulate::{
-    Mutant, Promise,
+    Invariant, Mutant,
     streams::{
         engines::{Dispatch, MODEL},
-        world::{Broken, Channel, ENGINES, Event, World},
+        world::{CheckFailure, ConnectionId, ENGINES, Event, World},
     },
 };
 
@@ -27,24 +27,24 @@
 /// Tenants; they share all texts but the question.
 const TENANTS: u32 = 3;
 /// Tries to resume a stream on the engine where it broke, as in the daemon.
-const RESUME_TRIES: u32 = 2;
+const MAX_RESUMES: u32 = 2;
 /// Pause before a stream is resumed, as in the daemon.
 const RESUME_PAUSE: u64 = 30;
 /// Callers' deadline, milliseconds.
 const DEADLINE: u64 = 20_000;
 /// Share of dispatches that are lost on the way.
-const DISPATCH_LOSS: f64 = 0.02;
+const DISPATCH_LOSS_PROBABILITY: f64 = 0.02;
 
 /// Whose text a block stands for, worked out without the hash chain.
-pub type Origin = u128;
+pub type BlockOrigin = u128;
 
 /// Texts that the prompts are made of.
-pub struct Texts {
-    opening: String,
-    files: Vec<String>,
+pub struct PromptTexts {
+    shared_prefix: String,
+    documents: Vec<String>,
 }
 
-impl Texts {
+impl PromptTexts {
     /// Draws texts.
     pub fn draw(random: &mut ChaCha8Rng) -> Self {
         let mut text = |length: usize| -> String {
@@ -52,8 +52,8 @@
             letters.collect()
         };
         Self {
-            opening: text(640),
-            files: (0..4).map(|_| text(900)).collect(),
+            shared_prefix: text(640),
+            documents: (0..4).map(|_| text(900)).collect(),
         }
     }
 }
@@ -64,7 +64,7 @@
     tenant: u32,
     weights_version: WeightsVersion,
     prompt: &str,
-) -> Vec<(BlockHash, Origin)> {
+) -> Vec<(BlockHash, BlockOrigin)> {
     let block_bytes = BLOCK_TOKENS as usize * BYTES_PER_TOKEN;
     let blocks = chain.blocks.iter().enumerate();
     let origin = |position: usize| {
@@ -86,24 +86,24 @@
     excluded: Vec<u32>,
     engine: u32,
     attempt: u128,
-    channel: Channel,
+    connection: ConnectionId,
     resumes: u32,
     text: String,
 }
 
 impl World {
     /// A caller asks.
-    pub fn arrive(&mut self) -> Result<(), Broken> {
-        if !self.goes_on() {
+    pub fn handle_arrival(&mut self) -> Result<(), CheckFailure> {
+        if !self.faults_enabled() {
             return Ok(());
         }
         let pause = self.random.random_range(5..150);
         self.schedule.after(pause, Event::Arrival);
-        let file = self.random.random_range(0..self.texts.files.len());
+        let document = self.random.random_range(0..self.texts.documents.len());
         let question = self.random.random_range(0..6_u32);
         let prompt = format!(
             "{}{} question {question}",
-            self.texts.opening, self.texts.files[file]
+            self.texts.shared_prefix, self.texts.documents[document]
         );
         let end_marker = if self.is_mutant(Mutant::NoEndMarker) {
             EndMarker::Ignored
@@ -120,11 +120,11 @@
             excluded: Vec::new(),
             engine: 0,
             attempt: 0,
-            channel: 0,
+            connection: 0,
             resumes: 0,
             text: String::new(),
         };
-        let number = self.number();
+        let number = self.next_id();
         self.requests.insert(number, request);
         self.budget.deposit();
         self.schedule
@@ -133,29 +133,31 @@
     }
 
     /// Sends a request to some engine that was not tried yet.
-    fn dispatch(&mut self, number: u64) -> Result<(), Broken> {
-        let attempt = u128::from(self.number());
-        let channel = self.number();
+    fn dispatch(&mut self, number: u64) -> Result<(), CheckFailure> {
+        let attempt = u128::from(self.next_id());
+        let connection = self.next_id();
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
         let choices: Vec<u32> = (1..=ENGINES)
-            .filter(|engine| !request.excluded.contains(engine) && self.known.contains_key(engine))
+            .filter(|engine| {
+                !request.excluded.contains(engine) && self.engine_views.contains_key(engine)
+            })
             .collect();
         if choices.is_empty() {
-            let after = request.attempts.fail_without_engine();
-            return self.after_attempt(number, after);
+            let next = request.attempts.fail_without_engine();
+            return self.execute_next_step(number, next);
         }
         let engine = choices[self.random.random_range(0..choices.len())];
-        let known = self.known[&engine];
+        let known = self.engine_views[&engine];
         request.engine = engine;
         request.attempt = attempt;
-        request.channel = channel;
+        request.connection = connection;
         request.resumes = 0;
         request.relay.begin(AttemptId(attempt));
         let dispatch = Dispatch {
             request: number,
-            channel,
+            connection,
             attempt,
             incarnation: known.incarnation,
             weights_version: known.weights_version,
@@ -166,7 +168,7 @@
             max_tokens: request.max_tokens,
         };
         let delay = self.random.random_range(1..15);
-        if self.random.random_bool(DISPATCH_LOSS) {
+        if self.random.random_bool(DISPATCH_LOSS_PROBABILITY) {
             // Whether it arrives is not known to the router: its connection breaks either way.
             if self.random.random_bool(0.5) {
                 self.schedule
@@ -174,7 +176,7 @@
             }
             let event = Event::Closed {
                 request: number,
-                channel,
+                connection,
             };
             self.schedule.after(delay, event);
             return Ok(());
@@ -185,83 +187,93 @@
     }
 
     /// A frame arrives; the router hands it to the relay whatever connection it came over.
-    pub fn take_frame(&mut self, number: u64, frame: StreamFrame) -> Result<(), Broken> {
+    pub fn handle_frame(&mut self, number: u64, frame: StreamFrame) -> Result<(), CheckFailure> {
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
         match request.relay.accept(frame) {
             FrameAction::Drop => Ok(()),
             FrameAction::Gap => {
-                let channel = request.channel;
-                self.closed(number, channel)
+                let connection = request.connection;
+                self.handle_close(number, connection)
             }
             FrameAction::Deliver(text) => {
                 request.text.push_str(&text);
-                let whole = whole_answer(&request.prompt, request.max_tokens);
-                if whole.starts_with(&request.text) {
+                let expected = whole_answer(&request.prompt, request.max_tokens);
+                if expected.starts_with(&request.text) {
                     return Ok(());
                 }
                 let detail = format!("request {number} was given text that is not its own");
-                Err((Promise::WholeAnswer, detail))
+                Err((Invariant::CompleteResponse, detail))
+            }
+            FrameAction::Complete(end) => {
+                self.finish_attempt(number, AttemptOutcome::Completed(end))
             }
-            FrameAction::Complete(end) => self.ended(number, AttemptOutcome::Completed(end)),
         }
     }
 
     /// The present connection of a request broke, or its answer has a hole.
-    pub fn closed(&mut self, number: u64, channel: Channel) -> Result<(), Broken> {
+    pub fn handle_close(
+        &mut self,
+        number: u64,
+        connection: ConnectionId,
+    ) -> Result<(), CheckFailure> {
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
-        if request.channel != channel {
+        if request.connection != connection {
             return Ok(());
         }
         if request.relay.is_complete_on_close() {
             let end = request.relay.implied_end(0);
-            return self.ended(number, AttemptOutcome::Completed(end));
+            return self.finish_attempt(number, AttemptOutcome::Completed(end));
         }
-        if request.resumes >= RESUME_TRIES {
-            return self.ended(number, AttemptOutcome::Lost);
+        if request.resumes >= MAX_RESUMES {
+            return self.finish_attempt(number, AttemptOutcome::Lost);
         }
         request.resumes += 1;
         let event = Event::Resume {
             request: number,
-            channel,
+            connection,
         };
         self.schedule.after(RESUME_PAUSE, event);
         Ok(())
     }
 
     /// Asks the same engine for the rest.
-    pub fn resume(&mut self, number: u64, channel: Channel) {
-        let new_channel = self.number();
+    pub fn resume(&mut self, number: u64, connection: ConnectionId) {
+        let new_connection = self.next_id();
         let delay = self.random.random_range(1..15);
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        if request.channel != channel {
+        if request.connection != connection {
             return;
         }
-        request.channel = new_channel;
+        request.connection = new_connection;
         let event = Event::Resumed {
             engine: request.engine,
             attempt: request.attempt,
             from: request.relay.delivered(),
-            channel: new_channel,
+            connection: new_connection,
             request: number,
         };
         self.schedule.after(delay, event);
     }
 
     /// The engine refused a dispatch, or does not know the stream to resume.
-    pub fn refused(&mut self, number: u64, channel: Channel) -> Result<(), Broken> {
+    pub fn handle_refusal(
+        &mut self,
+        number: u64,
+        connection: ConnectionId,
+    ) -> Result<(), CheckFailure> {
         let Some(request) = self.requests.get(&number) else {
             return Ok(());
         };
-        if request.channel != channel {
+        if request.connection != connection {
             return Ok(());
         }
-        let end = if request.resumes > 0 {
+        let outcome = if request.resumes > 0 {
             AttemptOutcome::Lost
         } else {
             AttemptOutcome::Refused
@@ -269,50 +281,50 @@
         let engine = request.engine;
         // The router looks at the engine again before its next choice.
         let gate = &self.engines[&engine].gate;
-        let known = super::world::KnownEngine {
+        let known = super::world::EngineView {
             incarnation: gate.incarnation,
             weights_version: gate.weights_version,
         };
-        self.known.insert(engine, known);
-        self.ended(number, end)
+        self.engine_views.insert(engine, known);
+        self.finish_attempt(number, outcome)
     }
 
     /// The caller gives up.
-    pub fn deadline(&mut self, number: u64) -> Result<(), Broken> {
+    pub fn handle_deadline(&mut self, number: u64) -> Result<(), CheckFailure> {
         if self.requests.contains_key(&number) {
-            return self.ended(number, AttemptOutcome::DeadlineExceeded);
+            return self.finish_attempt(number, AttemptOutcome::DeadlineExceeded);
         }
         Ok(())
     }
 
-    fn ended(&mut self, number: u64, end: AttemptOutcome) -> Result<(), Broken> {
+    fn finish_attempt(&mut self, number: u64, outcome: AttemptOutcome) -> Result<(), CheckFailure> {
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
         let budget = &mut self.budget;
-        let after = request.attempts.record(end, || budget.withdraw());
+        let next = request.attempts.record(outcome, || budget.withdraw());
         request.excluded.push(request.engine);
         let (engine, attempt) = (request.engine, request.attempt);
-        if !matches!(end, AttemptOutcome::Completed(_)) {
+        if !matches!(outcome, AttemptOutcome::Completed(_)) {
             self.cancel(engine, attempt);
         }
-        self.after_attempt(number, after)
+        self.execute_next_step(number, next)
     }
 
-    fn after_attempt(&mut self, number: u64, after: NextStep) -> Result<(), Broken> {
-        match after {
+    fn execute_next_step(&mut self, number: u64, next: NextStep) -> Result<(), CheckFailure> {
+        match next {
             NextStep::Retry => self.dispatch(number),
             NextStep::Completed(_) => {
                 let Some(request) = self.requests.remove(&number) else {
                     return Ok(());
                 };
                 self.activity.completed += 1;
-                let whole = whole_answer(&request.prompt, request.max_tokens);
-                if request.text == whole {
+                let expected = whole_answer(&request.prompt, request.max_tokens);
+                if request.text == expected {
                     return Ok(());
                 }
                 let detail = format!("request {number} was cut and looks whole");
-                Err((Promise::WholeAnswer, detail))
+                Err((Invariant::CompleteResponse, detail))
             }
             NextStep::Fail(_) | NextStep::Abandon => {
                 // The caller is told explicitly that there will be no more.
--- a/crates/lab/src/simulate/streams/world.rs
+++ b/crates/lab/src/simulate/streams/world.rs
@@ -9,11 +9,11 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::simulate::{
-    Activity, Mutant, Promise, SeedOutcome, Violation,
+    Activity, Invariant, Mutant, SeedOutcome, Violation,
     schedule::Schedule,
     streams::{
         engines::{Dispatch, SimEngine},
-        requests::{SimRequest, Texts},
+        requests::{PromptTexts, SimRequest},
     },
     trace::Trace,
 };
@@ -26,7 +26,7 @@
 const RUN_END: u64 = 60_000;
 
 /// One connection over which frames of an answer come.
-pub type Channel = u64;
+pub type ConnectionId = u64;
 
 /// What can happen.
 #[derive(Debug)]
@@ -40,21 +40,30 @@
         engine: u32,
         attempt: u128,
         from: u32,
-        channel: Channel,
+        connection: ConnectionId,
         request: u64,
     },
     /// An engine refused, or does not know the stream.
-    Refused { request: u64, channel: Channel },
+    Refused {
+        request: u64,
+        connection: ConnectionId,
+    },
     /// A frame reaches the router.
     Frame { request: u64, frame: StreamFrame },
     /// A connection is closed.
-    Closed { request: u64, channel: Channel },
+    Closed {
+        request: u64,
+        connection: ConnectionId,
+    },
     /// A router resumes a stream after a pause.
-    Resume { request: u64, channel: Channel },
+    Resume {
+        request: u64,
+        connection: ConnectionId,
+    },
     /// A caller's deadline.
     Deadline { request: u64 },
     /// An engine's step ends.
-    StepEnd { engine: u32, life: u32 },
+    StepEnd { engine: u32, incarnation: u32 },
     /// The router hears an engine's state.
     Status { engine: u32 },
     /// An order reaches an engine.
@@ -62,7 +71,7 @@
     /// An engine looks whether it may load.
     LoadWhenIdle {
         engine: u32,
-        life: u32,
+        incarnation: u32,
         order: OrderRequest,
     },
     /// Something breaks.
@@ -73,7 +82,7 @@
 
 /// What the router knows of an engine; it lags.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KnownEngine {
+pub struct EngineView {
     /// Its life.
     pub incarnation: EngineIncarnation,
     /// Its weights.
@@ -81,10 +90,10 @@
 }
 
 /// Events after which a run counts as stuck.
-const EVENT_LIMIT: u64 = 2_000_000;
+const MAX_EVENTS: u64 = 2_000_000;
 
 /// A broken promise and what was seen.
-pub type Broken = (Promise, String);
+pub type CheckFailure = (Invariant, String);
 
 /// Everything.
 pub struct World {
@@ -92,24 +101,24 @@
     pub schedule: Schedule<Event>,
     pub random: ChaCha8Rng,
     pub engines: BTreeMap<u32, SimEngine>,
-    pub known: BTreeMap<u32, KnownEngine>,
+    pub engine_views: BTreeMap<u32, EngineView>,
     pub requests: BTreeMap<u64, SimRequest>,
     pub budget: RetryBudget,
-    pub texts: Texts,
+    pub texts: PromptTexts,
     pub activity: Activity,
     pub trace: Trace,
-    pub cut_share: f64,
-    next_number: u64,
+    pub disconnect_probability: f64,
+    next_id: u64,
     last_token: u64,
 }
 
 /// Runs one seed.
 pub fn run(mutant: Option<Mutant>, seed: u64, keep_trace: bool) -> SeedOutcome {
     let mut world = World::new(mutant, seed, keep_trace);
-    let broken = world.run_to_end();
-    let violation = broken.err().map(|(promise, detail)| Violation {
+    let result = world.run_to_end();
+    let violation = result.err().map(|(invariant, detail)| Violation {
         at_ms: world.schedule.now(),
-        promise,
+        invariant,
         detail,
     });
     SeedOutcome {
@@ -122,21 +131,21 @@
 impl World {
     fn new(mutant: Option<Mutant>, seed: u64, keep_trace: bool) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let texts = Texts::draw(&mut random);
-        let cut_share = random.random_range(0.0..0.02);
+        let texts = PromptTexts::draw(&mut random);
+        let disconnect_probability = random.random_range(0.0..0.02);
         let mut world = Self {
             mutant,
             schedule: Schedule::default(),
             random,
             engines: BTreeMap::new(),
-            known: BTreeMap::new(),
+            engine_views: BTreeMap::new(),
             requests: BTreeMap::new(),
             budget: RetryBudget::default(),
             texts,
             activity: Activity::default(),
             trace: Trace::new(keep_trace),
-            cut_share,
-            next_number: 0,
+            disconnect_probability,
+            next_id: 0,
             last_token: 0,
         };
         for engine in 1..=ENGINES {
@@ -149,63 +158,75 @@
         world
     }
 
-    fn run_to_end(&mut self) -> Result<(), Broken> {
+    fn run_to_end(&mut self) -> Result<(), CheckFailure> {
         let mut events: u64 = 0;
         while let Some(event) = self.schedule.next(RUN_END) {
             events += 1;
-            if events > EVENT_LIMIT {
-                let detail = format!("more than {EVENT_LIMIT} events");
-                return Err((Promise::Recovery, detail));
+            if events > MAX_EVENTS {
+                let detail = format!("more than {MAX_EVENTS} events");
+                return Err((Invariant::Recovery, detail));
             }
             self.handle(event)?;
         }
         if let Some(request) = self.requests.keys().next() {
             let detail = format!("request {request} never ended");
-            return Err((Promise::WholeAnswer, detail));
+            return Err((Invariant::CompleteResponse, detail));
         }
         Ok(())
     }
 
-    fn handle(&mut self, event: Event) -> Result<(), Broken> {
+    fn handle(&mut self, event: Event) -> Result<(), CheckFailure> {
         match event {
-            Event::Arrival => self.arrive(),
-            Event::Dispatched { engine, dispatch } => self.dispatched(engine, dispatch),
+            Event::Arrival => self.handle_arrival(),
+            Event::Dispatched { engine, dispatch } => self.handle_dispatch(engine, dispatch),
             Event::Resumed {
                 engine,
                 attempt,
                 from,
-                channel,
+                connection,
                 request,
             } => {
-                self.resumed(engine, attempt, from, channel, request);
+                self.handle_resume(engine, attempt, from, connection, request);
                 Ok(())
             }
-            Event::Refused { request, channel } => self.refused(request, channel),
-            Event::Frame { request, frame } => self.take_frame(request, frame),
-            Event::Closed { request, channel } => self.closed(request, channel),
-            Event::Resume { request, channel } => {
-                self.resume(request, channel);
+            Event::Refused {
+                request,
+                connection,
+            } => self.handle_refusal(request, connection),
+            Event::Frame { request, frame } => self.handle_frame(request, frame),
+            Event::Closed {
+                request,
+                connection,
+            } => self.handle_close(request, connection),
+            Event::Resume {
+                request,
+                connection,
+            } => {
+                self.resume(request, connection);
                 Ok(())
             }
-            Event::Deadline { request } => self.deadline(request),
-            Event::StepEnd { engine, life } => {
-                self.step_ended(engine, life);
+            Event::Deadline { request } => self.handle_deadline(request),
+            Event::StepEnd {
+                engine,
+                incarnation,
+            } => {
+                self.finish_step(engine, incarnation);
                 self.step(engine)
             }
             Event::Status { engine } => {
-                self.hear_status(engine);
+                self.update_engine_view(engine);
                 Ok(())
             }
             Event::Order { engine, order } => {
-                self.take_order(engine, order);
+                self.handle_order(engine, order);
                 Ok(())
             }
             Event::LoadWhenIdle {
                 engine,
-                life,
+                incarnation,
                 order,
             } => {
-                self.load_when_idle(engine, life, order);
+                self.load_when_idle(engine, incarnation, order);
                 Ok(())
             }
             Event::Fault => {
@@ -213,21 +234,21 @@
                 Ok(())
             }
             Event::Rollout => {
-                self.roll_out();
+                self.start_rollout();
                 Ok(())
             }
         }
     }
 
     /// Whether faults and arrivals go on.
-    pub fn goes_on(&self) -> bool {
+    pub fn faults_enabled(&self) -> bool {
         self.schedule.now() < FAULTS_END
     }
 
     /// A number never used before in this run.
-    pub fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    pub fn next_id(&mut self) -> u64 {
+        self.next_id += 1;
+        self.next_id
     }
 
     /// Whether a part of the system is left out on purpose.
@@ -237,23 +258,24 @@
 
     /// An engine crashes and comes back empty.
     fn inject_fault(&mut self) {
-        if !self.goes_on() {
+        if !self.faults_enabled() {
             return;
         }
         let pause = self.random.random_range(200..2_000);
         self.schedule.after(pause, Event::Fault);
         self.activity.faults += 1;
         let engine = self.random.random_range(1..=ENGINES);
-        let life = self.engines[&engine].life + 1;
+        let incarnation = self.engines[&engine].incarnation + 1;
         let now = self.schedule.now();
-        self.trace.note(now, || format!("engine {engine} crashes"));
-        self.lose_streams(engine);
-        self.start_engine(engine, life);
+        self.trace
+            .record(now, || format!("engine {engine} crashes"));
+        self.break_connections(engine);
+        self.start_engine(engine, incarnation);
     }
 
     /// Orders every engine, one after another, to other weights.
-    fn roll_out(&mut self) {
-        if !self.goes_on() {
+    fn start_rollout(&mut self) {
+        if !self.faults_enabled() {
             return;
         }
         let pause = self.random.random_range(2_000..6_000);
--- a/crates/lab/src/simulate/trace.rs
+++ b/crates/lab/src/simulate/trace.rs
@@ -8,22 +8,22 @@
 /// A trace.
 #[derive(Clone, Debug, Default)]
 pub struct Trace {
-    keeps: bool,
+    enabled: bool,
     steps: VecDeque<String>,
 }
 
 impl Trace {
     /// A trace that keeps steps, or one that does not.
-    pub fn new(keeps: bool) -> Self {
+    pub fn new(enabled: bool) -> Self {
         Self {
-            keeps,
+            enabled,
             steps: VecDeque::new(),
         }
     }
 
     /// Notes a step; the text is made only if it is kept.
-    pub fn note(&mut self, at: u64, step: impl FnOnce() -> String) {
-        if !self.keeps {
+    pub fn record(&mut self, at: u64, step: impl FnOnce() -> String) {
+        if !self.enabled {
             return;
         }
         if self.steps.len() >= STEPS_KEPT {
--- a/crates/lab/src/soak/command.rs
+++ b/crates/lab/src/soak/command.rs
@@ -28,11 +28,11 @@
     let mut failed: u64 = 0;
     let mut passed: u64 = 0;
     for seed in options.seeds.clone() {
-        let folder = folder_of(&options, seed);
+        let folder = log_folder(&options, seed);
         run::prepare_folder(&folder)?;
         let report = run::soak(seed, options.length, &folder, builds.as_ref()).await;
         let holds = matches!(&report, Ok(report) if report.violations() == 0);
-        print(seed, &report);
+        print_report(seed, &report);
         if holds {
             passed += 1;
             // What is left of a folder does no harm.
@@ -56,25 +56,28 @@
     let present = std::env::current_exe().change_context(LabError::Spawn {
         name: "soak".to_owned(),
     })?;
-    Ok(Some(Builds { former, present }))
+    Ok(Some(Builds {
+        previous: former,
+        current: present,
+    }))
 }
 
-fn folder_of(options: &SoakOptions, seed: u64) -> PathBuf {
+fn log_folder(options: &SoakOptions, seed: u64) -> PathBuf {
     let name = format!("railtack-soak-{}-{seed}", std::process::id());
     let parent = options.keep.clone().unwrap_or_else(std::env::temp_dir);
     parent.join(name)
 }
 
-fn print(seed: u64, report: &Result<SoakReport, Report<LabError>>) {
+fn print_report(seed: u64, report: &Result<SoakReport, Report<LabError>>) {
     match report {
         Ok(report) => {
             println!("seed {seed}: {} violations", report.violations());
-            for finding in &report.findings {
-                println!("  {finding}");
+            for measurement in &report.measurements {
+                println!("  {measurement}");
             }
             if report.violations() > 0 {
-                for (due, act) in &report.schedule.acts {
-                    println!("  {:>7.3} s  {act}", due.as_secs_f64());
+                for (due, action) in &report.schedule.actions {
+                    println!("  {:>7.3} s  {action}", due.as_secs_f64());
                 }
             }
         }
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -13,4 +13,4 @@
 pub mod schedule;
 
 pub use run::SoakReport;
-pub use schedule::{Act, FleetSize, Schedule, Target};
+pub use schedule::{Action, FleetSize, Schedule, Target};
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -25,30 +25,30 @@
 use crate::{
     LabError,
     demo::{self, FleetOptions, PreparedFleet},
-    fault::{Finding, background::BackgroundLoad},
+    fault::{Measurement, background::BackgroundLoad},
     fleet::{Fault, Fleet, FleetKind, FleetShape, LabProcess, process},
     load::{
         Caller, KeyedRecord,
         caller::{self, AskShape},
         keyed::key_name,
     },
-    soak::schedule::{Act, FleetSize, Schedule, Target},
+    soak::schedule::{Action, FleetSize, Schedule, Target},
 };
 
 /// Callers that ask models at the same time, and callers of a service that may not be called twice.
-const ASKERS: usize = 8;
+const MODEL_CALLERS: usize = 8;
 const KEYED_CALLERS: usize = 4;
 /// Arrivals of one key at most, at different routers.
-const ARRIVALS: u64 = 3;
+const MAX_REQUESTS_PER_KEY: u64 = 3;
 /// Time for connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time in which a process that was told to stop ends, before it is killed.
-const STOPS_WITHIN: Duration = Duration::from_secs(12);
+const STOP_TIMEOUT: Duration = Duration::from_secs(12);
 /// Time after the schedule in which every router has to serve again: an engine counts as lost and is heard
 /// again, a leader is elected, and routers poll, each within a few seconds.
-const SERVES_WITHIN: Duration = Duration::from_secs(20);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause between two looks at that.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for changing the configuration; without a majority a change is given up.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -58,13 +58,16 @@
     /// What was done.
     pub schedule: Schedule,
     /// What was measured.
-    pub findings: Vec<Finding>,
+    pub measurements: Vec<Measurement>,
 }
 
 impl SoakReport {
     /// Promises that were broken.
     pub fn violations(&self) -> usize {
-        self.findings.iter().filter(|one| !one.holds()).count()
+        self.measurements
+            .iter()
+            .filter(|one| !one.is_within_limit())
+            .count()
     }
 }
 
@@ -73,13 +76,13 @@
 #[derive(Clone, Debug)]
 pub struct Builds {
     /// The build that the fleet begins with.
-    pub former: PathBuf,
+    pub previous: PathBuf,
     /// The build that takes its place.
-    pub present: PathBuf,
+    pub current: PathBuf,
 }
 
 /// One start of a router in so many has the former build.
-const PUT_BACK: u32 = 3;
+const ROLLBACK_RATIO: u32 = 3;
 
 /// Runs a soak of a length on a fleet of its own in `folder`, of one build, or of two.
 pub async fn soak(
@@ -89,7 +92,7 @@
     builds: Option<&Builds>,
 ) -> Result<SoakReport, Report<LabError>> {
     if let Some(builds) = builds {
-        process::use_lab_binary(&builds.former);
+        process::use_lab_binary(&builds.previous);
     }
     let shape = FleetShape::demonstration(FleetKind::Brasov);
     let size = FleetSize {
@@ -105,67 +108,78 @@
     };
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut prepared = demo::prepare(shape, &options, &mut random).await?;
-    let models = BackgroundLoad::start(&prepared, ASKERS, seed);
+    let models = BackgroundLoad::start(&prepared, MODEL_CALLERS, seed);
     let keyed = KeyedLoad::start(&prepared, seed);
-    let carried_out = carry_out(&schedule, seed, &mut prepared.fleet, builds).await;
-    let served_again = serves_again(&prepared).await;
+    let schedule_result = run_schedule(&schedule, seed, &mut prepared.fleet, builds).await;
+    let recovery_seconds = wait_until_routers_serve(&prepared).await;
     // Callers end with their fleet also where the schedule could not be carried out.
-    let asked = models.finish().await;
-    let told = keyed.finish().await;
-    carried_out?;
+    let model_report = models.finish().await;
+    let keyed_record = keyed.finish().await;
+    schedule_result?;
     let executions = prepared.fleet.executions().await?.by_key;
-    let judged = told.judge(&executions);
-    let (whole, not_run, unknown) = told.totals();
-    let findings = vec![
-        Finding::report("acts", schedule.acts.len() as f64),
-        Finding::report("whole answers of models", asked.summary.whole as f64),
-        Finding::report("streams that callers saw cut", asked.cut_off()),
-        Finding::report("keyed requests answered", whole as f64),
-        Finding::report("keyed requests told not run", not_run as f64),
-        Finding::report("keyed requests told neither", unknown as f64),
-        Finding::at_most(
+    let judgement = keyed_record.judge(&executions);
+    let (whole, not_run, unknown) = keyed_record.totals();
+    let measurements = vec![
+        Measurement::informational("acts", schedule.actions.len() as f64),
+        Measurement::informational("whole answers of models", model_report.summary.whole as f64),
+        Measurement::informational("streams that callers saw cut", model_report.interrupted()),
+        Measurement::informational("keyed requests answered", whole as f64),
+        Measurement::informational("keyed requests told not run", not_run as f64),
+        Measurement::informational("keyed requests told neither", unknown as f64),
+        Measurement::at_most(
             "answers that looked whole and were not",
-            asked.summary.wrong.len() as f64,
+            model_report.summary.wrong.len() as f64,
             0.0,
         ),
-        Finding::at_most("requests without any end", asked.summary.lost as f64, 0.0),
-        Finding::at_most("keys executed twice", judged.ran_twice as f64, 0.0),
-        Finding::at_most("untrue \"not run\"", judged.untrue_not_run as f64, 0.0),
-        Finding::at_most("answers without an execution", judged.unfounded as f64, 0.0),
-        Finding::at_most(
+        Measurement::at_most(
+            "requests without any end",
+            model_report.summary.lost as f64,
+            0.0,
+        ),
+        Measurement::at_most("keys executed twice", judgement.ran_twice as f64, 0.0),
+        Measurement::at_most("untrue \"not run\"", judgement.untrue_not_run as f64, 0.0),
+        Measurement::at_most(
+            "answers without an execution",
+            judgement.unfounded as f64,
+            0.0,
+        ),
+        Measurement::at_most(
             "seconds until every router served again",
-            served_again,
-            SERVES_WITHIN.as_secs_f64(),
+            recovery_seconds,
+            RECOVERY_TIMEOUT.as_secs_f64(),
         ),
     ];
-    Ok(SoakReport { schedule, findings })
+    Ok(SoakReport {
+        schedule,
+        measurements,
+    })
 }
 
-async fn carry_out(
+async fn run_schedule(
     schedule: &Schedule,
     seed: u64,
     fleet: &mut Fleet,
     builds: Option<&Builds>,
 ) -> Result<(), Report<LabError>> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let mut changes = Vec::new();
-    for (number, (due, act)) in schedule.acts.iter().enumerate() {
-        sleep_until(began_at + *due).await;
-        match act {
-            Act::Signal(target, fault) => process_of(fleet, *target).inflict(*fault).await?,
-            Act::Start(target) => {
+    for (number, (due, action)) in schedule.actions.iter().enumerate() {
+        sleep_until(started_at + *due).await;
+        match action {
+            Action::Signal(target, fault) => process_of(fleet, *target).inflict(*fault).await?,
+            Action::Start(target) => {
                 let process = process_of(fleet, *target);
                 if let Some(builds) = builds {
                     choose_build(process, *target, builds, &mut random);
                 }
                 start(process).await?;
             }
-            Act::Change(count) => {
+            Action::Change(count) => {
                 let operation = format!("soak-{seed}-{number}");
                 let addresses = fleet.places.control.iter().map(|place| place.listen);
                 let addresses: Vec<SocketAddr> = addresses.collect();
-                changes.push(tokio::spawn(change(addresses, operation, *count)));
+                changes.push(tokio::spawn(submit_changes(addresses, operation, *count)));
             }
         }
     }
@@ -182,12 +196,12 @@
     builds: &Builds,
     random: &mut ChaCha8Rng,
 ) {
-    let is_put_back = random.random_ratio(1, PUT_BACK);
+    let rolls_back = random.random_ratio(1, ROLLBACK_RATIO);
     match target {
         // The stand-ins are not what is replaced.
         Target::Engine(_) => {}
-        Target::Router(_) if is_put_back => process.replace_by(&builds.former),
-        Target::Router(_) | Target::Control(_) => process.replace_by(&builds.present),
+        Target::Router(_) if rolls_back => process.replace_by(&builds.previous),
+        Target::Router(_) | Target::Control(_) => process.replace_by(&builds.current),
     }
 }
 
@@ -201,7 +215,7 @@
 
 async fn start(process: &mut LabProcess) -> Result<(), Report<LabError>> {
     if process.id().is_some()
-        && process.wait(STOPS_WITHIN).await.is_none()
+        && process.wait(STOP_TIMEOUT).await.is_none()
         && process.id().is_some()
     {
         process.inflict(Fault::Kill).await?;
@@ -209,7 +223,7 @@
     process.restart()
 }
 
-async fn change(addresses: Vec<SocketAddr>, operation: String, count: u64) {
+async fn submit_changes(addresses: Vec<SocketAddr>, operation: String, count: u64) {
     let client = ControlClient::new(addresses);
     for number in 0..count {
         let change = ConfigurationChange::SetDrain {
@@ -224,8 +238,8 @@
 }
 
 /// Seconds until each router has answered a question, from now on.
-async fn serves_again(prepared: &PreparedFleet) -> f64 {
-    let began_at = Instant::now();
+async fn wait_until_routers_serve(prepared: &PreparedFleet) -> f64 {
+    let started_at = Instant::now();
     let client = HttpClient::new(CONNECT_TIMEOUT);
     let caller = Caller::new(client, &prepared.documents.tenants[0].key);
     let question = prepared
@@ -235,13 +249,13 @@
         loop {
             let finding = caller.ask(place.listen, &question, AskShape::Whole).await;
             let is_served = matches!(finding, caller::Finding::Whole { .. });
-            if is_served || began_at.elapsed() > SERVES_WITHIN * 2 {
+            if is_served || started_at.elapsed() > RECOVERY_TIMEOUT * 2 {
                 break;
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(RECOVERY_POLL_INTERVAL).await;
         }
     }
-    began_at.elapsed().as_secs_f64()
+    started_at.elapsed().as_secs_f64()
 }
 
 /// Callers of a service that may not be called twice, each key once or several times at different routers.
@@ -315,7 +329,7 @@
     while !shared.stop.load(Ordering::Relaxed) {
         let key = shared.next_key.fetch_add(1, Ordering::Relaxed);
         let first = random.random_range(0..shared.routers.len());
-        let arrivals = (0..random.random_range(1..=ARRIVALS) as usize)
+        let arrivals = (0..random.random_range(1..=MAX_REQUESTS_PER_KEY) as usize)
             .map(|number| shared.call(key, first + number));
         futures::future::join_all(arrivals).await;
     }
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/lab/src/soak/schedule.rs
@@ -14,17 +14,17 @@
 use crate::fleet::Fault;
 
 /// Mean time between the beginnings of two series.
-const BETWEEN_SERIES: Duration = Duration::from_millis(450);
+const MEAN_EPISODE_INTERVAL: Duration = Duration::from_millis(450);
 /// Time at the beginning and the end in which nothing new begins.
-const CALM: Duration = Duration::from_millis(500);
+const QUIET_PERIOD: Duration = Duration::from_millis(500);
 /// Longest time for which a process is frozen or away; above every lease and election timeout.
-const LONGEST_ABSENCE_MS: u64 = 3_500;
+const MAX_DOWNTIME_MS: u64 = 3_500;
 /// Time after SIGTERM at which a process is started again; an answer may take a while until it ends.
-const TERMINATION: Duration = Duration::from_millis(2_500);
+const TERMINATION_PERIOD: Duration = Duration::from_millis(2_500);
 /// Most changes of configuration in one series.
-const MOST_CHANGES: u64 = 6;
+const MAX_CHANGES: u64 = 6;
 /// One series in this many is a crash of all routers at once.
-const HERDS: u32 = 12;
+const ALL_ROUTERS_CRASH_RATIO: u32 = 12;
 
 /// A process of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +39,7 @@
 
 /// One thing that is done to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// A process is sent a signal.
     Signal(Target, Fault),
     /// A process that was killed, or has been told to stop, is started again.
@@ -48,7 +48,7 @@
     Change(u64),
 }
 
-impl Display for Act {
+impl Display for Action {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::Signal(target, fault) => write!(formatter, "{fault:?} {target:?}"),
@@ -70,7 +70,7 @@
 }
 
 impl FleetSize {
-    fn draw(self, random: &mut ChaCha8Rng) -> Target {
+    fn draw_target(self, random: &mut ChaCha8Rng) -> Target {
         let position = random.random_range(0..self.routers + self.control + self.engines);
         if position < self.routers {
             return Target::Router(position);
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Schedule {
     /// The acts, each with the time since the beginning at which it is due.
-    pub acts: Vec<(Duration, Act)>,
+    pub actions: Vec<(Duration, Action)>,
 }
 
 impl Schedule {
@@ -96,80 +96,88 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut schedule = Self::default();
         let mut busy: Vec<(Target, Duration)> = Vec::new();
-        let mut begins = CALM;
-        while begins + CALM < length {
-            let ends = schedule.add_series(&mut random, size, begins, &busy);
-            busy.extend(ends);
-            begins += BETWEEN_SERIES.mul_f64(random.random_range(0.2..1.8));
+        let mut starts_at = QUIET_PERIOD;
+        while starts_at + QUIET_PERIOD < length {
+            let ends_at = schedule.add_episode(&mut random, size, starts_at, &busy);
+            busy.extend(ends_at);
+            starts_at += MEAN_EPISODE_INTERVAL.mul_f64(random.random_range(0.2..1.8));
         }
-        schedule.acts.sort_by_key(|(due, _)| *due);
+        schedule.actions.sort_by_key(|(due, _)| *due);
         schedule
     }
 
     /// Adds one series that begins at a moment; the processes that it deals with, each with the end of that.
-    fn add_series(
+    fn add_episode(
         &mut self,
         random: &mut ChaCha8Rng,
         size: FleetSize,
-        begins: Duration,
+        starts_at: Duration,
         busy: &[(Target, Duration)],
     ) -> Vec<(Target, Duration)> {
         let is_free = |target: Target| {
             let mut others = busy.iter();
-            others.all(|(other, until)| *other != target || *until < begins)
+            others.all(|(other, until)| *other != target || *until < starts_at)
         };
-        if random.random_ratio(1, HERDS) {
+        if random.random_ratio(1, ALL_ROUTERS_CRASH_RATIO) {
             let routers = (0..size.routers).map(Target::Router);
-            let herd: Vec<Target> = routers.filter(|target| is_free(*target)).collect();
-            let back = begins + absence(random);
-            return herd
+            let idle_routers: Vec<Target> = routers.filter(|target| is_free(*target)).collect();
+            let restarts_at = starts_at + draw_downtime(random);
+            return idle_routers
                 .into_iter()
-                .map(|target| self.add_kill(target, begins, back))
+                .map(|target| self.add_kill(target, starts_at, restarts_at))
                 .collect();
         }
-        let target = size.draw(random);
+        let target = size.draw_target(random);
         let kind = random.random_range(0..4_u32);
         if kind == 0 || !is_free(target) {
-            let count = random.random_range(1..=MOST_CHANGES);
-            self.acts.push((begins, Act::Change(count)));
+            let count = random.random_range(1..=MAX_CHANGES);
+            self.actions.push((starts_at, Action::Change(count)));
             return Vec::new();
         }
-        let ends = match kind {
-            1 => self.add_kill(target, begins, begins + absence(random)),
-            2 => self.add_freeze(target, begins, begins + absence(random)),
-            _ => self.add_stop(target, begins),
+        let ends_at = match kind {
+            1 => self.add_kill(target, starts_at, starts_at + draw_downtime(random)),
+            2 => self.add_freeze(target, starts_at, starts_at + draw_downtime(random)),
+            _ => self.add_termination(target, starts_at),
         };
-        vec![ends]
+        vec![ends_at]
     }
 
-    fn add_kill(&mut self, target: Target, begins: Duration, back: Duration) -> (Target, Duration) {
-        self.acts.push((begins, Act::Signal(target, Fault::Kill)));
-        self.acts.push((back, Act::Start(target)));
-        (target, back)
+    fn add_kill(
+        &mut self,
+        target: Target,
+        starts_at: Duration,
+        restarts_at: Duration,
+    ) -> (Target, Duration) {
+        self.actions
+            .push((starts_at, Action::Signal(target, Fault::Kill)));
+        self.actions.push((restarts_at, Action::Start(target)));
+        (target, restarts_at)
     }
 
     fn add_freeze(
         &mut self,
         target: Target,
-        begins: Duration,
-        ends: Duration,
+        starts_at: Duration,
+        ends_at: Duration,
     ) -> (Target, Duration) {
-        self.acts.push((begins, Act::Signal(target, Fault::Freeze)));
-        self.acts.push((ends, Act::Signal(target, Fault::Thaw)));
-        (target, ends)
+        self.actions
+            .push((starts_at, Action::Signal(target, Fault::Freeze)));
+        self.actions
+            .push((ends_at, Action::Signal(target, Fault::Thaw)));
+        (target, ends_at)
     }
 
-    fn add_stop(&mut self, target: Target, begins: Duration) -> (Target, Duration) {
-        let back = begins + TERMINATION;
-        self.acts
-            .push((begins, Act::Signal(target, Fault::Terminate)));
-        self.acts.push((back, Act::Start(target)));
-        (target, back)
+    fn add_termination(&mut self, target: Target, starts_at: Duration) -> (Target, Duration) {
+        let restarts_at = starts_at + TERMINATION_PERIOD;
+        self.actions
+            .push((starts_at, Action::Signal(target, Fault::Terminate)));
+        self.actions.push((restarts_at, Action::Start(target)));
+        (target, restarts_at)
     }
 }
 
-fn absence(random: &mut ChaCha8Rng) -> Duration {
+fn draw_downtime(random: &mut ChaCha8Rng) -> Duration {
     // Most are short: those are the ones that leases and timeouts have to tell apart.
-    let shortest = random.random_range(1..LONGEST_ABSENCE_MS);
+    let shortest = random.random_range(1..MAX_DOWNTIME_MS);
     Duration::from_millis(random.random_range(1..=shortest))
 }
--- a/crates/lab/tests/simulation.rs
+++ b/crates/lab/tests/simulation.rs
@@ -5,7 +5,7 @@
 const SEEDS: std::ops::Range<u64> = 0..60;
 const MUTANT_SEEDS: std::ops::Range<u64> = 0..200;
 
-fn holds(scenario: Scenario) {
+fn assert_no_violations(scenario: Scenario) {
     let report = run_range(scenario, None, SEEDS);
     println!("{} seeds {SEEDS:?}: {:?}", scenario.name(), report.activity);
     assert!(report.failing.is_empty(), "{:?}", report.failing.first());
@@ -15,46 +15,46 @@
 }
 
 #[test]
-fn configuration_holds() {
-    holds(Scenario::Configuration);
+fn configuration_scenario_has_no_violations() {
+    assert_no_violations(Scenario::Configuration);
 }
 
 #[test]
-fn claims_hold() {
-    holds(Scenario::Claims);
+fn claims_scenario_has_no_violations() {
+    assert_no_violations(Scenario::Claims);
 }
 
 #[test]
-fn membership_holds() {
-    holds(Scenario::Membership);
+fn membership_scenario_has_no_violations() {
+    assert_no_violations(Scenario::Membership);
 }
 
 #[test]
-fn rollout_holds() {
-    holds(Scenario::Rollout);
+fn rollout_scenario_has_no_violations() {
+    assert_no_violations(Scenario::Rollout);
 }
 
 #[test]
-fn streams_hold() {
-    holds(Scenario::Streams);
+fn streams_scenario_has_no_violations() {
+    assert_no_violations(Scenario::Streams);
 }
 
 #[test]
-fn seeds_that_once_failed_hold() {
-    let once_failed = [
+fn regression_seeds_have_no_violations() {
+    let regression_seeds = [
         (Scenario::Rollout, 944),
         (Scenario::Streams, 102),
         (Scenario::Configuration, 884),
         (Scenario::Membership, 1),
     ];
-    for (scenario, seed) in once_failed {
+    for (scenario, seed) in regression_seeds {
         let outcome = run_seed(scenario, None, seed, false);
         assert_eq!(outcome.violation, None, "{} {seed}", scenario.name());
     }
 }
 
 #[test]
-fn every_mutant_is_noticed() {
+fn every_mutant_is_detected() {
     for mutant in Mutant::ALL {
         let report = run_range(mutant.scenario(), Some(mutant), MUTANT_SEEDS);
         println!("{}: {} seeds", mutant.name(), report.failing.len());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_seed_always_does_the_same() {
+fn runs_of_one_seed_are_identical() {
     for scenario in Scenario::ALL {
         let first = run_seed(scenario, None, 5, true);
         let second = run_seed(scenario, None, 5, true);
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -7,7 +7,7 @@
 use railtack_lab::{
     fleet::{Fault, process},
     load::{Finding, KeyedRecord, keyed::KeyedJudgement},
-    soak::{Act, FleetSize, Schedule, Target, run},
+    soak::{Action, FleetSize, Schedule, Target, run},
 };
 
 const SIZE: FleetSize = FleetSize {
@@ -17,32 +17,36 @@
 };
 const LENGTH: Duration = Duration::from_secs(8);
 
-async fn nothing_is_broken(seed: u64) {
+async fn assert_no_violations(seed: u64) {
     process::use_lab_binary(Path::new(env!("CARGO_BIN_EXE_railtack-lab")));
     let folder = tempfile::tempdir().expect("a folder");
     let report = run::soak(seed, LENGTH, folder.path(), None)
         .await
         .expect("a run");
-    let broken: Vec<_> = report.findings.iter().filter(|one| !one.holds()).collect();
+    let violations: Vec<_> = report
+        .measurements
+        .iter()
+        .filter(|one| !one.is_within_limit())
+        .collect();
     assert!(
-        broken.is_empty(),
-        "seed {seed}: {broken:?}\n{:?}",
+        violations.is_empty(),
+        "seed {seed}: {violations:?}\n{:?}",
         report.schedule
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_first_seed_breaks_nothing() {
-    nothing_is_broken(1).await;
+async fn first_seed_has_no_violations() {
+    assert_no_violations(1).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_second_seed_breaks_nothing() {
-    nothing_is_broken(2).await;
+async fn second_seed_has_no_violations() {
+    assert_no_violations(2).await;
 }
 
 #[test]
-fn a_seed_always_draws_the_same_schedule_and_another_one_another() {
+fn schedule_depends_only_on_its_seed() {
     let draw = |seed| Schedule::draw(seed, SIZE, LENGTH);
     assert_eq!(draw(7), draw(7));
     assert_ne!(draw(7), draw(8));
@@ -56,7 +60,7 @@
 }
 
 #[test]
-fn what_was_told_is_judged_by_what_ran() {
+fn reported_outcomes_are_checked_against_executions() {
     let mut record = KeyedRecord::default();
     let whole = Finding::Whole { first_token_us: 1 };
     // As it should be: answered and run once; refused and not run; nobody knows.
@@ -72,28 +76,28 @@
         record.judge(&ran(&[(1, 1), (3, 1)])),
         KeyedJudgement::default()
     );
-    let broken = record.judge(&ran(&[(2, 1), (3, 2)]));
+    let violations = record.judge(&ran(&[(2, 1), (3, 2)]));
     let all = KeyedJudgement {
         ran_twice: 1,
         untrue_not_run: 1,
         unfounded: 1,
     };
-    assert_eq!(broken, all);
+    assert_eq!(violations, all);
 }
 
 quickcheck! {
     /// Whatever is stopped runs again at the end, and a process that is away is left alone meanwhile.
-    fn what_is_stopped_is_started_again(seed: u64) -> bool {
+    fn every_stopped_process_is_restarted(seed: u64) -> bool {
         let schedule = Schedule::draw(seed, SIZE, LENGTH);
-        let mut away: BTreeMap<Target, Fault> = BTreeMap::new();
-        let in_order = schedule.acts.iter().all(|(_, act)| match act {
-            Act::Change(_) => true,
-            Act::Start(target) => {
-                matches!(away.remove(target), Some(Fault::Kill | Fault::Terminate))
+        let mut stopped: BTreeMap<Target, Fault> = BTreeMap::new();
+        let in_order = schedule.actions.iter().all(|(_, action)| match action {
+            Action::Change(_) => true,
+            Action::Start(target) => {
+                matches!(stopped.remove(target), Some(Fault::Kill | Fault::Terminate))
             }
-            Act::Signal(target, Fault::Thaw) => away.remove(target) == Some(Fault::Freeze),
-            Act::Signal(target, fault) => away.insert(*target, *fault).is_none(),
+            Action::Signal(target, Fault::Thaw) => stopped.remove(target) == Some(Fault::Freeze),
+            Action::Signal(target, fault) => stopped.insert(*target, *fault).is_none(),
         });
-        in_order && away.is_empty()
+        in_order && stopped.is_empty()
     }
 }
