--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One exchange with one replica, up to the head of its answer.
+//! One exchange with one replica, up to the head of the response.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 use crate::{
     backend::{Dispatch, ResponseClass},
-    health::ExchangeEnd,
+    health::ExchangeOutcome,
     permits::{self, Permit},
     pool::{ConnectError, Connection},
     prefill_latency::PrefillBacklog,
@@ -21,120 +21,120 @@
     state::{ProxyState, lock},
 };
 
-/// Kept connections that may turn out to be closed, before anything was sent, in one exchange.
+/// Maximum number of pooled connections per exchange that may turn out to be closed.
 const MAX_STALE_CONNECTIONS: usize = 3;
-/// Largest answer that is read as a whole, bytes.
+/// Maximum size of a response that is buffered completely, bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A replica that was chosen.
+/// A selected replica and what to send with the request.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The replica.
+    /// Record of the replica.
     pub record: Arc<ReplicaRecord>,
-    /// This router's use of it.
+    /// Connections and load of this router at the replica.
     pub handle: Arc<ReplicaHandle>,
-    /// Connections that this router may open to it.
+    /// Maximum number of connections of this router to the replica.
     pub connection_limit: u32,
-    /// Tokens of the prompt that this router had sent there before.
+    /// Prompt tokens that this router sent to the replica before.
     pub cached_tokens: u64,
-    /// What the prompt has to wait for before its first event.
+    /// Prompt tokens to be prefilled before the first event.
     pub backlog: PrefillBacklog,
-    /// Where the beginning of the prompt is likely to be kept, `ip:port`.
+    /// Address of a peer or store that probably caches the prefix, `ip:port`.
     pub fetch_from: Option<String>,
-    /// The store that is to keep what is read, `ip:port`.
+    /// Address of the store to which the prompt is saved, `ip:port`.
     pub save_to: Option<String>,
-    /// The permit to send it the request, if it has a limit.
+    /// Permit to send the request, if the replica has a rate limit.
     pub permit: Option<Permit>,
 }
 
-/// An answer whose head has come.
+/// A response whose head was received.
 #[derive(Debug)]
 pub struct OpenResponse {
-    /// Head.
+    /// Head of the response.
     pub head: response::Parts,
-    /// Body, as it comes.
+    /// Body, not yet received.
     pub body: Incoming,
-    /// The connection that it comes over.
+    /// Connection of the exchange.
     pub connection: Connection,
-    /// Whether the connection may be used again after a whole answer.
+    /// Whether the connection can be reused after the body was received.
     pub reusable: bool,
 }
 
-/// An exchange that brought no answer to pass on.
+/// An exchange without a response that can be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedExchange {
-    /// What it says of the replica; `None` if nothing.
-    pub end: Option<ExchangeEnd>,
-    /// What it proves of the request.
+    /// Outcome that counts for the replica's health; `None` if none does.
+    pub outcome: Option<ExchangeOutcome>,
+    /// Whether the replica may have run the request.
     pub proof: ExchangeProof,
-    /// For logs.
+    /// Cause, for logs and metrics.
     pub cause: &'static str,
-    /// Status of the answer, if one came.
+    /// Status of the response, if one was received.
     pub status: Option<u16>,
-    /// What the answer says of the replica.
-    pub notice: BackEndSignals,
+    /// Signals of the replica in the response head.
+    pub signals: BackEndSignals,
 }
 
 impl FailedExchange {
-    fn not_run(end: Option<ExchangeEnd>, cause: &'static str) -> Self {
+    fn not_run(outcome: Option<ExchangeOutcome>, cause: &'static str) -> Self {
         Self {
-            end,
+            outcome,
             proof: ExchangeProof::NotRun,
             cause,
             status: None,
-            notice: BackEndSignals::default(),
+            signals: BackEndSignals::default(),
         }
     }
 
-    /// A failure before anything was sent, for a reason that is known since.
-    fn withheld(cause: &'static str) -> Self {
+    /// The request was not sent, for a reason that is recorded in the state by now.
+    fn not_sent(cause: &'static str) -> Self {
         Self {
             proof: ExchangeProof::Withheld,
             ..Self::not_run(None, cause)
         }
     }
 
-    /// The same failure, with the answer that shows it.
-    fn answered(self, status: u16, notice: BackEndSignals) -> Self {
+    /// Adds the response that caused the failure.
+    fn with_response(self, status: u16, signals: BackEndSignals) -> Self {
         Self {
             status: Some(status),
-            notice,
+            signals,
             ..self
         }
     }
 
     /// The connection broke after the request may have been received.
-    pub fn connection_broke(cause: &'static str) -> Self {
+    pub fn broken_connection(cause: &'static str) -> Self {
         Self {
-            end: Some(ExchangeEnd::ConnectionBroke),
+            outcome: Some(ExchangeOutcome::ConnectionBroke),
             ..Self::may_have_run(cause)
         }
     }
 
-    /// A failure after the request may have been received.
+    /// The exchange failed after the request may have been received.
     pub fn may_have_run(cause: &'static str) -> Self {
         Self {
-            end: Some(ExchangeEnd::Broken),
+            outcome: Some(ExchangeOutcome::Broken),
             proof: ExchangeProof::MayHaveRun,
             cause,
             status: None,
-            notice: BackEndSignals::default(),
+            signals: BackEndSignals::default(),
         }
     }
 }
 
-/// Until when the head of an answer is waited for.
+/// Deadlines for the head of a response.
 #[derive(Clone, Copy, Debug)]
 pub struct HeadDeadline {
-    /// The usual end.
-    pub due: Instant,
-    /// The end if the replica answers others meanwhile: it is busy, not gone.
+    /// Default deadline.
+    pub deadline: Instant,
+    /// Deadline if the replica is responding to other requests: it is busy rather than gone.
     pub if_responding: Instant,
 }
 
-/// Sends a request and waits for the head of the answer.
+/// Sends a request and waits for the head of the response.
 ///
-/// Dropping the future closes the connection, so that the replica stops.
+/// Dropping the future closes the connection, which makes the replica stop the request.
 pub async fn exchange(
     state: &Arc<ProxyState>,
     target: &Target,
@@ -145,51 +145,51 @@
 ) -> Result<OpenResponse, FailedExchange> {
     for _ in 0..MAX_STALE_CONNECTIONS {
         let mut connection = connect(target, non_retryable).await?;
-        // A freeze may fall anywhere before this point; the lease is looked at after it.
+        // The process may have been suspended since selection, so the lease is checked here.
         if !state.is_confirmed() {
-            return Err(FailedExchange::withheld("lease lost"));
+            return Err(FailedExchange::not_sent("lease lost"));
         }
-        // Others may have met the end of a replica under it while this copy waited for a place.
+        // Other copies may have crashed replicas while this one waited for a connection.
         if state.quarantine_retry_after(content).is_some() {
-            return Err(FailedExchange::withheld("quarantined"));
+            return Err(FailedExchange::not_sent("quarantined"));
         }
         let sent_at = Instant::now();
-        // The replica may have asked for rest, or said that it leaves, while this request waited for its connection.
-        if !takes_requests(state, target) {
-            return Err(FailedExchange::withheld("takes no requests"));
+        // The replica may have asked for back-off or announced its shutdown meanwhile.
+        if !accepts_requests(state, target) {
+            return Err(FailedExchange::not_sent("takes no requests"));
         }
-        // A limit may have become known meanwhile, and a permit that waited for long is void.
+        // A limit may have been advertised meanwhile, and a permit may have expired.
         if permits::lacks_valid_permit(&**state, &target.record.id, target.permit) {
-            return Err(FailedExchange::withheld("no permit"));
+            return Err(FailedExchange::not_sent("no permit"));
         }
         let sent = connection
             .sender
             .try_send_request(state.backend.encode(dispatch));
         tokio::pin!(sent);
-        let mut answered = timeout_at(head_deadline.due, &mut sent).await;
-        if answered.is_err() && has_responded(state, target, sent_at) {
-            answered = timeout_at(head_deadline.if_responding, &mut sent).await;
+        let mut result = timeout_at(head_deadline.deadline, &mut sent).await;
+        if result.is_err() && has_responded(state, target, sent_at) {
+            result = timeout_at(head_deadline.if_responding, &mut sent).await;
         }
-        match answered {
+        match result {
             Err(_) => return Err(FailedExchange::may_have_run("no head in time")),
             Ok(Ok(response)) => {
                 return handle_response(state, target, dispatch, connection, response);
             }
             Ok(Err(mut error)) => {
                 if error.take_message().is_none() {
-                    return Err(FailedExchange::connection_broke("connection broke"));
+                    return Err(FailedExchange::broken_connection("connection broke"));
                 }
             }
         }
     }
     Err(FailedExchange::not_run(
-        Some(ExchangeEnd::Unreachable),
+        Some(ExchangeOutcome::Unreachable),
         "connections closed",
     ))
 }
 
-/// Whether anything came from the replica since `sent_at`, to this router or to another one: it is
-/// busy, not gone. One of hundreds of routers seldom has a second request there that would tell.
+/// Whether any router received anything from the replica after `sent_at`. In a large fleet, one
+/// router rarely has a second request there.
 fn has_responded(state: &ProxyState, target: &Target, sent_at: Instant) -> bool {
     let replica = ReplicaKey::of(&target.record.id);
     target.handle.responded_since(sent_at)
@@ -197,7 +197,7 @@
             && lock(&state.fleet).responded_since(replica, sent_at))
 }
 
-fn takes_requests(state: &ProxyState, target: &Target) -> bool {
+fn accepts_requests(state: &ProxyState, target: &Target) -> bool {
     let replicas = lock(&state.replicas);
     replicas
         .availability
@@ -205,16 +205,16 @@
 }
 
 async fn connect(target: &Target, non_retryable: bool) -> Result<Connection, FailedExchange> {
-    let unreachable = || FailedExchange::not_run(Some(ExchangeEnd::Unreachable), "unreachable");
+    let unreachable = || FailedExchange::not_run(Some(ExchangeOutcome::Unreachable), "unreachable");
     let address = target.record.address.parse().map_err(|_| unreachable())?;
     let pool = &target.handle.pool;
-    let taken = pool
+    let acquired = pool
         .acquire(address, target.connection_limit, non_retryable)
         .await;
-    taken.map_err(|failure| match failure {
+    acquired.map_err(|failure| match failure {
         ConnectError::Refused | ConnectError::Unreachable => unreachable(),
         ConnectError::Limit => {
-            FailedExchange::not_run(Some(ExchangeEnd::Declined), "connection limit")
+            FailedExchange::not_run(Some(ExchangeOutcome::Declined), "connection limit")
         }
     })
 }
@@ -228,91 +228,95 @@
 ) -> Result<OpenResponse, FailedExchange> {
     let (head, body) = response.into_parts();
     let reusable = connection.update_from_head(&head.headers, state.options.policy.stated_rest);
-    let answer = OpenResponse {
+    let open_response = OpenResponse {
         head,
         body,
         connection,
         reusable,
     };
-    let classified = state.backend.classify(dispatch.request, &answer.head);
-    let mut notice = state.backend.signals(&answer.head);
+    let classified = state
+        .backend
+        .classify(dispatch.request, &open_response.head);
+    let mut signals = state.backend.signals(&open_response.head);
     let is_from_target = matches!(classified, ResponseClass::Response | ResponseClass::NotRun);
     if !is_from_target {
-        // Another life's limit, or one of another moment.
-        notice.limit = LimitHeader::Absent;
+        // The limit of another incarnation, or an outdated one.
+        signals.limit = LimitHeader::Absent;
     }
-    let news = apply_notice(state, target, notice);
+    let changes = apply_signals(state, target, signals);
     if is_from_target {
-        let life = &target.record.id;
+        let incarnation_id = &target.record.id;
         permits::handle_response(
             state,
-            life,
+            incarnation_id,
             target.permit,
-            notice.limit,
-            news.limit.is_some(),
+            signals.limit,
+            changes.limit.is_some(),
         );
     }
-    // Another life may answer at the address before it is registered there. Taken for a sign of the former
-    // one, such an answer would hide that that one has ended, and with it which request ended it.
+    // A new incarnation may respond at the address before it is registered. Counting that as a
+    // response of the old one would hide its crash.
     if classified != ResponseClass::WrongReplica {
         target.handle.record_response(Instant::now());
     }
     let failed = match classified {
-        ResponseClass::Response => return Ok(answer),
+        ResponseClass::Response => return Ok(open_response),
         ResponseClass::OtherRequest => FailedExchange::may_have_run("foreign answer"),
-        ResponseClass::NotRun => FailedExchange::not_run(Some(ExchangeEnd::Declined), "declined"),
+        ResponseClass::NotRun => {
+            FailedExchange::not_run(Some(ExchangeOutcome::Declined), "declined")
+        }
         ResponseClass::WrongReplica => {
-            FailedExchange::not_run(Some(ExchangeEnd::Declined), "wrong replica or weights")
+            FailedExchange::not_run(Some(ExchangeOutcome::Declined), "wrong replica or weights")
         }
     };
-    Err(failed.answered(answer.head.status.as_u16(), notice))
+    Err(failed.with_response(open_response.head.status.as_u16(), signals))
 }
 
-/// Takes in what a replica says of itself. Most answers say nothing, and leave before the lock on all replicas.
-fn apply_notice(state: &ProxyState, target: &Target, notice: BackEndSignals) -> SignalChanges {
-    if notice == BackEndSignals::default() {
+/// Applies the signals of a response head. Most have none and skip the lock on all replicas.
+fn apply_signals(state: &ProxyState, target: &Target, signals: BackEndSignals) -> SignalChanges {
+    if signals == BackEndSignals::default() {
         return SignalChanges::default();
     }
     let replica = &target.record.id;
-    let news = lock(&state.replicas)
+    let changes = lock(&state.replicas)
         .availability
-        .record(replica, notice, state.uptime());
-    if let Some(back_off) = notice.back_off {
+        .record(replica, signals, state.uptime());
+    if let Some(back_off) = signals.back_off {
         state.metrics.back_offs.inc();
-        spdlog::info!("replica asked for rest", kv: {
+        spdlog::info!("replica requested back-off", kv: {
             replica = replica.clone(),
             back_off_ms = back_off.as_millis() as u64,
         });
     }
-    if news.is_leaving {
-        spdlog::info!("replica says that it leaves", kv: { replica = replica.clone() });
+    if changes.is_leaving {
+        spdlog::info!("replica announced its shutdown", kv: { replica = replica.clone() });
     }
-    record_limit(state, replica, notice.limit, news.limit);
-    news
+    record_limit(state, replica, signals.limit, changes.limit);
+    changes
 }
 
-/// Counts what an answer says of a limit, and logs what is new.
+/// Counts an advertised limit and logs a new one.
 fn record_limit(
     state: &ProxyState,
     replica: &str,
-    stated: LimitHeader,
-    news: Option<RequestLimit>,
+    advertised: LimitHeader,
+    new_limit: Option<RequestLimit>,
 ) {
-    match stated {
+    match advertised {
         LimitHeader::Absent => {}
         LimitHeader::Present(_) => {
             state.metrics.limits_named.inc();
         }
         LimitHeader::Invalid(error) => {
             state.metrics.limits_unread.inc();
-            spdlog::info!("limit not read", kv: {
+            spdlog::info!("invalid rate limit", kv: {
                 replica = replica.to_owned(),
                 cause = error.to_string(),
             });
         }
     }
-    if let Some(limit) = news {
-        spdlog::info!("replica names a limit", kv: {
+    if let Some(limit) = new_limit {
+        spdlog::info!("replica advertised a rate limit", kv: {
             replica = replica.to_owned(),
             per_s = limit.requests_per_s(),
         });
@@ -320,16 +324,16 @@
 }
 
 impl OpenResponse {
-    /// Reads the whole body and gives the connection back.
-    pub async fn read_body_whole(
+    /// Reads the complete body and returns the connection to the pool.
+    pub async fn read_complete(
         self,
         handle: &ReplicaHandle,
-        due: Instant,
+        deadline: Instant,
     ) -> Result<(response::Parts, Bytes), FailedExchange> {
-        let time = due.saturating_duration_since(Instant::now());
+        let time = deadline.saturating_duration_since(Instant::now());
         let read = read_body(self.body, MAX_RESPONSE_BYTES, time).await;
         let content = read.map_err(|error| match error {
-            ReceiveError::ConnectionLost => FailedExchange::connection_broke("answer broke off"),
+            ReceiveError::ConnectionLost => FailedExchange::broken_connection("answer broke off"),
             _ => FailedExchange::may_have_run("answer not read"),
         })?;
         if self.reusable {
--- a/crates/proxy/src/selection.rs
+++ b/crates/proxy/src/selection.rs
@@ -1,7 +1,7 @@
 //! Selects the replica for a request and the sources it fetches cached prefixes from.
 //!
-//! Replicas are ranked by [`homes`](crate::homes), compared by [`choice`](crate::choice), and
-//! reserved by [`permits`](crate::permits) if they advertise a rate limit.
+//! Replicas are ranked by [`homes`](crate::homes), compared by [`scoring`], and reserved by
+//! [`permits`] if they advertise a rate limit.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -31,7 +31,7 @@
 /// Interval at which an unsuccessful selection is repeated if the view does not change.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// Divisor of the route's objective that gives the longest wait for an available replica.
-const WAIT_DIVISOR: u64 = 5;
+const MAX_WAIT_DIVISOR: u64 = 5;
 /// Connections one router may open to a replica if the configuration sets no limit.
 const DEFAULT_CONNECTIONS: u32 = 32;
 
@@ -73,11 +73,11 @@
     /// Selects a replica; waits for one to become available, up to a part of the objective.
     pub async fn wait_for_target(&mut self) -> Result<Target, NoTarget> {
         let route = &self.admitted.route;
-        let wait = Duration::from_millis(route.objective_ms / WAIT_DIVISOR);
+        let wait = Duration::from_millis(route.objective_ms / MAX_WAIT_DIVISOR);
         let until = (self.request.received + wait).min(self.admitted.deadline);
         let mut changes = self.state.view_changes();
         loop {
-            let chosen = match self.select() {
+            let cause = match self.select() {
                 Ok(target) => match self.acquire_permit(target).await {
                     Some(target) => return Ok(target),
                     // The limit is now recorded as exhausted, so the next selection skips this
@@ -88,7 +88,7 @@
             };
             let now = Instant::now();
             let timed_out = now >= until || !self.state.is_confirmed();
-            let may_change = match chosen {
+            let may_change = match cause {
                 NoTarget::NoneAvailable => true,
                 NoTarget::BackingOff { available_in } => {
                     available_in <= until.saturating_duration_since(now)
@@ -97,7 +97,7 @@
                 NoTarget::AtLimit(_) | NoTarget::TooLate { .. } => false,
             };
             if timed_out || !may_change {
-                return Err(chosen);
+                return Err(cause);
             }
             let change = async {
                 tokio::select! {
@@ -146,7 +146,7 @@
         target.backlog = self.prefill_backlog(&candidate, &target, ranked);
         if let Some(retry_after) = self.overload_retry_after(target.backlog) {
             self.log
-                .considered(&target, &candidate, cost, view.known.state);
+                .record_candidate(&target, &candidate, cost, view.known.state);
             return Err(NoTarget::TooLate { retry_after });
         }
         let store = self.store(configuration);
@@ -159,7 +159,7 @@
             .filter(|_| self.should_save(target.cached_tokens, configuration))
             .map(|store| store.address.clone());
         self.log
-            .selected(&target, &candidate, cost, view.known.state);
+            .record_selection(&target, &candidate, cost, view.known.state);
         self.log.prefix = self.path.key().unwrap_or_default();
         self.log.shared_tokens = self.path.shared_tokens();
         self.log.weights = self.expected_weights(&target.record).unwrap_or_default();
@@ -283,9 +283,9 @@
         for (rank, record) in ranked.iter().copied().enumerate() {
             let handle = table.handle(&record.id, now);
             let shared = fleet.as_ref().map(|fleet| shared_load(fleet, record));
-            let takes = table.availability.accepts_requests(&record.id, uptime);
+            let accepts = table.availability.accepts_requests(&record.id, uptime);
             let is_paused = policy.pauses && !handle.is_available(now);
-            if !takes || is_paused || !handle.pool.has_capacity(connection_limit) {
+            if !accepts || is_paused || !handle.pool.has_capacity(connection_limit) {
                 continue;
             }
             let cached_tokens = table.sent().cached_tokens(&record.id, &self.path);
@@ -398,11 +398,11 @@
 
     fn connection_limit(&self, configuration: &ServingConfiguration) -> u32 {
         let service = configuration.service(&self.service);
-        let stated = service.map_or(0, |service| service.max_connections);
-        if stated == 0 {
+        let configured = service.map_or(0, |service| service.max_connections);
+        if configured == 0 {
             return DEFAULT_CONNECTIONS;
         }
-        (stated / self.routers().max(1)).max(1)
+        (configured / self.routers().max(1)).max(1)
     }
 
     fn routers(&self) -> u32 {
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -10,10 +10,10 @@
 };
 use railtack_serving::{BackEndSignals, Bounds, Policy, QuotaBounds};
 
-/// A back end's language that no test here speaks.
-struct Unspoken;
+/// A replica protocol that is never used.
+struct UnusedProtocol;
 
-impl BackendProtocol for Unspoken {
+impl BackendProtocol for UnusedProtocol {
     fn encode(&self, _: &Dispatch<'_>) -> Request<Full<Bytes>> {
         Request::default()
     }
@@ -31,10 +31,10 @@
     }
 }
 
-/// Time after which a revoked key may work no more, milliseconds.
+/// Time after which a revoked key must not work, milliseconds.
 pub const REVOKE_MS: u64 = 5_000;
 
-/// A router that knows nothing yet, and the addresses of some control replicas.
+/// A router without a configuration; `control` are its control replicas.
 pub fn router(control: Vec<SocketAddr>) -> Arc<ProxyState> {
     let options = ProxyOptions {
         node: "router".to_owned(),
@@ -62,5 +62,5 @@
         },
         policy: Policy::ALL,
     };
-    ProxyState::new(options, Box::new(Unspoken))
+    ProxyState::new(options, Box::new(UnusedProtocol))
 }
