--- a/crates/lab/src/fault/background.rs
+++ b/crates/lab/src/fault/background.rs
@@ -1,4 +1,4 @@
-//! Load that runs while faults are injected.
+//! Background load during fault injection.
 
 use std::{
     sync::{
@@ -22,24 +22,24 @@
     load::{Caller, Finding, ModelQuestion, Summary, caller::AskShape},
 };
 
-/// Pause of a caller after a router could not be reached or refused.
+/// Pause of a caller after a router was unreachable or refused the request.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Time for connecting to a router.
+/// Timeout for connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Questions drawn ahead; callers take them in turn.
+/// Number of requests drawn in advance; callers send them in turn.
 const QUESTIONS: usize = 600;
 
-/// What a load found.
+/// Results of a background load.
 #[derive(Clone, Debug, Default)]
 pub struct BackgroundReport {
-    /// All findings.
+    /// Totals over all requests.
     pub summary: Summary,
-    /// Moments of whole answers, in order of arrival.
+    /// Completion times of complete responses, in order.
     pub completed_at: Vec<Instant>,
 }
 
 impl BackgroundReport {
-    /// Longest time without a whole answer after a moment, seconds.
+    /// Longest time between two complete responses after `start`, seconds.
     pub fn longest_gap_after(&self, start: Instant) -> f64 {
         let mut previous = start;
         let mut longest = Duration::ZERO;
@@ -50,12 +50,12 @@
         longest.as_secs_f64()
     }
 
-    /// Answers that were lost, wrong, or cut where the caller was promised none would be.
+    /// Number of wrong responses, and of requests without any response.
     pub fn wrong_or_lost(&self) -> f64 {
         (self.summary.wrong.len() as u64 + self.summary.lost) as f64
     }
 
-    /// Requests that were cut off: begun and broken, or ended by an error.
+    /// Number of broken streams, and of errors after which the request may have run.
     pub fn interrupted(&self) -> f64 {
         let unknown: u64 = self
             .summary
@@ -68,8 +68,8 @@
     }
 }
 
-/// Callers that ask models until stopped. A caller whose router refuses before anything ran, or
-/// cannot be reached, asks the next router, as a client with several addresses does.
+/// Callers that send model requests until stopped. If a router is unreachable, or refuses a request
+/// before running it, the caller moves on to the next router, as a client with several addresses does.
 pub struct BackgroundLoad {
     stop: Arc<AtomicBool>,
     report: Arc<Mutex<BackgroundReport>>,
@@ -86,7 +86,7 @@
 }
 
 impl BackgroundLoad {
-    /// Starts `concurrency` callers.
+    /// Starts `concurrency` callers, with requests drawn from `seed`.
     pub fn start(prepared: &PreparedFleet, concurrency: usize, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let tenants = prepared.documents.tenants.len();
@@ -124,11 +124,11 @@
         }
     }
 
-    /// Lets open requests end and tells what was found.
+    /// Stops the callers after their open requests, and returns the results.
     pub async fn finish(self) -> BackgroundReport {
         self.stop.store(true, Ordering::Relaxed);
         for caller in self.callers {
-            // A caller that panicked has counted nothing; the totals show it.
+            // A caller that panicked counts no further requests; the totals show it.
             let _ = caller.await;
         }
         let report = self.report.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/lab/src/fault/command.rs
+++ b/crates/lab/src/fault/command.rs
@@ -11,7 +11,7 @@
     fleet::FleetShape,
 };
 
-/// Runs one case, or all, each on a fleet of its own.
+/// Runs one case, or all, each on a new fleet; fails if any measurement exceeds its limit.
 pub async fn run(case: Option<FaultCase>, options: FleetOptions) -> Result<(), Report<LabError>> {
     let cases = case.map_or(FaultCase::ALL.to_vec(), |case| vec![case]);
     let mut violations = 0;
@@ -46,7 +46,7 @@
     let mut prepared = demo::prepare(shape, &options, &mut random).await?;
     let measurements = run_on_fleet(case, &mut prepared).await?;
     drop(prepared);
-    // What is left of a temporary folder does no harm.
+    // Leftover files do not affect other runs.
     let _ = std::fs::remove_dir_all(folder);
     Ok(measurements)
 }
--- a/crates/lab/src/fault/control.rs
+++ b/crates/lab/src/fault/control.rs
@@ -1,4 +1,4 @@
-//! Control replicas: freezes, lost quorum, failover, lost folders.
+//! Faults of control replicas: freezes, quorum loss, failover, lost data folders.
 
 use std::{fs, path::Path, time::Duration};
 
@@ -14,10 +14,10 @@
 
 /// Callers of the background load.
 const CALLERS: usize = 6;
-/// Changes made before a restart.
+/// Configuration changes before the timed restart.
 const CHANGES: u64 = 1_000;
 
-/// Submits a small template under a new name; answers with the time of acceptance.
+/// Submits a small template under a new name, and returns the time of acceptance.
 async fn submit_template(
     prepared: &PreparedFleet,
     number: u64,
@@ -41,7 +41,7 @@
     revision.unwrap_or_default()
 }
 
-/// Time from acceptance until routers have a revision, seconds.
+/// Waits until the routers have applied a revision; returns the seconds since its acceptance.
 async fn time_until_applied(
     prepared: &PreparedFleet,
     routers: &[usize],
@@ -59,7 +59,7 @@
     accepted_at.elapsed().as_secs_f64()
 }
 
-/// Changes configuration while one control replica and one router are frozen.
+/// Changes configuration while a control replica and a router are frozen, then thaws them.
 pub async fn freeze(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let mut slowest: f64 = 0.0;
     for round in 0..3_u64 {
@@ -98,7 +98,7 @@
     ])
 }
 
-/// Freezes two of three control replicas: routers must stop serving within their lease.
+/// Freezes two of three control replicas; routers must stop serving once their leases expire.
 pub async fn quorum_loss(
     prepared: &mut PreparedFleet,
 ) -> Result<Vec<Measurement>, Report<LabError>> {
@@ -138,7 +138,7 @@
     ])
 }
 
-/// Kills the leader under load; then restarts a replica after many changes.
+/// Kills the leader repeatedly under load; then restarts it after many changes.
 pub async fn failover(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let mut slowest: f64 = 0.0;
     let load = BackgroundLoad::start(prepared, CALLERS, 8);
@@ -189,7 +189,7 @@
     sizes.map(|metadata| metadata.len()).sum()
 }
 
-/// Deletes a replica's folder, restarts it, and replaces it by a new one.
+/// Deletes a replica's data folder, restarts the replica, then replaces it with a new one.
 pub async fn lost_folder(
     prepared: &mut PreparedFleet,
 ) -> Result<Vec<Measurement>, Report<LabError>> {
@@ -214,7 +214,7 @@
     let replacement_time = prepared.fleet.add_control().await?;
     let accepted_at = submit_template(prepared, 20_001).await?;
     let after_repair = time_until_applied(prepared, &all, before + 2, accepted_at).await;
-    // A second machine is lost right after the repair.
+    // Lose a second replica right after the repair.
     prepared.fleet.control[0].inflict(Fault::Kill).await?;
     let killed_at = Instant::now();
     submit_template(prepared, 20_002).await?;
--- a/crates/lab/src/fault/engines.rs
+++ b/crates/lab/src/fault/engines.rs
@@ -1,4 +1,4 @@
-//! Engines: crashes, freezes, leaving, change of weights.
+//! Faults and planned changes of engines: crashes, freezes, removal, weights rollout.
 
 use std::{fs, time::Duration};
 
@@ -15,12 +15,12 @@
 
 /// Callers of the background load.
 const CALLERS: usize = 8;
-/// Time after which a leaving engine may get no new work.
+/// Time after which a leaving engine must not receive new requests.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
-/// Time for a rollout.
+/// Timeout of a rollout.
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(400);
 
-/// Kills engines under load; they come back empty.
+/// Kills engines under load; they restart with empty caches.
 pub async fn crash(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 4);
     for position in 0..prepared.fleet.engines.len() {
@@ -40,7 +40,7 @@
     ])
 }
 
-/// Freezes an engine under load for longer than routers wait for it.
+/// Freezes an engine under load for longer than the routers' timeouts.
 pub async fn freeze(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 5);
     sleep(Duration::from_secs(1)).await;
@@ -67,7 +67,7 @@
     ])
 }
 
-/// Marks an engine as leaving in the platform's list, which lags.
+/// Marks an engine as leaving in the platform's machine list, which routers see with a delay.
 pub async fn mark_leaving(
     prepared: &mut PreparedFleet,
 ) -> Result<Vec<Measurement>, Report<LabError>> {
@@ -99,7 +99,7 @@
     known.map_or(0, |status| status.totals.requests)
 }
 
-/// Changes the weights of the model under load.
+/// Rolls out a new weights version of the model under load.
 pub async fn change_weights(
     prepared: &mut PreparedFleet,
 ) -> Result<Vec<Measurement>, Report<LabError>> {
--- a/crates/lab/src/fault/keys.rs
+++ b/crates/lab/src/fault/keys.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated, with duplicates, under kills of routers and leaders.
+//! Requests with idempotency keys, including duplicates, under crashes of routers and control leaders.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -27,14 +27,14 @@
 
 /// Distinct keys.
 const KEYS: u64 = 10_000;
-/// Arrivals open at once.
+/// Concurrent requests.
 const CONCURRENCY: usize = 24;
-/// Time for connecting to a router.
+/// Timeout for connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause between faults.
 const FAULT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Sends every key once or several times, to different routers.
+/// Sends every key one to three times, to random routers, while faults are injected.
 pub async fn run(
     prepared: &mut PreparedFleet,
 ) -> Result<Vec<fault::Measurement>, Report<LabError>> {
@@ -45,7 +45,7 @@
             arrivals.push((key, random.random_range(0..prepared.fleet.routers.len())));
         }
     }
-    // Neighbours change places, so that arrivals of one key come close together and out of order.
+    // Shuffle nearby entries, so that requests of one key are close together but out of order.
     for position in 1..arrivals.len() {
         let other = position.saturating_sub(random.random_range(0..12));
         arrivals.swap(position, other);
@@ -86,7 +86,7 @@
         })
     };
     let faults = inject_faults_until_done(prepared, &sender).await?;
-    // The sender's own panics show as keys of which nothing was told.
+    // A panic of the sender shows as keys without results.
     let _ = sender.await;
     sleep(Duration::from_secs(1)).await;
     let executions = prepared.fleet.executions().await?.by_key;
@@ -106,8 +106,8 @@
     ])
 }
 
-/// Lists a replica of the service at which nothing listens, so that some sends are proven not to
-/// have happened.
+/// Registers a service replica whose address refuses connections, so that some requests are provably
+/// not sent.
 async fn register_unreachable_service(
     prepared: &mut PreparedFleet,
 ) -> Result<(), Report<LabError>> {
@@ -124,7 +124,7 @@
     Ok(())
 }
 
-/// Kills a router or the leading control replica again and again while requests are sent.
+/// Kills and restarts routers and the leading control replica until all requests are sent.
 async fn inject_faults_until_done(
     prepared: &mut PreparedFleet,
     sender: &tokio::task::JoinHandle<()>,
--- a/crates/lab/src/fault/mod.rs
+++ b/crates/lab/src/fault/mod.rs
@@ -1,4 +1,4 @@
-//! Faults on a fleet of real processes: kills, freezes, lost folders, planned stops.
+//! Fault injection on a fleet of real processes: kills, freezes, lost folders, planned stops.
 
 pub mod background;
 pub mod command;
@@ -11,22 +11,22 @@
 
 use clap::{ValueEnum, builder::PossibleValue};
 
-/// A whole-process run.
+/// A fault scenario on real processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultCase {
-    /// A router is killed and restarted under load.
+    /// Routers are killed and restarted one by one under load.
     RouterRestart,
-    /// Every router is killed and restarted at once.
+    /// All routers are killed and restarted at once.
     RestartAllRouters,
-    /// A control replica is frozen while configuration changes; a frozen router comes back.
+    /// A control replica and a router are frozen during a configuration change, then thawed.
     FreezeControl,
-    /// A majority of control replicas is frozen.
+    /// A majority of the control replicas is frozen.
     QuorumLoss,
     /// The leading control replica is killed under load.
     Failover,
-    /// A control replica's folder is deleted, and the replica is replaced.
+    /// A control replica's data folder is deleted, and the replica is replaced.
     LostControlFolder,
-    /// Keyed requests with duplicates under kills of routers and control leaders.
+    /// Requests with idempotency keys are duplicated while routers and control leaders are killed.
     IdempotencyKeys,
     /// Routers and engines are restarted one by one under load.
     RollingRestart,
@@ -34,14 +34,14 @@
     CrashEngines,
     /// An engine is frozen under load.
     FreezeEngine,
-    /// An engine leaves.
+    /// An engine is marked as leaving under load.
     EngineLeaving,
-    /// The weights of a model change under load.
+    /// New weights of a model are rolled out under load.
     WeightsRollout,
 }
 
 impl FaultCase {
-    /// All cases.
+    /// All cases, in the order in which they run.
     pub const ALL: [Self; 12] = [
         Self::RouterRestart,
         Self::RestartAllRouters,
@@ -86,19 +86,19 @@
     }
 }
 
-/// One thing that a case measures, and what it must be.
+/// A measured value, with an optional upper limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Measurement {
-    /// What was measured.
+    /// Name in reports, with the unit.
     pub name: &'static str,
-    /// The figure.
+    /// Measured value.
     pub value: f64,
-    /// The most that is allowed; `None` if it is only reported.
+    /// Maximum allowed value; `None` if the value is informational.
     pub limit: Option<f64>,
 }
 
 impl Measurement {
-    /// A figure that may not exceed `limit`.
+    /// Creates a measurement that must not exceed `limit`.
     pub fn at_most(name: &'static str, value: f64, limit: f64) -> Self {
         Self {
             name,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A figure that is only reported.
+    /// Creates a measurement without a limit.
     pub fn informational(name: &'static str, value: f64) -> Self {
         Self {
             name,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Whether the figure is within its limit.
+    /// Whether the value is within its limit; true without one.
     pub fn is_within_limit(&self) -> bool {
         self.limit.is_none_or(|limit| self.value <= limit)
     }
--- a/crates/lab/src/fault/routers.rs
+++ b/crates/lab/src/fault/routers.rs
@@ -1,4 +1,4 @@
-//! Routers: restart, herd restart, planned stops.
+//! Router restarts: one at a time, all at once, and planned.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 
 /// Callers of the background load.
 const CALLERS: usize = 8;
-/// Time for a planned stop.
+/// Timeout of a planned stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Kills and restarts one router under load, several times.
+/// Kills and restarts routers one by one under load.
 pub async fn restart(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 1);
     let mut slowest = Duration::ZERO;
@@ -43,7 +43,7 @@
     ])
 }
 
-/// Kills and restarts all routers at once.
+/// Kills and restarts all routers at once under load.
 pub async fn restart_all(
     prepared: &mut PreparedFleet,
 ) -> Result<Vec<Measurement>, Report<LabError>> {
@@ -87,7 +87,7 @@
     newest
 }
 
-/// Restarts routers and engines one by one by planned stops under load.
+/// Stops routers and engines gracefully and restarts them, one by one under load.
 pub async fn rolling_restart(
     prepared: &mut PreparedFleet,
 ) -> Result<Vec<Measurement>, Report<LabError>> {
--- a/crates/lab/src/simulate/command.rs
+++ b/crates/lab/src/simulate/command.rs
@@ -9,23 +9,23 @@
     simulate::{Mutant, RangeReport, Scenario, run_range, run_seed},
 };
 
-/// Steps of a failing run that are printed.
+/// Trace steps printed for a failing seed.
 const STEPS_PRINTED: usize = 25;
 
-/// What to simulate.
+/// Options of `railtack-lab simulate`.
 #[derive(Clone, Debug)]
 pub struct SimulateOptions {
-    /// Seeds.
+    /// Seeds to run.
     pub seeds: Range<u64>,
-    /// One scenario; all if absent.
+    /// Scenario to run; the mutant's or all by default.
     pub scenario: Option<Scenario>,
-    /// A mechanism to leave out.
+    /// Mutant to run, if any.
     pub mutant: Option<Mutant>,
-    /// Whether to run every mutant and demand that it is noticed.
+    /// Whether to run every mutant instead; each must be detected.
     pub all_mutants: bool,
 }
 
-/// Runs the simulation; an error if a promise was broken, or if a mutant went unnoticed.
+/// Runs the simulation; fails on a violation, or if `all_mutants` is set and a mutant goes undetected.
 pub fn run(options: &SimulateOptions) -> Result<(), Report<LabError>> {
     if options.all_mutants {
         return run_mutants(options.seeds.clone());
--- a/crates/lab/src/simulate/control/administrator.rs
+++ b/crates/lab/src/simulate/control/administrator.rs
@@ -1,4 +1,4 @@
-//! The administrator: replaces a control replica whose disk was lost, one step at a time.
+//! Simulated administrator, who replaces a control replica after the loss of its disk.
 
 use railtack_consensus::{DiskId, Member, Membership, ReplicaId};
 use railtack_rpc::protocol::MembershipChange;
@@ -8,10 +8,10 @@
     world::{CheckFailure, Event, World},
 };
 
-/// Time between two looks.
+/// Time between two replacement steps, milliseconds.
 const CHECK_INTERVAL: u64 = 200;
 
-/// A replacement that is under way.
+/// A replacement in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Replacement {
     /// The replica whose disk was lost.
@@ -24,15 +24,14 @@
     pub add_first: bool,
 }
 
-/// What the administrator is doing.
+/// State of the administrator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Administrator {
-    /// The open replacement.
     pub replacement: Option<Replacement>,
 }
 
 impl World {
-    /// Does the next step of an open replacement at the present leader.
+    /// Submits the next membership change of an open replacement to the current leader.
     pub fn advance_replacement(&mut self) -> Result<(), CheckFailure> {
         self.schedule
             .after(CHECK_INTERVAL, Event::AdministratorCheck);
@@ -58,7 +57,7 @@
             None if is_committed && has_voter => self.administrator.replacement = None,
             None => {}
             Some(change) => {
-                // A refused step is tried again at the next look.
+                // A rejected change is retried at the next interval.
                 let _ = process.replica.change_membership(&change);
             }
         }
--- a/crates/lab/src/simulate/control/checks.rs
+++ b/crates/lab/src/simulate/control/checks.rs
@@ -1,4 +1,4 @@
-//! What was seen, and whether it can have come of one correct history.
+//! Checks that the observed results are consistent with one correct history.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 
 use crate::simulate::{Invariant, control::world::CheckFailure};
 
-/// An entry as it was first applied anywhere.
+/// A log entry as first applied by any replica.
 #[derive(Clone, Debug)]
 struct HistoryEntry {
     encoded: Vec<u8>,
     outcome: Outcome,
 }
 
-/// What an operator saw.
+/// An operator's completed operation.
 #[derive(Clone, Debug)]
 struct Observation {
     invoked_at: u64,
@@ -25,7 +25,7 @@
     outcome: Outcome,
 }
 
-/// What callers were told of a key, and what the service saw.
+/// Executions of a key at the service, and the results reported to its callers.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyRecord {
     executions: u32,
@@ -33,7 +33,7 @@
     reported_completed: bool,
 }
 
-/// Everything seen.
+/// Observations of one run.
 #[derive(Debug, Default)]
 pub struct HistoryChecker {
     history: BTreeMap<u64, HistoryEntry>,
@@ -43,7 +43,7 @@
 }
 
 impl HistoryChecker {
-    /// A replica applied an entry: it must be the one that others applied at that place.
+    /// Records an entry that a replica applied; it must equal what others applied at that index.
     pub fn record_applied(&mut self, replica: u32, applied: &Applied) -> Result<(), CheckFailure> {
         let index = applied.position.index;
         let Some(known) = self.history.get(&index) else {
@@ -61,7 +61,7 @@
         Err((Invariant::LogAgreement, detail))
     }
 
-    /// An operator was told an outcome.
+    /// Records an outcome that an operator received.
     pub fn record_outcome(
         &mut self,
         operation: OperationId,
@@ -81,13 +81,13 @@
         Ok(())
     }
 
-    /// Highest revision that an operator was told of up to a moment.
+    /// Highest revision whose acceptance an operator received by `time`.
     pub fn newest_revision_accepted_by(&self, time: u64) -> u64 {
         let accepted = self.accepted.iter().filter(|(at, _)| *at <= time);
         accepted.map(|(_, revision)| *revision).max().unwrap_or(0)
     }
 
-    /// The service ran a key.
+    /// Records an execution of a key at the service.
     pub fn record_execution(&mut self, key: u64) -> Result<(), CheckFailure> {
         let record = self.keys.entry(key).or_default();
         record.executions += 1;
@@ -97,7 +97,7 @@
         check_key(key, *record)
     }
 
-    /// A caller was told something of a key.
+    /// Records the execution status that a caller received for a key.
     pub fn record_reported_execution(
         &mut self,
         key: u64,
@@ -109,7 +109,7 @@
         check_key(key, *record)
     }
 
-    /// The whole history must follow the rules, and agree with what operators saw and when.
+    /// Checks the whole history against the reference model and against the operators' outcomes and times.
     pub fn check_history(&self) -> Result<(), CheckFailure> {
         let mut model = ReferenceModel::default();
         let mut first_index = BTreeMap::new();
@@ -146,7 +146,7 @@
     }
 }
 
-/// Whoever was answered before another began must stand before it.
+/// Checks real-time order: an operation that completed before another was invoked precedes it in the log.
 fn check_real_time(mut seen: Vec<(u64, u64, u64)>) -> Result<(), CheckFailure> {
     seen.sort_by_key(|(_, _, index)| *index);
     let mut latest_invocation = 0;
@@ -172,7 +172,7 @@
     Ok(())
 }
 
-/// The rules, written down a second time and as simply as possible.
+/// Reference model of configuration changes and claims, kept independent of the implementation.
 #[derive(Default)]
 struct ReferenceModel {
     revision: u64,
--- a/crates/lab/src/simulate/control/engines.rs
+++ b/crates/lab/src/simulate/control/engines.rs
@@ -1,4 +1,4 @@
-//! Engines and the rollout of weights by whoever leads.
+//! Simulated engines, and weights rollouts by the leading control replica.
 
 use railtack_backend_api::{EngineStatus, EngineTotals, LoadReport, OrderRequest};
 use railtack_control::rollout::{self, ObservedEngines, RolloutStep};
@@ -16,23 +16,21 @@
     network::Node,
 };
 
-/// Time between two looks at the engines, as in the daemon.
+/// Time between two rollout steps, milliseconds; the daemon's value.
 const ROLLOUT_INTERVAL: u64 = 500;
 
-/// An engine, as far as orders concern it.
+/// An engine, reduced to its handling of orders.
 pub struct SimEngine {
-    /// Counts its processes.
+    /// Number of the current process; rises with every restart.
     pub incarnation: u32,
-    /// Whether its process runs.
     pub is_running: bool,
-    /// What it lets in.
+    /// Admission checks of requests and orders.
     pub gate: Gate,
-    /// Highest token taken in this life.
+    /// Highest fencing token accepted in this incarnation.
     highest_token: u64,
 }
 
 impl World {
-    /// Starts the engines.
     pub fn start_engines(&mut self) {
         for number in 1..=ENGINES {
             let gate = self.new_gate(number, 1);
@@ -59,7 +57,7 @@
         )
     }
 
-    /// An engine's process ends and starts anew, with the weights of its settings.
+    /// Restarts an engine's process with the weights of its settings.
     pub fn restart_engine(&mut self, number: u32) {
         let Some(incarnation) = self
             .engines
@@ -78,7 +76,7 @@
         self.engines.insert(number, engine);
     }
 
-    /// A replica that believes it leads looks at the engines.
+    /// Runs one rollout step at a replica, if it believes that it is the leader.
     pub fn run_rollout_step(&mut self, number: u32, incarnation: u32) -> Result<(), CheckFailure> {
         let Some(machine) = self.replicas.get(&number) else {
             return Ok(());
@@ -103,7 +101,7 @@
             return Ok(());
         };
         let raft = process.replica.raft();
-        // The daemon waits for each order to be recorded before it looks again.
+        // The daemon waits until each order is applied before the next step.
         let waits = raft.log().last_index() > raft.applied_index();
         if waits || !process.replica.is_ready_leader() {
             return Ok(());
@@ -120,7 +118,7 @@
                 at: 0,
                 command: Command::Order { engine, order },
             };
-            // A replica that does not lead any more records nothing; the next leader looks anew.
+            // A deposed leader records nothing; the next leader repeats the step.
             let _ = process.replica.propose(&proposal);
         }
         for (engine, issued) in send {
@@ -156,7 +154,7 @@
             .collect()
     }
 
-    /// An order arrives at an engine.
+    /// Handles an order at an engine, and checks its fencing token.
     pub fn handle_order(&mut self, number: u32, order: OrderRequest) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let load_time = self.random.random_range(300..2_000);
@@ -190,7 +188,7 @@
         Ok(())
     }
 
-    /// An engine has its weights.
+    /// Completes loading, unless the engine restarted or has a newer order.
     pub fn finish_loading(&mut self, number: u32, incarnation: u32, order: OrderRequest) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
@@ -201,7 +199,7 @@
         }
     }
 
-    /// With every engine up, at least one must be in service.
+    /// Checks that the engines do not all load weights at the same time.
     pub fn check_engines(&self) -> Result<(), CheckFailure> {
         let all_load = !self.engines.is_empty()
             && self
--- a/crates/lab/src/simulate/control/faults.rs
+++ b/crates/lab/src/simulate/control/faults.rs
@@ -1,4 +1,4 @@
-//! What breaks, alone and together.
+//! Fault injection.
 
 use rand::RngExt;
 
@@ -11,7 +11,7 @@
     network::Node,
 };
 
-/// Kinds of fault.
+/// Kinds of fault. Traces print the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FaultKind {
     CrashReplica,
@@ -77,7 +77,7 @@
 }
 
 impl World {
-    /// Injects one fault and plans the next; sometimes two come together.
+    /// Injects one fault, sometimes two, and schedules the next.
     pub fn inject_fault(&mut self) -> Result<(), CheckFailure> {
         if self.healed {
             return Ok(());
@@ -154,7 +154,7 @@
         Ok(())
     }
 
-    /// A replica that is part of the cluster, running or not.
+    /// Draws a replica, running or not.
     fn draw_replica(&mut self) -> u32 {
         let present: Vec<u32> = self.replicas.keys().copied().collect();
         present[self.random.random_range(0..present.len())]
@@ -179,7 +179,7 @@
         self.frozen.insert(node, until);
     }
 
-    /// Cuts a replica off from everyone, in silence.
+    /// Partitions a replica from all other nodes.
     fn isolate(&mut self, replica: u32) {
         let node = Node::Replica(replica);
         let pause = self.random.random_range(300..8_000);
@@ -202,7 +202,7 @@
         self.cut_for(from, to, pause);
     }
 
-    /// Cuts a router off from some or all replicas for longer than its lease.
+    /// Partitions a router from some or all replicas, mostly for longer than its lease.
     fn cut_router(&mut self) {
         let router = Node::Router(self.random.random_range(1..=ROUTERS));
         let pause = self.random.random_range(2_000..14_000);
@@ -234,10 +234,10 @@
             .collect()
     }
 
-    /// A disk is lost. The process comes back under its old number with an empty folder, as a
-    /// careless restart does, and the administrator sets about replacing it.
+    /// Wipes a replica's disk. The process restarts under the same number with an empty folder, as
+    /// after an operator's mistake, and the administrator starts to replace it.
     ///
-    /// Only one disk is lost at a time: the next may go as soon as the replacement votes.
+    /// At most one replacement is open: the next disk can be lost once the new replica is a voter.
     fn lose_disk(&mut self, replica: u32) {
         let is_voter = self.is_committed_voter(replica);
         if self.administrator.replacement.is_some() || !is_voter {
@@ -273,7 +273,7 @@
         self.schedule.after(pause, event);
     }
 
-    /// Whether the newest leader's committed membership has this replica as a voter.
+    /// Whether the replica is a voter in the committed membership of the current leader.
     fn is_committed_voter(&self, replica: u32) -> bool {
         let leader = self.leaders().first().copied();
         let process = leader.and_then(|leader| self.replicas[&leader].process.as_ref());
@@ -286,7 +286,7 @@
         })
     }
 
-    /// One follower lags behind a cut; then the leader crashes just as the other follower, which
+    /// Partitions one follower until it lags; then the leader crashes while the other follower, which
     /// has the newest entries, loses its disk.
     fn lose_disk_and_leader(&mut self) {
         let Some(leader) = self.leaders().first().copied() else {
@@ -325,7 +325,7 @@
         last(&leader).saturating_sub(last(&follower))
     }
 
-    /// A process starts again.
+    /// Restarts a process; one that already runs is left alone.
     pub fn restart(&mut self, node: Node) -> Result<(), CheckFailure> {
         match node {
             Node::Replica(number) => self.start_replica(number),
@@ -337,7 +337,7 @@
         }
     }
 
-    /// Ends all faults. Processes that are down start again.
+    /// Ends all faults and restarts stopped processes.
     pub fn heal(&mut self) -> Result<(), CheckFailure> {
         self.healed = true;
         self.network.heal();
@@ -354,5 +354,5 @@
     }
 }
 
-/// Entries by which a follower must lag before the leader is taken away.
+/// Minimum lag of the partitioned follower, in log entries, before the leader is crashed.
 const MIN_LAG_ENTRIES: u64 = 1;
--- a/crates/lab/src/simulate/control/mod.rs
+++ b/crates/lab/src/simulate/control/mod.rs
@@ -1,4 +1,4 @@
-//! Control replicas, routers, operators and engines in virtual time.
+//! Simulation of control replicas, routers, operators and engines in virtual time.
 
 mod administrator;
 mod checks;
--- a/crates/lab/src/simulate/control/operators.rs
+++ b/crates/lab/src/simulate/control/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: they race each other with equal revisions and resend after lost answers.
+//! Simulated operators, who submit concurrent changes and resend them after lost replies.
 
 use std::collections::BTreeMap;
 
@@ -14,16 +14,16 @@
     network::Node,
 };
 
-/// Documents that the operators fight over.
+/// Documents that the operators change; few, so that changes conflict.
 const DOCUMENTS: u32 = 3;
-/// Time that an operator waits before it resends.
+/// Timeout of one attempt at an operation, milliseconds.
 const OPERATOR_TIMEOUT: u64 = 2_500;
-/// Sends of one operation.
+/// Maximum attempts at one operation.
 const MAX_SENDS: u32 = 4;
-/// Model whose weights are changed.
+/// Model whose weights version the operators change.
 pub const MODEL: &str = "model";
 
-/// A change that is under way.
+/// A submitted change without an outcome so far.
 pub struct PendingOperation {
     operation: OperationId,
     change: ConfigurationChange,
@@ -32,16 +32,14 @@
     sends: u32,
 }
 
-/// One operator.
 #[derive(Default)]
 pub struct SimOperator {
-    /// Revision of each document, as the operator last heard it.
+    /// Last received revision of each document.
     known_revisions: BTreeMap<u32, Revision>,
     pending: Option<PendingOperation>,
 }
 
 impl World {
-    /// Starts the operators.
     pub fn start_operators(&mut self) {
         for operator in 0..OPERATORS {
             self.operators.push(SimOperator::default());
@@ -51,7 +49,7 @@
         }
     }
 
-    /// An operator begins a change, or resends the open one.
+    /// Starts a new change, or resends the pending one.
     pub fn run_operator(&mut self, operator: u32) {
         let now = self.schedule.now();
         if self.operators[operator as usize].pending.is_none() {
@@ -68,7 +66,7 @@
             operation: pending.operation.clone(),
             change: pending.change.clone(),
         };
-        // Starting a task cannot break a promise by itself.
+        // Starting a task cannot violate an invariant.
         let _ = self.start_task(
             Node::Operator(operator),
             command,
@@ -107,7 +105,7 @@
         })
     }
 
-    /// What an operator believes: usually what some replica has, sometimes what it heard before.
+    /// Draws the expected revision: usually that of a random replica, sometimes the last received one.
     fn draw_expected_revision(&mut self, operator: u32, document: u32) -> Revision {
         let last_known = self.operators[operator as usize]
             .known_revisions
@@ -142,7 +140,7 @@
         }
     }
 
-    /// An operator learns what came of its change, or that nobody knows.
+    /// Handles the outcome of an operator's change, which may be unknown.
     pub fn handle_operation_outcome(
         &mut self,
         operator: u32,
@@ -198,7 +196,7 @@
         },
         priority: Priority::Interactive,
         repeatable: true,
-        // Every change has its own content, so that no two can be mistaken for each other.
+        // Unique content distinguishes every change.
         segments: vec![format!("opening {number}")],
         parameters: Vec::new(),
         max_prompt_tokens: 1_000,
--- a/crates/lab/src/simulate/control/replicas.rs
+++ b/crates/lab/src/simulate/control/replicas.rs
@@ -1,4 +1,4 @@
-//! Control replicas: processes over simulated folders.
+//! Simulated control replicas on in-memory storage.
 
 use railtack_consensus::{DiskId, LogIndex, Member, Message, Millis, ReplicaId, Role};
 use railtack_control::{
@@ -16,41 +16,39 @@
     network::Node,
 };
 
-/// Time between a replica's ticks.
+/// Milliseconds.
 const TICK_INTERVAL: u64 = 10;
-/// Shortest election timeout.
+/// Minimum election timeout, milliseconds.
 const ELECTION_TIMEOUT: Millis = 300;
-/// Time between heartbeats.
+/// Milliseconds.
 const HEARTBEAT_INTERVAL: Millis = 60;
-/// Entries after which a snapshot is made; small, so that snapshots are met often.
+/// Log entries between snapshots; few, so that snapshots are frequent.
 const SNAPSHOT_ENTRIES: u64 = 60;
-/// Retention of claims; longer than any run.
+/// Longer than any run, so that claims do not expire.
 const CLAIM_RETENTION: Millis = 86_400_000;
-/// Time at which all clocks start.
+/// Wall-clock time at the start of a run, milliseconds since the Unix epoch.
 const EPOCH: u64 = 1_700_000_000_000;
 
-/// A running replica.
+/// A replica's running process.
 pub struct ReplicaProcess {
-    /// The replica.
     pub replica: Replica,
-    /// Who waits for its proposals.
+    /// Callers that wait for proposals to be applied.
     pub pending: PendingProposals<(Node, u64)>,
 }
 
-/// A replica's machine.
+/// A replica's machine, with its disk and process.
 pub struct SimReplica {
-    /// Its folder.
+    /// Contents of the data folder.
     pub media: MemoryMedia,
-    /// The process, while it runs.
+    /// `None` while the process is down.
     pub process: Option<ReplicaProcess>,
-    /// Counts the processes.
+    /// Number of the current process; rises with every start.
     pub incarnation: u32,
-    /// Its clock.
     pub clock: Clock,
 }
 
 impl World {
-    /// Starts the first replicas, already members of one cluster.
+    /// Starts the initial replicas as voters of one cluster.
     pub fn start_replicas(&mut self) {
         for number in 1..=REPLICAS {
             self.add_machine(number);
@@ -68,15 +66,14 @@
         for number in 1..=REPLICAS {
             let options = self.options(number);
             let media = self.replicas[&number].media.clone();
-            // A folder that was just made cannot fail to be written.
+            // Writing to new in-memory storage cannot fail.
             let _ = Replica::initialize_with_members(&media, &options, members.clone());
             let _ = self.start_replica(number);
-            // Left out from here on, so that only what the cluster agrees on can be lost.
+            // Syncs are skipped only after initialization, so that the mutant loses replicated entries only.
             media.ignore_syncs(self.is_mutant(Mutant::NoClaimSync));
         }
     }
 
-    /// Adds a machine with an empty folder.
     pub fn add_machine(&mut self, number: u32) {
         let media = MemoryMedia::default();
         let clock = Clock::draw(&mut self.random);
@@ -115,7 +112,7 @@
         }
     }
 
-    /// Starts a replica's process from what its folder holds.
+    /// Starts a replica's process from its stored state.
     pub fn start_replica(&mut self, number: u32) -> Result<(), CheckFailure> {
         let options = self.options(number);
         let now = self.schedule.now();
@@ -133,7 +130,7 @@
         let replica = match opened {
             Ok(replica) => replica,
             Err(report) => {
-                // What was synced must be readable after any crash.
+                // Synced data must be readable after any crash.
                 let detail = format!("replica {number} cannot start: {report}");
                 return Err((Invariant::LogAgreement, detail));
             }
@@ -162,7 +159,7 @@
         Ok(())
     }
 
-    /// Ends a replica's process; unsynced bytes are lost but for a torn tail.
+    /// Crashes a replica's process. Unsynced bytes are lost, except for a torn tail.
     pub fn crash_replica(&mut self, number: u32) {
         let torn = self.random.random_range(0..40);
         let now = self.schedule.now();
@@ -176,7 +173,7 @@
         }
     }
 
-    /// Handles a timer.
+    /// Handles a timer tick of a replica.
     pub fn tick(&mut self, number: u32, incarnation: u32) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(machine) = self.replicas.get_mut(&number) else {
@@ -200,7 +197,7 @@
         self.advance(number)
     }
 
-    /// Takes a message from another replica.
+    /// Delivers a Raft message to a replica.
     pub fn deliver(&mut self, message: Message) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let number = message.to.0;
@@ -215,7 +212,7 @@
         self.advance(number)
     }
 
-    /// Takes a call of a router or an operator.
+    /// Handles a call of a router or an operator at a replica.
     pub fn handle_call(
         &mut self,
         number: u32,
@@ -263,7 +260,7 @@
         }
     }
 
-    /// Persists, sends and applies, as the daemon's thread does after each round of inputs.
+    /// Persists, sends and applies pending work, as the daemon does after each batch of inputs.
     pub fn advance(&mut self, number: u32) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(process) = self
@@ -276,7 +273,7 @@
         let advance = match process.replica.advance() {
             Ok(advance) => advance,
             Err(_) => {
-                // A replica that cannot sync stops instead of acknowledging.
+                // A replica that cannot sync stops without acknowledging the entries.
                 self.trace
                     .record(now, || format!("replica {number} stops: storage"));
                 self.crash_replica(number);
@@ -308,7 +305,7 @@
         Ok(())
     }
 
-    /// Replicas that lead in the highest term among leaders.
+    /// Leaders of the highest term.
     pub fn leaders(&self) -> Vec<u32> {
         let leading = self.replicas.iter().filter_map(|(number, machine)| {
             let raft = machine.process.as_ref()?.replica.raft();
@@ -323,7 +320,7 @@
             .collect()
     }
 
-    /// Notes where every replica stands.
+    /// Records the state of every replica in the trace.
     pub fn trace_replicas(&mut self) {
         let now = self.schedule.now();
         for (number, machine) in &self.replicas {
@@ -349,7 +346,7 @@
         }
     }
 
-    /// Replicas that have applied equally much must have the same state.
+    /// Checks that replicas with the same applied index have the same state.
     pub fn check_replicas_agree(&self) -> Result<(), CheckFailure> {
         let mut known: Vec<(LogIndex, u32)> = Vec::new();
         for (number, machine) in &self.replicas {
@@ -374,7 +371,7 @@
     }
 }
 
-/// Address of a replica, as its membership entry tells it.
+/// Address of a replica in the membership.
 pub fn address(number: u32) -> String {
     format!("127.0.0.{number}:1")
 }
--- a/crates/lab/src/simulate/control/routers.rs
+++ b/crates/lab/src/simulate/control/routers.rs
@@ -1,4 +1,4 @@
-//! Routers: their configuration lease, and their arrivals of keys.
+//! Simulated routers: configuration leases, and requests with idempotency keys.
 
 use railtack_consensus::ReplicaId;
 use railtack_core::{AttemptId, Execution, IdempotencyKey, RouterId, TenantName};
@@ -21,55 +21,49 @@
     network::Node,
 };
 
-/// Length of the lease, as by default.
+/// Configuration lease, milliseconds; the default setting.
 const LEASE_DURATION: u64 = 5_000;
-/// Time between polls, as by default.
+/// Time between polls, milliseconds; the default setting.
 const POLL_INTERVAL: u64 = 500;
-/// Time between polls while a router is behind, as in the daemon.
+/// The daemon's time between polls without a valid lease, milliseconds.
 const CATCH_UP_INTERVAL: u64 = 20;
-/// Time for one poll, as in the daemon.
+/// Timeout of one poll, milliseconds; the daemon's value.
 const POLL_TIMEOUT: u64 = 400;
-/// A change must be in force everywhere this long after its acceptance.
+/// Time after which an accepted change must be in force on every serving router, milliseconds.
 const MAX_STALENESS: u64 = 7_000;
-/// Time that a router waits for the service.
+/// Timeout of a service call, milliseconds.
 const SERVICE_TIMEOUT: u64 = 2_000;
-/// Time for recording a claim, as in the daemon.
+/// Deadline for recording a claim, milliseconds; the daemon's value.
 const CLAIM_TIMEOUT: u64 = 5_000;
-/// Keys that callers use again.
+/// Number of recent keys that callers reuse.
 const MAX_RECENT_KEYS: usize = 6;
-/// Share of sends that the service's machine refuses to connect to.
+/// Probability that connecting to the service fails.
 const CONNECT_FAILURE_PROBABILITY: f64 = 0.1;
-/// Share of requests, and of answers, that are lost on the way.
+/// Probability that a request or a response is lost.
 const SERVICE_LOSS_PROBABILITY: f64 = 0.08;
 
-/// A router.
 pub struct SimRouter {
-    /// Counts its processes.
+    /// Number of the current process; rises with every start.
     pub incarnation: u32,
-    /// Whether its process runs.
     pub is_running: bool,
-    /// Its clock.
     pub clock: Clock,
-    /// Configuration in force.
+    /// Configuration last received.
     pub resolved: ResolvedConfiguration,
-    /// Whether it is confirmed.
+    /// Lease on the configuration.
     pub lease: Lease,
 }
 
-/// One arrival of a key at a router.
+/// One arrival of a request with an idempotency key at a router.
 pub struct Arrival {
-    /// The key.
     pub key: u64,
-    /// The router.
     pub router: u32,
-    /// Where it stands.
+    /// State of the request.
     pub request: IdempotentRequest,
-    /// Whether an answer of the service is waited for.
+    /// Whether the service's response is pending.
     pub awaits_response: bool,
 }
 
 impl World {
-    /// Starts the routers.
     pub fn start_routers(&mut self) {
         for number in 1..=ROUTERS {
             let clock = Clock::draw(&mut self.random);
@@ -85,7 +79,7 @@
         }
     }
 
-    /// Starts a router, which knows nothing.
+    /// Starts a router without configuration; does nothing if it already runs.
     pub fn start_router(&mut self, number: u32) {
         let Some(router) = self.routers.get_mut(&number) else {
             return;
@@ -104,7 +98,7 @@
         self.schedule.after(1, event);
     }
 
-    /// Ends a router; its callers see broken connections.
+    /// Kills a router. Its callers' requests are dropped.
     pub fn kill_router(&mut self, number: u32) {
         let node = Node::Router(number);
         if let Some(router) = self.routers.get_mut(&number) {
@@ -112,7 +106,7 @@
         }
         self.frozen.remove(&node);
         self.tasks.retain(|_, task| task.node != node);
-        // Its connections end with it, and with them the answers that are still on their way.
+        // Its connections close, so replies in flight are dropped.
         self.calls.retain(
             |_, purpose| !matches!(purpose, CallPurpose::Poll { router, .. } if *router == number),
         );
@@ -122,7 +116,7 @@
             .record(now, || format!("router {number} is killed"));
     }
 
-    /// Polls every replica.
+    /// Polls every replica and schedules the next poll.
     pub fn poll(&mut self, number: u32, incarnation: u32) {
         let now = self.schedule.now();
         let Some(router) = self.routers.get(&number) else {
@@ -158,7 +152,7 @@
         let pause = if is_confirmed {
             POLL_INTERVAL
         } else {
-            // The daemon asks again at once while it is unconfirmed; a little slower here.
+            // Slower than the daemon without a valid lease, to limit the number of events.
             CATCH_UP_INTERVAL * 5
         };
         let event = Event::Poll {
@@ -168,7 +162,7 @@
         self.schedule.after(pause, event);
     }
 
-    /// Calls a replica.
+    /// Sends a call to a replica, with a timeout in milliseconds.
     pub fn call(
         &mut self,
         from: Node,
@@ -192,7 +186,7 @@
         self.schedule.after(timeout, event);
     }
 
-    /// Takes an answer; one that comes after its timeout is dropped.
+    /// Handles a reply; one that arrives after its timeout is dropped.
     pub fn handle_reply(&mut self, call: u64, reply: Reply) -> Result<(), CheckFailure> {
         match (self.calls.remove(&call), reply) {
             (Some(CallPurpose::Poll { router, sent_at }), Reply::Polled(reply)) => {
@@ -209,7 +203,7 @@
         }
     }
 
-    /// No answer came in time.
+    /// Handles the timeout of a call.
     pub fn handle_call_timeout(&mut self, call: u64) -> Result<(), CheckFailure> {
         match self.calls.remove(&call) {
             Some(CallPurpose::Proposal(task)) => {
@@ -235,7 +229,7 @@
         router.lease.record_poll_reply(reply, sent_at);
     }
 
-    /// Whether a router would serve now.
+    /// Whether a router serves requests now.
     fn is_serving(&self, router: &SimRouter) -> bool {
         let local = router.clock.read(self.schedule.now());
         let applied = router.resolved.applied;
@@ -245,7 +239,7 @@
         router.lease.is_valid(applied, local)
     }
 
-    /// No router may serve configuration that was superseded long ago.
+    /// Checks that no router serves configuration superseded more than `MAX_STALENESS` ago.
     pub fn check_routers(&self) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let required = self
@@ -264,7 +258,7 @@
         Ok(())
     }
 
-    /// Every router serves the newest configuration again.
+    /// Checks that every router serves the newest configuration.
     pub fn check_routers_recovered(&self) -> Result<(), CheckFailure> {
         let newest = self
             .checks
@@ -279,7 +273,7 @@
         Ok(())
     }
 
-    /// A caller sends a key, new or used, to some router.
+    /// Sends a request with a new or recent key to a random router.
     pub fn send_keyed_request(&mut self) -> Result<(), CheckFailure> {
         let pause = self.random.random_range(5..120);
         if !self.healed {
@@ -292,7 +286,7 @@
             return Ok(());
         }
         if !self.is_serving(router) {
-            // Nothing is known of the key's other arrivals, so the refusal says "unknown".
+            // Other arrivals of the key may have run, so this refusal reports "unknown".
             self.activity.refused += 1;
             return Ok(());
         }
@@ -375,7 +369,7 @@
         if self.random.random_bool(SERVICE_LOSS_PROBABILITY) {
             return Ok(());
         }
-        // The service runs it when it arrives; a router that dies meanwhile does not matter.
+        // The service executes the request on arrival, even if the router crashes later.
         self.checks.record_execution(key)?;
         if !self.random.random_bool(SERVICE_LOSS_PROBABILITY) {
             let delay = self.random.random_range(2..200);
@@ -385,7 +379,7 @@
         Ok(())
     }
 
-    /// The service's answer arrives.
+    /// Handles the service's response.
     pub fn handle_service_response(&mut self, arrival: u64) -> Result<(), CheckFailure> {
         let answer = StoredResponse {
             status: 200,
@@ -395,7 +389,7 @@
         self.finish_service_call_if_pending(arrival, Ok(answer))
     }
 
-    /// The service's answer does not arrive.
+    /// Handles the timeout of a service call.
     pub fn handle_service_timeout(&mut self, arrival: u64) -> Result<(), CheckFailure> {
         self.finish_service_call_if_pending(arrival, Err(SendError::MaybeSent))
     }
@@ -427,7 +421,7 @@
         self.execute_step(arrival, step)
     }
 
-    /// Begins a proposal.
+    /// Starts a proposal with a timeout in milliseconds.
     pub fn start_task(
         &mut self,
         node: Node,
@@ -447,7 +441,7 @@
         self.send_task(task)
     }
 
-    /// Sends a task's proposal to the leader if there is one, otherwise to anyone.
+    /// Sends a task's proposal, usually to the leader, otherwise to a random replica.
     pub fn send_task(&mut self, task: u64) -> Result<(), CheckFailure> {
         let Some(state) = self.tasks.get(&task) else {
             return Ok(());
--- a/crates/lab/src/simulate/control/world.rs
+++ b/crates/lab/src/simulate/control/world.rs
@@ -1,4 +1,4 @@
-//! The world: who is in it, what can happen, and the loop that lets it happen.
+//! State, events and event loop of the simulation.
 
 use std::collections::BTreeMap;
 
@@ -24,51 +24,50 @@
     trace::Trace,
 };
 
-/// Control replicas at the start.
+/// Initial control replicas.
 pub const REPLICAS: u32 = 3;
-/// Routers.
 pub const ROUTERS: u32 = 3;
-/// Operators that race each other.
+/// Concurrent operators.
 pub const OPERATORS: u32 = 3;
-/// Engines of the rollout scenario.
+/// Engines in the rollout scenario.
 pub const ENGINES: u32 = 5;
-/// End of the faults, milliseconds.
+/// End of fault injection, milliseconds.
 const FAULTS_END: u64 = 30_000;
-/// End of the run; the time after the faults is for recovery.
+/// End of the run, milliseconds; the time after the last fault is for recovery.
 const RUN_END: u64 = 45_000;
-/// Time between two looks at the invariants.
+/// Time between two checks of the invariants, milliseconds.
 const CHECK_INTERVAL: u64 = 50;
-/// Time for one send of a proposal, as in the router.
+/// Timeout of one attempt at a proposal, milliseconds; the router's value.
 pub const PROPOSE_TIMEOUT: u64 = 1_500;
-/// Pause before the next send, as in the router.
+/// Pause before the next attempt, milliseconds; the router's value.
 pub const PROPOSE_PAUSE: u64 = 30;
 
-/// What a replica is asked.
+/// A call to a replica.
 #[derive(Clone, Debug)]
 pub enum Request {
-    /// Commit a command.
+    /// Proposes a command.
     Propose(Proposal),
-    /// Vouch for the configuration.
+    /// Polls for configuration and lease confirmation.
     Poll(PollRequest),
 }
 
-/// What a replica answers.
+/// A replica's reply.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// To a proposal.
+    /// Reply to a proposal.
     Proposed(ProposeReply),
-    /// To a poll.
+    /// Reply to a poll.
     Polled(Box<PollReply>),
-    /// No process listens there.
+    /// Connection refused: the process is down.
     Refused,
 }
 
-/// What can happen.
+/// A simulated event.
 #[derive(Debug)]
 pub enum Event {
-    /// A replica's timer.
+    /// Timer tick of a replica.
     Tick { replica: u32, incarnation: u32 },
-    /// A message between replicas arrives.
+    /// A Raft message arrives.
     Raft(Box<Message>),
     /// A call arrives at a replica.
     Call {
@@ -77,48 +76,48 @@
         call: u64,
         request: Request,
     },
-    /// An answer arrives.
+    /// A reply arrives.
     Reply { node: Node, call: u64, reply: Reply },
-    /// No answer came in time.
+    /// The timeout of a call expires.
     CallTimeout { node: Node, call: u64 },
-    /// A task sends its proposal again.
+    /// A task resends its proposal.
     Resend { node: Node, task: u64 },
     /// A router polls the replicas.
     Poll { router: u32, incarnation: u32 },
-    /// An operator acts.
+    /// An operator starts or resends a change.
     OperatorAction { operator: u32 },
-    /// A caller sends a request that may not be repeated.
+    /// A caller sends a request with an idempotency key.
     CallerRequest,
-    /// The service answers an arrival.
+    /// The service's response arrives.
     ServiceResponse { node: Node, arrival: u64 },
-    /// The service's answer did not come.
+    /// The timeout of a service call expires.
     ServiceTimeout { node: Node, arrival: u64 },
-    /// A replica looks at the engines.
+    /// A replica runs a rollout step.
     RolloutCheck { replica: u32, incarnation: u32 },
-    /// An order arrives.
+    /// An order arrives at an engine.
     Order { engine: u32, order: OrderRequest },
-    /// An engine has loaded weights.
+    /// An engine finishes loading weights.
     WeightsLoaded {
         engine: u32,
         incarnation: u32,
         order: OrderRequest,
     },
-    /// A process starts again.
+    /// A process restarts.
     Restart(Node),
-    /// A cut ends.
+    /// A partition between two nodes ends.
     Reconnect(Node, Node),
-    /// The administrator looks after lost replicas.
+    /// The administrator runs a replacement step.
     AdministratorCheck,
-    /// Something breaks.
+    /// A fault is injected.
     InjectFault,
-    /// Nothing breaks any more.
+    /// All faults end.
     Heal,
-    /// The invariants are looked at.
+    /// The invariants are checked.
     CheckInvariants,
 }
 
 impl Event {
-    /// The process that handles the event; a frozen one handles it when it thaws.
+    /// Node that handles the event; a frozen one handles it after it thaws.
     fn node(&self) -> Option<Node> {
         match self {
             Self::Tick { replica, .. }
@@ -139,42 +138,42 @@
     }
 }
 
-/// Who waits for a proposal.
+/// Receiver of a proposal's outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskOwner {
-    /// An arrival of a key.
+    /// An arrival of a keyed request.
     Arrival(u64),
-    /// An operator's change.
+    /// An operator's pending change.
     Operator(u32),
-    /// Nobody: a claim's end that is recorded in the background.
+    /// None: a claim settlement, recorded in the background.
     Background,
 }
 
-/// A proposal that is sent to one replica after another.
+/// A proposal that is retried at different replicas until it has an outcome.
 #[derive(Debug)]
 pub struct ProposalTask {
-    /// Who sends it.
+    /// The sender.
     pub node: Node,
-    /// What to commit.
+    /// The proposed command.
     pub command: Command,
-    /// What is known of it.
+    /// Results of the attempts so far.
     pub attempts: ProposalAttempts,
-    /// When to give up.
+    /// Time at which the task gives up.
     pub deadline: u64,
-    /// Who waits for it.
+    /// Receiver of the outcome.
     pub owner: TaskOwner,
 }
 
-/// Why a call was made.
+/// Purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallPurpose {
-    /// For a task.
+    /// An attempt of a proposal task.
     Proposal(u64),
-    /// A router's poll, with the router's time when it was sent.
+    /// A router's poll; `sent_at` is in the router's clock.
     Poll { router: u32, sent_at: u64 },
 }
 
-/// A machine's clock: its own offset and rate.
+/// A machine's clock, with an offset and a rate error.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
     /// Reading at the start, milliseconds.
@@ -184,7 +183,7 @@
 }
 
 impl Clock {
-    /// A clock with a drawn offset, and a rate at most 0.05% fast.
+    /// Draws an offset, and a rate error of at most 0.05%.
     pub fn draw(random: &mut ChaCha8Rng) -> Self {
         Self {
             offset: random.random_range(0..300_000),
@@ -192,19 +191,19 @@
         }
     }
 
-    /// The clock's reading.
+    /// Returns the clock's reading at virtual time `now`.
     pub fn read(self, now: u64) -> u64 {
         self.offset + now + now * self.rate_ppm / 1_000_000
     }
 }
 
-/// Events after which a run counts as stuck.
+/// Events after which a run is considered stuck.
 const MAX_EVENTS: u64 = 2_000_000;
 
-/// A broken promise and what was seen.
+/// A violated invariant, with details.
 pub type CheckFailure = (Invariant, String);
 
-/// Everything.
+/// State of a simulation run.
 pub struct World {
     pub scenario: Scenario,
     pub mutant: Option<Mutant>,
@@ -228,7 +227,7 @@
     next_id: u64,
 }
 
-/// Runs one seed.
+/// Runs one seed of a scenario.
 pub fn run(scenario: Scenario, mutant: Option<Mutant>, seed: u64, keep_trace: bool) -> SeedOutcome {
     let mut world = World::new(scenario, mutant, seed, keep_trace);
     let result = world.start().and_then(|()| world.run_to_end());
@@ -374,18 +373,17 @@
         (until > self.schedule.now()).then_some(until)
     }
 
-    /// Whether a process is frozen now.
     pub fn is_frozen(&self, node: Node) -> bool {
         self.frozen_until(node).is_some()
     }
 
-    /// A number never used before in this run.
+    /// Returns an identifier that is unique within the run.
     pub fn next_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
 
-    /// Whether a part of the system is left out on purpose.
+    /// Whether this run uses the given mutant.
     pub fn is_mutant(&self, mutant: Mutant) -> bool {
         self.mutant == Some(mutant)
     }
@@ -396,7 +394,7 @@
         self.check_engines()
     }
 
-    /// After the faults the system must have come back by itself.
+    /// Checks that the system recovered after the last fault.
     fn check_recovery(&mut self) -> Result<(), CheckFailure> {
         let leaders = self.leaders();
         if leaders.len() != 1 {
--- a/crates/lab/src/simulate/mod.rs
+++ b/crates/lab/src/simulate/mod.rs
@@ -1,7 +1,7 @@
 //! Deterministic simulation in virtual time over the code that the daemons run.
 //!
-//! One seed decides everything: delays, losses, faults and what operators and callers do.
-//! Invariants are checked while the run goes on. A failing seed is run again with its trace kept.
+//! The seed determines delays, losses, faults, and the actions of operators and callers. Invariants
+//! are checked during the run. A failing seed is replayed with tracing enabled.
 
 pub mod command;
 pub mod control;
@@ -17,23 +17,24 @@
 
 pub use runner::{RangeReport, run_range};
 
-/// What is simulated.
+/// A part of the system, with the faults that it is simulated under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Configuration, its lease and racing operators, under crashes, freezes, cuts and full disks.
+    /// Configuration changes by concurrent operators, and router leases, under crashes, freezes,
+    /// network partitions and full disks.
     Configuration,
-    /// Requests that may not be repeated, under kills of routers and control replicas.
+    /// Idempotency-key claims, under crashes of routers and control replicas.
     Claims,
-    /// Lost disks and replacement of control replicas.
+    /// Replacement of control replicas whose disks were lost.
     Membership,
-    /// Fenced orders and the change of weights.
+    /// Weights rollouts by fenced orders.
     Rollout,
-    /// Streams and caches, under engine crashes, cuts and late frames.
+    /// Response streams and prefix caches, under engine crashes, disconnects and late frames.
     Streams,
 }
 
 impl Scenario {
-    /// All scenarios.
+    /// All scenarios, in the order in which they run.
     pub const ALL: [Self; 5] = [
         Self::Configuration,
         Self::Claims,
@@ -64,29 +65,29 @@
     }
 }
 
-/// A mechanism that is left out on purpose, to show that the simulator notices.
+/// A deliberately disabled mechanism; the simulator must detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// Engines take orders with old tokens.
+    /// Engines accept orders with stale fencing tokens.
     NoFencing,
-    /// The log is not synced before it is acknowledged.
+    /// Log entries are acknowledged before they are synced.
     NoClaimSync,
-    /// Revisions are not compared.
+    /// Configuration changes skip the check of the expected revision.
     NoRevisionCheck,
-    /// Cached prefixes are shared between tenants.
+    /// Prefix hashes omit the tenant, so that tenants share cached blocks.
     NoTenantInHash,
-    /// Engines take requests meant for an earlier life.
+    /// Engines accept requests addressed to an earlier incarnation.
     NoIncarnationCheck,
-    /// A replica that lost its disk votes as its former self.
+    /// A replica that lost its disk still votes under its old identity.
     StaleVote,
-    /// A closed connection counts as the end of an answer.
+    /// A closed connection counts as the end of a response.
     NoEndMarker,
-    /// A router never finds that its configuration is unconfirmed.
+    /// Routers ignore the expiry of their configuration lease.
     NoLease,
 }
 
 impl Mutant {
-    /// All mutants.
+    /// All mutants, in the order in which they run.
     pub const ALL: [Self; 8] = [
         Self::NoFencing,
         Self::NoClaimSync,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The scenario that is meant to notice it.
+    /// Scenario that must detect the mutant.
     pub fn scenario(self) -> Scenario {
         match self {
             Self::NoFencing => Scenario::Rollout,
@@ -136,44 +137,44 @@
     }
 }
 
-/// A promise that a run broke.
+/// An invariant violation in one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Virtual time, milliseconds.
+    /// Virtual time of detection, milliseconds.
     pub at_ms: u64,
-    /// Which promise.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
-/// What must always hold.
+/// A property that every run must preserve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// All replicas apply the same entries at the same places, and none is lost.
+    /// All replicas apply the same entries at the same log indexes, and no committed entry is lost.
     LogAgreement,
-    /// Changes take effect once, in an order that agrees with real time.
+    /// Changes take effect exactly once, in a linearizable order.
     Linearizable,
-    /// No router serves configuration that was superseded 7 s ago.
+    /// No router serves configuration that was superseded more than 7 s ago.
     BoundedStaleness,
-    /// A key runs at most once.
+    /// The request of an idempotency key is executed at most once.
     AtMostOnce,
-    /// "Not run" and "completed" are true.
+    /// The reported execution, "not run" or "completed", matches what the service executed.
     AccurateExecution,
-    /// An engine takes only newer orders.
+    /// An engine accepts only orders with increasing fencing tokens.
     Fencing,
-    /// A rollout leaves a replica of each model in service.
+    /// A rollout keeps at least one replica of each model in service.
     Rollout,
-    /// Once the faults end, the system works again.
+    /// The system recovers after the last fault.
     Recovery,
-    /// An answer is whole, in order, and the caller's own.
+    /// A response is complete, in order, and belongs to its request.
     CompleteResponse,
-    /// No cached block of another tenant, another life or other weights is used.
+    /// No cached block of another tenant, incarnation or weights version is used.
     CacheSafety,
 }
 
 impl Invariant {
-    /// Name in reports.
+    /// Name printed in reports; stable, unlike the variant's name.
     fn label(self) -> &'static str {
         match self {
             Self::LogAgreement => "OneHistory",
@@ -190,19 +191,19 @@
     }
 }
 
-/// What one run did, so that a run without violations can be told from a run without events.
+/// Event counts of a run; they show that a run without violations did any work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Activity {
-    /// Commands committed, or answers completed.
+    /// Committed commands or completed responses.
     pub completed: u64,
-    /// Faults injected.
+    /// Injected faults.
     pub faults: u64,
     /// Refusals and explicit errors.
     pub refused: u64,
 }
 
 impl Activity {
-    /// Sums two runs.
+    /// Adds the counts of another run.
     pub fn add(&mut self, other: Self) {
         self.completed += other.completed;
         self.faults += other.faults;
@@ -210,18 +211,18 @@
     }
 }
 
-/// What came of one seed.
+/// Result of one seed.
 #[derive(Clone, Debug, Default)]
 pub struct SeedOutcome {
-    /// First promise broken, if any.
+    /// First violation, if any.
     pub violation: Option<Violation>,
-    /// What happened.
+    /// Event counts.
     pub activity: Activity,
-    /// The last steps, if a trace was kept.
+    /// Last trace steps, oldest first; empty without tracing.
     pub trace: Vec<String>,
 }
 
-/// Runs one seed.
+/// Runs one seed, with its last steps recorded if `keep_trace` is set.
 pub fn run_seed(
     scenario: Scenario,
     mutant: Option<Mutant>,
--- a/crates/lab/src/simulate/network.rs
+++ b/crates/lab/src/simulate/network.rs
@@ -1,39 +1,39 @@
-//! A network that delays, loses, repeats and reorders, with one-way cuts.
+//! Simulated network with delays, loss, duplication, reordering and one-way partitions.
 
 use std::collections::BTreeSet;
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// An end of a connection.
+/// A process of the simulated system, as an endpoint of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Node {
-    /// A control replica.
+    /// A control replica, by its number.
     Replica(u32),
-    /// A router.
+    /// A router, by its number.
     Router(u32),
-    /// An operator.
+    /// An operator, by its position.
     Operator(u32),
-    /// An engine.
+    /// An engine, by its number.
     Engine(u32),
 }
 
-/// How badly the network behaves.
+/// Delay and fault probabilities of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkOptions {
-    /// Longest ordinary delay, milliseconds.
+    /// Maximum normal delay, milliseconds.
     pub max_delay: u64,
-    /// Share of messages that are delayed for much longer.
+    /// Probability that a message is delayed by up to `max_late_delay` instead.
     pub late_probability: f64,
-    /// Longest such delay, milliseconds.
+    /// Maximum delay of a late message, milliseconds.
     pub max_late_delay: u64,
-    /// Share of messages lost.
+    /// Probability that a message is lost.
     pub loss_probability: f64,
-    /// Share of messages repeated.
+    /// Probability that a message between replicas arrives twice.
     pub duplicate_probability: f64,
 }
 
-/// The network.
+/// The simulated network and its open partitions.
 #[derive(Debug)]
 pub struct Network {
     options: NetworkOptions,
@@ -42,7 +42,7 @@
 }
 
 impl Network {
-    /// A whole network.
+    /// Creates a network without partitions.
     pub fn new(options: NetworkOptions, random: ChaCha8Rng) -> Self {
         Self {
             options,
@@ -51,30 +51,30 @@
         }
     }
 
-    /// Ends every loss and delay but the ordinary ones, and mends all cuts.
+    /// Removes all partitions and stops loss and late delivery; duplication stays.
     pub fn heal(&mut self) {
         self.cuts.clear();
         self.options.late_probability = 0.0;
         self.options.loss_probability = 0.0;
     }
 
-    /// Cuts one direction.
+    /// Blocks messages in one direction.
     pub fn cut(&mut self, from: Node, to: Node) {
         self.cuts.insert((from, to));
     }
 
-    /// Mends both directions.
+    /// Unblocks both directions between two nodes.
     pub fn reconnect(&mut self, one: Node, other: Node) {
         self.cuts.remove(&(one, other));
         self.cuts.remove(&(other, one));
     }
 
-    /// Whether nothing gets through in this direction.
+    /// Whether messages in this direction are blocked.
     pub fn is_cut(&self, from: Node, to: Node) -> bool {
         self.cuts.contains(&(from, to))
     }
 
-    /// Delays after which copies of a message arrive; none if it is lost.
+    /// Delays of a datagram's copies, milliseconds; empty if it is lost.
     pub fn datagram_delays(&mut self, from: Node, to: Node) -> Vec<u64> {
         let mut arrivals: Vec<u64> = self.connection_delay(from, to).into_iter().collect();
         if !arrivals.is_empty() && self.random.random_bool(self.options.duplicate_probability) {
@@ -83,7 +83,7 @@
         arrivals
     }
 
-    /// Delay after which a call or answer on a connection arrives, if it does; never repeated.
+    /// Delay of a call or reply on a connection, milliseconds; `None` if it is lost. Never duplicated.
     pub fn connection_delay(&mut self, from: Node, to: Node) -> Option<u64> {
         let lost = self.is_cut(from, to) || self.random.random_bool(self.options.loss_probability);
         (!lost).then(|| self.draw_delay())
--- a/crates/lab/src/simulate/runner.rs
+++ b/crates/lab/src/simulate/runner.rs
@@ -1,4 +1,4 @@
-//! Many seeds over all processor cores.
+//! Runs a range of seeds in parallel on all processor cores.
 
 use std::{
     ops::Range,
@@ -11,27 +11,27 @@
 
 use crate::simulate::{Activity, Mutant, Scenario, Violation, run_seed};
 
-/// A seed that broke a promise.
+/// A seed whose run had a violation.
 #[derive(Clone, Debug)]
 pub struct FailingSeed {
     /// The seed.
     pub seed: u64,
-    /// What it broke.
+    /// Its first violation.
     pub violation: Violation,
 }
 
-/// What came of a range of seeds.
+/// Results of a range of seeds.
 #[derive(Clone, Debug, Default)]
 pub struct RangeReport {
-    /// Seeds run.
+    /// Number of seeds run.
     pub seeds: u64,
     /// Failing seeds, lowest first.
     pub failing: Vec<FailingSeed>,
-    /// What happened in all runs.
+    /// Event counts, summed over all seeds.
     pub activity: Activity,
 }
 
-/// Runs every seed of a range. Which thread runs a seed does not matter to what it does.
+/// Runs every seed of a range. The result of a seed does not depend on the thread that runs it.
 pub fn run_range(scenario: Scenario, mutant: Option<Mutant>, seeds: Range<u64>) -> RangeReport {
     let next = AtomicU64::new(seeds.start);
     let report = Mutex::new(RangeReport::default());
--- a/crates/lab/src/simulate/schedule.rs
+++ b/crates/lab/src/simulate/schedule.rs
@@ -1,8 +1,8 @@
-//! Virtual time: events in the order of their time, ties in the order of scheduling.
+//! Event queue in virtual time. Events at the same time run in the order in which they were scheduled.
 
 use std::collections::BTreeMap;
 
-/// Pending events.
+/// Pending events, ordered by time.
 #[derive(Debug)]
 pub struct Schedule<E> {
     now: u64,
@@ -21,7 +21,7 @@
 }
 
 impl<E> Schedule<E> {
-    /// The present.
+    /// Current virtual time.
     pub fn now(&self) -> u64 {
         self.now
     }
@@ -31,14 +31,14 @@
         self.at(self.now + delay, event);
     }
 
-    /// Adds an event at a time that is not in the past.
+    /// Adds an event at `time`, or now if `time` has passed.
     pub fn at(&mut self, time: u64, event: E) {
         self.sequence += 1;
         self.events
             .insert((time.max(self.now), self.sequence), event);
     }
 
-    /// Moves time to the next event, if there is one up to `end`.
+    /// Advances time to the next event and returns it; `None` if none is due by `end`.
     pub fn next(&mut self, end: u64) -> Option<E> {
         let entry = self.events.first_entry()?;
         if entry.key().0 > end {
--- a/crates/lab/src/simulate/streams/engines.rs
+++ b/crates/lab/src/simulate/streams/engines.rs
@@ -1,4 +1,4 @@
-//! Engines: the emulator's model and gate, with the origin of every cached block noted.
+//! Simulated engines: the emulator's model and gate, plus the origin of every cached block.
 
 use std::collections::BTreeMap;
 
@@ -22,41 +22,40 @@
     },
 };
 
-/// The model that all engines run.
+/// Model that all engines serve.
 pub const MODEL: &str = "model";
-/// Blocks in an engine's cache; few, so that blocks are evicted.
+/// Cache blocks of an engine; few, so that evictions are frequent.
 const CACHE_BLOCKS: usize = 120;
-/// Time that loading takes, milliseconds.
+/// Time to load weights, milliseconds.
 const LOAD_TIME: u64 = 300;
-/// Time between looks at whether running answers have ended.
+/// Time between checks whether an engine is idle, milliseconds.
 const IDLE_CHECK_INTERVAL: u64 = 10;
 
-/// A request as it is sent to an engine.
+/// An attempt of a request, as sent to an engine.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
-    /// The router's request.
+    /// Number of the request at the router.
     pub request: u64,
-    /// The connection.
+    /// Connection for the response stream.
     pub connection: ConnectionId,
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: u128,
-    /// The life that was chosen.
+    /// Incarnation of the engine that the router chose.
     pub incarnation: EngineIncarnation,
-    /// The weights that were chosen.
+    /// Weights version that the router chose.
     pub weights_version: WeightsVersion,
-    /// Root of the cache namespace.
+    /// Cache namespace of the prompt's blocks.
     pub namespace: CacheNamespace,
-    /// Whose prompt it is.
+    /// Tenant of the request.
     pub tenant: u32,
-    /// The prompt.
     pub prompt: String,
-    /// Tokens delivered by earlier attempts.
+    /// Number of tokens delivered by earlier attempts.
     pub delivered: u32,
-    /// Length of the whole answer.
+    /// Length of the complete response, tokens.
     pub max_tokens: u32,
 }
 
-/// An answer at an engine.
+/// A response stream at an engine.
 #[derive(Debug)]
 struct SimStream {
     request: u64,
@@ -65,26 +64,25 @@
     first_token: u32,
     produced_tokens: u32,
     end: Option<StreamEnd>,
-    /// When the last frame sent so far arrives; frames of one connection keep their order.
+    /// Arrival time of the last frame sent; frames of one connection keep their order.
     last_arrival: u64,
     origins: Vec<(BlockHash, BlockOrigin)>,
 }
 
-/// An engine.
 pub struct SimEngine {
-    /// Counts its processes.
+    /// Number of the current process; rises with every restart.
     pub incarnation: u32,
-    /// What it lets in.
+    /// Admission checks of requests and orders.
     pub gate: Gate,
     model: EngineModel,
     streams: BTreeMap<u128, SimStream>,
     step: Option<StepOutcome>,
-    /// Whose text each cached block stands for.
+    /// Origin of each cached block.
     cached: BTreeMap<BlockHash, BlockOrigin>,
 }
 
 impl World {
-    /// Starts an engine with an empty cache.
+    /// Starts an engine's process with an empty cache.
     pub fn start_engine(&mut self, number: u32, incarnation: u32) {
         let costs = EngineCosts {
             cache_blocks: CACHE_BLOCKS,
@@ -111,7 +109,7 @@
         self.engines.insert(number, engine);
     }
 
-    /// An engine dies: its connections break, some of them late.
+    /// Closes the connections of a crashed engine, each after a random delay.
     pub fn break_connections(&mut self, number: u32) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
@@ -126,7 +124,7 @@
         }
     }
 
-    /// The router hears an engine's state now and then.
+    /// Updates the router's view of an engine, and schedules the next update.
     pub fn update_engine_view(&mut self, engine: u32) {
         let pause = self.random.random_range(100..900);
         if self.faults_enabled() || !self.requests.is_empty() {
@@ -140,7 +138,7 @@
         self.engine_views.insert(engine, known);
     }
 
-    /// A dispatch arrives.
+    /// Handles a dispatch at its engine.
     pub fn handle_dispatch(&mut self, number: u32, dispatch: Dispatch) -> Result<(), CheckFailure> {
         let Some(engine) = self.engines.get_mut(&number) else {
             return Ok(());
@@ -196,7 +194,7 @@
         );
     }
 
-    /// A resumption arrives: the frames from there on are sent over the new connection.
+    /// Handles a resumption: resends the frames from `from` on over the new connection.
     pub fn handle_resume(
         &mut self,
         number: u32,
@@ -226,7 +224,7 @@
         }
     }
 
-    /// Begins a step if the engine has work and is not in one.
+    /// Starts a step if the engine has work and no step is running.
     pub fn step(&mut self, number: u32) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(engine) = self.engines.get_mut(&number) else {
@@ -251,7 +249,7 @@
         Ok(())
     }
 
-    /// A step ends: its tokens are sent.
+    /// Sends the tokens of a finished step.
     pub fn finish_step(&mut self, number: u32, incarnation: u32) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
@@ -290,8 +288,8 @@
         }
     }
 
-    /// Sends one frame; sometimes its connection breaks, or the frame comes twice, early, or over
-    /// the connection of another request.
+    /// Sends one frame. At random, the connection breaks instead, or a copy of the frame also arrives at
+    /// another time, possibly at another request.
     fn send_frame(&mut self, number: u32, attempt: u128, index: u32, is_end: bool) {
         let now = self.schedule.now();
         let disconnects = self.random.random_bool(self.disconnect_probability);
@@ -359,7 +357,7 @@
         Some(open[self.random.random_range(0..open.len())])
     }
 
-    /// An order arrives.
+    /// Handles an order at an engine.
     pub fn handle_order(&mut self, number: u32, order: OrderRequest) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
@@ -375,7 +373,7 @@
         self.schedule.after(LOAD_TIME, event);
     }
 
-    /// An engine loads once its running answers have ended.
+    /// Loads weights once the engine is idle; until then, checks again after `IDLE_CHECK_INTERVAL`.
     pub fn load_when_idle(&mut self, number: u32, incarnation: u32, order: OrderRequest) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
@@ -397,7 +395,7 @@
         engine.gate.loaded(order);
     }
 
-    /// Cancels an attempt whose answer nobody waits for.
+    /// Cancels an abandoned attempt.
     pub fn cancel(&mut self, number: u32, attempt: u128) {
         let now = self.schedule.now();
         if let Some(engine) = self.engines.get_mut(&number) {
@@ -408,7 +406,7 @@
 }
 
 impl SimEngine {
-    /// Every cached token must stem from the same tenant, text and weights.
+    /// Checks that every reused block stems from the same tenant, text and weights version.
     fn check_cached_blocks(&self, number: u32, outcome: &StepOutcome) -> Result<(), CheckFailure> {
         for (attempt, cached_tokens) in &outcome.admitted {
             let Some(stream) = self.streams.get(attempt) else {
--- a/crates/lab/src/simulate/streams/mod.rs
+++ b/crates/lab/src/simulate/streams/mod.rs
@@ -1,4 +1,4 @@
-//! Relays of answers and engines with prefix caches in virtual time.
+//! Simulation of response streams, and of engines with prefix caches, in virtual time.
 
 mod engines;
 mod requests;
--- a/crates/lab/src/simulate/streams/requests.rs
+++ b/crates/lab/src/simulate/streams/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: the router's relay and attempts, and the caller's check of what comes.
+//! Simulated requests: the router's relay and attempts, and checks of the delivered text.
 
 use railtack_backend_api::StreamFrame;
 use railtack_core::{
@@ -22,30 +22,30 @@
     },
 };
 
-/// Tokens in a block.
+/// Tokens per cache block.
 pub const BLOCK_TOKENS: u32 = 16;
-/// Tenants; they share all texts but the question.
+/// Tenants; they use the same prompts, so that cache hits across tenants would occur.
 const TENANTS: u32 = 3;
-/// Tries to resume a stream on the engine where it broke, as in the daemon.
+/// Maximum resumptions of a stream on the same engine; the daemon's value.
 const MAX_RESUMES: u32 = 2;
-/// Pause before a stream is resumed, as in the daemon.
+/// Pause before a resumption, milliseconds; the daemon's value.
 const RESUME_PAUSE: u64 = 30;
-/// Callers' deadline, milliseconds.
+/// Deadline of a request, milliseconds.
 const DEADLINE: u64 = 20_000;
-/// Share of dispatches that are lost on the way.
+/// Probability that a dispatch's connection fails.
 const DISPATCH_LOSS_PROBABILITY: f64 = 0.02;
 
-/// Whose text a block stands for, worked out without the hash chain.
+/// Tenant, weights version and text prefix of a block, hashed independently of the prefix chain.
 pub type BlockOrigin = u128;
 
-/// Texts that the prompts are made of.
+/// Building blocks of the prompts.
 pub struct PromptTexts {
     shared_prefix: String,
     documents: Vec<String>,
 }
 
 impl PromptTexts {
-    /// Draws texts.
+    /// Draws random texts.
     pub fn draw(random: &mut ChaCha8Rng) -> Self {
         let mut text = |length: usize| -> String {
             let letters = (0..length).map(|_| char::from(random.random_range(b'a'..=b'z')));
@@ -58,7 +58,8 @@
     }
 }
 
-/// Origins of a prompt's blocks: tenant, weights and all text up to and including each.
+/// Returns the origins of a prompt's blocks: each hashes the tenant, the weights version and the
+/// text up to the end of the block.
 pub fn origins(
     chain: &PrefixChain,
     tenant: u32,
@@ -76,7 +77,7 @@
         .collect()
 }
 
-/// A request at the router.
+/// An open request at the router.
 pub struct SimRequest {
     tenant: u32,
     prompt: String,
@@ -92,7 +93,7 @@
 }
 
 impl World {
-    /// A caller asks.
+    /// Handles a new request of a caller.
     pub fn handle_arrival(&mut self) -> Result<(), CheckFailure> {
         if !self.faults_enabled() {
             return Ok(());
@@ -132,7 +133,7 @@
         self.dispatch(number)
     }
 
-    /// Sends a request to some engine that was not tried yet.
+    /// Dispatches a request to a random engine that it has not tried.
     fn dispatch(&mut self, number: u64) -> Result<(), CheckFailure> {
         let attempt = u128::from(self.next_id());
         let connection = self.next_id();
@@ -169,7 +170,7 @@
         };
         let delay = self.random.random_range(1..15);
         if self.random.random_bool(DISPATCH_LOSS_PROBABILITY) {
-            // Whether it arrives is not known to the router: its connection breaks either way.
+            // The connection fails whether or not the dispatch arrives, so the router cannot tell.
             if self.random.random_bool(0.5) {
                 self.schedule
                     .after(delay, Event::Dispatched { engine, dispatch });
@@ -186,7 +187,7 @@
         Ok(())
     }
 
-    /// A frame arrives; the router hands it to the relay whatever connection it came over.
+    /// Handles a frame. The relay must reject frames of other attempts, whatever connection they use.
     pub fn handle_frame(&mut self, number: u64, frame: StreamFrame) -> Result<(), CheckFailure> {
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
@@ -212,7 +213,7 @@
         }
     }
 
-    /// The present connection of a request broke, or its answer has a hole.
+    /// Handles the loss of the current connection, or a gap in the stream.
     pub fn handle_close(
         &mut self,
         number: u64,
@@ -240,7 +241,7 @@
         Ok(())
     }
 
-    /// Asks the same engine for the rest.
+    /// Requests the remaining frames from the same engine.
     pub fn resume(&mut self, number: u64, connection: ConnectionId) {
         let new_connection = self.next_id();
         let delay = self.random.random_range(1..15);
@@ -261,7 +262,7 @@
         self.schedule.after(delay, event);
     }
 
-    /// The engine refused a dispatch, or does not know the stream to resume.
+    /// Handles a refused dispatch, or a resumption of an unknown stream.
     pub fn handle_refusal(
         &mut self,
         number: u64,
@@ -279,7 +280,7 @@
             AttemptOutcome::Refused
         };
         let engine = request.engine;
-        // The router looks at the engine again before its next choice.
+        // The router refreshes its view of the engine before it chooses again.
         let gate = &self.engines[&engine].gate;
         let known = super::world::EngineView {
             incarnation: gate.incarnation,
@@ -289,7 +290,7 @@
         self.finish_attempt(number, outcome)
     }
 
-    /// The caller gives up.
+    /// Handles the deadline of a request.
     pub fn handle_deadline(&mut self, number: u64) -> Result<(), CheckFailure> {
         if self.requests.contains_key(&number) {
             return self.finish_attempt(number, AttemptOutcome::DeadlineExceeded);
@@ -327,7 +328,7 @@
                 Err((Invariant::CompleteResponse, detail))
             }
             NextStep::Fail(_) | NextStep::Abandon => {
-                // The caller is told explicitly that there will be no more.
+                // The caller receives an explicit error.
                 self.requests.remove(&number);
                 self.activity.refused += 1;
                 Ok(())
--- a/crates/lab/src/simulate/streams/world.rs
+++ b/crates/lab/src/simulate/streams/world.rs
@@ -1,4 +1,4 @@
-//! The world: engines, requests and what can happen to them.
+//! State, events and event loop of the streams simulation.
 
 use std::collections::BTreeMap;
 
@@ -18,24 +18,23 @@
     trace::Trace,
 };
 
-/// Engines.
 pub const ENGINES: u32 = 3;
-/// End of faults and arrivals, milliseconds.
+/// End of faults and of new requests, milliseconds.
 const FAULTS_END: u64 = 15_000;
-/// End of the run.
+/// End of the run, milliseconds; the rest is for open requests.
 const RUN_END: u64 = 60_000;
 
-/// One connection over which frames of an answer come.
+/// Identifier of a connection that carries the frames of a response.
 pub type ConnectionId = u64;
 
-/// What can happen.
+/// A simulated event.
 #[derive(Debug)]
 pub enum Event {
-    /// A caller asks.
+    /// A caller sends a request.
     Arrival,
-    /// A dispatch reaches its engine.
+    /// A dispatch arrives at its engine.
     Dispatched { engine: u32, dispatch: Dispatch },
-    /// A resumption reaches its engine.
+    /// A resumption arrives at its engine.
     Resumed {
         engine: u32,
         attempt: u128,
@@ -43,59 +42,59 @@
         connection: ConnectionId,
         request: u64,
     },
-    /// An engine refused, or does not know the stream.
+    /// A refusal arrives: the engine rejected the dispatch, or does not know the stream.
     Refused {
         request: u64,
         connection: ConnectionId,
     },
-    /// A frame reaches the router.
+    /// A frame arrives at the router.
     Frame { request: u64, frame: StreamFrame },
-    /// A connection is closed.
+    /// A connection closes.
     Closed {
         request: u64,
         connection: ConnectionId,
     },
-    /// A router resumes a stream after a pause.
+    /// The pause before a resumption ends.
     Resume {
         request: u64,
         connection: ConnectionId,
     },
-    /// A caller's deadline.
+    /// The deadline of a request expires.
     Deadline { request: u64 },
-    /// An engine's step ends.
+    /// A step of an engine ends.
     StepEnd { engine: u32, incarnation: u32 },
-    /// The router hears an engine's state.
+    /// The router updates its view of an engine.
     Status { engine: u32 },
-    /// An order reaches an engine.
+    /// An order arrives at an engine.
     Order { engine: u32, order: OrderRequest },
-    /// An engine looks whether it may load.
+    /// An engine checks whether it is idle and can load weights.
     LoadWhenIdle {
         engine: u32,
         incarnation: u32,
         order: OrderRequest,
     },
-    /// Something breaks.
+    /// A fault is injected.
     Fault,
-    /// Another version of the weights is wanted.
+    /// The target weights version changes.
     Rollout,
 }
 
-/// What the router knows of an engine; it lags.
+/// The router's view of an engine, which may be outdated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineView {
-    /// Its life.
+    /// Incarnation of the engine.
     pub incarnation: EngineIncarnation,
-    /// Its weights.
+    /// Weights version of the engine.
     pub weights_version: WeightsVersion,
 }
 
-/// Events after which a run counts as stuck.
+/// Events after which a run is considered stuck.
 const MAX_EVENTS: u64 = 2_000_000;
 
-/// A broken promise and what was seen.
+/// A violated invariant, with details.
 pub type CheckFailure = (Invariant, String);
 
-/// Everything.
+/// State of a simulation run.
 pub struct World {
     pub mutant: Option<Mutant>,
     pub schedule: Schedule<Event>,
@@ -240,23 +239,23 @@
         }
     }
 
-    /// Whether faults and arrivals go on.
+    /// Whether faults and new requests are still injected.
     pub fn faults_enabled(&self) -> bool {
         self.schedule.now() < FAULTS_END
     }
 
-    /// A number never used before in this run.
+    /// Returns an identifier that is unique within the run.
     pub fn next_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
 
-    /// Whether a part of the system is left out on purpose.
+    /// Whether this run uses the given mutant.
     pub fn is_mutant(&self, mutant: Mutant) -> bool {
         self.mutant == Some(mutant)
     }
 
-    /// An engine crashes and comes back empty.
+    /// Crashes an engine and restarts it with an empty cache.
     fn inject_fault(&mut self) {
         if !self.faults_enabled() {
             return;
@@ -273,7 +272,7 @@
         self.start_engine(engine, incarnation);
     }
 
-    /// Orders every engine, one after another, to other weights.
+    /// Sends every engine an order to load a random weights version.
     fn start_rollout(&mut self) {
         if !self.faults_enabled() {
             return;
--- a/crates/lab/src/simulate/trace.rs
+++ b/crates/lab/src/simulate/trace.rs
@@ -1,11 +1,11 @@
-//! The last steps of a run, kept only when asked for.
+//! Optional trace of a run's last steps.
 
 use std::collections::VecDeque;
 
-/// Steps kept.
+/// Maximum steps kept; older ones are dropped.
 const STEPS_KEPT: usize = 60;
 
-/// A trace.
+/// Bounded log of a run's steps.
 #[derive(Clone, Debug, Default)]
 pub struct Trace {
     enabled: bool,
@@ -13,7 +13,7 @@
 }
 
 impl Trace {
-    /// A trace that keeps steps, or one that does not.
+    /// Creates a trace; a disabled one records nothing.
     pub fn new(enabled: bool) -> Self {
         Self {
             enabled,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Notes a step; the text is made only if it is kept.
+    /// Records a step. The text is formatted only if the trace is enabled.
     pub fn record(&mut self, at: u64, step: impl FnOnce() -> String) {
         if !self.enabled {
             return;
@@ -32,7 +32,7 @@
         self.steps.push_back(format!("{at:>7}  {}", step()));
     }
 
-    /// The steps, oldest first.
+    /// Returns the steps, oldest first.
     pub fn into_steps(self) -> Vec<String> {
         self.steps.into()
     }
--- a/crates/lab/src/soak/command.rs
+++ b/crates/lab/src/soak/command.rs
@@ -9,20 +9,20 @@
     soak::run::{self, Builds, SoakReport},
 };
 
-/// What to run.
+/// Options of `railtack-lab soak`.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// Seeds, each on a fleet of its own.
+    /// Seeds to run, each on a new fleet.
     pub seeds: Range<u64>,
     /// Length of each schedule.
     pub length: Duration,
-    /// Where the logs of seeds that fail are kept.
+    /// Parent folder of the logs, which are kept for failing seeds; the temporary folder by default.
     pub keep: Option<PathBuf>,
-    /// The lab of a former build that the fleets begin with.
+    /// Lab binary of a previous build, with which the fleets start.
     pub former: Option<PathBuf>,
 }
 
-/// Runs each seed, and tells how many passed.
+/// Runs each seed and prints the results; fails if any seed has violations.
 pub async fn run(options: SoakOptions) -> Result<(), Report<LabError>> {
     let builds = builds(&options)?;
     let mut failed: u64 = 0;
@@ -35,7 +35,7 @@
         print_report(seed, &report);
         if holds {
             passed += 1;
-            // What is left of a folder does no harm.
+            // Leftover files do not affect other runs.
             let _ = std::fs::remove_dir_all(&folder);
         } else {
             failed += 1;
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,12 +1,12 @@
-//! A randomized soak: the real programs as separate processes under load, with signals, restarts and changes
-//! of configuration in series that overlap, while judges look at what callers and back ends see.
+//! Randomized soak tests: real processes under load, with signals, restarts and configuration changes in
+//! overlapping fault episodes, and checks of the results at callers and back ends.
 //!
 //! | step | module | pure |
 //! |---|---|---|
-//! | what is done when | [`schedule`] | yes |
-//! | load, and the schedule carried out | [`run`] | |
-//! | what callers were told against what ran | [`crate::load::keyed`] | yes |
-//! | seeds, reports, the closing line | [`command`] | |
+//! | Fault schedule | [`schedule`] | yes |
+//! | Load and execution of the schedule | [`run`] | |
+//! | Reported results against executions | [`crate::load::keyed`] | yes |
+//! | Seeds, reports and the summary line | [`command`] | |
 
 pub mod command;
 pub mod run;
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! Carrying a schedule out on a fleet under load, and judging what came of it.
+//! Runs a fault schedule on a fleet under load, and measures its effect.
 
 use std::{
     net::SocketAddr,
@@ -35,34 +35,34 @@
     soak::schedule::{Action, FleetSize, Schedule, Target},
 };
 
-/// Callers that ask models at the same time, and callers of a service that may not be called twice.
+/// Concurrent callers of models, and of a service whose requests carry idempotency keys.
 const MODEL_CALLERS: usize = 8;
 const KEYED_CALLERS: usize = 4;
-/// Arrivals of one key at most, at different routers.
+/// Maximum concurrent requests with the same key, each to another router.
 const MAX_REQUESTS_PER_KEY: u64 = 3;
-/// Time for connecting to a router.
+/// Timeout for connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time in which a process that was told to stop ends, before it is killed.
+/// Time after which a process that was asked to stop is killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(12);
-/// Time after the schedule in which every router has to serve again: an engine counts as lost and is heard
-/// again, a leader is elected, and routers poll, each within a few seconds.
+/// Time after the schedule within which every router must serve again. Engine loss is detected and
+/// cleared, a leader is elected, and routers poll, each within a few seconds.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between two looks at that.
+/// Time between two requests to a router that does not serve so far.
 const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for changing the configuration; without a majority a change is given up.
+/// Timeout of a configuration change; without a quorum, the change is abandoned.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a soak showed.
+/// Results of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// What was done.
+    /// The schedule that was run.
     pub schedule: Schedule,
-    /// What was measured.
+    /// Measurements, with their limits.
     pub measurements: Vec<Measurement>,
 }
 
 impl SoakReport {
-    /// Promises that were broken.
+    /// Number of measurements that exceed their limits.
     pub fn violations(&self) -> usize {
         self.measurements
             .iter()
@@ -71,20 +71,20 @@
     }
 }
 
-/// Two builds of the programs in one fleet, each by the path of its lab. The fleet begins with the former one. A
-/// control replica that is started again has the present one from then on; a router has either of both.
+/// Two builds in one fleet, each by the path of its lab binary. The fleet starts with the previous build. A
+/// restarted control replica switches to the current build; a restarted router uses either of them.
 #[derive(Clone, Debug)]
 pub struct Builds {
-    /// The build that the fleet begins with.
+    /// Build with which the fleet starts.
     pub previous: PathBuf,
-    /// The build that takes its place.
+    /// Build that replaces it.
     pub current: PathBuf,
 }
 
-/// One start of a router in so many has the former build.
+/// One router restart in this many uses the previous build.
 const ROLLBACK_RATIO: u32 = 3;
 
-/// Runs a soak of a length on a fleet of its own in `folder`, of one build, or of two.
+/// Runs a soak on a new fleet in `folder`; with `builds`, the fleet mixes two builds.
 pub async fn soak(
     seed: u64,
     length: Duration,
@@ -112,7 +112,7 @@
     let keyed = KeyedLoad::start(&prepared, seed);
     let schedule_result = run_schedule(&schedule, seed, &mut prepared.fleet, builds).await;
     let recovery_seconds = wait_until_routers_serve(&prepared).await;
-    // Callers end with their fleet also where the schedule could not be carried out.
+    // Stop the callers even if the schedule failed.
     let model_report = models.finish().await;
     let keyed_record = keyed.finish().await;
     schedule_result?;
@@ -184,7 +184,7 @@
         }
     }
     for change in changes {
-        // One that found no majority changed nothing.
+        // A change without a quorum has no effect.
         let _ = change.await;
     }
     Ok(())
@@ -198,7 +198,7 @@
 ) {
     let rolls_back = random.random_ratio(1, ROLLBACK_RATIO);
     match target {
-        // The stand-ins are not what is replaced.
+        // Emulated engines are not upgraded.
         Target::Engine(_) => {}
         Target::Router(_) if rolls_back => process.replace_by(&builds.previous),
         Target::Router(_) | Target::Control(_) => process.replace_by(&builds.current),
@@ -232,12 +232,12 @@
             drained: number.is_multiple_of(2),
         };
         let operation = OperationId(format!("{operation}-{number}"));
-        // Without a majority nothing changes.
+        // A change without a quorum times out.
         let _ = tokio::time::timeout(CHANGE_TIMEOUT, client.configure(&operation, change)).await;
     }
 }
 
-/// Seconds until each router has answered a question, from now on.
+/// Waits until each router has served a request, and returns the seconds that this took.
 async fn wait_until_routers_serve(prepared: &PreparedFleet) -> f64 {
     let started_at = Instant::now();
     let client = HttpClient::new(CONNECT_TIMEOUT);
@@ -258,7 +258,7 @@
     started_at.elapsed().as_secs_f64()
 }
 
-/// Callers of a service that may not be called twice, each key once or several times at different routers.
+/// Callers of a service with idempotency keys; they send each key once or several times, to different routers.
 struct KeyedLoad {
     shared: Arc<KeyedShared>,
     callers: Vec<JoinHandle<()>>,
@@ -317,7 +317,7 @@
     async fn finish(self) -> KeyedRecord {
         self.shared.stop.store(true, Ordering::Relaxed);
         for caller in self.callers {
-            // A caller that panicked has told nothing.
+            // A caller that panicked has recorded no further results.
             let _ = caller.await;
         }
         self.shared.record().clone()
@@ -335,7 +335,7 @@
     }
 }
 
-/// The folder of one seed.
+/// Creates the folder of one seed.
 pub fn prepare_folder(folder: &Path) -> Result<(), Report<LabError>> {
     std::fs::create_dir_all(folder).change_context_lazy(|| LabError::File {
         path: folder.to_owned(),
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/lab/src/soak/schedule.rs
@@ -1,7 +1,7 @@
-//! What a soak does to its fleet, and when; drawn from a seed. Pure.
+//! Fault schedules of soaks, drawn from a seed. Pure.
 //!
-//! Invariants: a schedule is repeated by its seed; whatever it stops it starts again before its end; of one
-//! process no two series overlap, while those of different ones do.
+//! Invariants: a seed always gives the same schedule; every process that is stopped or frozen is resumed;
+//! fault episodes of one process do not overlap, while those of different processes may.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -13,17 +13,17 @@
 
 use crate::fleet::Fault;
 
-/// Mean time between the beginnings of two series.
+/// Mean time between the starts of two fault episodes.
 const MEAN_EPISODE_INTERVAL: Duration = Duration::from_millis(450);
-/// Time at the beginning and the end in which nothing new begins.
+/// Time at the start and the end in which no episode starts.
 const QUIET_PERIOD: Duration = Duration::from_millis(500);
-/// Longest time for which a process is frozen or away; above every lease and election timeout.
+/// Maximum downtime or freeze of a process; above some, but not all, leases and timeouts.
 const MAX_DOWNTIME_MS: u64 = 3_500;
-/// Time after SIGTERM at which a process is started again; an answer may take a while until it ends.
+/// Time between SIGTERM and the restart, so that open responses can complete.
 const TERMINATION_PERIOD: Duration = Duration::from_millis(2_500);
-/// Most changes of configuration in one series.
+/// Maximum configuration changes in one episode.
 const MAX_CHANGES: u64 = 6;
-/// One series in this many is a crash of all routers at once.
+/// One episode in this many crashes all routers at once.
 const ALL_ROUTERS_CRASH_RATIO: u32 = 12;
 
 /// A process of the fleet.
@@ -31,20 +31,20 @@
 pub enum Target {
     /// A router, by its position.
     Router(usize),
-    /// A control replica.
+    /// A control replica, by its position.
     Control(usize),
-    /// An engine.
+    /// An engine, by its position.
     Engine(usize),
 }
 
-/// One thing that is done to the fleet.
+/// A scheduled action on the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A process is sent a signal.
+    /// Sends a signal to a process.
     Signal(Target, Fault),
-    /// A process that was killed, or has been told to stop, is started again.
+    /// Restarts a process that was killed or asked to stop.
     Start(Target),
-    /// The configuration is changed so many times, one right after the other.
+    /// Submits this many configuration changes in sequence.
     Change(u64),
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// How many processes of each kind a fleet has.
+/// Number of processes of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     /// Routers.
@@ -83,15 +83,15 @@
     }
 }
 
-/// Everything that is done, in order of time.
+/// A fault schedule, ordered by time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Schedule {
-    /// The acts, each with the time since the beginning at which it is due.
+    /// Actions, each with its time since the start.
     pub actions: Vec<(Duration, Action)>,
 }
 
 impl Schedule {
-    /// Draws a schedule of a length.
+    /// Draws a schedule of the given length.
     pub fn draw(seed: u64, size: FleetSize, length: Duration) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut schedule = Self::default();
@@ -106,7 +106,7 @@
         schedule
     }
 
-    /// Adds one series that begins at a moment; the processes that it deals with, each with the end of that.
+    /// Adds one fault episode at `starts_at`. Returns the affected processes, each with the end of its episode.
     fn add_episode(
         &mut self,
         random: &mut ChaCha8Rng,
@@ -177,7 +177,7 @@
 }
 
 fn draw_downtime(random: &mut ChaCha8Rng) -> Duration {
-    // Most are short: those are the ones that leases and timeouts have to tell apart.
+    // Short downtimes are more frequent: they are close to leases and timeouts.
     let shortest = random.random_range(1..MAX_DOWNTIME_MS);
     Duration::from_millis(random.random_range(1..=shortest))
 }
--- a/crates/lab/tests/simulation.rs
+++ b/crates/lab/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! A fixed range of simulated seeds; `railtack-lab simulate` runs more.
+//! Simulates a fixed range of seeds; `railtack-lab simulate` runs more.
 
 use railtack_lab::simulate::{Mutant, Scenario, run_range, run_seed};
 
@@ -9,7 +9,7 @@
     let report = run_range(scenario, None, SEEDS);
     println!("{} seeds {SEEDS:?}: {:?}", scenario.name(), report.activity);
     assert!(report.failing.is_empty(), "{:?}", report.failing.first());
-    // A run in which nothing happens proves nothing.
+    // Guards against runs in which too little happens.
     assert!(report.activity.completed > report.seeds * 10);
     assert!(report.activity.faults > report.seeds * 5);
 }
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of real processes with fixed seeds, and its pure parts.
+//! Short soaks of real processes with fixed seeds, and tests of the schedule and the key checks.
 
 use std::{collections::BTreeMap, path::Path, time::Duration};
 
@@ -63,7 +63,7 @@
 fn reported_outcomes_are_checked_against_executions() {
     let mut record = KeyedRecord::default();
     let whole = Finding::Whole { first_token_us: 1 };
-    // As it should be: answered and run once; refused and not run; nobody knows.
+    // Consistent results: completed and run once; refused and not run; unknown.
     record.note(1, &whole);
     record.note(2, &refused(Execution::NotRun));
     record.note(3, &refused(Execution::Unknown));
@@ -86,7 +86,7 @@
 }
 
 quickcheck! {
-    /// Whatever is stopped runs again at the end, and a process that is away is left alone meanwhile.
+    /// Every stopped process is restarted, and receives no other signal in between.
     fn every_stopped_process_is_restarted(seed: u64) -> bool {
         let schedule = Schedule::draw(seed, SIZE, LENGTH);
         let mut stopped: BTreeMap<Target, Fault> = BTreeMap::new();
