--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -188,8 +188,8 @@
             .cloned()
             .unwrap_or_default(),
         length: Duration::from_secs(matches.get_one("seconds").copied().unwrap_or_default()),
-        keep: matches.get_one::<PathBuf>("keep").cloned(),
-        former: matches.get_one::<PathBuf>("former").cloned(),
+        log_folder: matches.get_one::<PathBuf>("keep").cloned(),
+        previous_build: matches.get_one::<PathBuf>("former").cloned(),
     }
 }
 
--- a/crates/lab/src/soak/command.rs
+++ b/crates/lab/src/soak/command.rs
@@ -17,9 +17,9 @@
     /// Length of each schedule.
     pub length: Duration,
     /// Parent folder of the logs, which are kept for failing seeds; the temporary folder by default.
-    pub keep: Option<PathBuf>,
+    pub log_folder: Option<PathBuf>,
     /// Lab binary of a previous build, with which the fleets start.
-    pub former: Option<PathBuf>,
+    pub previous_build: Option<PathBuf>,
 }
 
 /// Runs each seed and prints the results; fails if any seed has violations.
@@ -28,7 +28,7 @@
     let mut failed: u64 = 0;
     let mut passed: u64 = 0;
     for seed in options.seeds.clone() {
-        let folder = log_folder(&options, seed);
+        let folder = seed_folder(&options, seed);
         run::prepare_folder(&folder)?;
         let report = run::soak(seed, options.length, &folder, builds.as_ref()).await;
         let holds = matches!(&report, Ok(report) if report.violations() == 0);
@@ -50,21 +50,21 @@
 }
 
 fn builds(options: &SoakOptions) -> Result<Option<Builds>, Report<LabError>> {
-    let Some(former) = options.former.clone() else {
+    let Some(previous) = options.previous_build.clone() else {
         return Ok(None);
     };
-    let present = std::env::current_exe().change_context(LabError::Spawn {
+    let current = std::env::current_exe().change_context(LabError::Spawn {
         name: "soak".to_owned(),
     })?;
-    Ok(Some(Builds {
-        previous: former,
-        current: present,
-    }))
+    Ok(Some(Builds { previous, current }))
 }
 
-fn log_folder(options: &SoakOptions, seed: u64) -> PathBuf {
+fn seed_folder(options: &SoakOptions, seed: u64) -> PathBuf {
     let name = format!("railtack-soak-{}-{seed}", std::process::id());
-    let parent = options.keep.clone().unwrap_or_else(std::env::temp_dir);
+    let parent = options
+        .log_folder
+        .clone()
+        .unwrap_or_else(std::env::temp_dir);
     parent.join(name)
 }
 
