--- a/crates/lab/src/fault/control.rs
+++ b/crates/lab/src/fault/control.rs
@@ -71,16 +71,16 @@
         let before = revision_of(prepared, 1).await;
         let accepted_at = submit_template(prepared, round).await?;
         let others: Vec<usize> = (1..prepared.fleet.routers.len()).collect();
-        let took = time_until_applied(prepared, &others, before + 1, accepted_at).await;
-        slowest = slowest.max(took);
+        let elapsed = time_until_applied(prepared, &others, before + 1, accepted_at).await;
+        slowest = slowest.max(elapsed);
         sleep(Duration::from_secs(7).saturating_sub(accepted_at.elapsed())).await;
         prepared.fleet.routers[0].inflict(Fault::Thaw).await?;
         prepared.fleet.control[position]
             .inflict(Fault::Thaw)
             .await?;
         prepared.fleet.wait_for_routers().await?;
-        let thawed = revision_of(prepared, 0).await;
-        if thawed <= before {
+        let revision_after_thaw = revision_of(prepared, 0).await;
+        if revision_after_thaw <= before {
             return Ok(vec![Measurement::at_most(
                 "frozen router served older configuration",
                 1.0,
--- a/crates/lab/src/fault/engines.rs
+++ b/crates/lab/src/fault/engines.rs
@@ -95,8 +95,8 @@
 
 async fn requests_of(prepared: &PreparedFleet, engine: EngineId) -> u64 {
     let statuses = prepared.fleet.engine_statuses().await;
-    let known = statuses.iter().find(|status| status.engine == engine);
-    known.map_or(0, |status| status.totals.requests)
+    let status = statuses.iter().find(|status| status.engine == engine);
+    status.map_or(0, |status| status.totals.requests)
 }
 
 /// Rolls out a new weights version of the model under load.
--- a/crates/lab/src/fault/keys.rs
+++ b/crates/lab/src/fault/keys.rs
@@ -91,18 +91,22 @@
     sleep(Duration::from_secs(1)).await;
     let executions = prepared.fleet.executions().await?.by_key;
     let record = record.lock().unwrap_or_else(PoisonError::into_inner);
-    let judged = record.judge(&executions);
-    let (whole, not_run, unknown) = record.totals();
+    let judgement = record.judge(&executions);
+    let (completed, not_run, unknown) = record.totals();
     Ok(vec![
         fault::Measurement::informational("keys", KEYS as f64),
         fault::Measurement::informational("arrivals", total as f64),
         fault::Measurement::informational("faults", faults as f64),
-        fault::Measurement::informational("answered", whole as f64),
+        fault::Measurement::informational("answered", completed as f64),
         fault::Measurement::informational("told not run", not_run as f64),
         fault::Measurement::informational("told unknown", unknown as f64),
-        fault::Measurement::at_most("keys executed twice", judged.ran_twice as f64, 0.0),
-        fault::Measurement::at_most("untrue \"not run\"", judged.untrue_not_run as f64, 0.0),
-        fault::Measurement::at_most("answers without an execution", judged.unfounded as f64, 0.0),
+        fault::Measurement::at_most("keys executed twice", judgement.ran_twice as f64, 0.0),
+        fault::Measurement::at_most("untrue \"not run\"", judgement.untrue_not_run as f64, 0.0),
+        fault::Measurement::at_most(
+            "answers without an execution",
+            judgement.unfounded as f64,
+            0.0,
+        ),
     ])
 }
 
--- a/crates/lab/src/simulate/command.rs
+++ b/crates/lab/src/simulate/command.rs
@@ -74,11 +74,11 @@
     for step in outcome.trace.iter().skip(skipped) {
         println!("  {step}");
     }
-    let left_out = mutant.map_or(String::new(), |mutant| {
+    let mutant_flag = mutant.map_or(String::new(), |mutant| {
         format!(" --mutant {}", mutant.name())
     });
     println!(
-        "replay: railtack-lab simulate --seeds {seed}..{} --scenario {}{left_out}",
+        "replay: railtack-lab simulate --seeds {seed}..{} --scenario {}{mutant_flag}",
         seed + 1,
         scenario.name(),
     );
--- a/crates/lab/src/simulate/control/checks.rs
+++ b/crates/lab/src/simulate/control/checks.rs
@@ -130,7 +130,7 @@
         &self,
         first_index: &BTreeMap<OperationId, (u64, Outcome)>,
     ) -> Result<(), CheckFailure> {
-        let mut seen = Vec::new();
+        let mut intervals = Vec::new();
         for (operation, observation) in &self.observations {
             let Some((index, outcome)) = first_index.get(operation) else {
                 let detail = format!("{operation} was answered and is not in the history");
@@ -140,17 +140,17 @@
                 let detail = format!("{operation} was told another outcome than it has");
                 return Err((Invariant::Linearizable, detail));
             }
-            seen.push((observation.invoked_at, observation.completed_at, *index));
+            intervals.push((observation.invoked_at, observation.completed_at, *index));
         }
-        check_real_time(seen)
+        check_real_time(intervals)
     }
 }
 
 /// Checks real-time order: an operation that completed before another was invoked precedes it in the log.
-fn check_real_time(mut seen: Vec<(u64, u64, u64)>) -> Result<(), CheckFailure> {
-    seen.sort_by_key(|(_, _, index)| *index);
+fn check_real_time(mut intervals: Vec<(u64, u64, u64)>) -> Result<(), CheckFailure> {
+    intervals.sort_by_key(|(_, _, index)| *index);
     let mut latest_invocation = 0;
-    for (invoked_at, completed_at, index) in seen {
+    for (invoked_at, completed_at, index) in intervals {
         if completed_at < latest_invocation {
             let detail = format!("entry {index} stands after one that began after its answer");
             return Err((Invariant::Linearizable, detail));
@@ -204,8 +204,8 @@
                 if *outcome != Outcome::Claim(ClaimReply::Granted) {
                     return Ok(());
                 }
-                let holder = self.granted.entry(request.key.0.clone());
-                if *holder.or_insert(request.attempt) == request.attempt {
+                let granted_attempt = self.granted.entry(request.key.0.clone());
+                if *granted_attempt.or_insert(request.attempt) == request.attempt {
                     return Ok(());
                 }
                 let detail = format!("key {} was granted to two attempts", request.key);
--- a/crates/lab/src/simulate/control/engines.rs
+++ b/crates/lab/src/simulate/control/engines.rs
@@ -102,17 +102,17 @@
         };
         let raft = process.replica.raft();
         // The daemon waits until each order is applied before the next step.
-        let waits = raft.log().last_index() > raft.applied_index();
-        if waits || !process.replica.is_ready_leader() {
+        let has_unapplied_entries = raft.log().last_index() > raft.applied_index();
+        if has_unapplied_entries || !process.replica.is_ready_leader() {
             return Ok(());
         }
         let state = process.replica.state();
-        let seen = ObservedEngines {
+        let observed = ObservedEngines {
             statuses: &statuses,
             listed: &listed,
         };
         let RolloutStep { record, send } =
-            rollout::next_step(state.configuration(), state.orders(), seen);
+            rollout::next_step(state.configuration(), state.orders(), observed);
         for (engine, order) in record {
             let proposal = Proposal {
                 at: 0,
--- a/crates/lab/src/simulate/control/faults.rs
+++ b/crates/lab/src/simulate/control/faults.rs
@@ -156,8 +156,8 @@
 
     /// Draws a replica, running or not.
     fn draw_replica(&mut self) -> u32 {
-        let present: Vec<u32> = self.replicas.keys().copied().collect();
-        present[self.random.random_range(0..present.len())]
+        let replicas: Vec<u32> = self.replicas.keys().copied().collect();
+        replicas[self.random.random_range(0..replicas.len())]
     }
 
     fn crash_and_restart(&mut self, replica: u32) {
@@ -182,10 +182,10 @@
     /// Partitions a replica from all other nodes.
     fn isolate(&mut self, replica: u32) {
         let node = Node::Replica(replica);
-        let pause = self.random.random_range(300..8_000);
+        let duration = self.random.random_range(300..8_000);
         for other in self.other_nodes(node) {
-            self.cut_for(node, other, pause);
-            self.cut_for(other, node, pause);
+            self.cut_for(node, other, duration);
+            self.cut_for(other, node, duration);
         }
     }
 
@@ -193,32 +193,32 @@
         let from = Node::Replica(self.draw_replica());
         let others = self.other_nodes(from);
         let to = others[self.random.random_range(0..others.len())];
-        let pause = self.random.random_range(300..9_000);
+        let duration = self.random.random_range(300..9_000);
         let (from, to) = if self.random.random_bool(0.5) {
             (from, to)
         } else {
             (to, from)
         };
-        self.cut_for(from, to, pause);
+        self.cut_for(from, to, duration);
     }
 
     /// Partitions a router from some or all replicas, mostly for longer than its lease.
     fn cut_router(&mut self) {
         let router = Node::Router(self.random.random_range(1..=ROUTERS));
-        let pause = self.random.random_range(2_000..14_000);
+        let duration = self.random.random_range(2_000..14_000);
         let replicas: Vec<u32> = self.replicas.keys().copied().collect();
         let cut_all = self.random.random_bool(0.5);
         for replica in replicas {
             if cut_all || self.random.random_bool(0.5) {
-                self.cut_for(router, Node::Replica(replica), pause);
-                self.cut_for(Node::Replica(replica), router, pause);
+                self.cut_for(router, Node::Replica(replica), duration);
+                self.cut_for(Node::Replica(replica), router, duration);
             }
         }
     }
 
-    fn cut_for(&mut self, from: Node, to: Node, pause: u64) {
+    fn cut_for(&mut self, from: Node, to: Node, duration: u64) {
         self.network.cut(from, to);
-        self.schedule.after(pause, Event::Reconnect(from, to));
+        self.schedule.after(duration, Event::Reconnect(from, to));
     }
 
     fn other_nodes(&self, node: Node) -> Vec<Node> {
@@ -304,9 +304,9 @@
             return;
         };
         if self.lag_entries(leader, lagging) < MIN_LAG_ENTRIES {
-            let pause = self.random.random_range(400..1_500);
-            self.cut_for(Node::Replica(leader), Node::Replica(lagging), pause);
-            self.cut_for(Node::Replica(losing), Node::Replica(lagging), pause);
+            let duration = self.random.random_range(400..1_500);
+            self.cut_for(Node::Replica(leader), Node::Replica(lagging), duration);
+            self.cut_for(Node::Replica(losing), Node::Replica(lagging), duration);
             return;
         }
         self.network
--- a/crates/lab/src/simulate/control/operators.rs
+++ b/crates/lab/src/simulate/control/operators.rs
@@ -56,7 +56,7 @@
             if self.healed {
                 return;
             }
-            self.begin_operation(operator, now);
+            self.start_operation(operator, now);
         }
         let Some(pending) = &mut self.operators[operator as usize].pending else {
             return;
@@ -75,7 +75,7 @@
         );
     }
 
-    fn begin_operation(&mut self, operator: u32, now: u64) {
+    fn start_operation(&mut self, operator: u32, now: u64) {
         let number = self.next_id();
         let document = self.random.random_range(0..DOCUMENTS);
         let content = if self.scenario == Scenario::Rollout && document == 0 {
@@ -144,7 +144,7 @@
     pub fn handle_operation_outcome(
         &mut self,
         operator: u32,
-        proposed: ProposalOutcome,
+        proposal_outcome: ProposalOutcome,
     ) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let pause = self.random.random_range(20..600);
@@ -154,7 +154,7 @@
         let Some(pending) = state.pending.take() else {
             return Ok(());
         };
-        match proposed {
+        match proposal_outcome {
             ProposalOutcome::Done(outcome) => {
                 match &outcome {
                     Outcome::Accepted { revision } => {
--- a/crates/lab/src/simulate/control/replicas.rs
+++ b/crates/lab/src/simulate/control/replicas.rs
@@ -27,7 +27,7 @@
 /// Longer than any run, so that claims do not expire.
 const CLAIM_RETENTION: Millis = 86_400_000;
 /// Wall-clock time at the start of a run, milliseconds since the Unix epoch.
-const EPOCH: u64 = 1_700_000_000_000;
+const CLOCK_EPOCH: u64 = 1_700_000_000_000;
 
 /// A replica's running process.
 pub struct ReplicaProcess {
@@ -90,7 +90,7 @@
         let incarnation = self
             .replicas
             .get(&number)
-            .map_or(0, |known| known.incarnation);
+            .map_or(0, |machine| machine.incarnation);
         let revision_check = if self.is_mutant(Mutant::NoRevisionCheck) {
             RevisionCheck::Skipped
         } else {
@@ -224,7 +224,7 @@
         let Some(machine) = self.replicas.get_mut(&number) else {
             return Ok(());
         };
-        let at = EPOCH + machine.clock.read(now);
+        let at = CLOCK_EPOCH + machine.clock.read(now);
         let Some(process) = machine.process.as_mut() else {
             self.reply(number, from, call, Reply::Refused);
             return Ok(());
@@ -283,15 +283,15 @@
                 return Ok(());
             }
         };
-        let mut answers = Vec::new();
+        let mut replies = Vec::new();
         for applied in advance.applied {
             self.checks.record_applied(number, &applied)?;
-            answers.extend(process.pending.applied(applied));
+            replies.extend(process.pending.applied(applied));
         }
         if process.replica.raft().role() != Role::Leader {
-            answers.extend(process.pending.fail_all());
+            replies.extend(process.pending.fail_all());
         }
-        for ((node, call), reply) in answers {
+        for ((node, call), reply) in replies {
             self.reply(number, node, call, Reply::Proposed(reply));
         }
         for message in advance.messages {
@@ -348,13 +348,13 @@
 
     /// Checks that replicas with the same applied index have the same state.
     pub fn check_replicas_agree(&self) -> Result<(), CheckFailure> {
-        let mut known: Vec<(LogIndex, u32)> = Vec::new();
+        let mut compared: Vec<(LogIndex, u32)> = Vec::new();
         for (number, machine) in &self.replicas {
             let Some(process) = &machine.process else {
                 continue;
             };
             let applied = process.replica.raft().applied_index();
-            let peer = known.iter().find(|(index, _)| *index == applied);
+            let peer = compared.iter().find(|(index, _)| *index == applied);
             if let Some((_, other)) = peer {
                 let peer_process = self.replicas[other].process.as_ref();
                 let same = peer_process.is_some_and(|peer_process| {
@@ -365,7 +365,7 @@
                     return Err((Invariant::LogAgreement, detail));
                 }
             }
-            known.push((applied, *number));
+            compared.push((applied, *number));
         }
         Ok(())
     }
--- a/crates/lab/src/simulate/control/routers.rs
+++ b/crates/lab/src/simulate/control/routers.rs
@@ -129,12 +129,12 @@
         let applied = router.resolved.applied;
         let is_confirmed = router.lease.is_valid(applied, local);
         let replicas: Vec<u32> = self.replicas.keys().copied().collect();
-        let wanted = self.random.random_range(0..replicas.len());
+        let update_replica = self.random.random_range(0..replicas.len());
         for (position, replica) in replicas.into_iter().enumerate() {
             let request = Request::Poll(PollRequest {
                 router: RouterId(number),
                 applied,
-                want_update: position == wanted,
+                want_update: position == update_replica,
                 quarantine_known: 0,
             });
             let purpose = CallPurpose::Poll {
@@ -381,12 +381,12 @@
 
     /// Handles the service's response.
     pub fn handle_service_response(&mut self, arrival: u64) -> Result<(), CheckFailure> {
-        let answer = StoredResponse {
+        let response = StoredResponse {
             status: 200,
             content_type: "text/plain".to_owned(),
             body: Some(Vec::new()),
         };
-        self.finish_service_call_if_pending(arrival, Ok(answer))
+        self.finish_service_call_if_pending(arrival, Ok(response))
     }
 
     /// Handles the timeout of a service call.
@@ -447,8 +447,8 @@
             return Ok(());
         };
         if self.schedule.now() >= state.deadline {
-            let proposed = state.attempts.outcome_at_deadline();
-            return self.finish_task(task, proposed);
+            let outcome = state.attempts.outcome_at_deadline();
+            return self.finish_task(task, outcome);
         }
         let node = state.node;
         let proposal = Proposal {
@@ -456,10 +456,10 @@
             command: state.command.clone(),
         };
         let replicas: Vec<u32> = self.replicas.keys().copied().collect();
-        let anyone = replicas[self.random.random_range(0..replicas.len())];
+        let random_replica = replicas[self.random.random_range(0..replicas.len())];
         let leader = self.leaders().first().copied();
-        let knows_leader = self.random.random_bool(0.8);
-        let target = leader.filter(|_| knows_leader).unwrap_or(anyone);
+        let prefers_leader = self.random.random_bool(0.8);
+        let target = leader.filter(|_| prefers_leader).unwrap_or(random_replica);
         let purpose = CallPurpose::Proposal(task);
         let request = Request::Propose(proposal);
         self.call(node, target, request, purpose, PROPOSE_TIMEOUT);
@@ -469,13 +469,13 @@
     fn handle_proposal_response(
         &mut self,
         task: u64,
-        answer: ReplicaResponse,
+        response: ReplicaResponse,
     ) -> Result<(), CheckFailure> {
         let Some(state) = self.tasks.get_mut(&task) else {
             return Ok(());
         };
-        if let Some(proposed) = state.attempts.record(answer) {
-            return self.finish_task(task, proposed);
+        if let Some(outcome) = state.attempts.record(response) {
+            return self.finish_task(task, outcome);
         }
         let node = state.node;
         self.schedule
@@ -483,7 +483,7 @@
         Ok(())
     }
 
-    fn finish_task(&mut self, task: u64, proposed: ProposalOutcome) -> Result<(), CheckFailure> {
+    fn finish_task(&mut self, task: u64, outcome: ProposalOutcome) -> Result<(), CheckFailure> {
         let Some(state) = self.tasks.remove(&task) else {
             return Ok(());
         };
@@ -492,10 +492,10 @@
                 let Some(state) = self.arrivals.get_mut(&arrival) else {
                     return Ok(());
                 };
-                let step = state.request.on_proposal(proposed);
+                let step = state.request.on_proposal(outcome);
                 self.execute_step(arrival, step)
             }
-            TaskOwner::Operator(operator) => self.handle_operation_outcome(operator, proposed),
+            TaskOwner::Operator(operator) => self.handle_operation_outcome(operator, outcome),
             TaskOwner::Background => Ok(()),
         }
     }
--- a/crates/lab/src/simulate/streams/engines.rs
+++ b/crates/lab/src/simulate/streams/engines.rs
@@ -131,11 +131,11 @@
             self.schedule.after(pause, Event::Status { engine });
         }
         let gate = &self.engines[&engine].gate;
-        let known = EngineView {
+        let view = EngineView {
             incarnation: gate.incarnation,
             weights_version: gate.weights_version,
         };
-        self.engine_views.insert(engine, known);
+        self.engine_views.insert(engine, view);
     }
 
     /// Handles a dispatch at its engine.
--- a/crates/lab/src/simulate/streams/requests.rs
+++ b/crates/lab/src/simulate/streams/requests.rs
@@ -140,17 +140,17 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
-        let choices: Vec<u32> = (1..=ENGINES)
+        let candidates: Vec<u32> = (1..=ENGINES)
             .filter(|engine| {
                 !request.excluded.contains(engine) && self.engine_views.contains_key(engine)
             })
             .collect();
-        if choices.is_empty() {
+        if candidates.is_empty() {
             let next = request.attempts.fail_without_engine();
             return self.execute_next_step(number, next);
         }
-        let engine = choices[self.random.random_range(0..choices.len())];
-        let known = self.engine_views[&engine];
+        let engine = candidates[self.random.random_range(0..candidates.len())];
+        let view = self.engine_views[&engine];
         request.engine = engine;
         request.attempt = attempt;
         request.connection = connection;
@@ -160,9 +160,9 @@
             request: number,
             connection,
             attempt,
-            incarnation: known.incarnation,
-            weights_version: known.weights_version,
-            namespace: namespace(self.mutant, request.tenant, known.weights_version),
+            incarnation: view.incarnation,
+            weights_version: view.weights_version,
+            namespace: namespace(self.mutant, request.tenant, view.weights_version),
             tenant: request.tenant,
             prompt: request.prompt.clone(),
             delivered: request.relay.delivered(),
@@ -282,11 +282,11 @@
         let engine = request.engine;
         // The router refreshes its view of the engine before it chooses again.
         let gate = &self.engines[&engine].gate;
-        let known = super::world::EngineView {
+        let view = super::world::EngineView {
             incarnation: gate.incarnation,
             weights_version: gate.weights_version,
         };
-        self.engine_views.insert(engine, known);
+        self.engine_views.insert(engine, view);
         self.finish_attempt(number, outcome)
     }
 
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -66,7 +66,7 @@
     pub fn violations(&self) -> usize {
         self.measurements
             .iter()
-            .filter(|one| !one.is_within_limit())
+            .filter(|measurement| !measurement.is_within_limit())
             .count()
     }
 }
@@ -118,12 +118,12 @@
     schedule_result?;
     let executions = prepared.fleet.executions().await?.by_key;
     let judgement = keyed_record.judge(&executions);
-    let (whole, not_run, unknown) = keyed_record.totals();
+    let (completed, not_run, unknown) = keyed_record.totals();
     let measurements = vec![
         Measurement::informational("acts", schedule.actions.len() as f64),
         Measurement::informational("whole answers of models", model_report.summary.whole as f64),
         Measurement::informational("streams that callers saw cut", model_report.interrupted()),
-        Measurement::informational("keyed requests answered", whole as f64),
+        Measurement::informational("keyed requests answered", completed as f64),
         Measurement::informational("keyed requests told not run", not_run as f64),
         Measurement::informational("keyed requests told neither", unknown as f64),
         Measurement::at_most(
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/lab/src/soak/schedule.rs
@@ -17,7 +17,7 @@
 const MEAN_EPISODE_INTERVAL: Duration = Duration::from_millis(450);
 /// Time at the start and the end in which no episode starts.
 const QUIET_PERIOD: Duration = Duration::from_millis(500);
-/// Maximum downtime or freeze of a process; above some, but not all, leases and timeouts.
+/// Maximum downtime or freeze of a process; above the default election timeout.
 const MAX_DOWNTIME_MS: u64 = 3_500;
 /// Time between SIGTERM and the restart, so that open responses can complete.
 const TERMINATION_PERIOD: Duration = Duration::from_millis(2_500);
@@ -98,8 +98,8 @@
         let mut busy: Vec<(Target, Duration)> = Vec::new();
         let mut starts_at = QUIET_PERIOD;
         while starts_at + QUIET_PERIOD < length {
-            let ends_at = schedule.add_episode(&mut random, size, starts_at, &busy);
-            busy.extend(ends_at);
+            let episodes = schedule.add_episode(&mut random, size, starts_at, &busy);
+            busy.extend(episodes);
             starts_at += MEAN_EPISODE_INTERVAL.mul_f64(random.random_range(0.2..1.8));
         }
         schedule.actions.sort_by_key(|(due, _)| *due);
@@ -134,12 +134,12 @@
             self.actions.push((starts_at, Action::Change(count)));
             return Vec::new();
         }
-        let ends_at = match kind {
+        let episode = match kind {
             1 => self.add_kill(target, starts_at, starts_at + draw_downtime(random)),
             2 => self.add_freeze(target, starts_at, starts_at + draw_downtime(random)),
             _ => self.add_termination(target, starts_at),
         };
-        vec![ends_at]
+        vec![episode]
     }
 
     fn add_kill(
@@ -178,6 +178,6 @@
 
 fn draw_downtime(random: &mut ChaCha8Rng) -> Duration {
     // Short downtimes are more frequent: they are close to leases and timeouts.
-    let shortest = random.random_range(1..MAX_DOWNTIME_MS);
-    Duration::from_millis(random.random_range(1..=shortest))
+    let max_downtime = random.random_range(1..MAX_DOWNTIME_MS);
+    Duration::from_millis(random.random_range(1..=max_downtime))
 }
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -26,7 +26,7 @@
     let violations: Vec<_> = report
         .measurements
         .iter()
-        .filter(|one| !one.is_within_limit())
+        .filter(|measurement| !measurement.is_within_limit())
         .collect();
     assert!(
         violations.is_empty(),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn schedule_depends_only_on_its_seed() {
+fn schedule_is_determined_by_its_seed() {
     let draw = |seed| Schedule::draw(seed, SIZE, LENGTH);
     assert_eq!(draw(7), draw(7));
     assert_ne!(draw(7), draw(8));
