--- a/crates/lab/src/simulate/control/operators.rs
+++ b/crates/lab/src/simulate/control/operators.rs
@@ -23,7 +23,7 @@
 /// Model whose weights version the operators change.
 pub const MODEL: &str = "model";
 
-/// A submitted change without an outcome so far.
+/// A submitted change without an outcome yet.
 pub struct PendingOperation {
     operation: OperationId,
     change: ConfigurationChange,
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -47,7 +47,7 @@
 /// Time after the schedule within which every router must serve again. Engine loss is detected and
 /// cleared, a leader is elected, and routers poll, each within a few seconds.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two requests to a router that does not serve so far.
+/// Time between two requests to a router that does not serve yet.
 const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Timeout of a configuration change; without a quorum, the change is abandoned.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(2);
