--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,7 +1,8 @@
-//! Continuous batching with a prefix cache, as a pure model.
+//! Model of an engine with continuous batching and a prefix cache. Performs no I/O and reads no
+//! clock.
 //!
-//! The caller steps it: a step takes [`StepOutcome::duration_us`] and its outputs become visible
-//! when that time has passed.
+//! The caller steps the model. A step takes [`StepOutcome::duration_us`]; its outputs are visible
+//! after that time.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,38 +12,38 @@
 
 use crate::cache::{BlockCache, CacheChanges};
 
-/// A request to an engine.
+/// Request to an engine.
 #[derive(Clone, Debug)]
 pub struct NewSequence {
-    /// Names the request within the engine.
+    /// Id of the request, unique within the engine.
     pub attempt: u128,
-    /// The prompt.
+    /// Block hashes and length of the prompt.
     pub chain: PrefixChain,
-    /// Answer tokens that were delivered before; they are computed like prompt tokens.
+    /// Output tokens delivered by an earlier attempt. They are prefilled like prompt tokens.
     pub delivered_tokens: u32,
-    /// Length of the whole answer, the delivered tokens included.
+    /// Length of the complete output in tokens, including the delivered ones.
     pub max_tokens: u32,
-    /// Higher goes first.
+    /// Higher values are served first.
     pub priority: u8,
-    /// Leading blocks offered by the store of kept cache; importing costs less than computing.
+    /// Leading blocks that can be imported from a cache store; cheaper than computing them.
     pub importable_blocks: usize,
 }
 
-/// A token, visible at the end of the step.
+/// Output token, visible at the end of the step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenOutput {
-    /// The request.
+    /// Id of the request.
     pub attempt: u128,
-    /// Position in the whole answer.
+    /// Position in the complete output, from 0.
     pub index: u32,
-    /// Present with the last token.
+    /// Present for the last token only.
     pub end: Option<SequenceEnd>,
 }
 
-/// What a finished request took.
+/// Token counts of a finished request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SequenceEnd {
-    /// Tokens of the whole answer.
+    /// Tokens of the complete output.
     pub tokens: u32,
     /// Prompt tokens.
     pub prompt_tokens: u32,
@@ -50,86 +51,86 @@
     pub cached_tokens: u32,
 }
 
-/// What one step brought.
+/// Result of one step.
 #[derive(Clone, Debug, Default)]
 pub struct StepOutcome {
-    /// How long the step takes, microseconds.
+    /// Duration of the step, microseconds.
     pub duration_us: u64,
-    /// Tokens computed.
+    /// Output tokens.
     pub outputs: Vec<TokenOutput>,
-    /// Requests that were admitted, with the prompt tokens found in the cache.
+    /// Requests admitted to the batch, each with its cached prompt tokens.
     pub admitted: Vec<(u128, u32)>,
-    /// Changes of the cache.
+    /// Changes of the cache in this step.
     pub changes: CacheChanges,
 }
 
 #[derive(Clone, Debug)]
-struct Running {
+struct RunningSequence {
     request: NewSequence,
-    prefill_left: u32,
-    import_left: u32,
+    prefill_remaining: u32,
+    import_remaining: u32,
     cached_tokens: u32,
     acquired_blocks: usize,
     produced: u32,
 }
 
-impl Running {
+impl RunningSequence {
     fn is_decoding(&self) -> bool {
-        self.prefill_left == 0 && self.import_left == 0
+        self.prefill_remaining == 0 && self.import_remaining == 0
     }
 }
 
-/// Order of the queue: higher priority first, then earlier arrival.
+/// Sort key of the queue: higher priority first, then earlier arrival.
 type QueueKey = (std::cmp::Reverse<u8>, u64);
 
-/// A request that waits for a place in the batch.
+/// Request that waits for a slot in the batch.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct WaitingSequence {
     request: NewSequence,
-    /// Prompt tokens that were not cached when it arrived; what the load report counts.
+    /// Prompt tokens that were not cached on arrival, as counted by the load report.
     uncached_tokens: u64,
 }
 
-/// Prompt tokens still to be computed.
+/// Pending prefill tokens.
 #[derive(Clone, Copy, Debug, Default)]
 struct QueuedTokens {
-    all: u64,
-    /// Those above the lowest priority.
+    total: u64,
+    /// Tokens of requests above the lowest priority.
     urgent: u64,
 }
 
 impl QueuedTokens {
     fn add(&mut self, priority: u8, tokens: u64) {
-        self.all += tokens;
+        self.total += tokens;
         if priority > 0 {
             self.urgent += tokens;
         }
     }
 
     fn remove(&mut self, priority: u8, tokens: u64) {
-        self.all -= tokens;
+        self.total -= tokens;
         if priority > 0 {
             self.urgent -= tokens;
         }
     }
 }
 
-/// One engine.
+/// Model of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     costs: EngineCosts,
     cache: BlockCache,
-    waiting: BTreeMap<QueueKey, Waiting>,
+    waiting: BTreeMap<QueueKey, WaitingSequence>,
     waiting_tokens: QueuedTokens,
     queue_keys: HashMap<u128, QueueKey>,
-    running: Vec<Running>,
+    running: Vec<RunningSequence>,
     arrivals: u64,
     last_step_us: u64,
     totals: EngineTotals,
 }
 
 impl EngineModel {
-    /// An engine with an empty cache.
+    /// Creates an engine with an empty cache.
     pub fn new(costs: EngineCosts) -> Self {
         let cache = BlockCache::new(costs.cache_blocks);
         Self {
@@ -151,16 +152,16 @@
         self.arrivals += 1;
         let key = (std::cmp::Reverse(request.priority), self.arrivals);
         self.queue_keys.insert(request.attempt, key);
-        let uncached_tokens = self.uncached(&request);
+        let uncached_tokens = self.uncached_tokens(&request);
         self.waiting_tokens.add(request.priority, uncached_tokens);
-        let waiting = Waiting {
+        let waiting = WaitingSequence {
             request,
             uncached_tokens,
         };
         self.waiting.insert(key, waiting);
     }
 
-    /// Drops a request wherever it is; false if it is not here.
+    /// Cancels a waiting or running request. Returns false if it is neither.
     pub fn cancel(&mut self, attempt: u128, now_us: u64) -> bool {
         if let Some(key) = self.queue_keys.remove(&attempt) {
             if let Some(waiting) = self.waiting.remove(&key) {
@@ -183,39 +184,40 @@
         true
     }
 
-    /// Whether a step would do anything.
+    /// Returns whether any request is waiting or running.
     pub fn has_work(&self) -> bool {
         !self.waiting.is_empty() || !self.running.is_empty()
     }
 
-    /// The cache.
+    /// Returns the prefix cache.
     pub fn cache(&self) -> &BlockCache {
         &self.cache
     }
 
-    /// The costs.
+    /// Returns the cost settings.
     pub fn costs(&self) -> &EngineCosts {
         &self.costs
     }
 
-    /// Totals since start.
+    /// Returns the totals since the start.
     pub fn totals(&self) -> EngineTotals {
         self.totals
     }
 
-    /// Empties the cache, as loading other weights does.
+    /// Clears the cache, as when other weights are loaded. Returns the removed blocks and any
+    /// earlier changes not yet returned by a step.
     pub fn clear_cache(&mut self) -> CacheChanges {
         self.cache.clear();
         self.cache.take_changes()
     }
 
-    /// The present load.
+    /// Returns the current load.
     pub fn load(&self) -> LoadReport {
         let queued = self.queued_prefill();
         LoadReport {
             running: self.running.len() as u32,
             waiting: self.waiting.len() as u32,
-            queued_prefill_tokens: queued.all,
+            queued_prefill_tokens: queued.total,
             urgent_prefill_tokens: queued.urgent,
             batch_limit: self.costs.batch_limit as u32,
             step_us: self.last_step_us,
@@ -226,7 +228,10 @@
     fn queued_prefill(&self) -> QueuedTokens {
         let mut queued = self.waiting_tokens;
         for running in &self.running {
-            queued.add(running.request.priority, u64::from(running.prefill_left));
+            queued.add(
+                running.request.priority,
+                u64::from(running.prefill_remaining),
+            );
         }
         queued
     }
@@ -235,12 +240,16 @@
     pub fn step(&mut self, now_us: u64) -> StepOutcome {
         let mut outcome = StepOutcome::default();
         self.admit(now_us, &mut outcome);
-        let decoding: Vec<bool> = self.running.iter().map(Running::is_decoding).collect();
+        let decoding: Vec<bool> = self
+            .running
+            .iter()
+            .map(RunningSequence::is_decoding)
+            .collect();
         let decode_count = decoding.iter().filter(|decodes| **decodes).count();
         let (prefill_tokens, import_tokens) = self.advance_prefill();
         outcome.duration_us = self.step_duration(decode_count, prefill_tokens, import_tokens);
         let end_us = now_us + outcome.duration_us;
-        self.produce(&decoding, end_us, &mut outcome);
+        self.emit_tokens(&decoding, end_us, &mut outcome);
         outcome.changes = self.cache.take_changes();
         self.last_step_us = outcome.duration_us;
         outcome
@@ -255,7 +264,7 @@
             self.waiting_tokens
                 .remove(request.priority, waiting.uncached_tokens);
             self.queue_keys.remove(&request.attempt);
-            let running = self.begin(request, now_us);
+            let running = self.start_sequence(request, now_us);
             outcome
                 .admitted
                 .push((running.request.attempt, running.cached_tokens));
@@ -263,47 +272,48 @@
         }
     }
 
-    fn begin(&mut self, request: NewSequence, now_us: u64) -> Running {
+    fn start_sequence(&mut self, request: NewSequence, now_us: u64) -> RunningSequence {
         let chain = &request.chain;
-        let matched = self.cache.matched(&chain.blocks);
-        self.cache.acquire(&chain.blocks[..matched], now_us);
-        // The last token is always computed: its output is the first token of the answer.
+        let cached_blocks = self.cache.cached_prefix_len(&chain.blocks);
+        self.cache.acquire(&chain.blocks[..cached_blocks], now_us);
+        // The last prompt token is always computed, as its step yields the first output token.
         let cached_tokens = chain
-            .tokens_at(matched)
+            .tokens_at(cached_blocks)
             .min(chain.total_tokens.saturating_sub(1));
-        let imported_to = chain
-            .tokens_at(request.importable_blocks.max(matched))
+        let importable_tokens = chain
+            .tokens_at(request.importable_blocks.max(cached_blocks))
             .min(chain.total_tokens.saturating_sub(1));
-        let import_left = imported_to.saturating_sub(cached_tokens);
-        let wanted = chain.total_tokens + request.delivered_tokens;
+        let import_remaining = importable_tokens.saturating_sub(cached_tokens);
+        let total_tokens = chain.total_tokens + request.delivered_tokens;
         self.totals.prompt_tokens += u64::from(chain.total_tokens);
         self.totals.cached_tokens += u64::from(cached_tokens);
-        Running {
-            prefill_left: wanted - cached_tokens - import_left,
-            import_left,
+        RunningSequence {
+            prefill_remaining: total_tokens - cached_tokens - import_remaining,
+            import_remaining,
             cached_tokens,
-            acquired_blocks: matched,
+            acquired_blocks: cached_blocks,
             produced: request.delivered_tokens,
             request,
         }
     }
 
-    /// Spends the step's budget on prompts, the most urgent first; returns computed and imported
-    /// tokens.
+    /// Spends the step's prefill budget, on the highest priority first. Returns the computed and
+    /// the imported tokens.
     fn advance_prefill(&mut self) -> (u32, u32) {
         let mut budget = self.costs.step_prefill_tokens;
         let mut computed = 0;
         let mut imported = 0;
-        let mut order: Vec<usize> = (0..self.running.len()).collect();
-        order.sort_by_key(|&position| std::cmp::Reverse(self.running[position].request.priority));
-        for position in order {
+        let mut positions: Vec<usize> = (0..self.running.len()).collect();
+        positions
+            .sort_by_key(|&position| std::cmp::Reverse(self.running[position].request.priority));
+        for position in positions {
             let running = &mut self.running[position];
-            imported += running.import_left;
-            running.import_left = 0;
-            let share = running.prefill_left.min(budget);
-            running.prefill_left -= share;
-            budget -= share;
-            computed += share;
+            imported += running.import_remaining;
+            running.import_remaining = 0;
+            let tokens = running.prefill_remaining.min(budget);
+            running.prefill_remaining -= tokens;
+            budget -= tokens;
+            computed += tokens;
         }
         (computed, imported)
     }
@@ -315,8 +325,9 @@
         costs.step_base_us + costs.step_request_us * decoding as u64 + (prefill + import) as u64
     }
 
-    /// Requests that were decoding yield a token, and so do those whose prompt was finished.
-    fn produce(&mut self, decoding: &[bool], end_us: u64, outcome: &mut StepOutcome) {
+    /// Emits a token for each request that was decoding before the step or finished its prefill in
+    /// it.
+    fn emit_tokens(&mut self, decoding: &[bool], end_us: u64, outcome: &mut StepOutcome) {
         let mut finished = Vec::new();
         for (position, &was_decoding) in decoding.iter().enumerate() {
             if !self.running[position].is_decoding() {
@@ -349,19 +360,19 @@
         }
     }
 
-    fn release(&mut self, running: &Running, now_us: u64) {
+    fn release(&mut self, running: &RunningSequence, now_us: u64) {
         let blocks = &running.request.chain.blocks[..running.acquired_blocks];
         self.cache.release(blocks, now_us);
     }
 
-    fn uncached(&self, request: &NewSequence) -> u64 {
-        let matched = self.cache.matched(&request.chain.blocks);
-        let cached = request.chain.tokens_at(matched);
+    fn uncached_tokens(&self, request: &NewSequence) -> u64 {
+        let cached_blocks = self.cache.cached_prefix_len(&request.chain.blocks);
+        let cached = request.chain.tokens_at(cached_blocks);
         u64::from(request.chain.total_tokens.saturating_sub(cached))
     }
 }
 
-fn next_token(running: &mut Running) -> TokenOutput {
+fn next_token(running: &mut RunningSequence) -> TokenOutput {
     let index = running.produced;
     running.produced += 1;
     let end = (running.produced >= running.request.max_tokens).then_some(SequenceEnd {
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: a fleet, mixed load, and a check of every answer.
+//! Starts a fleet, sends mixed load and checks every response.
 
 use std::{collections::HashSet, path::PathBuf, sync::Arc, time::Duration};
 
@@ -16,33 +16,32 @@
     LabError,
     fleet::{Fleet, FleetKind, FleetShape},
     load::{
-        Caller, Finding, LoadDocuments, ModelQuestion, Summary, caller::AskShape,
+        CallOutcome, Caller, LoadDocuments, ModelRequest, Summary, caller::ResponseMode,
         documents::LONG_TEMPLATE,
     },
 };
 
-/// Requests of the demonstration.
+/// Number of requests.
 const REQUESTS: usize = 300;
-/// Requests open at once.
+/// Most requests open at a time.
 const CONCURRENCY: usize = 16;
-/// Tenants.
+/// Number of tenants.
 const TENANTS: usize = 2;
-/// Time for connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What fleet to start, and where.
+/// Options of the commands that start a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// Whose fleet.
+    /// Kind of fleet.
     pub kind: FleetKind,
-    /// Seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Folder; a new temporary one if absent.
+    /// Folder for settings, logs and data; a temporary one if absent.
     pub folder: Option<PathBuf>,
 }
 
 impl FleetOptions {
-    /// The folder to use.
+    /// Returns the configured folder, or a temporary one for this process.
     pub fn folder(&self) -> PathBuf {
         let temporary =
             || std::env::temp_dir().join(format!("railtack-lab-{}", std::process::id()));
@@ -50,18 +49,23 @@
     }
 }
 
-/// A fleet with its documents in force.
+/// A running fleet whose documents have been applied.
 pub struct PreparedFleet {
     /// The fleet.
     pub fleet: Fleet,
-    /// What was submitted.
+    /// Documents that were submitted.
     pub documents: LoadDocuments,
 }
 
 impl PreparedFleet {
-    /// Makes many small changes of configuration over one connection; how many were accepted.
-    pub async fn change_many(&self, count: u64) -> Result<u64, Report<LabError>> {
-        let addresses = self.fleet.places.control.iter().map(|place| place.listen);
+    /// Submits `count` configuration changes through one client. Returns how many were accepted.
+    pub async fn submit_many_changes(&self, count: u64) -> Result<u64, Report<LabError>> {
+        let addresses = self
+            .fleet
+            .endpoints
+            .control
+            .iter()
+            .map(|endpoint| endpoint.listen);
         let client = ControlClient::new(addresses);
         let mut accepted = 0;
         for number in 0..count {
@@ -78,9 +82,14 @@
         Ok(accepted)
     }
 
-    /// Voters of the control cluster whose folder is the one that a replica has now.
-    pub async fn voters_with_known_disk(&self, replica: u32) -> Result<usize, Report<LabError>> {
-        let addresses = self.fleet.places.control.iter().map(|place| place.listen);
+    /// Returns the number of voters whose disk identity is the one that a replica reports now.
+    pub async fn voters_on_current_disk(&self, replica: u32) -> Result<usize, Report<LabError>> {
+        let addresses = self
+            .fleet
+            .endpoints
+            .control
+            .iter()
+            .map(|endpoint| endpoint.listen);
         let client = ControlClient::new(addresses);
         let statuses: Vec<_> = client
             .statuses()
@@ -103,7 +112,7 @@
     }
 }
 
-/// Starts a fleet and submits the documents through the operators' interface.
+/// Starts a fleet and submits the documents with `railtackctl`.
 pub async fn prepare(
     shape: FleetShape,
     options: &FleetOptions,
@@ -113,30 +122,30 @@
     let documents = LoadDocuments::draw(&shape, TENANTS, random);
     let fleet = Fleet::start(shape, &folder).await?;
     for [kind, verb, file] in documents.write(&folder)? {
-        fleet.operate(&[&kind, &verb, &file]).await?;
+        fleet.run_ctl(&[&kind, &verb, &file]).await?;
     }
     fleet.wait_for_routers().await?;
     wait_for_engines(&fleet, &documents).await?;
     Ok(PreparedFleet { fleet, documents })
 }
 
-/// Waits until every router serves a model: it has heard of engines and of the documents.
+/// Waits until every router completes a model request, which needs registered engines and the documents.
 async fn wait_for_engines(
     fleet: &Fleet,
     documents: &LoadDocuments,
 ) -> Result<(), Report<LabError>> {
-    let limit = Duration::from_secs(20);
+    let timeout = Duration::from_secs(20);
     let started = Instant::now();
     let client = HttpClient::new(CONNECT_TIMEOUT);
     let caller = Caller::new(client, &documents.tenants[0].key);
     let mut random = ChaCha8Rng::seed_from_u64(0);
-    let question = documents.question(0, &mut random);
-    for place in &fleet.places.routers {
-        while !is_answered(&caller, place.listen, &question).await {
-            if started.elapsed() > limit {
+    let request = documents.model_request(0, &mut random);
+    for endpoint in &fleet.endpoints.routers {
+        while !is_served(&caller, endpoint.listen, &request).await {
+            if started.elapsed() > timeout {
                 return Err(Report::new(LabError::NotReady {
-                    name: format!("router-{}", place.router),
-                    limit_ms: limit.as_millis() as u64,
+                    name: format!("router-{}", endpoint.router),
+                    limit_ms: timeout.as_millis() as u64,
                 }));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -145,22 +154,18 @@
     Ok(())
 }
 
-async fn is_answered(
-    caller: &Caller,
-    router: std::net::SocketAddr,
-    question: &ModelQuestion,
-) -> bool {
-    let finding = caller.ask(router, question, AskShape::Stream).await;
-    matches!(finding, Finding::Whole { .. })
+async fn is_served(caller: &Caller, router: std::net::SocketAddr, request: &ModelRequest) -> bool {
+    let outcome = caller.generate(router, request, ResponseMode::Stream).await;
+    matches!(outcome, CallOutcome::Complete { .. })
 }
 
 /// One request of the mixed load.
 #[derive(Clone, Debug)]
 enum MixedRequest {
-    Model(usize, Box<ModelQuestion>, AskShape),
+    Model(usize, Box<ModelRequest>, ResponseMode),
     Lookup(usize, u64),
-    Once(usize, u64),
-    WrongKey(Box<ModelQuestion>),
+    Keyed(usize, u64),
+    WrongKey(Box<ModelRequest>),
     UnknownTemplate(usize),
 }
 
@@ -169,22 +174,22 @@
         let tenant = random.random_range(0..documents.tenants.len());
         match random.random_range(0..100) {
             0..80 => {
-                let shape = if random.random_bool(0.75) {
-                    AskShape::Stream
+                let mode = if random.random_bool(0.75) {
+                    ResponseMode::Stream
                 } else {
-                    AskShape::Whole
+                    ResponseMode::Unary
                 };
-                let question = documents.question(tenant, random);
-                Self::Model(tenant, Box::new(question), shape)
+                let request = documents.model_request(tenant, random);
+                Self::Model(tenant, Box::new(request), mode)
             }
             80..88 => Self::Lookup(tenant, random.random()),
-            88..96 => Self::Once(tenant, random.random()),
-            96..98 => Self::WrongKey(Box::new(documents.question(tenant, random))),
+            88..96 => Self::Keyed(tenant, random.random()),
+            96..98 => Self::WrongKey(Box::new(documents.model_request(tenant, random))),
             _ => Self::UnknownTemplate(tenant),
         }
     }
 
-    /// The refusal that is right for this request.
+    /// Returns the refusal code that this request must get, or `None` if it must succeed.
     fn expected_refusal(&self) -> Option<RefusalCode> {
         match self {
             Self::WrongKey(_) => Some(RefusalCode::Unauthorized),
@@ -217,8 +222,8 @@
     let requests: Vec<MixedRequest> = (0..REQUESTS)
         .map(|_| MixedRequest::draw(&prepared.documents, &mut random))
         .collect();
-    let blocks = distinct_blocks(&prepared.documents, &requests);
-    let (summary, unexpected) = put_load(&prepared, requests).await;
+    let blocks = distinct_prompt_tokens(&prepared.documents, &requests);
+    let (summary, unexpected) = run_load(&prepared, requests).await;
     let work = EngineWork::read(&prepared.fleet).await.since(before);
     let executions = prepared.fleet.executions().await?;
     let repeated = executions
@@ -234,10 +239,14 @@
     let wrong = summary.wrong.len() as u64;
     let violations =
         wrong + summary.lost + summary.broken + summary.unreachable + repeated as u64 + unexpected;
-    finish(prepared.fleet, &options, violations)
+    stop_fleet(prepared.fleet, &options, violations)
 }
 
-fn finish(fleet: Fleet, options: &FleetOptions, violations: u64) -> Result<(), Report<LabError>> {
+fn stop_fleet(
+    fleet: Fleet,
+    options: &FleetOptions,
+    violations: u64,
+) -> Result<(), Report<LabError>> {
     let folder = fleet.folder.clone();
     drop(fleet);
     if violations > 0 {
@@ -245,13 +254,13 @@
         return Err(Report::new(LabError::Violations { violations }));
     }
     if options.folder.is_none() {
-        // What is left of a temporary folder does no harm.
+        // A temporary folder that cannot be removed is harmless.
         let _ = std::fs::remove_dir_all(folder);
     }
     Ok(())
 }
 
-async fn put_load(prepared: &PreparedFleet, requests: Vec<MixedRequest>) -> (Summary, u64) {
+async fn run_load(prepared: &PreparedFleet, requests: Vec<MixedRequest>) -> (Summary, u64) {
     let client = HttpClient::new(CONNECT_TIMEOUT);
     let callers = prepared
         .documents
@@ -260,27 +269,27 @@
         .map(|tenant| Caller::new(client.clone(), &tenant.key))
         .collect::<Vec<_>>();
     let callers = Arc::new(callers);
-    let stranger = Caller::new(client, "nobody's key");
-    let routers = &prepared.fleet.places.routers;
+    let unknown_caller = Caller::new(client, "nobody's key");
+    let routers = &prepared.fleet.endpoints.routers;
     let documents = &prepared.documents;
     let total = requests.len();
-    let mut findings = stream::iter(requests.into_iter().enumerate())
+    let mut outcomes = stream::iter(requests.into_iter().enumerate())
         .map(|(number, request)| {
             let router = routers[number % routers.len()].listen;
             let callers = Arc::clone(&callers);
-            let stranger = stranger.clone();
+            let unknown_caller = unknown_caller.clone();
             async move {
-                let finding = send(&callers, &stranger, documents, router, &request).await;
-                (request.expected_refusal(), finding)
+                let outcome = send(&callers, &unknown_caller, documents, router, &request).await;
+                (request.expected_refusal(), outcome)
             }
         })
         .buffer_unordered(CONCURRENCY);
     let mut summary = Summary::default();
     let mut unexpected = 0;
-    while let Some((expected, finding)) = findings.next().await {
-        summary.add(&finding);
-        let refused = match finding {
-            Finding::Refused { code, .. } => Some(code),
+    while let Some((expected, outcome)) = outcomes.next().await {
+        summary.add(&outcome);
+        let refused = match outcome {
+            CallOutcome::Refused { code, .. } => Some(code),
             _ => None,
         };
         unexpected += u64::from(refused != expected);
@@ -293,56 +302,62 @@
 
 async fn send(
     callers: &[Caller],
-    stranger: &Caller,
+    unknown_caller: &Caller,
     documents: &LoadDocuments,
     router: std::net::SocketAddr,
     request: &MixedRequest,
-) -> Finding {
-    let (lookup, once) = documents.service_names();
+) -> CallOutcome {
+    let (lookup, keyed) = documents.service_names();
     match request {
-        MixedRequest::Model(tenant, question, shape) => {
-            callers[*tenant].ask(router, question, *shape).await
+        MixedRequest::Model(tenant, request, mode) => {
+            callers[*tenant].generate(router, request, *mode).await
         }
         MixedRequest::Lookup(tenant, number) => {
             let path = format!("parcel/{number:x}");
             callers[*tenant].call(router, lookup, &path, None).await
         }
-        MixedRequest::Once(tenant, number) => {
+        MixedRequest::Keyed(tenant, number) => {
             let key = format!("{number:016x}");
             let path = format!("notice/{number:x}");
-            callers[*tenant].call(router, once, &path, Some(&key)).await
+            callers[*tenant]
+                .call(router, keyed, &path, Some(&key))
+                .await
+        }
+        MixedRequest::WrongKey(request) => {
+            unknown_caller
+                .generate(router, request, ResponseMode::Unary)
+                .await
         }
-        MixedRequest::WrongKey(question) => stranger.ask(router, question, AskShape::Whole).await,
         MixedRequest::UnknownTemplate(tenant) => {
-            let question = ModelQuestion {
+            let request = ModelRequest {
                 template: "no-such-template",
                 file: None,
-                question: String::new(),
+                prompt_suffix: String::new(),
                 max_tokens: 1,
                 prompt: String::new(),
             };
             callers[*tenant]
-                .ask(router, &question, AskShape::Whole)
+                .generate(router, &request, ResponseMode::Unary)
                 .await
         }
     }
 }
 
-/// Blocks that the prompts have in all, each counted once, and the tokens after the last blocks.
+/// Tokens of the distinct blocks of all prompts, and tokens after the last complete blocks.
 #[derive(Clone, Copy, Debug, Default)]
-struct DistinctPrompts {
+struct DistinctTokens {
     block_tokens: u64,
     tail_tokens: u64,
 }
 
-fn distinct_blocks(documents: &LoadDocuments, requests: &[MixedRequest]) -> DistinctPrompts {
+fn distinct_prompt_tokens(documents: &LoadDocuments, requests: &[MixedRequest]) -> DistinctTokens {
     let mut seen: HashSet<BlockHash> = HashSet::new();
-    let mut distinct = DistinctPrompts::default();
+    let mut distinct = DistinctTokens::default();
     for request in requests {
-        let MixedRequest::Model(tenant, question, _) = request else {
+        let MixedRequest::Model(tenant, request, _) = request else {
             continue;
         };
-        let chain = documents.chain(*tenant, &question.prompt);
+        let chain = documents.chain(*tenant, &request.prompt);
         let new = chain.blocks.iter().filter(|block| seen.insert(**block));
         distinct.block_tokens += new.count() as u64 * u64::from(chain.block_tokens);
         let covered = chain.tokens_at(chain.blocks.len());
@@ -351,7 +366,7 @@
     distinct
 }
 
-/// Work done by all engines.
+/// Token counts of all engines.
 #[derive(Clone, Copy, Debug, Default)]
 struct EngineWork {
     prompt_tokens: u64,
@@ -374,8 +389,8 @@
         }
     }
 
-    /// Prints hit rate and waste. What must be computed at least once is no waste.
-    fn print(self, distinct: DistinctPrompts) {
+    /// Prints the hit rate and the wasted recomputation. The first computation of a block is not waste.
+    fn print(self, distinct: DistinctTokens) {
         let computed = self.prompt_tokens - self.cached_tokens;
         let needed = distinct.block_tokens + distinct.tail_tokens;
         let wasted = computed.saturating_sub(needed);
@@ -389,35 +404,35 @@
     }
 }
 
-/// Starts a fleet and keeps it until interrupted.
+/// Starts a fleet and keeps it running until interrupted.
 pub async fn up(options: FleetOptions) -> Result<(), Report<LabError>> {
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let shape = FleetShape::demonstration(options.kind);
     let prepared = prepare(shape, &options, &mut random).await?;
-    print_directions(&prepared);
+    print_usage(&prepared);
     tokio::signal::ctrl_c()
         .await
         .change_context(LabError::Runtime)?;
     println!("stopping");
-    finish(prepared.fleet, &options, 0)
+    stop_fleet(prepared.fleet, &options, 0)
 }
 
-fn print_directions(prepared: &PreparedFleet) {
-    let places = &prepared.fleet.places;
-    let (lookup, once) = prepared.documents.service_names();
-    for place in &places.routers {
+fn print_usage(prepared: &PreparedFleet) {
+    let endpoints = &prepared.fleet.endpoints;
+    let (lookup, keyed) = prepared.documents.service_names();
+    for endpoint in &endpoints.routers {
         println!(
             "router {}: http://{} (operators: http://{})",
-            place.router, place.listen, place.admin
+            endpoint.router, endpoint.listen, endpoint.admin
         );
     }
-    println!("control replicas: {}", places.control_list());
-    println!("platform: http://{}", places.platform);
+    println!("control replicas: {}", endpoints.control_list());
+    println!("platform: http://{}", endpoints.platform);
     for tenant in &prepared.documents.tenants {
         println!("bearer key of {}: {}", tenant.name, tenant.key);
     }
     println!("model templates: {LONG_TEMPLATE} (parameter file), counter-answer");
-    println!("service templates: {lookup}, and {once}, which needs an Idempotency-Key");
+    println!("service templates: {lookup}, and {keyed}, which needs an Idempotency-Key");
     println!(
         "settings, logs and data: {}",
         prepared.fleet.folder.display()
--- a/crates/lab/src/experiment/disturbances.rs
+++ b/crates/lab/src/experiment/disturbances.rs
@@ -1,4 +1,4 @@
-//! Events from the engines, and what goes wrong: crashes, herd restarts, mass evictions.
+//! Cache events and load reports of the engines, crashes, simultaneous restarts and cache loss.
 
 use railtack_core::BlockHash;
 use railtack_emulator::engine::EngineModel;
@@ -10,47 +10,50 @@
     router::VirtualRouter,
 };
 
-/// Time for fetching an engine's listing after a gap, microseconds.
+/// Time to fetch the cache contents of an engine after a gap in its events, microseconds.
 const RESYNC_DELAY: u64 = 50_000;
-/// Time until routers notice a crash by broken connections, microseconds.
-const CRASH_NOTICE: u64 = 20_000;
-/// Time until a crashed engine is back, microseconds.
+/// Time until routers detect a crash by broken connections, microseconds.
+const CRASH_DETECTION_DELAY: u64 = 20_000;
+/// Time until a crashed engine runs again, microseconds.
 const RESTART_TIME: u64 = 5_000_000;
-/// Dispatches of one request.
+/// Most dispatches of one request.
 const ATTEMPTS: usize = 4;
 
 impl VirtualFleet<'_> {
-    pub(super) fn hear_event(
+    pub(super) fn apply_cache_event(
         &mut self,
         engine: u32,
-        life: u64,
+        incarnation: u64,
         sequence: u64,
         stored: &[BlockHash],
         removed: &[BlockHash],
     ) {
-        if self.engines[engine as usize].life != life || self.policy != Policy::Railtack {
+        if self.engines[engine as usize].incarnation != incarnation
+            || self.policy != Policy::Railtack
+        {
             return;
         }
         for router in 0..self.routers.len() {
-            let follows = self.routers[router].hear_event(engine, sequence, stored, removed);
-            if !follows {
+            let is_consecutive =
+                self.routers[router].apply_cache_event(engine, sequence, stored, removed);
+            if !is_consecutive {
                 let event = Event::Resync {
                     router,
                     engine,
-                    life,
+                    incarnation,
                 };
                 self.schedule.after(RESYNC_DELAY, event);
             }
         }
     }
 
-    pub(super) fn resync(&mut self, router: usize, number: u32, life: u64) {
+    pub(super) fn resync(&mut self, router: usize, number: u32, incarnation: u64) {
         let engine = &self.engines[number as usize];
-        if engine.life != life || !engine.up {
+        if engine.incarnation != incarnation || !engine.up {
             return;
         }
         let blocks: Vec<BlockHash> = engine.model.cache().hashes().copied().collect();
-        self.routers[router].resynchronise(number, engine.sequence, &blocks);
+        self.routers[router].replace_cached_blocks(number, engine.sequence, &blocks);
     }
 
     pub(super) fn report(&mut self, number: u32) {
@@ -78,34 +81,35 @@
         for number in 0..count {
             let engine = &mut self.engines[number as usize];
             engine.up = false;
-            engine.life += 1;
+            engine.incarnation += 1;
             engine.stepping = false;
             engine.sequence = 0;
             engine.model = EngineModel::new(costs(self.conditions));
             let slot = EngineSlot(number as u16);
-            let lost = self.open.iter().enumerate().filter(|(_, open)| {
+            let lost = self.open_requests.iter().enumerate().filter(|(_, open)| {
                 !open.done && open.choice.is_some_and(|choice| choice.engine == slot)
             });
             let lost = lost.map(|(position, _)| position).collect();
-            let event = Event::NoticeCrash {
+            let event = Event::DetectCrash {
                 engine: number,
                 lost,
             };
-            self.schedule.after(CRASH_NOTICE, event);
+            self.schedule.after(CRASH_DETECTION_DELAY, event);
             self.schedule
                 .after(RESTART_TIME, Event::Restart { engine: number });
         }
     }
 
-    /// Broken connections: answers are continued elsewhere, as far as the budget goes.
-    pub(super) fn notice_crash(&mut self, number: u32, lost: Vec<usize>) {
+    /// Handles the broken connections of a crash: continues open requests at other engines within the retry
+    /// budget.
+    pub(super) fn detect_crash(&mut self, number: u32, lost: Vec<usize>) {
         let engine = &self.engines[number as usize];
-        let (life, up) = (engine.life, engine.up);
+        let (incarnation, up) = (engine.incarnation, engine.up);
         for router in &mut self.routers {
-            router.hear_status(number, life, up);
+            router.update_engine(number, incarnation, up);
         }
         for open in lost {
-            let state = &mut self.open[open];
+            let state = &mut self.open_requests[open];
             if state.done {
                 continue;
             }
@@ -122,29 +126,29 @@
         }
     }
 
-    pub(super) fn restart(&mut self, number: u32) {
+    pub(super) fn restart_engine(&mut self, number: u32) {
         let engine = &mut self.engines[number as usize];
         engine.up = true;
-        let life = engine.life;
+        let incarnation = engine.incarnation;
         for router in &mut self.routers {
-            router.hear_status(number, life, true);
+            router.update_engine(number, incarnation, true);
         }
     }
 
-    pub(super) fn herd(&mut self) {
+    pub(super) fn restart_routers(&mut self) {
         for number in 0..self.routers.len() {
             self.routers[number] =
                 VirtualRouter::new(self.policy, self.conditions.engines, ROUTERS);
             for engine in 0..self.conditions.engines {
                 let state = &self.engines[engine as usize];
-                self.routers[number].hear_status(engine, state.life, state.up);
+                self.routers[number].update_engine(engine, state.incarnation, state.up);
                 let event = Event::Resync {
                     router: number,
                     engine,
-                    life: state.life,
+                    incarnation: state.incarnation,
                 };
                 if self.policy == Policy::Railtack {
-                    // Listings are fetched one after another.
+                    // The router fetches the cache contents of one engine after another.
                     let delay = RESYNC_DELAY * u64::from(engine + 1);
                     self.schedule.after(delay, event);
                 }
@@ -152,14 +156,14 @@
         }
     }
 
-    pub(super) fn evict(&mut self) {
+    pub(super) fn clear_caches(&mut self) {
         for number in 0..self.conditions.engines {
             let engine = &mut self.engines[number as usize];
             let changes = engine.model.clear_cache();
             engine.sequence += 1;
             let event = Event::CacheChanged {
                 engine: number,
-                life: engine.life,
+                incarnation: engine.incarnation,
                 sequence: engine.sequence,
                 stored: changes.stored,
                 removed: changes.removed,
--- a/crates/lab/src/experiment/fleet.rs
+++ b/crates/lab/src/experiment/fleet.rs
@@ -11,44 +11,44 @@
     experiment::{
         measures::{Measures, Recorder},
         policy::Policy,
-        router::{Asked, Choice, ExactEngine, VirtualRouter},
+        router::{Choice, EngineQuery, ExactEngine, VirtualRouter},
         trace::TraceRequest,
     },
     simulate::schedule::Schedule,
 };
 
-/// Routers.
+/// Number of routers.
 pub(super) const ROUTERS: u32 = 4;
 /// Time between load reports, microseconds.
 pub(super) const REPORT_INTERVAL: u64 = 250_000;
-/// Time from an engine to a router, microseconds.
+/// One-way delay between an engine and a router, microseconds.
 const NETWORK_DELAY: u64 = 1_000;
 
-/// What goes wrong in a run, and for how long caches are filled before anything is counted.
+/// Size of the fleet, faults, and warm-up of a run.
 #[derive(Clone, Debug)]
 pub struct Conditions {
-    /// Engines.
+    /// Number of engines.
     pub engines: u32,
-    /// Blocks in each engine's cache.
+    /// Capacity of the cache of each engine, blocks.
     pub cache_blocks: usize,
     /// Delay of cache events, microseconds.
     pub event_delay_us: u64,
-    /// Share of cache events lost.
+    /// Share of cache events that are lost, 0 to 1.
     pub event_loss: f64,
-    /// When a third of the engines crash, seconds.
+    /// Time at which a third of the engines crash, seconds.
     pub crash_at: Option<f64>,
-    /// When all routers restart with an empty view, seconds.
+    /// Time at which all routers restart with an empty view, seconds.
     pub herd_at: Option<f64>,
-    /// When every engine loses its cache, seconds.
+    /// Time at which every engine loses its cache, seconds.
     pub evict_at: Option<f64>,
-    /// Time before anything is counted, seconds.
+    /// Warm-up in which caches fill and nothing is counted, seconds.
     pub warm_up: f64,
     /// Length of the workload, seconds.
     pub seconds: f64,
 }
 
 impl Conditions {
-    /// An ordinary day.
+    /// Returns conditions without faults.
     pub fn ordinary(engines: u32, seconds: f64) -> Self {
         Self {
             engines,
@@ -68,17 +68,17 @@
     Arrival(usize),
     Dispatched {
         engine: u32,
-        life: u64,
+        incarnation: u64,
         open: usize,
     },
     StepEnd {
         engine: u32,
-        life: u64,
+        incarnation: u64,
         outcome: Box<StepOutcome>,
     },
     CacheChanged {
         engine: u32,
-        life: u64,
+        incarnation: u64,
         sequence: u64,
         stored: Vec<BlockHash>,
         removed: Vec<BlockHash>,
@@ -86,32 +86,32 @@
     Resync {
         router: usize,
         engine: u32,
-        life: u64,
+        incarnation: u64,
     },
     Report {
         engine: u32,
     },
     Crash,
-    NoticeCrash {
+    DetectCrash {
         engine: u32,
         lost: Vec<usize>,
     },
     Restart {
         engine: u32,
     },
-    Herd,
-    Evict,
+    RestartRouters,
+    ClearCaches,
 }
 
 pub(super) struct VirtualEngine {
     pub(super) model: EngineModel,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) up: bool,
     pub(super) stepping: bool,
     pub(super) sequence: u64,
 }
 
-pub(super) struct Open {
+pub(super) struct OpenRequest {
     pub(super) request: usize,
     pub(super) router: usize,
     pub(super) chain: PrefixChain,
@@ -130,16 +130,16 @@
     pub(super) engines: Vec<VirtualEngine>,
     pub(super) routers: Vec<VirtualRouter>,
     pub(super) policy: Policy,
-    pub(super) open: Vec<Open>,
+    pub(super) open_requests: Vec<OpenRequest>,
     pub(super) recorder: Recorder,
     pub(super) random: ChaCha8Rng,
 }
 
-/// What a run found, and the recorder for looking at parts of it.
+/// Result of a run.
 pub struct RunResult {
-    /// The figures.
+    /// Measures after the warm-up.
     pub measures: Measures,
-    /// All counts.
+    /// Recorder, for measures over parts of the run.
     pub recorder: Recorder,
 }
 
@@ -151,7 +151,7 @@
     seed: u64,
 ) -> RunResult {
     let mut fleet = VirtualFleet::new(requests, conditions, policy, seed);
-    // Answers that take longer than this after the last arrival are not in time anyway.
+    // Responses that take longer than this after the last arrival miss every deadline.
     let end = ((conditions.seconds + 120.0) * 1e6) as u64;
     while let Some(event) = fleet.schedule.next(end) {
         fleet.handle(event);
@@ -172,12 +172,12 @@
     ) -> Self {
         let mut schedule = Schedule::default();
         let engines = (0..conditions.engines).map(|engine| {
-            // Reports of different engines do not come at the same moment.
+            // Spreads the reports of the engines over the interval.
             let offset = REPORT_INTERVAL * u64::from(engine) / u64::from(conditions.engines);
             schedule.after(offset, Event::Report { engine });
             VirtualEngine {
                 model: EngineModel::new(costs(conditions)),
-                life: 1,
+                incarnation: 1,
                 up: true,
                 stepping: false,
                 sequence: 0,
@@ -187,15 +187,15 @@
         if let Some(first) = requests.first() {
             schedule.at(first.arrival_us, Event::Arrival(0));
         }
-        let moment = |seconds: f64| (seconds * 1e6) as u64;
+        let micros = |seconds: f64| (seconds * 1e6) as u64;
         if let Some(at) = conditions.crash_at {
-            schedule.at(moment(at), Event::Crash);
+            schedule.at(micros(at), Event::Crash);
         }
         if let Some(at) = conditions.herd_at {
-            schedule.at(moment(at), Event::Herd);
+            schedule.at(micros(at), Event::RestartRouters);
         }
         if let Some(at) = conditions.evict_at {
-            schedule.at(moment(at), Event::Evict);
+            schedule.at(micros(at), Event::ClearCaches);
         }
         let routers = (0..ROUTERS)
             .map(|_| VirtualRouter::new(policy, conditions.engines, ROUTERS))
@@ -207,8 +207,8 @@
             engines,
             routers,
             policy,
-            open: Vec::new(),
-            recorder: Recorder::new(moment(conditions.warm_up)),
+            open_requests: Vec::new(),
+            recorder: Recorder::new(micros(conditions.warm_up)),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -216,30 +216,34 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrival(position) => self.arrive(position),
-            Event::Dispatched { engine, life, open } => self.dispatched(engine, life, open),
+            Event::Dispatched {
+                engine,
+                incarnation,
+                open,
+            } => self.receive_at_engine(engine, incarnation, open),
             Event::StepEnd {
                 engine,
-                life,
+                incarnation,
                 outcome,
-            } => self.step_ended(engine, life, &outcome),
+            } => self.finish_step(engine, incarnation, &outcome),
             Event::CacheChanged {
                 engine,
-                life,
+                incarnation,
                 sequence,
                 stored,
                 removed,
-            } => self.hear_event(engine, life, sequence, &stored, &removed),
+            } => self.apply_cache_event(engine, incarnation, sequence, &stored, &removed),
             Event::Resync {
                 router,
                 engine,
-                life,
-            } => self.resync(router, engine, life),
+                incarnation,
+            } => self.resync(router, engine, incarnation),
             Event::Report { engine } => self.report(engine),
             Event::Crash => self.crash(),
-            Event::NoticeCrash { engine, lost } => self.notice_crash(engine, lost),
-            Event::Restart { engine } => self.restart(engine),
-            Event::Herd => self.herd(),
-            Event::Evict => self.evict(),
+            Event::DetectCrash { engine, lost } => self.detect_crash(engine, lost),
+            Event::Restart { engine } => self.restart_engine(engine),
+            Event::RestartRouters => self.restart_routers(),
+            Event::ClearCaches => self.clear_caches(),
         }
     }
 
@@ -253,7 +257,7 @@
         let tokens = chain.total_tokens + request.output_tokens;
         self.recorder.arrived(request, tokens);
         let router = position % self.routers.len();
-        self.open.push(Open {
+        self.open_requests.push(OpenRequest {
             request: position,
             router,
             chain,
@@ -264,7 +268,7 @@
             has_first_token: false,
             done: false,
         });
-        let open = self.open.len() - 1;
+        let open = self.open_requests.len() - 1;
         self.routers[router].budget.deposit();
         self.dispatch(open, true);
     }
@@ -272,59 +276,65 @@
     pub(super) fn dispatch(&mut self, open: usize, is_first: bool) {
         let now = self.schedule.now();
         let seed = self.random.random();
-        let state = &self.open[open];
+        let state = &self.open_requests[open];
         let request = &self.requests[state.request];
         let engines = &self.engines;
         let exact = |chain: &PrefixChain| exact_engines(engines, chain);
         let router = &mut self.routers[state.router];
-        let asked = Asked {
+        let query = EngineQuery {
             class: request.class,
             chain: &state.chain,
             boundaries: &state.boundaries,
             excluded: &state.excluded,
         };
-        let chosen = router.choose(asked, exact, now, seed);
+        let chosen = router.choose(query, exact, now, seed);
         let Some((choice, score)) = chosen else {
             self.recorder.refused(request);
-            self.open[open].done = true;
+            self.open_requests[open].done = true;
             return;
         };
         let tokens = state.chain.total_tokens + request.output_tokens;
         if is_first && router.admit(request, tokens, &score, now).is_err() {
             self.recorder.refused(request);
-            self.open[open].done = true;
+            self.open_requests[open].done = true;
             return;
         }
-        let urgent = request.class == Priority::Interactive;
+        let interactive = request.class == Priority::Interactive;
         router
             .engines()
             .view_mut(choice.engine)
-            .record_sent(choice.uncached_tokens, urgent);
+            .record_sent(choice.uncached_tokens, interactive);
         if self.policy == Policy::Railtack {
             router.scheduler.expect_cached(choice.engine, &state.chain);
         }
         self.recorder.dispatched(request, is_first);
-        self.open[open].choice = Some(choice);
+        self.open_requests[open].choice = Some(choice);
         let engine = u32::from(choice.engine.0);
-        let life = self.engines[engine as usize].life;
-        self.schedule
-            .after(NETWORK_DELAY, Event::Dispatched { engine, life, open });
+        let incarnation = self.engines[engine as usize].incarnation;
+        self.schedule.after(
+            NETWORK_DELAY,
+            Event::Dispatched {
+                engine,
+                incarnation,
+                open,
+            },
+        );
     }
 
-    fn dispatched(&mut self, number: u32, life: u64, open: usize) {
+    fn receive_at_engine(&mut self, number: u32, incarnation: u64, open: usize) {
         let engine = &mut self.engines[number as usize];
-        if !engine.up || engine.life != life {
+        if !engine.up || engine.incarnation != incarnation {
             let lost = vec![open];
             self.schedule.after(
                 NETWORK_DELAY,
-                Event::NoticeCrash {
+                Event::DetectCrash {
                     engine: number,
                     lost,
                 },
             );
             return;
         }
-        let state = &self.open[open];
+        let state = &self.open_requests[open];
         let request = &self.requests[state.request];
         engine.model.submit(NewSequence {
             attempt: open as u128,
@@ -345,15 +355,16 @@
         }
         engine.stepping = true;
         let outcome = engine.model.step(now);
-        let life = engine.life;
+        let incarnation = engine.incarnation;
         for (attempt, cached_tokens) in &outcome.admitted {
-            let state = &self.open[*attempt as usize];
+            let state = &self.open_requests[*attempt as usize];
             let request = &self.requests[state.request];
-            self.recorder.began(request, &state.chain, *cached_tokens);
+            self.recorder
+                .prompt_started(request, &state.chain, *cached_tokens);
         }
         let event = Event::StepEnd {
             engine: number,
-            life,
+            incarnation,
             outcome: Box::new(outcome),
         };
         let Event::StepEnd { outcome, .. } = &event else {
@@ -362,10 +373,10 @@
         self.schedule.after(outcome.duration_us, event);
     }
 
-    fn step_ended(&mut self, number: u32, life: u64, outcome: &StepOutcome) {
+    fn finish_step(&mut self, number: u32, incarnation: u64, outcome: &StepOutcome) {
         let now = self.schedule.now();
         let engine = &mut self.engines[number as usize];
-        if engine.life != life {
+        if engine.incarnation != incarnation {
             return;
         }
         engine.stepping = false;
@@ -373,7 +384,7 @@
             engine.sequence += 1;
             let event = Event::CacheChanged {
                 engine: number,
-                life,
+                incarnation,
                 sequence: engine.sequence,
                 stored: outcome.changes.stored.clone(),
                 removed: outcome.changes.removed.clone(),
@@ -384,7 +395,7 @@
         }
         for output in &outcome.outputs {
             let open = output.attempt as usize;
-            self.token(open, output.index, now + NETWORK_DELAY);
+            self.deliver_token(open, output.index, now + NETWORK_DELAY);
             if output.end.is_some() {
                 self.finish(open, now + NETWORK_DELAY);
             }
@@ -392,8 +403,8 @@
         self.step(number);
     }
 
-    fn token(&mut self, open: usize, index: u32, at_us: u64) {
-        let state = &mut self.open[open];
+    fn deliver_token(&mut self, open: usize, index: u32, at_us: u64) {
+        let state = &mut self.open_requests[open];
         state.delivered = index + 1;
         if state.has_first_token {
             return;
@@ -404,16 +415,16 @@
         let Some(choice) = state.choice else {
             return;
         };
-        let urgent = request.class == Priority::Interactive;
+        let interactive = request.class == Priority::Interactive;
         let router = &mut self.routers[state.router];
         router
             .engines()
             .view_mut(choice.engine)
-            .record_prefilled(choice.uncached_tokens, urgent);
+            .record_prefilled(choice.uncached_tokens, interactive);
     }
 
     fn finish(&mut self, open: usize, at_us: u64) {
-        let state = &mut self.open[open];
+        let state = &mut self.open_requests[open];
         state.done = true;
         let request = &self.requests[state.request];
         let tokens = state.chain.total_tokens + request.output_tokens;
@@ -434,7 +445,10 @@
 
 fn exact_engines(engines: &[VirtualEngine], chain: &PrefixChain) -> Vec<ExactEngine> {
     let exact = engines.iter().map(|engine| ExactEngine {
-        held_blocks: engine.model.cache().matched_by_bisection(&chain.blocks) as u32,
+        held_blocks: engine
+            .model
+            .cache()
+            .cached_prefix_len_by_bisection(&chain.blocks) as u32,
         load: engine.model.load(),
         up: engine.up,
     });
--- a/crates/lab/src/fault/engines.rs
+++ b/crates/lab/src/fault/engines.rs
@@ -25,9 +25,7 @@
     let load = BackgroundLoad::start(prepared, CALLERS, 4);
     for position in 0..prepared.fleet.engines.len() {
         sleep(Duration::from_millis(500)).await;
-        prepared.fleet.engines[position]
-            .inflict(Fault::Kill)
-            .await?;
+        prepared.fleet.engines[position].inject(Fault::Kill).await?;
         sleep(Duration::from_millis(300)).await;
         prepared.fleet.engines[position].restart()?;
     }
@@ -36,7 +34,7 @@
     Ok(vec![
         Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
         Measurement::informational("requests ended by an explicit error", report.interrupted()),
-        Measurement::informational("whole answers", report.summary.whole as f64),
+        Measurement::informational("whole answers", report.summary.completed as f64),
     ])
 }
 
@@ -45,9 +43,9 @@
     let load = BackgroundLoad::start(prepared, CALLERS, 5);
     sleep(Duration::from_secs(1)).await;
     let frozen_at = Instant::now();
-    prepared.fleet.engines[0].inflict(Fault::Freeze).await?;
+    prepared.fleet.engines[0].inject(Fault::Freeze).await?;
     sleep(Duration::from_secs(8)).await;
-    prepared.fleet.engines[0].inflict(Fault::Thaw).await?;
+    prepared.fleet.engines[0].inject(Fault::Thaw).await?;
     sleep(Duration::from_secs(2)).await;
     let report = load.finish().await;
     Ok(vec![
@@ -63,7 +61,7 @@
             6.0,
         ),
         Measurement::informational("requests ended by an explicit error", report.interrupted()),
-        Measurement::informational("whole answers", report.summary.whole as f64),
+        Measurement::informational("whole answers", report.summary.completed as f64),
     ])
 }
 
@@ -73,7 +71,7 @@
 ) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 6);
     sleep(Duration::from_secs(1)).await;
-    let leaving = EngineId(prepared.fleet.places.engines[0].engine);
+    let leaving = EngineId(prepared.fleet.endpoints.engines[0].engine);
     prepared.fleet.publish_machines(&[leaving]).await?;
     sleep(LEAVING_GRACE).await;
     let before = requests_of(prepared, leaving).await;
@@ -89,7 +87,7 @@
         ),
         Measurement::at_most("requests cut off", report.interrupted(), 0.0),
         Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
-        Measurement::informational("whole answers", report.summary.whole as f64),
+        Measurement::informational("whole answers", report.summary.completed as f64),
     ])
 }
 
@@ -114,7 +112,7 @@
     let started = Instant::now();
     prepared
         .fleet
-        .operate(&["model", "revise", &file.display().to_string()])
+        .run_ctl(&["model", "revise", &file.display().to_string()])
         .await?;
     let mut most_loading = 0;
     loop {
@@ -149,6 +147,6 @@
         Measurement::at_most("requests cut off", report.interrupted(), 0.0),
         Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
         Measurement::informational("rollout took, s", took.as_secs_f64()),
-        Measurement::informational("whole answers", report.summary.whole as f64),
+        Measurement::informational("whole answers", report.summary.completed as f64),
     ])
 }
--- a/crates/lab/src/fault/keys.rs
+++ b/crates/lab/src/fault/keys.rs
@@ -18,7 +18,7 @@
     LabError,
     demo::PreparedFleet,
     fault,
-    fleet::{Fault, settings::ControlPlace},
+    fleet::{Fault, settings::ControlEndpoints},
     load::{
         Caller,
         keyed::{KeyedRecord, key_name},
@@ -58,7 +58,7 @@
     let service = prepared.documents.service_names().1.to_owned();
     let routers: Vec<_> = prepared
         .fleet
-        .places
+        .endpoints
         .routers
         .iter()
         .map(|place| place.listen)
@@ -79,7 +79,7 @@
                         record
                             .lock()
                             .unwrap_or_else(PoisonError::into_inner)
-                            .note(key, &finding);
+                            .record(key, &finding);
                     }
                 })
                 .await;
@@ -91,7 +91,7 @@
     sleep(Duration::from_secs(1)).await;
     let executions = prepared.fleet.executions().await?.by_key;
     let record = record.lock().unwrap_or_else(PoisonError::into_inner);
-    let judgement = record.judge(&executions);
+    let judgement = record.check(&executions);
     let (completed, not_run, unknown) = record.totals();
     Ok(vec![
         fault::Measurement::informational("keys", KEYS as f64),
@@ -101,10 +101,10 @@
         fault::Measurement::informational("told not run", not_run as f64),
         fault::Measurement::informational("told unknown", unknown as f64),
         fault::Measurement::at_most("keys executed twice", judgement.ran_twice as f64, 0.0),
-        fault::Measurement::at_most("untrue \"not run\"", judgement.untrue_not_run as f64, 0.0),
+        fault::Measurement::at_most("untrue \"not run\"", judgement.false_not_run as f64, 0.0),
         fault::Measurement::at_most(
             "answers without an execution",
-            judgement.unfounded as f64,
+            judgement.completed_without_execution as f64,
             0.0,
         ),
     ])
@@ -116,8 +116,8 @@
     prepared: &mut PreparedFleet,
 ) -> Result<(), Report<LabError>> {
     let service = prepared.documents.service_names().1.to_owned();
-    let place = ControlPlace::draw(0)?;
-    prepared.fleet.phantoms.push(Machine {
+    let place = ControlEndpoints::allocate(0)?;
+    prepared.fleet.unreachable_machines.push(Machine {
         kind: MachineKind::Service { service },
         address: place.listen,
         zone: ZoneName::from(prepared.fleet.shape.zone(0)),
@@ -139,14 +139,14 @@
         let number = faults as usize;
         if faults.is_multiple_of(3) {
             if let Some(leader) = prepared.fleet.leader().await {
-                prepared.fleet.control[leader].inflict(Fault::Kill).await?;
+                prepared.fleet.control[leader].inject(Fault::Kill).await?;
                 sleep(Duration::from_millis(300)).await;
                 prepared.fleet.control[leader].restart()?;
             }
         } else {
             let position = number % prepared.fleet.routers.len();
             let router = &mut prepared.fleet.routers[position];
-            router.inflict(Fault::Kill).await?;
+            router.inject(Fault::Kill).await?;
             router.restart()?;
         }
         faults += 1;
--- a/crates/lab/src/fault/routers.rs
+++ b/crates/lab/src/fault/routers.rs
@@ -24,14 +24,12 @@
     for round in 0..5 {
         sleep(Duration::from_millis(500)).await;
         let position = round % prepared.fleet.routers.len();
-        prepared.fleet.routers[position]
-            .inflict(Fault::Kill)
-            .await?;
+        prepared.fleet.routers[position].inject(Fault::Kill).await?;
         prepared.fleet.routers[position].restart()?;
-        let admin = prepared.fleet.places.routers[position].admin;
+        let admin = prepared.fleet.endpoints.routers[position].admin;
         let restart_time = prepared
             .fleet
-            .wait_until_up("router", admin, "/readyz")
+            .wait_until_ready("router", admin, "/readyz")
             .await?;
         slowest = slowest.max(restart_time);
     }
@@ -39,7 +37,7 @@
     Ok(vec![
         Measurement::at_most("slowest restart until ready, s", slowest.as_secs_f64(), 1.0),
         Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
-        Measurement::informational("whole answers", report.summary.whole as f64),
+        Measurement::informational("whole answers", report.summary.completed as f64),
     ])
 }
 
@@ -54,7 +52,7 @@
         sleep(Duration::from_secs(1)).await;
         let before = newest_revision(prepared).await;
         for router in &mut prepared.fleet.routers {
-            router.inflict(Fault::Kill).await?;
+            router.inject(Fault::Kill).await?;
         }
         let started = Instant::now();
         for router in &mut prepared.fleet.routers {
@@ -62,7 +60,7 @@
         }
         prepared.fleet.wait_for_routers().await?;
         slowest = slowest.max(started.elapsed());
-        for place in &prepared.fleet.places.routers {
+        for place in &prepared.fleet.endpoints.routers {
             let revision = prepared.fleet.router_revision(place.admin).await;
             stale += u64::from(revision.unwrap_or_default() < before);
         }
@@ -80,7 +78,7 @@
 
 async fn newest_revision(prepared: &PreparedFleet) -> u64 {
     let mut newest = 0;
-    for place in &prepared.fleet.places.routers {
+    for place in &prepared.fleet.endpoints.routers {
         let revision = prepared.fleet.router_revision(place.admin).await;
         newest = newest.max(revision.unwrap_or_default());
     }
@@ -96,24 +94,24 @@
     let mut unclean = 0;
     for position in 0..prepared.fleet.routers.len() {
         let router = &mut prepared.fleet.routers[position];
-        router.inflict(Fault::Terminate).await?;
+        router.inject(Fault::Terminate).await?;
         unclean += u64::from(router.wait(STOP_TIMEOUT).await != Some(0));
         router.restart()?;
-        let admin = prepared.fleet.places.routers[position].admin;
+        let admin = prepared.fleet.endpoints.routers[position].admin;
         prepared
             .fleet
-            .wait_until_up("router", admin, "/readyz")
+            .wait_until_ready("router", admin, "/readyz")
             .await?;
     }
     for position in 0..prepared.fleet.engines.len() {
         let engine = &mut prepared.fleet.engines[position];
-        engine.inflict(Fault::Terminate).await?;
+        engine.inject(Fault::Terminate).await?;
         unclean += u64::from(engine.wait(STOP_TIMEOUT).await != Some(0));
         engine.restart()?;
-        let address = prepared.fleet.places.engines[position].listen;
+        let address = prepared.fleet.endpoints.engines[position].listen;
         prepared
             .fleet
-            .wait_until_up("engine", address, "/status")
+            .wait_until_ready("engine", address, "/status")
             .await?;
     }
     let report = load.finish().await;
@@ -122,6 +120,6 @@
         Measurement::informational("connections broken", report.summary.broken as f64),
         Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
         Measurement::at_most("processes that did not stop cleanly", unclean as f64, 0.0),
-        Measurement::informational("whole answers", report.summary.whole as f64),
+        Measurement::informational("whole answers", report.summary.completed as f64),
     ])
 }
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/lab/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of a fleet's processes.
+//! Addresses and settings files of the processes of a fleet.
 
 use std::{
     fmt::Write as _,
@@ -14,19 +14,19 @@
 
 /// Addresses of one control replica.
 #[derive(Clone, Debug)]
-pub struct ControlPlace {
-    /// Number.
+pub struct ControlEndpoints {
+    /// Replica number.
     pub replica: u32,
     /// Internal address.
     pub listen: SocketAddr,
-    /// Metrics address.
+    /// Address of the metrics endpoint.
     pub metrics: SocketAddr,
 }
 
-impl ControlPlace {
-    /// Takes free ports for one more replica.
-    pub fn draw(replica: u32) -> Result<Self, Report<LabError>> {
-        let mut ports = PortDraw::new();
+impl ControlEndpoints {
+    /// Allocates free ports for another replica.
+    pub fn allocate(replica: u32) -> Result<Self, Report<LabError>> {
+        let mut ports = PortAllocator::new();
         Ok(Self {
             replica,
             listen: ports.next()?,
@@ -37,58 +37,59 @@
 
 /// Addresses of one router.
 #[derive(Clone, Debug)]
-pub struct RouterPlace {
-    /// Number.
+pub struct RouterEndpoints {
+    /// Router number.
     pub router: u32,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub admin: SocketAddr,
 }
 
 /// Address of one engine.
 #[derive(Clone, Debug)]
-pub struct EnginePlace {
-    /// Number.
+pub struct EngineEndpoint {
+    /// Engine number.
     pub engine: u32,
-    /// Address.
+    /// Address of its HTTP interface.
     pub listen: SocketAddr,
 }
 
 /// Address of one replica of a service.
 #[derive(Clone, Debug)]
-pub struct ServicePlace {
-    /// Service.
+pub struct ServiceEndpoint {
+    /// Name of the service.
     pub service: &'static str,
-    /// Number over all services.
+    /// Number, unique over all services.
     pub number: u32,
-    /// Address.
+    /// Address of its HTTP interface.
     pub listen: SocketAddr,
 }
 
-/// Every address of a fleet.
+/// Addresses of all processes of a fleet.
 #[derive(Clone, Debug)]
-pub struct Places {
-    /// The platform.
+pub struct Endpoints {
+    /// Platform.
     pub platform: SocketAddr,
     /// Control replicas.
-    pub control: Vec<ControlPlace>,
+    pub control: Vec<ControlEndpoints>,
     /// Routers.
-    pub routers: Vec<RouterPlace>,
+    pub routers: Vec<RouterEndpoints>,
     /// Engines.
-    pub engines: Vec<EnginePlace>,
+    pub engines: Vec<EngineEndpoint>,
     /// Services.
-    pub services: Vec<ServicePlace>,
+    pub services: Vec<ServiceEndpoint>,
 }
 
-impl Places {
-    /// Takes free ports. All are held open until the last is drawn, so that none is drawn twice.
-    pub fn draw(shape: &FleetShape) -> Result<Self, Report<LabError>> {
-        let mut ports = PortDraw::new();
+impl Endpoints {
+    /// Allocates free ports. All listeners stay open until the last port is allocated, so that no port is
+    /// allocated twice.
+    pub fn allocate(shape: &FleetShape) -> Result<Self, Report<LabError>> {
+        let mut ports = PortAllocator::new();
         let platform = ports.next()?;
         let mut control = Vec::new();
         for replica in 1..=shape.control {
-            control.push(ControlPlace {
+            control.push(ControlEndpoints {
                 replica,
                 listen: ports.next()?,
                 metrics: ports.next()?,
@@ -96,7 +97,7 @@
         }
         let mut routers = Vec::new();
         for router in 1..=shape.routers {
-            routers.push(RouterPlace {
+            routers.push(RouterEndpoints {
                 router,
                 listen: ports.next()?,
                 admin: ports.next()?,
@@ -104,7 +105,7 @@
         }
         let mut engines = Vec::new();
         for engine in 1..=shape.engines {
-            engines.push(EnginePlace {
+            engines.push(EngineEndpoint {
                 engine,
                 listen: ports.next()?,
             });
@@ -112,7 +113,7 @@
         let mut services = Vec::new();
         for service in &shape.services {
             for _ in 0..shape.service_replicas {
-                services.push(ServicePlace {
+                services.push(ServiceEndpoint {
                     service,
                     number: services.len() as u32,
                     listen: ports.next()?,
@@ -128,27 +129,30 @@
         })
     }
 
-    /// Internal addresses of the control replicas, as `railtackctl --control` takes them.
+    /// Returns the internal addresses of the control replicas in the format of `railtackctl --control`.
     pub fn control_list(&self) -> String {
-        let addresses = self.control.iter().map(|place| place.listen.to_string());
+        let addresses = self
+            .control
+            .iter()
+            .map(|endpoint| endpoint.listen.to_string());
         addresses.collect::<Vec<_>>().join(",")
     }
 }
 
-/// Fleets of this process, so that each has a loopback address of its own.
-static FLEETS: AtomicU32 = AtomicU32::new(0);
+/// Number of the next fleet of this process. It determines the loopback address of the fleet.
+static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
 
-/// Draws ports that stay free until the processes listen there. On an address that others use as well, a port
-/// that was drawn could be taken in between, by another fleet or as the near end of any connection; on one
-/// that only this fleet listens at, nobody takes it, as connections leave from the common address.
-struct PortDraw {
+/// Allocates ports that stay free until the processes listen there. At a shared address another fleet or an
+/// outgoing connection could take an allocated port in the meantime. Each fleet therefore uses its own loopback
+/// address, from which no connection originates.
+struct PortAllocator {
     address: Ipv4Addr,
     held: Vec<TcpListener>,
 }
 
-impl PortDraw {
+impl PortAllocator {
     fn new() -> Self {
-        let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
+        let fleet = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
         // Each byte between 1 and 250.
         let byte = |number: u32| (number % 250) as u8 + 1;
         let address = Ipv4Addr::new(
@@ -173,43 +177,43 @@
 
 /// Writes settings files into a folder.
 pub struct SettingsWriter<'a> {
-    /// The folder.
+    /// Folder for the files.
     pub folder: &'a Path,
-    /// The fleet.
+    /// Shape of the fleet.
     pub shape: &'a FleetShape,
-    /// Its addresses.
-    pub places: &'a Places,
+    /// Addresses of the fleet.
+    pub endpoints: &'a Endpoints,
 }
 
 impl SettingsWriter<'_> {
-    /// Settings of a control replica.
-    pub fn control(&self, place: &ControlPlace) -> Result<PathBuf, Report<LabError>> {
-        let data = self.folder.join(format!("control-{}", place.replica));
+    /// Writes the settings of a control replica. Returns the path of the file.
+    pub fn control(&self, endpoint: &ControlEndpoints) -> Result<PathBuf, Report<LabError>> {
+        let data = self.folder.join(format!("control-{}", endpoint.replica));
         let text = format!(
             "replica_id = {}\ncluster = \"lab\"\nzone = \"{}\"\nlisten = \"{}\"\n\
              metrics_listen = \"{}\"\ndata = \"{}\"\nplatform = \"{}\"\n",
-            place.replica,
-            self.shape.zone(place.replica - 1),
-            place.listen,
-            place.metrics,
+            endpoint.replica,
+            self.shape.zone(endpoint.replica - 1),
+            endpoint.listen,
+            endpoint.metrics,
             data.display(),
-            self.places.platform,
+            self.endpoints.platform,
         );
-        self.write(&format!("control-{}.toml", place.replica), &text)
+        self.write(&format!("control-{}.toml", endpoint.replica), &text)
     }
 
-    /// Settings of a router.
-    pub fn router(&self, place: &RouterPlace) -> Result<PathBuf, Report<LabError>> {
+    /// Writes the settings of a router.
+    pub fn router(&self, endpoint: &RouterEndpoints) -> Result<PathBuf, Report<LabError>> {
         let mut text = format!(
             "router_id = {}\nzone = \"{}\"\nlisten = \"{}\"\nadmin_listen = \"{}\"\n\
              platform = \"{}\"\n",
-            place.router,
-            self.shape.zone(place.router - 1),
-            place.listen,
-            place.admin,
-            self.places.platform,
+            endpoint.router,
+            self.shape.zone(endpoint.router - 1),
+            endpoint.listen,
+            endpoint.admin,
+            self.endpoints.platform,
         );
-        for control in &self.places.control {
+        for control in &self.endpoints.control {
             // Writing to a string cannot fail.
             let _ = write!(
                 text,
@@ -217,38 +221,38 @@
                 control.replica, control.listen
             );
         }
-        self.write(&format!("router-{}.toml", place.router), &text)
+        self.write(&format!("router-{}.toml", endpoint.router), &text)
     }
 
-    /// Settings of an engine.
-    pub fn engine(&self, place: &EnginePlace) -> Result<PathBuf, Report<LabError>> {
+    /// Writes the settings of an engine.
+    pub fn engine(&self, endpoint: &EngineEndpoint) -> Result<PathBuf, Report<LabError>> {
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"engine\"\nengine_id = {}\nzone = \"{}\"\n\
              model = \"{}\"\nweights_version = 1\n[role.costs]\ncache_blocks = {}\n",
-            place.listen,
-            place.engine,
-            self.shape.zone(place.engine - 1),
+            endpoint.listen,
+            endpoint.engine,
+            self.shape.zone(endpoint.engine - 1),
             self.shape.model,
             self.shape.cache_blocks,
         );
-        self.write(&format!("engine-{}.toml", place.engine), &text)
+        self.write(&format!("engine-{}.toml", endpoint.engine), &text)
     }
 
-    /// Settings of a service.
-    pub fn service(&self, place: &ServicePlace) -> Result<PathBuf, Report<LabError>> {
+    /// Writes the settings of a service replica.
+    pub fn service(&self, endpoint: &ServiceEndpoint) -> Result<PathBuf, Report<LabError>> {
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"service\"\nservice = \"{}\"\nanswer_ms = 5\n",
-            place.listen, place.service,
+            endpoint.listen, endpoint.service,
         );
-        self.write(&format!("service-{}.toml", place.number), &text)
+        self.write(&format!("service-{}.toml", endpoint.number), &text)
     }
 
-    /// Settings of the platform.
+    /// Writes the settings of the platform.
     pub fn platform(&self) -> Result<PathBuf, Report<LabError>> {
         let text = format!(
             "listen = \"{}\"\n[role]\nkind = \"platform\"\nlag_ms = {}\n\
              weight_bytes_per_second = 1000000000\n",
-            self.places.platform, self.shape.platform_lag_ms,
+            self.endpoints.platform, self.shape.platform_lag_ms,
         );
         self.write("platform.toml", &text)
     }
--- a/crates/lab/src/load/keyed.rs
+++ b/crates/lab/src/load/keyed.rs
@@ -1,75 +1,77 @@
-//! What callers were told of requests that may not be repeated, judged against what ran. Pure.
+//! Checks the outcomes of requests with an idempotency key against the executions at the back ends.
 
 use std::collections::BTreeMap;
 
 use railtack_core::Execution;
 
-use crate::load::Finding;
+use crate::load::CallOutcome;
 
-/// What callers were told of a key.
+/// Outcomes of the requests with one key.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
-    whole: u64,
+struct OutcomeCounts {
+    complete: u64,
     not_run: u64,
     unknown: u64,
 }
 
-/// What callers were told of each key.
+/// Outcomes of the requests of each key.
 #[derive(Clone, Debug, Default)]
 pub struct KeyedRecord {
-    told: BTreeMap<u64, Told>,
+    outcomes: BTreeMap<u64, OutcomeCounts>,
 }
 
-/// Keys whose callers were told something untrue, or that ran more often than once.
+/// Number of keys for which an outcome contradicts the executions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct KeyedJudgement {
-    /// Keys that ran more than once.
+pub struct KeyedViolations {
+    /// Keys that were executed more than once.
     pub ran_twice: usize,
-    /// Keys that ran although a caller was told that they had not and never would.
-    pub untrue_not_run: usize,
-    /// Keys that were answered and did not run.
-    pub unfounded: usize,
+    /// Keys that were executed although a caller got a refusal with execution `not_run`.
+    pub false_not_run: usize,
+    /// Keys with a complete response that were not executed exactly once.
+    pub completed_without_execution: usize,
 }
 
-/// The name under which a key is sent.
+/// Returns the value of the `idempotency-key` header for a key.
 pub fn key_name(key: u64) -> String {
     format!("key-{key}")
 }
 
 impl KeyedRecord {
-    /// Notes what one caller was told.
-    pub fn note(&mut self, key: u64, finding: &Finding) {
-        let told = self.told.entry(key).or_default();
-        match finding {
-            Finding::Whole { .. } => told.whole += 1,
-            Finding::Refused {
+    /// Records the outcome of one request.
+    pub fn record(&mut self, key: u64, outcome: &CallOutcome) {
+        let outcomes = self.outcomes.entry(key).or_default();
+        match outcome {
+            CallOutcome::Complete { .. } => outcomes.complete += 1,
+            CallOutcome::Refused {
                 execution: Execution::NotRun,
                 ..
-            } => told.not_run += 1,
-            _ => told.unknown += 1,
+            } => outcomes.not_run += 1,
+            _ => outcomes.unknown += 1,
         }
     }
 
-    /// Answers, refusals that promise that nothing ran, and everything else, over all keys.
+    /// Returns the numbers of complete responses, of refusals with execution `not_run`, and of other outcomes,
+    /// over all keys.
     pub fn totals(&self) -> (u64, u64, u64) {
-        self.told.values().fold((0, 0, 0), |sum, told| {
+        self.outcomes.values().fold((0, 0, 0), |sum, outcomes| {
             (
-                sum.0 + told.whole,
-                sum.1 + told.not_run,
-                sum.2 + told.unknown,
+                sum.0 + outcomes.complete,
+                sum.1 + outcomes.not_run,
+                sum.2 + outcomes.unknown,
             )
         })
     }
 
-    /// Compares what was told with the executions of each key, by its name.
-    pub fn judge(&self, executions: &BTreeMap<String, u64>) -> KeyedJudgement {
-        let mut judgement = KeyedJudgement::default();
-        for (key, told) in &self.told {
-            let ran = executions.get(&key_name(*key)).copied().unwrap_or(0);
-            judgement.ran_twice += usize::from(ran > 1);
-            judgement.untrue_not_run += usize::from(told.not_run > 0 && ran > 0);
-            judgement.unfounded += usize::from(told.whole > 0 && ran != 1);
+    /// Compares the outcomes with the executions, which are given by [`key_name`].
+    pub fn check(&self, executions: &BTreeMap<String, u64>) -> KeyedViolations {
+        let mut violations = KeyedViolations::default();
+        for (key, outcomes) in &self.outcomes {
+            let executed = executions.get(&key_name(*key)).copied().unwrap_or(0);
+            violations.ran_twice += usize::from(executed > 1);
+            violations.false_not_run += usize::from(outcomes.not_run > 0 && executed > 0);
+            violations.completed_without_execution +=
+                usize::from(outcomes.complete > 0 && executed != 1);
         }
-        judgement
+        violations
     }
 }
--- a/crates/lab/src/scale/cluster.rs
+++ b/crates/lab/src/scale/cluster.rs
@@ -1,4 +1,4 @@
-//! A real control cluster under hollow routers and claims, and a real router under streams.
+//! Costs of a real control cluster under polls and claims, and of a real router under streams.
 
 use std::{
     sync::{
@@ -27,23 +27,23 @@
     LabError,
     demo::{self, FleetOptions, PreparedFleet},
     fleet::{FleetKind, FleetShape},
-    load::{Caller, Finding, caller::AskShape},
-    scale::{processor_seconds, resident_bytes, times},
+    load::{CallOutcome, Caller, caller::ResponseMode},
+    scale::{processor_seconds, resident_bytes, time_histogram},
 };
 
-/// Numbers of hollow routers; the target has 400.
+/// Numbers of simulated routers; the target has 400.
 const ROUTERS: [u32; 4] = [50, 100, 200, 400];
-/// Proposals open at once.
+/// Numbers of concurrent proposals.
 const PROPOSERS: [u64; 4] = [1, 16, 64, 256];
 /// Length of one measurement.
-const SPAN: Duration = Duration::from_secs(4);
-/// Time between a hollow router's polls, as by default.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(4);
+/// Time between the polls of a simulated router; the default of the router.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Questions asked for the router's processor time.
-const QUESTIONS: usize = 100;
-/// Most tokens of their answers.
-const ANSWER_TOKENS: u32 = 16;
-/// Open streams at which the router's memory is read.
+/// Number of requests over which the processor time of the router is measured.
+const REQUESTS: usize = 100;
+/// Most output tokens of these requests.
+const MAX_OUTPUT_TOKENS: u32 = 16;
+/// Numbers of open streams at which the memory of the router is read.
 const STREAMS: [usize; 3] = [250, 500, 1_000];
 
 /// Starts a small fleet for a measurement.
@@ -68,52 +68,52 @@
     ids.map(|id| processor_seconds(&id.to_string())).sum()
 }
 
-/// Processor time of the control replicas, and bytes, against the number of polling routers.
+/// Measures processor time and bytes of polls by number of simulated routers.
 pub async fn polls() -> Result<(), Report<LabError>> {
     println!(
         "routers   polls/s   control cores (sum of 3)   us/poll   request B   reply B   router B/s"
     );
     let prepared = fleet(1, 1).await?;
     for count in ROUTERS {
-        let polled = Arc::new(AtomicU64::new(0));
+        let poll_count = Arc::new(AtomicU64::new(0));
         let bytes = Arc::new(AtomicU64::new(0));
         let mut tasks = Vec::new();
         for router in 0..count {
             let connections: Vec<ControlConnection> = prepared
                 .fleet
-                .places
+                .endpoints
                 .control
                 .iter()
                 .map(|place| ControlConnection::new(place.listen, Duration::from_secs(1)))
                 .collect();
-            let (polled, bytes) = (Arc::clone(&polled), Arc::clone(&bytes));
+            let (poll_count, bytes) = (Arc::clone(&poll_count), Arc::clone(&bytes));
             tasks.push(tokio::spawn(async move {
                 sleep(POLL_INTERVAL * router / count).await;
-                hollow_router(RouterId(10_000 + router), connections, &polled, &bytes).await;
+                poll_as_router(RouterId(10_000 + router), connections, &poll_count, &bytes).await;
             }));
         }
         sleep(Duration::from_secs(1)).await;
         let (before, polled_before) = (
             control_processor_seconds(&prepared),
-            polled.load(Ordering::Relaxed),
+            poll_count.load(Ordering::Relaxed),
         );
         let bytes_before = bytes.load(Ordering::Relaxed);
-        sleep(SPAN).await;
+        sleep(MEASUREMENT_TIME).await;
         let used = control_processor_seconds(&prepared) - before;
-        let polls = polled.load(Ordering::Relaxed) - polled_before;
-        let moved = bytes.load(Ordering::Relaxed) - bytes_before;
+        let polls = poll_count.load(Ordering::Relaxed) - polled_before;
+        let received = bytes.load(Ordering::Relaxed) - bytes_before;
         for task in tasks {
             task.abort();
         }
-        let seconds = SPAN.as_secs_f64();
+        let seconds = MEASUREMENT_TIME.as_secs_f64();
         println!(
             "{count:>7}  {:>8.0}  {:>25.3}  {:>8.1}  {:>10}  {:>8.0}  {:>11.0}",
             polls as f64 / seconds,
             used / seconds,
             used / polls.max(1) as f64 * 1e6,
             request_bytes(),
-            moved as f64 / polls.max(1) as f64,
-            (moved as f64 + polls as f64 * request_bytes() as f64) / seconds / f64::from(count),
+            received as f64 / polls.max(1) as f64,
+            (received as f64 + polls as f64 * request_bytes() as f64) / seconds / f64::from(count),
         );
     }
     Ok(())
@@ -133,10 +133,10 @@
     reply.write_to_vec().map_or(0, |bytes| bytes.len() as u64)
 }
 
-async fn hollow_router(
+async fn poll_as_router(
     router: RouterId,
     connections: Vec<ControlConnection>,
-    polled: &AtomicU64,
+    poll_count: &AtomicU64,
     bytes: &AtomicU64,
 ) {
     let mut applied = 0;
@@ -156,7 +156,7 @@
                 .await;
             if let Ok(reply) = reply {
                 applied = applied.max(reply.last_configuration_index);
-                polled.fetch_add(1, Ordering::Relaxed);
+                poll_count.fetch_add(1, Ordering::Relaxed);
                 bytes.fetch_add(reply_bytes(&reply), Ordering::Relaxed);
             }
         }
@@ -164,13 +164,13 @@
     }
 }
 
-/// Claims committed per second, and what one costs, against the number open at once.
+/// Measures claims per second and the cost of a claim by number of concurrent proposals.
 pub async fn commits() -> Result<(), Report<LabError>> {
     println!("open   claims/s   p50 ms   p99 ms   control us/claim (sum of 3)");
     let prepared = fleet(1, 1).await?;
     let replicas: Vec<ControlAddress> = prepared
         .fleet
-        .places
+        .endpoints
         .control
         .iter()
         .map(|place| ControlAddress {
@@ -184,12 +184,12 @@
         let started = Instant::now();
         let proposers = (0..open).map(|number| {
             let link = Arc::clone(&link);
-            tokio::spawn(async move { propose_until(&link, open * 1_000 + number, started).await })
+            tokio::spawn(async move { run_proposer(&link, open * 1_000 + number, started).await })
         });
-        let mut times = times();
+        let mut times = time_histogram();
         for proposer in proposers.collect::<Vec<_>>() {
-            if let Ok(taken) = proposer.await {
-                for time in taken {
+            if let Ok(latencies) = proposer.await {
+                for time in latencies {
                     times.saturating_record(time);
                 }
             }
@@ -207,11 +207,11 @@
     Ok(())
 }
 
-/// Times of one proposer's claims, microseconds.
-async fn propose_until(link: &ControlLink, proposer: u64, started: Instant) -> Vec<u64> {
+/// Proposes claims one after another. Returns their latencies, microseconds.
+async fn run_proposer(link: &ControlLink, proposer: u64, started: Instant) -> Vec<u64> {
     let mut times = Vec::new();
     let mut number = 0_u64;
-    while started.elapsed() < SPAN {
+    while started.elapsed() < MEASUREMENT_TIME {
         number += 1;
         let command = Command::Claim(ClaimRequest {
             tenant: TenantName::from("tenant"),
@@ -219,39 +219,42 @@
             fingerprint: 1,
             attempt: AttemptId(u128::from(number)),
         });
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let proposed = link.propose(command, Duration::from_secs(5)).await;
         if matches!(proposed, ProposalOutcome::Done(_)) {
-            times.push(asked.elapsed().as_micros() as u64);
+            times.push(sent_at.elapsed().as_micros() as u64);
         }
     }
     times
 }
 
-/// Time to first token through the router and at the engine directly, on the same questions, and
-/// the router's memory for open streams.
+/// Measures the latency that the router adds, its processor time per request, and its memory by number of open
+/// streams.
 pub async fn overhead() -> Result<(), Report<LabError>> {
     let prepared = fleet(4, 1).await?;
-    let router = &prepared.fleet.places.routers[0];
+    let router = &prepared.fleet.endpoints.routers[0];
     let client = HttpClient::new(Duration::from_secs(1));
     let caller = Caller::new(client.clone(), &prepared.documents.tenants[0].key);
     let mut random = ChaCha8Rng::seed_from_u64(5);
-    let mut questions: Vec<_> = (0..QUESTIONS)
-        .map(|_| prepared.documents.question(0, &mut random))
+    let mut requests: Vec<_> = (0..REQUESTS)
+        .map(|_| prepared.documents.model_request(0, &mut random))
         .collect();
-    for question in &mut questions {
-        question.max_tokens = question.max_tokens.min(ANSWER_TOKENS);
+    for request in &mut requests {
+        request.max_tokens = request.max_tokens.min(MAX_OUTPUT_TOKENS);
     }
-    // Caches are filled first, so that both sides find the same.
-    for question in &questions {
-        caller.ask(router.listen, question, AskShape::Stream).await;
+    // Fills the caches first.
+    for request in &requests {
+        caller
+            .generate(router.listen, request, ResponseMode::Stream)
+            .await;
     }
     let before = processor_seconds(&router_process(&prepared));
     let mut routed = Vec::new();
-    for question in &questions {
+    for request in &requests {
         let started = Instant::now();
-        if let Finding::Whole { first_token_us } =
-            caller.ask(router.listen, question, AskShape::Stream).await
+        if let CallOutcome::Complete { first_token_us } = caller
+            .generate(router.listen, request, ResponseMode::Stream)
+            .await
         {
             routed.push((first_token_us, started.elapsed()));
         }
@@ -266,7 +269,7 @@
         added.len()
     );
     println!(
-        "router processor time: {:.0} us a request ({} requests of up to {ANSWER_TOKENS} tokens)",
+        "router processor time: {:.0} us a request ({} requests of up to {MAX_OUTPUT_TOKENS} tokens)",
         used / routed.len().max(1) as f64 * 1e6,
         routed.len(),
     );
@@ -287,15 +290,15 @@
     id.to_string()
 }
 
-/// The time that the router adds to a request that no engine works on: a keyless lookup at a
-/// service that answers after a fixed time, through the router less directly.
+/// Returns the latencies that the router adds, microseconds: the time of a call through the router less that of
+/// a direct call, at a service with a fixed response time.
 async fn added_times(prepared: &PreparedFleet) -> Histogram<u64> {
-    let mut added = times();
+    let mut added = time_histogram();
     let client = HttpClient::new(Duration::from_secs(1));
     let caller = Caller::new(client.clone(), &prepared.documents.tenants[0].key);
     let (lookup, _) = prepared.documents.service_names();
-    let service = prepared.fleet.places.services[0].listen;
-    let router = prepared.fleet.places.routers[0].listen;
+    let service = prepared.fleet.endpoints.services[0].listen;
+    let router = prepared.fleet.endpoints.routers[0].listen;
     for number in 0..1_000 {
         let path = format!("parcel/{number}");
         let direct_started = Instant::now();
@@ -308,8 +311,8 @@
         }
         let direct = direct_started.elapsed();
         let routed_started = Instant::now();
-        let finding = caller.call(router, lookup, &path, None).await;
-        if matches!(finding, Finding::Whole { .. }) {
+        let outcome = caller.call(router, lookup, &path, None).await;
+        if matches!(outcome, CallOutcome::Complete { .. }) {
             let routed = routed_started.elapsed();
             added.saturating_record(routed.saturating_sub(direct).as_micros() as u64);
         }
@@ -317,18 +320,22 @@
     added
 }
 
-/// The router's memory while streams are open.
+/// Returns the resident memory of the router while `count` streams are open, bytes.
 async fn open_streams(prepared: &PreparedFleet, count: usize) -> u64 {
     let client = HttpClient::new(Duration::from_secs(5));
     let caller = Caller::new(client, &prepared.documents.tenants[0].key);
-    let router = prepared.fleet.places.routers[0].listen;
+    let router = prepared.fleet.endpoints.routers[0].listen;
     let mut random = ChaCha8Rng::seed_from_u64(6);
-    let mut question = prepared.documents.question(0, &mut random);
-    question.max_tokens = 400;
+    let mut request = prepared.documents.model_request(0, &mut random);
+    request.max_tokens = 400;
     let streams: Vec<_> = (0..count)
         .map(|_| {
-            let (caller, question) = (caller.clone(), question.clone());
-            tokio::spawn(async move { caller.ask(router, &question, AskShape::Stream).await })
+            let (caller, request) = (caller.clone(), request.clone());
+            tokio::spawn(async move {
+                caller
+                    .generate(router, &request, ResponseMode::Stream)
+                    .await
+            })
         })
         .collect();
     sleep(Duration::from_millis(2_500)).await;
--- a/crates/lab/src/scale/decisions.rs
+++ b/crates/lab/src/scale/decisions.rs
@@ -1,4 +1,4 @@
-//! The router's own work: decisions and the prefix index.
+//! Costs in the router: routing decisions and the prefix index.
 
 use std::time::Instant;
 
@@ -15,19 +15,19 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::scale::{resident_bytes, times};
+use crate::scale::{resident_bytes, time_histogram};
 
 /// Fleet sizes; the target has 730 replicas.
 const ENGINES: [u32; 6] = [10, 30, 100, 300, 730, 1_000];
-/// Decisions measured at each size.
+/// Number of decisions measured at each size.
 const DECISIONS: usize = 20_000;
-/// Segments of the prompts.
+/// Segments of each prompt.
 const SEGMENTS: u32 = 32;
-/// Blocks of one segment.
+/// Blocks of each segment.
 const SEGMENT_BLOCKS: u32 = 24;
-/// Distinct prompts.
+/// Number of distinct prompts.
 const PROMPTS: usize = 400;
-/// Blocks in the index.
+/// Sizes of the index, blocks.
 const INDEX_SIZES: [usize; 4] = [75_000, 150_000, 300_000, 600_000];
 
 struct Prompt {
@@ -66,14 +66,14 @@
     (0..PROMPTS).map(make).collect()
 }
 
-/// Time of one decision against the number of engines.
+/// Measures the time of a decision by number of engines.
 pub fn decisions() {
     println!("engines   p50 us   p99 us   max us   (32 segments, 768 blocks)");
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let prompts = prompts(&mut random);
     for engines in ENGINES {
-        let scheduler = filled(engines, &prompts, &mut random);
-        let times = measure(&scheduler, &prompts);
+        let scheduler = populated_scheduler(engines, &prompts, &mut random);
+        let times = measure_decisions(&scheduler, &prompts);
         let micros = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1e3;
         println!(
             "{engines:>7}  {:>7.2}  {:>7.2}  {:>7.2}",
@@ -91,7 +91,7 @@
     }
 }
 
-fn filled(engines: u32, prompts: &[Prompt], random: &mut ChaCha8Rng) -> Scheduler {
+fn populated_scheduler(engines: u32, prompts: &[Prompt], random: &mut ChaCha8Rng) -> Scheduler {
     let mut scheduler = Scheduler::new(SchedulerOptions::default());
     for engine in 0..engines {
         scheduler.engines.update(EngineDescription {
@@ -119,12 +119,12 @@
     scheduler
 }
 
-fn measure(scheduler: &Scheduler, prompts: &[Prompt]) -> Histogram<u64> {
-    let mut times = times();
+fn measure_decisions(scheduler: &Scheduler, prompts: &[Prompt]) -> Histogram<u64> {
+    let mut times = time_histogram();
     let key = key();
     for number in 0..DECISIONS {
         let prompt = &prompts[number % prompts.len()];
-        let shape = RoutingRequest {
+        let request = RoutingRequest {
             key: &key,
             chain: &prompt.chain,
             boundaries: &prompt.boundaries,
@@ -132,7 +132,7 @@
             excluded: &[],
         };
         let started = Instant::now();
-        let decision = scheduler.choose(shape, 0, number as u64);
+        let decision = scheduler.choose(request, 0, number as u64);
         let took = started.elapsed();
         std::hint::black_box(decision);
         times.saturating_record(took.as_nanos() as u64);
@@ -140,11 +140,11 @@
     times
 }
 
-/// Memory and time of the index against the number of blocks.
+/// Measures memory and time of the index by number of blocks.
 pub fn index() {
     println!("blocks     MB      bytes/block   ns/stored   ns/removed   hash us/1000 tokens");
-    // Kept until the end, so that no size is measured in memory freed by the one before.
-    let mut kept = Vec::new();
+    // Indexes are retained so that none is allocated from memory that an earlier one freed.
+    let mut retained = Vec::new();
     for size in INDEX_SIZES {
         let mut random = ChaCha8Rng::seed_from_u64(2);
         let blocks: Vec<BlockHash> = (0..size).map(|_| BlockHash(random.random())).collect();
@@ -161,7 +161,7 @@
             index.remove(EngineSlot((position % 730) as u16), [*block]);
         }
         let removed = started.elapsed();
-        kept.push(index);
+        retained.push(index);
         let each = |time: std::time::Duration| time.as_nanos() as f64 / size as f64;
         println!(
             "{size:>7}  {:>6.1}  {:>11.1}  {:>10.0}  {:>10.0}  {:>12.1}",
@@ -172,10 +172,10 @@
             hash_time_us(),
         );
     }
-    std::hint::black_box(&kept);
+    std::hint::black_box(&retained);
 }
 
-/// Time for hashing a prompt of 1,000 tokens, microseconds.
+/// Returns the time to hash 1,000 tokens of a prompt, microseconds.
 fn hash_time_us() -> f64 {
     let text = "some words ".repeat(36_000);
     let namespace =
--- a/crates/lab/src/simulate/streams/engines.rs
+++ b/crates/lab/src/simulate/streams/engines.rs
@@ -7,7 +7,7 @@
     BlockHash, CacheNamespace, EngineIncarnation, ModelName, PrefixChain, WeightsVersion,
 };
 use railtack_emulator::{
-    answer::{answer_seed, token_text},
+    completion::{completion_seed, token_text},
     engine::{EngineModel, NewSequence, StepOutcome},
     gate::{Gate, GateChecks},
 };
@@ -159,7 +159,7 @@
         let stream = SimStream {
             request: dispatch.request,
             connection: dispatch.connection,
-            seed: answer_seed(&dispatch.prompt),
+            seed: completion_seed(&dispatch.prompt),
             first_token: dispatch.delivered,
             produced_tokens: dispatch.delivered,
             end: None,
@@ -362,7 +362,7 @@
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
-        if engine.gate.take_order(&order).is_err() || !engine.gate.loading {
+        if engine.gate.accept_order(&order).is_err() || !engine.gate.loading {
             return;
         }
         let event = Event::LoadWhenIdle {
@@ -392,7 +392,7 @@
         }
         engine.model.clear_cache();
         engine.cached.clear();
-        engine.gate.loaded(order);
+        engine.gate.finish_loading(order);
     }
 
     /// Cancels an abandoned attempt.
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -29,7 +29,7 @@
     fleet::{Fault, Fleet, FleetKind, FleetShape, LabProcess, process},
     load::{
         Caller, KeyedRecord,
-        caller::{self, AskShape},
+        caller::{self, ResponseMode},
         keyed::key_name,
     },
     soak::schedule::{Action, FleetSize, Schedule, Target},
@@ -117,11 +117,11 @@
     let keyed_record = keyed.finish().await;
     schedule_result?;
     let executions = prepared.fleet.executions().await?.by_key;
-    let judgement = keyed_record.judge(&executions);
+    let judgement = keyed_record.check(&executions);
     let (completed, not_run, unknown) = keyed_record.totals();
     let measurements = vec![
         Measurement::informational("acts", schedule.actions.len() as f64),
-        Measurement::informational("whole answers of models", model_report.summary.whole as f64),
+        Measurement::informational("whole answers of models", model_report.summary.completed as f64),
         Measurement::informational("streams that callers saw cut", model_report.interrupted()),
         Measurement::informational("keyed requests answered", completed as f64),
         Measurement::informational("keyed requests told not run", not_run as f64),
@@ -137,10 +137,10 @@
             0.0,
         ),
         Measurement::at_most("keys executed twice", judgement.ran_twice as f64, 0.0),
-        Measurement::at_most("untrue \"not run\"", judgement.untrue_not_run as f64, 0.0),
+        Measurement::at_most("untrue \"not run\"", judgement.false_not_run as f64, 0.0),
         Measurement::at_most(
             "answers without an execution",
-            judgement.unfounded as f64,
+            judgement.completed_without_execution as f64,
             0.0,
         ),
         Measurement::at_most(
@@ -167,7 +167,7 @@
     for (number, (due, action)) in schedule.actions.iter().enumerate() {
         sleep_until(started_at + *due).await;
         match action {
-            Action::Signal(target, fault) => process_of(fleet, *target).inflict(*fault).await?,
+            Action::Signal(target, fault) => process_of(fleet, *target).inject(*fault).await?,
             Action::Start(target) => {
                 let process = process_of(fleet, *target);
                 if let Some(builds) = builds {
@@ -177,7 +177,7 @@
             }
             Action::Change(count) => {
                 let operation = format!("soak-{seed}-{number}");
-                let addresses = fleet.places.control.iter().map(|place| place.listen);
+                let addresses = fleet.endpoints.control.iter().map(|place| place.listen);
                 let addresses: Vec<SocketAddr> = addresses.collect();
                 changes.push(tokio::spawn(submit_changes(addresses, operation, *count)));
             }
@@ -200,8 +200,8 @@
     match target {
         // Emulated engines are not upgraded.
         Target::Engine(_) => {}
-        Target::Router(_) if rolls_back => process.replace_by(&builds.previous),
-        Target::Router(_) | Target::Control(_) => process.replace_by(&builds.current),
+        Target::Router(_) if rolls_back => process.set_binary(&builds.previous),
+        Target::Router(_) | Target::Control(_) => process.set_binary(&builds.current),
     }
 }
 
@@ -218,7 +218,7 @@
         && process.wait(STOP_TIMEOUT).await.is_none()
         && process.id().is_some()
     {
-        process.inflict(Fault::Kill).await?;
+        process.inject(Fault::Kill).await?;
     }
     process.restart()
 }
@@ -244,11 +244,13 @@
     let caller = Caller::new(client, &prepared.documents.tenants[0].key);
     let question = prepared
         .documents
-        .question(0, &mut ChaCha8Rng::seed_from_u64(0));
-    for place in &prepared.fleet.places.routers {
+        .model_request(0, &mut ChaCha8Rng::seed_from_u64(0));
+    for place in &prepared.fleet.endpoints.routers {
         loop {
-            let finding = caller.ask(place.listen, &question, AskShape::Whole).await;
-            let is_served = matches!(finding, caller::Finding::Whole { .. });
+            let finding = caller
+                .generate(place.listen, &question, ResponseMode::Unary)
+                .await;
+            let is_served = matches!(finding, caller::CallOutcome::Complete { .. });
             if is_served || started_at.elapsed() > RECOVERY_TIMEOUT * 2 {
                 break;
             }
@@ -286,13 +288,13 @@
             .caller
             .call(address, &self.service, &path, Some(&name))
             .await;
-        self.record().note(key, &finding);
+        self.record().record(key, &finding);
     }
 }
 
 impl KeyedLoad {
     fn start(prepared: &PreparedFleet, seed: u64) -> Self {
-        let places = prepared.fleet.places.routers.iter();
+        let places = prepared.fleet.endpoints.routers.iter();
         let shared = Arc::new(KeyedShared {
             stop: AtomicBool::new(false),
             next_key: AtomicU64::new(0),
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! A small fleet of real processes: bad input is refused with a typed error, and it serves on.
+//! A fleet of real processes refuses bad input with a typed error and keeps serving.
 
 use std::{
     io::{Read, Write},
@@ -11,7 +11,7 @@
 use railtack_lab::{
     demo::{self, FleetOptions, PreparedFleet},
     fleet::{FleetKind, FleetShape, process},
-    load::{Caller, Finding, caller::AskShape},
+    load::{CallOutcome, Caller, caller::ResponseMode},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -38,8 +38,8 @@
         status,
         code,
     };
-    let short = |extra: Value| {
-        let mut body = json!({ "template": "counter-answer", "prompt": "q" });
+    let counter_answer = |extra: Value| {
+        let mut body = json!({ "template": "counter-response", "prompt": "q" });
         if let (Some(body), Value::Object(extra)) = (body.as_object_mut(), extra) {
             body.extend(extra);
         }
@@ -57,7 +57,7 @@
             "an unknown field",
             400,
             "malformed_request",
-            short(json!({ "tempelate": 1 })),
+            counter_answer(json!({ "tempelate": 1 })),
         ),
         case(
             "an unknown template",
@@ -81,13 +81,13 @@
             "an extra parameter",
             400,
             "unexpected_parameter",
-            short(json!({ "parameters": { "colour": "red" } })),
+            counter_answer(json!({ "parameters": { "colour": "red" } })),
         ),
         case(
             "a tenant's parameter",
             400,
             "unexpected_parameter",
-            short(json!({ "parameters": { "context": "mine" } })),
+            counter_answer(json!({ "parameters": { "context": "mine" } })),
         ),
         case(
             "an oversized parameter",
@@ -105,15 +105,25 @@
         ),
         BadInput {
             bearer: Some("wrong".to_owned()),
-            ..case("a wrong key", 401, "unauthorized", short(json!({})))
+            ..case(
+                "a wrong key",
+                401,
+                "unauthorized",
+                counter_answer(json!({})),
+            )
         },
         BadInput {
             bearer: None,
-            ..case("no key", 401, "unauthorized", short(json!({})))
+            ..case("no key", 401, "unauthorized", counter_answer(json!({})))
         },
         BadInput {
             path: "/v2/completions",
-            ..case("an unknown path", 404, "unknown_route", short(json!({})))
+            ..case(
+                "an unknown path",
+                404,
+                "unknown_route",
+                counter_answer(json!({})),
+            )
         },
         BadInput {
             path: "/services/notice-renderer/x",
@@ -140,30 +150,35 @@
         .body(http_body_util::Full::from(input.body.clone()))
         .expect("a request");
     let client = HttpClient::new(Duration::from_secs(2));
-    let response = client.send(request).await.expect("an answer");
+    let response = client.send(request).await.expect("a response");
     let status = response.status().as_u16();
-    let is_named = response.headers().contains_key("x-request-id");
+    let has_request_id = response.headers().contains_key("x-request-id");
     let content = railtack_http::read_body(response.into_body(), 1 << 20, Duration::from_secs(5))
         .await
         .expect("a body");
     (
         status,
-        is_named,
+        has_request_id,
         serde_json::from_slice(&content).expect("JSON"),
     )
 }
 
-/// Asks for a stream, which must be whole.
+/// Requests a stream and checks that the response is complete.
 async fn assert_serves(prepared: &PreparedFleet) {
     let caller = Caller::new(
         HttpClient::new(Duration::from_secs(2)),
         &prepared.documents.tenants[0].key,
     );
     let mut random = ChaCha8Rng::seed_from_u64(3);
-    let question = prepared.documents.question(0, &mut random);
-    let router = prepared.fleet.places.routers[0].listen;
-    let finding = caller.ask(router, &question, AskShape::Stream).await;
-    assert!(matches!(finding, Finding::Whole { .. }), "{finding:?}");
+    let request = prepared.documents.model_request(0, &mut random);
+    let router = prepared.fleet.endpoints.routers[0].listen;
+    let outcome = caller
+        .generate(router, &request, ResponseMode::Stream)
+        .await;
+    assert!(
+        matches!(outcome, CallOutcome::Complete { .. }),
+        "{outcome:?}"
+    );
 }
 
 /// Gives `tenant-2` a template that `tenant-1` does not have.
@@ -177,9 +192,9 @@
     let template = template.display().to_string();
     prepared
         .fleet
-        .operate(&["template", "submit", &template])
+        .run_ctl(&["template", "submit", &template])
         .await
-        .expect("accepted");
+        .expect("the command succeeds");
     let tenant = folder.join("tenant-tenant-2.toml");
     let mut text = std::fs::read_to_string(&tenant).expect("the submitted document");
     text.push_str("[[services]]\ntemplate = \"private-to-tenant-2\"\n");
@@ -187,27 +202,27 @@
     let tenant = tenant.display().to_string();
     prepared
         .fleet
-        .operate(&["tenant", "revise", &tenant])
+        .run_ctl(&["tenant", "revise", &tenant])
         .await
-        .expect("accepted");
+        .expect("the command succeeds");
 }
 
-/// A caller that sends half a request and then waits: it is refused in time and holds up nobody.
-fn slow_client(router: SocketAddr) -> String {
+/// Sends half a request and waits. Returns the response, which must arrive before the read timeout.
+fn send_partial_request(router: SocketAddr) -> String {
     let mut stream = TcpStream::connect(router).expect("a connection");
     stream
         .write_all(b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{")
-        .expect("half a request");
+        .expect("a partial write");
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
-        .expect("a timeout");
-    let mut answer = vec![0; 4096];
-    let length = stream.read(&mut answer).expect("an answer");
-    String::from_utf8_lossy(&answer[..length]).into_owned()
+        .expect("a read timeout is set");
+    let mut response = vec![0; 4096];
+    let length = stream.read(&mut response).expect("a response");
+    String::from_utf8_lossy(&response[..length]).into_owned()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bad_input_is_refused_and_the_fleet_serves_on() {
+async fn the_fleet_refuses_bad_input_and_keeps_serving() {
     process::use_lab_binary(Path::new(env!("CARGO_BIN_EXE_railtack-lab")));
     let folder = tempfile::tempdir().expect("a folder");
     let mut shape = FleetShape::demonstration(FleetKind::Brasov);
@@ -223,30 +238,30 @@
         .await
         .expect("a fleet");
     add_private_template(&prepared, folder.path()).await;
-    let router = prepared.fleet.places.routers[0].listen;
+    let router = prepared.fleet.endpoints.routers[0].listen;
     for input in bad_inputs(&prepared) {
-        let (status, is_named, body) = send(router, &input).await;
+        let (status, has_request_id, body) = send(router, &input).await;
         assert_eq!(status, input.status, "{}: {body}", input.name);
         assert_eq!(body["error"]["code"], input.code, "{}: {body}", input.name);
         assert_eq!(body["error"]["execution"], "not_run", "{}", input.name);
-        // Whoever complains of a refused model request can name it.
+        // The refusal of a model request carries a request id, which the caller can report.
         let is_model = input.path.starts_with("/v1/");
         if is_model && input.code == "unknown_template" {
-            assert!(is_named, "{}", input.name);
+            assert!(has_request_id, "{}", input.name);
         }
     }
-    let slow = tokio::task::spawn_blocking(move || slow_client(router));
+    let slow = tokio::task::spawn_blocking(move || send_partial_request(router));
     assert_serves(&prepared).await;
-    let answer = slow.await.expect("the slow client");
-    assert!(answer.contains("slow_request"), "{answer}");
+    let response = slow.await.expect("the slow client completes");
+    assert!(response.contains("slow_request"), "{response}");
     assert_serves(&prepared).await;
-    operators_errors(&prepared, folder.path()).await;
+    check_operator_errors(&prepared, folder.path()).await;
     assert_serves(&prepared).await;
 }
 
-/// Bad documents and races of operators change nothing and have their own exit codes.
-async fn operators_errors(prepared: &PreparedFleet, folder: &Path) {
-    let exit_code = async |arguments: &[&str]| match prepared.fleet.operate(arguments).await {
+/// Checks the exit codes for bad documents and for conflicting operations.
+async fn check_operator_errors(prepared: &PreparedFleet, folder: &Path) {
+    let exit_code = async |arguments: &[&str]| match prepared.fleet.run_ctl(arguments).await {
         Ok(_) => 0,
         Err(report) => match report.current_context() {
             railtack_lab::LabError::Operator { code, .. } => *code,
@@ -260,11 +275,11 @@
     assert_eq!(exit_code(&["template", "submit", &path]).await, 4);
     write("name = \"bad\"\ncolour = 1\n");
     assert_eq!(exit_code(&["template", "submit", &path]).await, 1);
-    write("name = \"counter-answer\"\n[target.model]\nmodel = \"valuation\"\n");
+    write("name = \"counter-response\"\n[target.model]\nmodel = \"valuation\"\n");
     assert_eq!(
         exit_code(&["template", "submit", &path]).await,
         3,
-        "it exists"
+        "the template exists"
     );
     assert_eq!(
         exit_code(&["template", "revise", &path, "--expect-revision", "1"]).await,
@@ -279,7 +294,7 @@
             "explain",
             "00",
             "--router",
-            &prepared.fleet.places.routers[0].admin.to_string()
+            &prepared.fleet.endpoints.routers[0].admin.to_string()
         ])
         .await,
         7
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -6,7 +6,7 @@
 use railtack_core::{Execution, RefusalCode};
 use railtack_lab::{
     fleet::{Fault, process},
-    load::{Finding, KeyedRecord, keyed::KeyedJudgement},
+    load::{CallOutcome, KeyedRecord, keyed::KeyedViolations},
     soak::{Action, FleetSize, Schedule, Target, run},
 };
 
@@ -52,8 +52,8 @@
     assert_ne!(draw(7), draw(8));
 }
 
-fn refused(execution: Execution) -> Finding {
-    Finding::Refused {
+fn refused(execution: Execution) -> CallOutcome {
+    CallOutcome::Refused {
         code: RefusalCode::NoBackend,
         execution,
     }
@@ -62,25 +62,25 @@
 #[test]
 fn reported_outcomes_are_checked_against_executions() {
     let mut record = KeyedRecord::default();
-    let whole = Finding::Whole { first_token_us: 1 };
+    let whole = CallOutcome::Complete { first_token_us: 1 };
     // Consistent results: completed and run once; refused and not run; unknown.
-    record.note(1, &whole);
-    record.note(2, &refused(Execution::NotRun));
-    record.note(3, &refused(Execution::Unknown));
+    record.record(1, &whole);
+    record.record(2, &refused(Execution::NotRun));
+    record.record(3, &refused(Execution::Unknown));
     let ran = |runs: &[(u64, u64)]| -> BTreeMap<String, u64> {
         let runs = runs.iter();
         runs.map(|(key, count)| (format!("key-{key}"), *count))
             .collect()
     };
     assert_eq!(
-        record.judge(&ran(&[(1, 1), (3, 1)])),
-        KeyedJudgement::default()
+        record.check(&ran(&[(1, 1), (3, 1)])),
+        KeyedViolations::default()
     );
-    let violations = record.judge(&ran(&[(2, 1), (3, 2)]));
-    let all = KeyedJudgement {
+    let violations = record.check(&ran(&[(2, 1), (3, 2)]));
+    let all = KeyedViolations {
         ran_twice: 1,
-        untrue_not_run: 1,
-        unfounded: 1,
+        false_not_run: 1,
+        completed_without_execution: 1,
     };
     assert_eq!(violations, all);
 }
