--- a/crates/lab/src/fault/background.rs
+++ b/crates/lab/src/fault/background.rs
@@ -27,7 +27,7 @@
 /// Timeout for connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Number of requests drawn in advance; callers send them in turn.
-const QUESTIONS: usize = 600;
+const REQUESTS: usize = 600;
 
 /// Results of a background load.
 #[derive(Clone, Debug, Default)]
@@ -79,7 +79,7 @@
 struct Shared {
     stop: Arc<AtomicBool>,
     report: Arc<Mutex<BackgroundReport>>,
-    questions: Vec<(usize, ModelRequest)>,
+    requests: Vec<(usize, ModelRequest)>,
     next: AtomicUsize,
     routers: Vec<std::net::SocketAddr>,
     callers: Vec<Caller>,
@@ -90,7 +90,7 @@
     pub fn start(prepared: &PreparedFleet, concurrency: usize, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let tenants = prepared.documents.tenants.len();
-        let questions = (0..QUESTIONS).map(|_| {
+        let requests = (0..REQUESTS).map(|_| {
             let tenant = random.random_range(0..tenants);
             (
                 tenant,
@@ -101,14 +101,14 @@
         let shared = Arc::new(Shared {
             stop: Arc::new(AtomicBool::new(false)),
             report: Arc::default(),
-            questions: questions.collect(),
+            requests: requests.collect(),
             next: AtomicUsize::new(0),
             routers: prepared
                 .fleet
                 .endpoints
                 .routers
                 .iter()
-                .map(|place| place.listen)
+                .map(|endpoints| endpoints.listen)
                 .collect(),
             callers: prepared
                 .documents
@@ -142,19 +142,19 @@
 async fn call_until_stopped(shared: Arc<Shared>, number: usize) {
     let mut router = number;
     while !shared.stop.load(Ordering::Relaxed) {
-        let position = shared.next.fetch_add(1, Ordering::Relaxed) % shared.questions.len();
-        let (tenant, question) = &shared.questions[position];
-        let shape = if position.is_multiple_of(4) {
+        let position = shared.next.fetch_add(1, Ordering::Relaxed) % shared.requests.len();
+        let (tenant, request) = &shared.requests[position];
+        let mode = if position.is_multiple_of(4) {
             ResponseMode::Unary
         } else {
             ResponseMode::Stream
         };
         let address = shared.routers[router % shared.routers.len()];
-        let finding = shared.callers[*tenant]
-            .generate(address, question, shape)
+        let outcome = shared.callers[*tenant]
+            .generate(address, request, mode)
             .await;
         let try_next_router = matches!(
-            finding,
+            outcome,
             CallOutcome::Unreachable
                 | CallOutcome::Refused {
                     execution: Execution::NotRun,
@@ -163,10 +163,10 @@
         );
         {
             let mut report = shared.report.lock().unwrap_or_else(PoisonError::into_inner);
-            if matches!(finding, CallOutcome::Complete { .. }) {
+            if matches!(outcome, CallOutcome::Complete { .. }) {
                 report.completed_at.push(Instant::now());
             }
-            report.summary.add(&finding);
+            report.summary.add(&outcome);
         }
         if try_next_router {
             router += 1;
--- a/crates/lab/src/fault/control.rs
+++ b/crates/lab/src/fault/control.rs
@@ -110,8 +110,8 @@
     while still_ready > 0 && frozen_at.elapsed() < Duration::from_secs(20) {
         sleep(Duration::from_millis(20)).await;
         still_ready = 0;
-        for place in &prepared.fleet.endpoints.routers {
-            still_ready += usize::from(prepared.fleet.is_ready(place.admin, "/readyz").await);
+        for endpoints in &prepared.fleet.endpoints.routers {
+            still_ready += usize::from(prepared.fleet.is_ready(endpoints.admin, "/readyz").await);
         }
     }
     let stopped_after = frozen_at.elapsed();
@@ -154,15 +154,15 @@
     let leader = prepared.fleet.leader().await.ok_or_else(no_leader)?;
     prepared.fleet.control[leader].inject(Fault::Kill).await?;
     prepared.fleet.control[leader].restart()?;
-    let place = &prepared.fleet.endpoints.control[leader];
+    let endpoints = &prepared.fleet.endpoints.control[leader];
     let restart = prepared
         .fleet
-        .wait_until_ready("control", place.metrics, "/readyz")
+        .wait_until_ready("control", endpoints.metrics, "/readyz")
         .await?;
     let data = prepared
         .fleet
         .folder
-        .join(format!("control-{}", place.replica));
+        .join(format!("control-{}", endpoints.replica));
     Ok(vec![
         Measurement::at_most("slowest change across a failover, s", slowest, 2.0),
         Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
--- a/crates/lab/src/fault/keys.rs
+++ b/crates/lab/src/fault/keys.rs
@@ -61,7 +61,7 @@
         .endpoints
         .routers
         .iter()
-        .map(|place| place.listen)
+        .map(|endpoints| endpoints.listen)
         .collect();
     let sender = {
         let record = Arc::clone(&record);
@@ -75,11 +75,11 @@
                     async move {
                         let name = key_name(key);
                         let path = format!("once/{key}");
-                        let finding = caller.call(address, &service, &path, Some(&name)).await;
+                        let outcome = caller.call(address, &service, &path, Some(&name)).await;
                         record
                             .lock()
                             .unwrap_or_else(PoisonError::into_inner)
-                            .record(key, &finding);
+                            .record(key, &outcome);
                     }
                 })
                 .await;
@@ -91,7 +91,7 @@
     sleep(Duration::from_secs(1)).await;
     let executions = prepared.fleet.executions().await?.by_key;
     let record = record.lock().unwrap_or_else(PoisonError::into_inner);
-    let judgement = record.check(&executions);
+    let violations = record.check(&executions);
     let (completed, not_run, unknown) = record.totals();
     Ok(vec![
         fault::Measurement::informational("keys", KEYS as f64),
@@ -100,11 +100,11 @@
         fault::Measurement::informational("answered", completed as f64),
         fault::Measurement::informational("told not run", not_run as f64),
         fault::Measurement::informational("told unknown", unknown as f64),
-        fault::Measurement::at_most("keys executed twice", judgement.ran_twice as f64, 0.0),
-        fault::Measurement::at_most("untrue \"not run\"", judgement.false_not_run as f64, 0.0),
+        fault::Measurement::at_most("keys executed twice", violations.ran_twice as f64, 0.0),
+        fault::Measurement::at_most("untrue \"not run\"", violations.false_not_run as f64, 0.0),
         fault::Measurement::at_most(
             "answers without an execution",
-            judgement.completed_without_execution as f64,
+            violations.completed_without_execution as f64,
             0.0,
         ),
     ])
@@ -116,10 +116,10 @@
     prepared: &mut PreparedFleet,
 ) -> Result<(), Report<LabError>> {
     let service = prepared.documents.service_names().1.to_owned();
-    let place = ControlEndpoints::allocate(0)?;
+    let endpoints = ControlEndpoints::allocate(0)?;
     prepared.fleet.unreachable_machines.push(Machine {
         kind: MachineKind::Service { service },
-        address: place.listen,
+        address: endpoints.listen,
         zone: ZoneName::from(prepared.fleet.shape.zone(0)),
         leaving: false,
     });
--- a/crates/lab/src/fault/routers.rs
+++ b/crates/lab/src/fault/routers.rs
@@ -60,8 +60,8 @@
         }
         prepared.fleet.wait_for_routers().await?;
         slowest = slowest.max(started.elapsed());
-        for place in &prepared.fleet.endpoints.routers {
-            let revision = prepared.fleet.router_revision(place.admin).await;
+        for endpoints in &prepared.fleet.endpoints.routers {
+            let revision = prepared.fleet.router_revision(endpoints.admin).await;
             stale += u64::from(revision.unwrap_or_default() < before);
         }
         load.finish().await;
@@ -78,8 +78,8 @@
 
 async fn newest_revision(prepared: &PreparedFleet) -> u64 {
     let mut newest = 0;
-    for place in &prepared.fleet.endpoints.routers {
-        let revision = prepared.fleet.router_revision(place.admin).await;
+    for endpoints in &prepared.fleet.endpoints.routers {
+        let revision = prepared.fleet.router_revision(endpoints.admin).await;
         newest = newest.max(revision.unwrap_or_default());
     }
     newest
--- a/crates/lab/src/simulate/control/checks.rs
+++ b/crates/lab/src/simulate/control/checks.rs
@@ -109,7 +109,7 @@
         check_key(key, *record)
     }
 
-    /// Checks the whole history against the reference model and against the operators' outcomes and times.
+    /// Checks the complete history against the reference model and the operators' outcomes and times.
     pub fn check_history(&self) -> Result<(), CheckFailure> {
         let mut model = ReferenceModel::default();
         let mut first_index = BTreeMap::new();
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -117,11 +117,14 @@
     let keyed_record = keyed.finish().await;
     schedule_result?;
     let executions = prepared.fleet.executions().await?.by_key;
-    let judgement = keyed_record.check(&executions);
+    let violations = keyed_record.check(&executions);
     let (completed, not_run, unknown) = keyed_record.totals();
     let measurements = vec![
         Measurement::informational("acts", schedule.actions.len() as f64),
-        Measurement::informational("whole answers of models", model_report.summary.completed as f64),
+        Measurement::informational(
+            "whole answers of models",
+            model_report.summary.completed as f64,
+        ),
         Measurement::informational("streams that callers saw cut", model_report.interrupted()),
         Measurement::informational("keyed requests answered", completed as f64),
         Measurement::informational("keyed requests told not run", not_run as f64),
@@ -136,11 +139,11 @@
             model_report.summary.lost as f64,
             0.0,
         ),
-        Measurement::at_most("keys executed twice", judgement.ran_twice as f64, 0.0),
-        Measurement::at_most("untrue \"not run\"", judgement.false_not_run as f64, 0.0),
+        Measurement::at_most("keys executed twice", violations.ran_twice as f64, 0.0),
+        Measurement::at_most("untrue \"not run\"", violations.false_not_run as f64, 0.0),
         Measurement::at_most(
             "answers without an execution",
-            judgement.completed_without_execution as f64,
+            violations.completed_without_execution as f64,
             0.0,
         ),
         Measurement::at_most(
@@ -177,7 +180,11 @@
             }
             Action::Change(count) => {
                 let operation = format!("soak-{seed}-{number}");
-                let addresses = fleet.endpoints.control.iter().map(|place| place.listen);
+                let addresses = fleet
+                    .endpoints
+                    .control
+                    .iter()
+                    .map(|endpoints| endpoints.listen);
                 let addresses: Vec<SocketAddr> = addresses.collect();
                 changes.push(tokio::spawn(submit_changes(addresses, operation, *count)));
             }
@@ -242,15 +249,15 @@
     let started_at = Instant::now();
     let client = HttpClient::new(CONNECT_TIMEOUT);
     let caller = Caller::new(client, &prepared.documents.tenants[0].key);
-    let question = prepared
+    let request = prepared
         .documents
         .model_request(0, &mut ChaCha8Rng::seed_from_u64(0));
-    for place in &prepared.fleet.endpoints.routers {
+    for endpoints in &prepared.fleet.endpoints.routers {
         loop {
-            let finding = caller
-                .generate(place.listen, &question, ResponseMode::Unary)
+            let outcome = caller
+                .generate(endpoints.listen, &request, ResponseMode::Unary)
                 .await;
-            let is_served = matches!(finding, caller::CallOutcome::Complete { .. });
+            let is_served = matches!(outcome, caller::CallOutcome::Complete { .. });
             if is_served || started_at.elapsed() > RECOVERY_TIMEOUT * 2 {
                 break;
             }
@@ -284,17 +291,17 @@
         let address = self.routers[router % self.routers.len()];
         let path = format!("once/{key}");
         let name = key_name(key);
-        let finding = self
+        let outcome = self
             .caller
             .call(address, &self.service, &path, Some(&name))
             .await;
-        self.record().record(key, &finding);
+        self.record().record(key, &outcome);
     }
 }
 
 impl KeyedLoad {
     fn start(prepared: &PreparedFleet, seed: u64) -> Self {
-        let places = prepared.fleet.endpoints.routers.iter();
+        let routers = prepared.fleet.endpoints.routers.iter();
         let shared = Arc::new(KeyedShared {
             stop: AtomicBool::new(false),
             next_key: AtomicU64::new(0),
@@ -304,7 +311,7 @@
                 &prepared.documents.tenants[0].key,
             ),
             service: prepared.documents.service_names().1.to_owned(),
-            routers: places.map(|place| place.listen).collect(),
+            routers: routers.map(|endpoints| endpoints.listen).collect(),
         });
         let callers = (0..KEYED_CALLERS as u64).map(|number| {
             let shared = Arc::clone(&shared);
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -62,9 +62,9 @@
 #[test]
 fn reported_outcomes_are_checked_against_executions() {
     let mut record = KeyedRecord::default();
-    let whole = CallOutcome::Complete { first_token_us: 1 };
+    let complete = CallOutcome::Complete { first_token_us: 1 };
     // Consistent results: completed and run once; refused and not run; unknown.
-    record.record(1, &whole);
+    record.record(1, &complete);
     record.record(2, &refused(Execution::NotRun));
     record.record(3, &refused(Execution::Unknown));
     let ran = |runs: &[(u64, u64)]| -> BTreeMap<String, u64> {
