--- a/crates/lab/src/fault/background.rs
+++ b/crates/lab/src/fault/background.rs
@@ -1,4 +1,4 @@
-//! Load that runs while faults are injected.
+//! Background load during fault injection.
 
 use std::{
     sync::{
@@ -22,41 +22,41 @@
     load::{CallOutcome, Caller, ModelRequest, Summary, caller::ResponseMode},
 };
 
-/// Pause of a caller after a router could not be reached or refused.
+/// Pause of a caller after a router was unreachable or refused the request.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Time for connecting to a router.
+/// Timeout for connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Questions drawn ahead; callers take them in turn.
-const QUESTIONS: usize = 600;
+/// Number of requests drawn in advance; callers send them in turn.
+const REQUESTS: usize = 600;
 
-/// What a load found.
+/// Results of a background load.
 #[derive(Clone, Debug, Default)]
-pub struct LoadReport {
-    /// All findings.
+pub struct BackgroundReport {
+    /// Totals over all requests.
     pub summary: Summary,
-    /// Moments of whole answers, in order of arrival.
-    pub answered_at: Vec<Instant>,
+    /// Completion times of complete responses, in order.
+    pub completed_at: Vec<Instant>,
 }
 
-impl LoadReport {
-    /// Longest time without a whole answer after a moment, seconds.
-    pub fn longest_gap_after(&self, moment: Instant) -> f64 {
-        let mut previous = moment;
+impl BackgroundReport {
+    /// Longest time between two complete responses after `start`, seconds.
+    pub fn longest_gap_after(&self, start: Instant) -> f64 {
+        let mut previous = start;
         let mut longest = Duration::ZERO;
-        for at in self.answered_at.iter().filter(|at| **at >= moment) {
+        for at in self.completed_at.iter().filter(|at| **at >= start) {
             longest = longest.max(*at - previous);
             previous = *at;
         }
         longest.as_secs_f64()
     }
 
-    /// Answers that were lost, wrong, or cut where the caller was promised none would be.
-    pub fn bad(&self) -> f64 {
+    /// Number of wrong responses, and of requests without any response.
+    pub fn wrong_or_lost(&self) -> f64 {
         (self.summary.wrong.len() as u64 + self.summary.lost) as f64
     }
 
-    /// Requests that were cut off: begun and broken, or ended by an error.
-    pub fn cut_off(&self) -> f64 {
+    /// Number of broken streams, and of errors after which the request may have run.
+    pub fn interrupted(&self) -> f64 {
         let unknown: u64 = self
             .summary
             .refusals
@@ -68,29 +68,29 @@
     }
 }
 
-/// Callers that ask models until stopped. A caller whose router refuses before anything ran, or
-/// cannot be reached, asks the next router, as a client with several addresses does.
+/// Callers that send model requests until stopped. If a router is unreachable, or refuses a request
+/// before running it, the caller moves on to the next router, as a client with several addresses does.
 pub struct BackgroundLoad {
     stop: Arc<AtomicBool>,
-    report: Arc<Mutex<LoadReport>>,
+    report: Arc<Mutex<BackgroundReport>>,
     callers: Vec<JoinHandle<()>>,
 }
 
 struct Shared {
     stop: Arc<AtomicBool>,
-    report: Arc<Mutex<LoadReport>>,
-    questions: Vec<(usize, ModelRequest)>,
+    report: Arc<Mutex<BackgroundReport>>,
+    requests: Vec<(usize, ModelRequest)>,
     next: AtomicUsize,
     routers: Vec<std::net::SocketAddr>,
     callers: Vec<Caller>,
 }
 
 impl BackgroundLoad {
-    /// Starts `concurrency` callers.
+    /// Starts `concurrency` callers, with requests drawn from `seed`.
     pub fn start(prepared: &PreparedFleet, concurrency: usize, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let tenants = prepared.documents.tenants.len();
-        let questions = (0..QUESTIONS).map(|_| {
+        let requests = (0..REQUESTS).map(|_| {
             let tenant = random.random_range(0..tenants);
             (
                 tenant,
@@ -101,14 +101,14 @@
         let shared = Arc::new(Shared {
             stop: Arc::new(AtomicBool::new(false)),
             report: Arc::default(),
-            questions: questions.collect(),
+            requests: requests.collect(),
             next: AtomicUsize::new(0),
             routers: prepared
                 .fleet
                 .endpoints
                 .routers
                 .iter()
-                .map(|place| place.listen)
+                .map(|endpoints| endpoints.listen)
                 .collect(),
             callers: prepared
                 .documents
@@ -127,11 +127,11 @@
         }
     }
 
-    /// Lets open requests end and tells what was found.
-    pub async fn finish(self) -> LoadReport {
+    /// Stops the callers after their open requests, and returns the results.
+    pub async fn finish(self) -> BackgroundReport {
         self.stop.store(true, Ordering::Relaxed);
         for caller in self.callers {
-            // A caller that panicked has counted nothing; the totals show it.
+            // A caller that panicked counts no further requests; the totals show it.
             let _ = caller.await;
         }
         let report = self.report.lock().unwrap_or_else(PoisonError::into_inner);
@@ -142,19 +142,19 @@
 async fn call_until_stopped(shared: Arc<Shared>, number: usize) {
     let mut router = number;
     while !shared.stop.load(Ordering::Relaxed) {
-        let position = shared.next.fetch_add(1, Ordering::Relaxed) % shared.questions.len();
-        let (tenant, question) = &shared.questions[position];
-        let shape = if position.is_multiple_of(4) {
+        let position = shared.next.fetch_add(1, Ordering::Relaxed) % shared.requests.len();
+        let (tenant, request) = &shared.requests[position];
+        let mode = if position.is_multiple_of(4) {
             ResponseMode::Unary
         } else {
             ResponseMode::Stream
         };
         let address = shared.routers[router % shared.routers.len()];
-        let finding = shared.callers[*tenant]
-            .generate(address, question, shape)
+        let outcome = shared.callers[*tenant]
+            .generate(address, request, mode)
             .await;
-        let moves_on = matches!(
-            finding,
+        let try_next_router = matches!(
+            outcome,
             CallOutcome::Unreachable
                 | CallOutcome::Refused {
                     execution: Execution::NotRun,
@@ -163,12 +163,12 @@
         );
         {
             let mut report = shared.report.lock().unwrap_or_else(PoisonError::into_inner);
-            if matches!(finding, CallOutcome::Complete { .. }) {
-                report.answered_at.push(Instant::now());
+            if matches!(outcome, CallOutcome::Complete { .. }) {
+                report.completed_at.push(Instant::now());
             }
-            report.summary.add(&finding);
+            report.summary.add(&outcome);
         }
-        if moves_on {
+        if try_next_router {
             router += 1;
             sleep(RETRY_PAUSE).await;
         }
--- a/crates/lab/src/fault/mod.rs
+++ b/crates/lab/src/fault/mod.rs
@@ -1,4 +1,4 @@
-//! Faults on a fleet of real processes: kills, freezes, lost folders, planned stops.
+//! Fault injection on a fleet of real processes: kills, freezes, lost folders, planned stops.
 
 pub mod background;
 pub mod command;
@@ -11,67 +11,67 @@
 
 use clap::{ValueEnum, builder::PossibleValue};
 
-/// A whole-process run.
+/// A fault scenario on real processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultCase {
-    /// A router is killed and restarted under load.
+    /// Routers are killed and restarted one by one under load.
     RouterRestart,
-    /// Every router is killed and restarted at once.
-    Herd,
-    /// A control replica is frozen while configuration changes; a frozen router comes back.
-    Freeze,
-    /// A majority of control replicas is frozen.
+    /// All routers are killed and restarted at once.
+    RestartAllRouters,
+    /// A control replica and a router are frozen during a configuration change, then thawed.
+    FreezeControl,
+    /// A majority of the control replicas is frozen.
     QuorumLoss,
     /// The leading control replica is killed under load.
     Failover,
-    /// A control replica's folder is deleted, and the replica is replaced.
-    LostFolder,
-    /// Keyed requests with duplicates under kills of routers and control leaders.
-    Keys,
+    /// A control replica's data folder is deleted, and the replica is replaced.
+    LostControlFolder,
+    /// Requests with idempotency keys are duplicated while routers and control leaders are killed.
+    IdempotencyKeys,
     /// Routers and engines are restarted one by one under load.
     RollingRestart,
     /// Engines are killed under load.
-    EngineCrash,
+    CrashEngines,
     /// An engine is frozen under load.
-    EngineFreeze,
-    /// An engine leaves.
-    Leaving,
-    /// The weights of a model change under load.
-    Weights,
+    FreezeEngine,
+    /// An engine is marked as leaving under load.
+    EngineLeaving,
+    /// New weights of a model are rolled out under load.
+    WeightsRollout,
 }
 
 impl FaultCase {
-    /// All cases.
+    /// All cases, in the order in which they run.
     pub const ALL: [Self; 12] = [
         Self::RouterRestart,
-        Self::Herd,
-        Self::Freeze,
+        Self::RestartAllRouters,
+        Self::FreezeControl,
         Self::QuorumLoss,
         Self::Failover,
-        Self::LostFolder,
-        Self::Keys,
+        Self::LostControlFolder,
+        Self::IdempotencyKeys,
         Self::RollingRestart,
-        Self::EngineCrash,
-        Self::EngineFreeze,
-        Self::Leaving,
-        Self::Weights,
+        Self::CrashEngines,
+        Self::FreezeEngine,
+        Self::EngineLeaving,
+        Self::WeightsRollout,
     ];
 
     /// Name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::RouterRestart => "router-restart",
-            Self::Herd => "herd",
-            Self::Freeze => "freeze",
+            Self::RestartAllRouters => "herd",
+            Self::FreezeControl => "freeze",
             Self::QuorumLoss => "quorum-loss",
             Self::Failover => "failover",
-            Self::LostFolder => "lost-folder",
-            Self::Keys => "keys",
+            Self::LostControlFolder => "lost-folder",
+            Self::IdempotencyKeys => "keys",
             Self::RollingRestart => "rolling-restart",
-            Self::EngineCrash => "engine-crash",
-            Self::EngineFreeze => "engine-freeze",
-            Self::Leaving => "leaving",
-            Self::Weights => "weights",
+            Self::CrashEngines => "engine-crash",
+            Self::FreezeEngine => "engine-freeze",
+            Self::EngineLeaving => "leaving",
+            Self::WeightsRollout => "weights",
         }
     }
 }
@@ -86,19 +86,19 @@
     }
 }
 
-/// One thing that a case measures, and what it must be.
+/// A measured value, with an optional upper limit.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Finding {
-    /// What was measured.
+pub struct Measurement {
+    /// Name in reports, with the unit.
     pub name: &'static str,
-    /// The figure.
+    /// Measured value.
     pub value: f64,
-    /// The most that is allowed; `None` if it is only reported.
+    /// Maximum allowed value; `None` if the value is informational.
     pub limit: Option<f64>,
 }
 
-impl Finding {
-    /// A figure that may not exceed `limit`.
+impl Measurement {
+    /// Creates a measurement that must not exceed `limit`.
     pub fn at_most(name: &'static str, value: f64, limit: f64) -> Self {
         Self {
             name,
@@ -107,8 +107,8 @@
         }
     }
 
-    /// A figure that is only reported.
-    pub fn report(name: &'static str, value: f64) -> Self {
+    /// Creates a measurement without a limit.
+    pub fn informational(name: &'static str, value: f64) -> Self {
         Self {
             name,
             value,
@@ -116,17 +116,17 @@
         }
     }
 
-    /// Whether the figure is within its limit.
-    pub fn holds(&self) -> bool {
+    /// Whether the value is within its limit; true without one.
+    pub fn is_within_limit(&self) -> bool {
         self.limit.is_none_or(|limit| self.value <= limit)
     }
 }
 
-impl fmt::Display for Finding {
+impl fmt::Display for Measurement {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:<52} {:>10.3}", self.name, self.value)?;
         match self.limit {
-            Some(limit) if self.holds() => write!(formatter, "  (limit {limit})"),
+            Some(limit) if self.is_within_limit() => write!(formatter, "  (limit {limit})"),
             Some(limit) => write!(formatter, "  EXCEEDS {limit}"),
             None => Ok(()),
         }
--- a/crates/lab/src/fault/routers.rs
+++ b/crates/lab/src/fault/routers.rs
@@ -1,4 +1,4 @@
-//! Routers: restart, herd restart, planned stops.
+//! Router restarts: one at a time, all at once, and planned.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 use crate::{
     LabError,
     demo::PreparedFleet,
-    fault::{Finding, background::BackgroundLoad},
+    fault::{Measurement, background::BackgroundLoad},
     fleet::Fault,
 };
 
 /// Callers of the background load.
 const CALLERS: usize = 8;
-/// Time for a planned stop.
+/// Timeout of a planned stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Kills and restarts one router under load, several times.
-pub async fn restart(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+/// Kills and restarts routers one by one under load.
+pub async fn restart(prepared: &mut PreparedFleet) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 1);
     let mut slowest = Duration::ZERO;
     for round in 0..5 {
@@ -27,24 +27,26 @@
         prepared.fleet.routers[position].inject(Fault::Kill).await?;
         prepared.fleet.routers[position].restart()?;
         let admin = prepared.fleet.endpoints.routers[position].admin;
-        let took = prepared
+        let restart_time = prepared
             .fleet
             .wait_until_ready("router", admin, "/readyz")
             .await?;
-        slowest = slowest.max(took);
+        slowest = slowest.max(restart_time);
     }
     let report = load.finish().await;
     Ok(vec![
-        Finding::at_most("slowest restart until ready, s", slowest.as_secs_f64(), 1.0),
-        Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::report("whole answers", report.summary.completed as f64),
+        Measurement::at_most("slowest restart until ready, s", slowest.as_secs_f64(), 1.0),
+        Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
+        Measurement::informational("whole answers", report.summary.completed as f64),
     ])
 }
 
-/// Kills and restarts all routers at once.
-pub async fn herd(prepared: &mut PreparedFleet) -> Result<Vec<Finding>, Report<LabError>> {
+/// Kills and restarts all routers at once under load.
+pub async fn restart_all(
+    prepared: &mut PreparedFleet,
+) -> Result<Vec<Measurement>, Report<LabError>> {
     let mut slowest = Duration::ZERO;
-    let mut older = 0;
+    let mut stale = 0;
     for _ in 0..3 {
         let load = BackgroundLoad::start(prepared, CALLERS, 2);
         sleep(Duration::from_secs(1)).await;
@@ -58,35 +60,35 @@
         }
         prepared.fleet.wait_for_routers().await?;
         slowest = slowest.max(started.elapsed());
-        for place in &prepared.fleet.endpoints.routers {
-            let revision = prepared.fleet.router_revision(place.admin).await;
-            older += u64::from(revision.unwrap_or_default() < before);
+        for endpoints in &prepared.fleet.endpoints.routers {
+            let revision = prepared.fleet.router_revision(endpoints.admin).await;
+            stale += u64::from(revision.unwrap_or_default() < before);
         }
         load.finish().await;
     }
     Ok(vec![
-        Finding::at_most(
+        Measurement::at_most(
             "slowest herd restart until all are ready, s",
             slowest.as_secs_f64(),
             3.0,
         ),
-        Finding::at_most("routers with older configuration", older as f64, 0.0),
+        Measurement::at_most("routers with older configuration", stale as f64, 0.0),
     ])
 }
 
 async fn newest_revision(prepared: &PreparedFleet) -> u64 {
     let mut newest = 0;
-    for place in &prepared.fleet.endpoints.routers {
-        let revision = prepared.fleet.router_revision(place.admin).await;
+    for endpoints in &prepared.fleet.endpoints.routers {
+        let revision = prepared.fleet.router_revision(endpoints.admin).await;
         newest = newest.max(revision.unwrap_or_default());
     }
     newest
 }
 
-/// Restarts routers and engines one by one by planned stops under load.
+/// Stops routers and engines gracefully and restarts them, one by one under load.
 pub async fn rolling_restart(
     prepared: &mut PreparedFleet,
-) -> Result<Vec<Finding>, Report<LabError>> {
+) -> Result<Vec<Measurement>, Report<LabError>> {
     let load = BackgroundLoad::start(prepared, CALLERS, 3);
     sleep(Duration::from_millis(500)).await;
     let mut unclean = 0;
@@ -114,10 +116,10 @@
     }
     let report = load.finish().await;
     Ok(vec![
-        Finding::at_most("requests cut off", report.cut_off(), 0.0),
-        Finding::report("connections broken", report.summary.broken as f64),
-        Finding::at_most("wrong or lost answers", report.bad(), 0.0),
-        Finding::at_most("processes that did not stop cleanly", unclean as f64, 0.0),
-        Finding::report("whole answers", report.summary.completed as f64),
+        Measurement::at_most("requests cut off", report.interrupted(), 0.0),
+        Measurement::informational("connections broken", report.summary.broken as f64),
+        Measurement::at_most("wrong or lost answers", report.wrong_or_lost(), 0.0),
+        Measurement::at_most("processes that did not stop cleanly", unclean as f64, 0.0),
+        Measurement::informational("whole answers", report.summary.completed as f64),
     ])
 }
--- a/crates/lab/src/simulate/command.rs
+++ b/crates/lab/src/simulate/command.rs
@@ -9,23 +9,23 @@
     simulate::{Mutant, RangeReport, Scenario, run_range, run_seed},
 };
 
-/// Steps of a failing run that are printed.
+/// Trace steps printed for a failing seed.
 const STEPS_PRINTED: usize = 25;
 
-/// What to simulate.
+/// Options of `railtack-lab simulate`.
 #[derive(Clone, Debug)]
 pub struct SimulateOptions {
-    /// Seeds.
+    /// Seeds to run.
     pub seeds: Range<u64>,
-    /// One scenario; all if absent.
+    /// Scenario to run; the mutant's or all by default.
     pub scenario: Option<Scenario>,
-    /// A mechanism to leave out.
+    /// Mutant to run, if any.
     pub mutant: Option<Mutant>,
-    /// Whether to run every mutant and demand that it is noticed.
+    /// Whether to run every mutant instead; each must be detected.
     pub all_mutants: bool,
 }
 
-/// Runs the simulation; an error if a promise was broken, or if a mutant went unnoticed.
+/// Runs the simulation; fails on a violation, or if `all_mutants` is set and a mutant goes undetected.
 pub fn run(options: &SimulateOptions) -> Result<(), Report<LabError>> {
     if options.all_mutants {
         return run_mutants(options.seeds.clone());
@@ -74,18 +74,18 @@
     for step in outcome.trace.iter().skip(skipped) {
         println!("  {step}");
     }
-    let left_out = mutant.map_or(String::new(), |mutant| {
+    let mutant_flag = mutant.map_or(String::new(), |mutant| {
         format!(" --mutant {}", mutant.name())
     });
     println!(
-        "replay: railtack-lab simulate --seeds {seed}..{} --scenario {}{left_out}",
+        "replay: railtack-lab simulate --seeds {seed}..{} --scenario {}{mutant_flag}",
         seed + 1,
         scenario.name(),
     );
 }
 
 fn run_mutants(seeds: Range<u64>) -> Result<(), Report<LabError>> {
-    let mut unnoticed = 0;
+    let mut undetected = 0;
     for mutant in Mutant::ALL {
         let report = run_range(mutant.scenario(), Some(mutant), seeds.clone());
         match report.failing.first() {
@@ -99,7 +99,7 @@
                 first.violation,
             ),
             None => {
-                unnoticed += 1;
+                undetected += 1;
                 println!(
                     "{:<22} NOT NOTICED by {} seeds",
                     mutant.name(),
@@ -108,9 +108,9 @@
             }
         }
     }
-    if unnoticed > 0 {
+    if undetected > 0 {
         return Err(Report::new(LabError::Violations {
-            violations: unnoticed,
+            violations: undetected,
         }));
     }
     Ok(())
--- a/crates/lab/src/simulate/control/administration.rs
+++ b/crates/lab/src/simulate/control/administrator.rs
@@ -1,17 +1,17 @@
-//! The administrator: replaces a control replica whose disk was lost, one step at a time.
+//! Simulated administrator, who replaces a control replica after the loss of its disk.
 
 use railtack_consensus::{DiskId, Member, Membership, ReplicaId};
 use railtack_rpc::protocol::MembershipChange;
 
 use crate::simulate::control::{
     replicas::address,
-    world::{Broken, Event, World},
+    world::{CheckFailure, Event, World},
 };
 
-/// Time between two looks.
-const LOOK_INTERVAL: u64 = 200;
+/// Time between two replacement steps, milliseconds.
+const CHECK_INTERVAL: u64 = 200;
 
-/// A replacement that is under way.
+/// A replacement in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Replacement {
     /// The replica whose disk was lost.
@@ -24,24 +24,24 @@
     pub add_first: bool,
 }
 
-/// What the administrator is doing.
+/// State of the administrator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Administration {
-    /// The open replacement.
-    pub open: Option<Replacement>,
+pub struct Administrator {
+    pub replacement: Option<Replacement>,
 }
 
 impl World {
-    /// Does the next step of an open replacement at the present leader.
-    pub fn administer(&mut self) -> Result<(), Broken> {
-        self.schedule.after(LOOK_INTERVAL, Event::Administer);
-        let Some(open) = self.administration.open else {
+    /// Submits the next membership change of an open replacement to the current leader.
+    pub fn advance_replacement(&mut self) -> Result<(), CheckFailure> {
+        self.schedule
+            .after(CHECK_INTERVAL, Event::AdministratorCheck);
+        let Some(replacement) = self.administrator.replacement else {
             return Ok(());
         };
         let Some(leader) = self.leaders().first().copied() else {
             return Ok(());
         };
-        let added_disk = self.disk_of(open.added);
+        let added_disk = self.disk_of(replacement.added);
         let Some(process) = self
             .replicas
             .get_mut(&leader)
@@ -50,14 +50,14 @@
             return Ok(());
         };
         let raft = process.replica.raft();
-        let is_settled = raft.membership_index() <= raft.commit_index();
-        let change = next_change(raft.membership(), open, added_disk);
-        let has_voter = raft.membership().is_voter(ReplicaId(open.added));
+        let is_committed = raft.membership_index() <= raft.commit_index();
+        let change = next_change(raft.membership(), replacement, added_disk);
+        let has_voter = raft.membership().is_voter(ReplicaId(replacement.added));
         match change {
-            None if is_settled && has_voter => self.administration.open = None,
+            None if is_committed && has_voter => self.administrator.replacement = None,
             None => {}
             Some(change) => {
-                // A refused step is tried again at the next look.
+                // A rejected change is retried at the next interval.
                 let _ = process.replica.change_membership(&change);
             }
         }
@@ -72,26 +72,26 @@
 
 fn next_change(
     membership: &Membership,
-    open: Replacement,
+    replacement: Replacement,
     added_disk: Option<DiskId>,
 ) -> Option<MembershipChange> {
     let removal = membership
-        .member(ReplicaId(open.lost))
-        .filter(|member| member.disk == open.lost_disk)
+        .member(ReplicaId(replacement.lost))
+        .filter(|member| member.disk == replacement.lost_disk)
         .map(|member| MembershipChange::Remove(member.replica));
-    let addition = match membership.member(ReplicaId(open.added)) {
+    let addition = match membership.member(ReplicaId(replacement.added)) {
         Some(member) if member.voter => None,
         Some(member) => Some(MembershipChange::Promote(member.replica)),
         None => added_disk.map(|disk| {
             MembershipChange::AddLearner(Member {
-                replica: ReplicaId(open.added),
+                replica: ReplicaId(replacement.added),
                 disk,
-                address: address(open.added),
+                address: address(replacement.added),
                 voter: false,
             })
         }),
     };
-    if open.add_first {
+    if replacement.add_first {
         addition.or(removal)
     } else {
         removal.or(addition)
--- a/crates/lab/src/simulate/control/faults.rs
+++ b/crates/lab/src/simulate/control/faults.rs
@@ -1,17 +1,17 @@
-//! What breaks, alone and together.
+//! Fault injection.
 
 use rand::RngExt;
 
 use crate::simulate::{
     Scenario,
     control::{
-        administration::Replacement,
-        world::{Broken, ENGINES, Event, ROUTERS, World},
+        administrator::Replacement,
+        world::{CheckFailure, ENGINES, Event, ROUTERS, World},
     },
-    network::Place,
+    network::Node,
 };
 
-/// Kinds of fault.
+/// Kinds of fault. Traces print the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FaultKind {
     CrashReplica,
@@ -77,13 +77,13 @@
 }
 
 impl World {
-    /// Injects one fault and plans the next; sometimes two come together.
-    pub fn inject_fault(&mut self) -> Result<(), Broken> {
+    /// Injects one fault, sometimes two, and schedules the next.
+    pub fn inject_fault(&mut self) -> Result<(), CheckFailure> {
         if self.healed {
             return Ok(());
         }
         let pause = self.random.random_range(300..2_500);
-        self.schedule.after(pause, Event::Fault);
+        self.schedule.after(pause, Event::InjectFault);
         let count = if self.random.random_bool(0.25) { 2 } else { 1 };
         for _ in 0..count {
             let choices = FaultKind::choices(self.scenario);
@@ -94,9 +94,9 @@
         Ok(())
     }
 
-    fn inject(&mut self, kind: FaultKind) -> Result<(), Broken> {
+    fn inject(&mut self, kind: FaultKind) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
-        self.trace.note(now, || format!("fault: {kind:?}"));
+        self.trace.record(now, || format!("fault: {kind:?}"));
         match kind {
             FaultKind::CrashReplica => {
                 let replica = self.draw_replica();
@@ -109,16 +109,16 @@
                 }
             }
             FaultKind::FreezeReplica => {
-                let place = Place::Replica(self.draw_replica());
-                self.freeze(place);
+                let node = Node::Replica(self.draw_replica());
+                self.freeze(node);
             }
             FaultKind::FreezeRouter => {
-                let place = Place::Router(self.random.random_range(1..=ROUTERS));
-                self.freeze(place);
+                let node = Node::Router(self.random.random_range(1..=ROUTERS));
+                self.freeze(node);
             }
             FaultKind::FreezeEngine => {
-                let place = Place::Engine(self.random.random_range(1..=ENGINES));
-                self.freeze(place);
+                let node = Node::Engine(self.random.random_range(1..=ENGINES));
+                self.freeze(node);
             }
             FaultKind::IsolateReplica => {
                 let replica = self.draw_replica();
@@ -154,93 +154,93 @@
         Ok(())
     }
 
-    /// A replica that is part of the cluster, running or not.
+    /// Draws a replica, running or not.
     fn draw_replica(&mut self) -> u32 {
-        let present: Vec<u32> = self.replicas.keys().copied().collect();
-        present[self.random.random_range(0..present.len())]
+        let replicas: Vec<u32> = self.replicas.keys().copied().collect();
+        replicas[self.random.random_range(0..replicas.len())]
     }
 
     fn crash_and_restart(&mut self, replica: u32) {
         self.crash_replica(replica);
         let pause = self.random.random_range(50..2_500);
-        let event = Event::Restart(Place::Replica(replica));
+        let event = Event::Restart(Node::Replica(replica));
         self.schedule.after(pause, event);
     }
 
     fn kill_and_restart_router(&mut self, router: u32) {
         self.kill_router(router);
         let pause = self.random.random_range(50..1_500);
-        let event = Event::Restart(Place::Router(router));
+        let event = Event::Restart(Node::Router(router));
         self.schedule.after(pause, event);
     }
 
-    fn freeze(&mut self, place: Place) {
+    fn freeze(&mut self, node: Node) {
         let until = self.schedule.now() + self.random.random_range(300..9_000);
-        self.frozen.insert(place, until);
+        self.frozen.insert(node, until);
     }
 
-    /// Cuts a replica off from everyone, in silence.
+    /// Partitions a replica from all other nodes.
     fn isolate(&mut self, replica: u32) {
-        let place = Place::Replica(replica);
-        let pause = self.random.random_range(300..8_000);
-        for other in self.other_places(place) {
-            self.cut_for(place, other, pause);
-            self.cut_for(other, place, pause);
+        let node = Node::Replica(replica);
+        let duration = self.random.random_range(300..8_000);
+        for other in self.other_nodes(node) {
+            self.cut_for(node, other, duration);
+            self.cut_for(other, node, duration);
         }
     }
 
     fn cut_one_way(&mut self) {
-        let from = Place::Replica(self.draw_replica());
-        let others = self.other_places(from);
+        let from = Node::Replica(self.draw_replica());
+        let others = self.other_nodes(from);
         let to = others[self.random.random_range(0..others.len())];
-        let pause = self.random.random_range(300..9_000);
+        let duration = self.random.random_range(300..9_000);
         let (from, to) = if self.random.random_bool(0.5) {
             (from, to)
         } else {
             (to, from)
         };
-        self.cut_for(from, to, pause);
+        self.cut_for(from, to, duration);
     }
 
-    /// Cuts a router off from some or all replicas for longer than its lease.
+    /// Partitions a router from some or all replicas, mostly for longer than its lease.
     fn cut_router(&mut self) {
-        let router = Place::Router(self.random.random_range(1..=ROUTERS));
-        let pause = self.random.random_range(2_000..14_000);
+        let router = Node::Router(self.random.random_range(1..=ROUTERS));
+        let duration = self.random.random_range(2_000..14_000);
         let replicas: Vec<u32> = self.replicas.keys().copied().collect();
         let cut_all = self.random.random_bool(0.5);
         for replica in replicas {
             if cut_all || self.random.random_bool(0.5) {
-                self.cut_for(router, Place::Replica(replica), pause);
-                self.cut_for(Place::Replica(replica), router, pause);
+                self.cut_for(router, Node::Replica(replica), duration);
+                self.cut_for(Node::Replica(replica), router, duration);
             }
         }
     }
 
-    fn cut_for(&mut self, from: Place, to: Place, pause: u64) {
+    fn cut_for(&mut self, from: Node, to: Node, duration: u64) {
         self.network.cut(from, to);
-        self.schedule.after(pause, Event::Mend(from, to));
+        self.schedule.after(duration, Event::Reconnect(from, to));
     }
 
-    fn other_places(&self, place: Place) -> Vec<Place> {
-        let replicas = self.replicas.keys().map(|number| Place::Replica(*number));
-        let routers = self.routers.keys().map(|number| Place::Router(*number));
-        let engines = self.engines.keys().map(|number| Place::Engine(*number));
-        let operators = (0..self.operators.len() as u32).map(Place::Operator);
+    fn other_nodes(&self, node: Node) -> Vec<Node> {
+        let replicas = self.replicas.keys().map(|number| Node::Replica(*number));
+        let routers = self.routers.keys().map(|number| Node::Router(*number));
+        let engines = self.engines.keys().map(|number| Node::Engine(*number));
+        let operators = (0..self.operators.len() as u32).map(Node::Operator);
         replicas
             .chain(routers)
             .chain(engines)
             .chain(operators)
-            .filter(|other| *other != place)
+            .filter(|other| *other != node)
             .collect()
     }
 
-    /// A disk is lost. The process comes back under its old number with an empty folder, as a
-    /// careless restart does, and the administrator sets about replacing it.
+    /// Wipes a replica's disk. The process restarts under the same number with an empty folder, as
+    /// after an operator's mistake, and the administrator starts to replace it.
     ///
-    /// Only one disk is lost at a time: the next may go as soon as the replacement votes.
+    /// At most one replacement is open: the next disk can be lost once the new replica is a voter.
     fn lose_disk(&mut self, replica: u32) {
-        let is_voter = self.is_settled_voter(replica);
-        if self.administration.open.is_some() || !is_voter {
+        let is_voter = self.is_committed_voter(replica);
+        if self.administrator.replacement.is_some() || !is_voter {
             return;
         }
         let Some(machine) = self.replicas.get_mut(&replica) else {
@@ -252,10 +252,10 @@
         let lost_disk = process.replica.identity().disk;
         machine.process = None;
         machine.media.wipe();
-        self.frozen.remove(&Place::Replica(replica));
+        self.frozen.remove(&Node::Replica(replica));
         let added = self.replicas.keys().max().copied().unwrap_or_default() + 1;
         let add_first = self.random.random_bool(0.5);
-        self.administration.open = Some(Replacement {
+        self.administrator.replacement = Some(Replacement {
             lost: replica,
             lost_disk,
             added,
@@ -263,18 +263,18 @@
         });
         let now = self.schedule.now();
         self.trace
-            .note(now, || format!("replica {replica} loses its disk"));
+            .record(now, || format!("replica {replica} loses its disk"));
         let pause = self.random.random_range(10..200);
-        let event = Event::Restart(Place::Replica(replica));
+        let event = Event::Restart(Node::Replica(replica));
         self.schedule.after(pause, event);
         self.add_machine(added);
         let pause = self.random.random_range(100..2_000);
-        let event = Event::Restart(Place::Replica(added));
+        let event = Event::Restart(Node::Replica(added));
         self.schedule.after(pause, event);
     }
 
-    /// Whether the newest leader's committed membership has this replica as a voter.
-    fn is_settled_voter(&self, replica: u32) -> bool {
+    /// Whether the replica is a voter in the committed membership of the current leader.
+    fn is_committed_voter(&self, replica: u32) -> bool {
         let leader = self.leaders().first().copied();
         let process = leader.and_then(|leader| self.replicas[&leader].process.as_ref());
         process.is_some_and(|process| {
@@ -286,7 +286,7 @@
         })
     }
 
-    /// One follower lags behind a cut; then the leader crashes just as the other follower, which
+    /// Partitions one follower until it lags; then the leader crashes while the other follower, which
     /// has the newest entries, loses its disk.
     fn lose_disk_and_leader(&mut self) {
         let Some(leader) = self.leaders().first().copied() else {
@@ -296,28 +296,28 @@
             .replicas
             .iter()
             .filter(|(number, machine)| {
-                **number != leader && machine.process.is_some() && self.is_settled_voter(**number)
+                **number != leader && machine.process.is_some() && self.is_committed_voter(**number)
             })
             .map(|(number, _)| *number)
             .collect();
         let &[lagging, losing] = followers.as_slice() else {
             return;
         };
-        if self.lagging_for(leader, lagging) < LAG_WANTED {
-            let pause = self.random.random_range(400..1_500);
-            self.cut_for(Place::Replica(leader), Place::Replica(lagging), pause);
-            self.cut_for(Place::Replica(losing), Place::Replica(lagging), pause);
+        if self.lag_entries(leader, lagging) < MIN_LAG_ENTRIES {
+            let duration = self.random.random_range(400..1_500);
+            self.cut_for(Node::Replica(leader), Node::Replica(lagging), duration);
+            self.cut_for(Node::Replica(losing), Node::Replica(lagging), duration);
             return;
         }
         self.network
-            .mend(Place::Replica(leader), Place::Replica(lagging));
+            .reconnect(Node::Replica(leader), Node::Replica(lagging));
         self.network
-            .mend(Place::Replica(losing), Place::Replica(lagging));
+            .reconnect(Node::Replica(losing), Node::Replica(lagging));
         self.lose_disk(losing);
         self.crash_and_restart(leader);
     }
 
-    fn lagging_for(&self, leader: u32, follower: u32) -> u64 {
+    fn lag_entries(&self, leader: u32, follower: u32) -> u64 {
         let last = |number: &u32| {
             let process = self.replicas[number].process.as_ref();
             process.map_or(0, |process| process.replica.raft().log().last_index())
@@ -325,11 +325,11 @@
         last(&leader).saturating_sub(last(&follower))
     }
 
-    /// A process starts again.
-    pub fn restart(&mut self, place: Place) -> Result<(), Broken> {
-        match place {
-            Place::Replica(number) => self.start_replica(number),
-            Place::Router(number) => {
+    /// Restarts a process; one that already runs is left alone.
+    pub fn restart(&mut self, node: Node) -> Result<(), CheckFailure> {
+        match node {
+            Node::Replica(number) => self.start_replica(number),
+            Node::Router(number) => {
                 self.start_router(number);
                 Ok(())
             }
@@ -337,8 +337,8 @@
         }
     }
 
-    /// Ends all faults. Processes that are down start again.
-    pub fn heal(&mut self) -> Result<(), Broken> {
+    /// Ends all faults and restarts stopped processes.
+    pub fn heal(&mut self) -> Result<(), CheckFailure> {
         self.healed = true;
         self.network.heal();
         self.frozen.clear();
@@ -354,5 +354,5 @@
     }
 }
 
-/// Entries by which a follower must lag before the leader is taken away.
-const LAG_WANTED: u64 = 1;
+/// Minimum lag of the partitioned follower, in log entries, before the leader is crashed.
+const MIN_LAG_ENTRIES: u64 = 1;
--- a/crates/lab/src/simulate/control/replicas.rs
+++ b/crates/lab/src/simulate/control/replicas.rs
@@ -1,4 +1,4 @@
-//! Control replicas: processes over simulated folders.
+//! Simulated control replicas on in-memory storage.
 
 use railtack_consensus::{DiskId, LogIndex, Member, Message, Millis, ReplicaId, Role};
 use railtack_control::{
@@ -11,46 +11,44 @@
 use rand::RngExt;
 
 use crate::simulate::{
-    Mutant, Promise,
-    control::world::{Broken, Clock, Event, REPLICAS, Reply, Request, World},
-    network::Place,
+    Invariant, Mutant,
+    control::world::{CheckFailure, Clock, Event, REPLICAS, Reply, Request, World},
+    network::Node,
 };
 
-/// Time between a replica's ticks.
-const TICK: u64 = 10;
-/// Shortest election timeout.
+/// Milliseconds.
+const TICK_INTERVAL: u64 = 10;
+/// Minimum election timeout, milliseconds.
 const ELECTION_TIMEOUT: Millis = 300;
-/// Time between heartbeats.
-const HEARTBEAT: Millis = 60;
-/// Entries after which a snapshot is made; small, so that snapshots are met often.
+/// Milliseconds.
+const HEARTBEAT_INTERVAL: Millis = 60;
+/// Log entries between snapshots; few, so that snapshots are frequent.
 const SNAPSHOT_ENTRIES: u64 = 60;
-/// Retention of claims; longer than any run.
+/// Longer than any run, so that claims do not expire.
 const CLAIM_RETENTION: Millis = 86_400_000;
-/// Time at which all clocks start.
-const EPOCH: u64 = 1_700_000_000_000;
+/// Wall-clock time at the start of a run, milliseconds since the Unix epoch.
+const CLOCK_EPOCH: u64 = 1_700_000_000_000;
 
-/// A running replica.
+/// A replica's running process.
 pub struct ReplicaProcess {
-    /// The replica.
     pub replica: Replica,
-    /// Who waits for its proposals.
-    pub pending: PendingProposals<(Place, u64)>,
+    /// Callers that wait for proposals to be applied.
+    pub pending: PendingProposals<(Node, u64)>,
 }
 
-/// A replica's machine.
+/// A replica's machine, with its disk and process.
 pub struct SimReplica {
-    /// Its folder.
+    /// Contents of the data folder.
     pub media: MemoryMedia,
-    /// The process, while it runs.
+    /// `None` while the process is down.
     pub process: Option<ReplicaProcess>,
-    /// Counts the processes.
-    pub life: u32,
-    /// Its clock.
+    /// Number of the current process; rises with every start.
+    pub incarnation: u32,
     pub clock: Clock,
 }
 
 impl World {
-    /// Starts the first replicas, already members of one cluster.
+    /// Starts the initial replicas as voters of one cluster.
     pub fn start_replicas(&mut self) {
         for number in 1..=REPLICAS {
             self.add_machine(number);
@@ -68,29 +66,31 @@
         for number in 1..=REPLICAS {
             let options = self.options(number);
             let media = self.replicas[&number].media.clone();
-            // A folder that was just made cannot fail to be written.
+            // Writing to new in-memory storage cannot fail.
             let _ = Replica::initialize_with_members(&media, &options, members.clone());
             let _ = self.start_replica(number);
-            // Left out from here on, so that only what the cluster agrees on can be lost.
+            // Syncs are skipped only after initialization, so that the mutant loses replicated entries only.
             media.ignore_syncs(self.is_mutant(Mutant::NoClaimSync));
         }
     }
 
-    /// Adds a machine with an empty folder.
     pub fn add_machine(&mut self, number: u32) {
         let media = MemoryMedia::default();
         let clock = Clock::draw(&mut self.random);
         let machine = SimReplica {
             media,
             process: None,
-            life: 0,
+            incarnation: 0,
             clock,
         };
         self.replicas.insert(number, machine);
     }
 
     fn options(&self, number: u32) -> ReplicaOptions {
-        let life = self.replicas.get(&number).map_or(0, |known| known.life);
+        let incarnation = self
+            .replicas
+            .get(&number)
+            .map_or(0, |machine| machine.incarnation);
         let revision_check = if self.is_mutant(Mutant::NoRevisionCheck) {
             RevisionCheck::Skipped
         } else {
@@ -99,21 +99,21 @@
         ReplicaOptions {
             cluster: "simulated".to_owned(),
             replica: ReplicaId(number),
-            new_disk: DiskId(u64::from(number) << 32 | u64::from(life)),
+            new_disk: DiskId(u64::from(number) << 32 | u64::from(incarnation)),
             election_timeout: ELECTION_TIMEOUT,
-            heartbeat_interval: HEARTBEAT,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             snapshot_entries: SNAPSHOT_ENTRIES,
             snapshot_bytes: usize::MAX,
             accept_stored_id: false,
             claim_retention_ms: CLAIM_RETENTION,
-            seed: u64::from(number) << 32 | u64::from(life),
+            seed: u64::from(number) << 32 | u64::from(incarnation),
             check_disk_identity: !self.is_mutant(Mutant::StaleVote),
             revision_check,
         }
     }
 
-    /// Starts a replica's process from what its folder holds.
-    pub fn start_replica(&mut self, number: u32) -> Result<(), Broken> {
+    /// Starts a replica's process from its stored state.
+    pub fn start_replica(&mut self, number: u32) -> Result<(), CheckFailure> {
         let options = self.options(number);
         let now = self.schedule.now();
         let Some(machine) = self.replicas.get_mut(&number) else {
@@ -122,43 +122,44 @@
         if machine.process.is_some() {
             return Ok(());
         }
-        machine.life += 1;
-        let life = machine.life;
+        machine.incarnation += 1;
+        let incarnation = machine.incarnation;
         machine.media.fail_syncs(false);
         let local = machine.clock.read(now);
         let opened = Replica::open(&machine.media, options, local);
         let replica = match opened {
             Ok(replica) => replica,
             Err(report) => {
-                // What was synced must be readable after any crash.
+                // Synced data must be readable after any crash.
                 let detail = format!("replica {number} cannot start: {report}");
-                return Err((Promise::OneHistory, detail));
+                return Err((Invariant::LogAgreement, detail));
             }
         };
         machine.process = Some(ReplicaProcess {
             replica,
             pending: PendingProposals::default(),
         });
-        self.trace
-            .note(now, || format!("replica {number} starts, life {life}"));
+        self.trace.record(now, || {
+            format!("replica {number} starts, life {incarnation}")
+        });
         self.schedule.after(
             1,
             Event::Tick {
                 replica: number,
-                life,
+                incarnation,
             },
         );
         if !self.engines.is_empty() || self.scenario == crate::simulate::Scenario::Rollout {
-            let event = Event::Rollout {
+            let event = Event::RolloutCheck {
                 replica: number,
-                life,
+                incarnation,
             };
             self.schedule.after(500, event);
         }
         Ok(())
     }
 
-    /// Ends a replica's process; unsynced bytes are lost but for a torn tail.
+    /// Crashes a replica's process. Unsynced bytes are lost, except for a torn tail.
     pub fn crash_replica(&mut self, number: u32) {
         let torn = self.random.random_range(0..40);
         let now = self.schedule.now();
@@ -166,18 +167,19 @@
             && machine.process.take().is_some()
         {
             machine.media.crash(torn);
-            self.frozen.remove(&Place::Replica(number));
-            self.trace.note(now, || format!("replica {number} crashes"));
+            self.frozen.remove(&Node::Replica(number));
+            self.trace
+                .record(now, || format!("replica {number} crashes"));
         }
     }
 
-    /// Handles a timer.
-    pub fn tick(&mut self, number: u32, life: u32) -> Result<(), Broken> {
+    /// Handles a timer tick of a replica.
+    pub fn tick(&mut self, number: u32, incarnation: u32) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(machine) = self.replicas.get_mut(&number) else {
             return Ok(());
         };
-        if machine.life != life {
+        if machine.incarnation != incarnation {
             return Ok(());
         }
         let local = machine.clock.read(now);
@@ -186,17 +188,17 @@
         };
         process.replica.tick(local);
         self.schedule.after(
-            TICK,
+            TICK_INTERVAL,
             Event::Tick {
                 replica: number,
-                life,
+                incarnation,
             },
         );
         self.advance(number)
     }
 
-    /// Takes a message from another replica.
-    pub fn deliver(&mut self, message: Message) -> Result<(), Broken> {
+    /// Delivers a Raft message to a replica.
+    pub fn deliver(&mut self, message: Message) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let number = message.to.0;
         let Some(machine) = self.replicas.get_mut(&number) else {
@@ -210,19 +212,19 @@
         self.advance(number)
     }
 
-    /// Takes a call of a router or an operator.
-    pub fn take_call(
+    /// Handles a call of a router or an operator at a replica.
+    pub fn handle_call(
         &mut self,
         number: u32,
-        from: Place,
+        from: Node,
         call: u64,
         request: Request,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(machine) = self.replicas.get_mut(&number) else {
             return Ok(());
         };
-        let at = EPOCH + machine.clock.read(now);
+        let at = CLOCK_EPOCH + machine.clock.read(now);
         let Some(process) = machine.process.as_mut() else {
             self.reply(number, from, call, Reply::Refused);
             return Ok(());
@@ -247,10 +249,10 @@
         }
     }
 
-    fn reply(&mut self, number: u32, to: Place, call: u64, reply: Reply) {
-        if let Some(delay) = self.network.once(Place::Replica(number), to) {
+    fn reply(&mut self, number: u32, to: Node, call: u64, reply: Reply) {
+        if let Some(delay) = self.network.connection_delay(Node::Replica(number), to) {
             let event = Event::Reply {
-                place: to,
+                node: to,
                 call,
                 reply,
             };
@@ -258,8 +260,8 @@
         }
     }
 
-    /// Persists, sends and applies, as the daemon's thread does after each round of inputs.
-    pub fn advance(&mut self, number: u32) -> Result<(), Broken> {
+    /// Persists, sends and applies pending work, as the daemon does after each batch of inputs.
+    pub fn advance(&mut self, number: u32) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(process) = self
             .replicas
@@ -271,31 +273,31 @@
         let advance = match process.replica.advance() {
             Ok(advance) => advance,
             Err(_) => {
-                // A replica that cannot sync stops instead of acknowledging.
+                // A replica that cannot sync stops without acknowledging the entries.
                 self.trace
-                    .note(now, || format!("replica {number} stops: storage"));
+                    .record(now, || format!("replica {number} stops: storage"));
                 self.crash_replica(number);
                 let pause = self.random.random_range(500..3_000);
-                let event = Event::Restart(Place::Replica(number));
+                let event = Event::Restart(Node::Replica(number));
                 self.schedule.after(pause, event);
                 return Ok(());
             }
         };
-        let mut answers = Vec::new();
+        let mut replies = Vec::new();
         for applied in advance.applied {
-            self.checks.applied(number, &applied)?;
-            answers.extend(process.pending.applied(applied));
+            self.checks.record_applied(number, &applied)?;
+            replies.extend(process.pending.applied(applied));
         }
         if process.replica.raft().role() != Role::Leader {
-            answers.extend(process.pending.fail_all());
+            replies.extend(process.pending.fail_all());
         }
-        for ((place, call), reply) in answers {
-            self.reply(number, place, call, Reply::Proposed(reply));
+        for ((node, call), reply) in replies {
+            self.reply(number, node, call, Reply::Proposed(reply));
         }
         for message in advance.messages {
-            let from = Place::Replica(number);
-            let to = Place::Replica(message.to.0);
-            for delay in self.network.datagram(from, to) {
+            let from = Node::Replica(number);
+            let to = Node::Replica(message.to.0);
+            for delay in self.network.datagram_delays(from, to) {
                 let event = Event::Raft(Box::new(message.clone()));
                 self.schedule.after(delay, event);
             }
@@ -303,7 +305,7 @@
         Ok(())
     }
 
-    /// Replicas that lead in the highest term among leaders.
+    /// Leaders of the highest term.
     pub fn leaders(&self) -> Vec<u32> {
         let leading = self.replicas.iter().filter_map(|(number, machine)| {
             let raft = machine.process.as_ref()?.replica.raft();
@@ -318,11 +320,11 @@
             .collect()
     }
 
-    /// Notes where every replica stands.
+    /// Records the state of every replica in the trace.
     pub fn trace_replicas(&mut self) {
         let now = self.schedule.now();
         for (number, machine) in &self.replicas {
-            self.trace.note(now, || match &machine.process {
+            self.trace.record(now, || match &machine.process {
                 None => format!("replica {number} is down"),
                 Some(process) => {
                     let raft = process.replica.raft();
@@ -344,31 +346,32 @@
         }
     }
 
-    /// Replicas that have applied equally much must have the same state.
-    pub fn check_replicas_agree(&self) -> Result<(), Broken> {
-        let mut known: Vec<(LogIndex, u32)> = Vec::new();
+    /// Checks that replicas with the same applied index have the same state.
+    pub fn check_replicas_agree(&self) -> Result<(), CheckFailure> {
+        let mut compared: Vec<(LogIndex, u32)> = Vec::new();
         for (number, machine) in &self.replicas {
             let Some(process) = &machine.process else {
                 continue;
             };
             let applied = process.replica.raft().applied_index();
-            let twin = known.iter().find(|(index, _)| *index == applied);
-            if let Some((_, other)) = twin {
-                let theirs = self.replicas[other].process.as_ref();
-                let same =
-                    theirs.is_some_and(|theirs| theirs.replica.state() == process.replica.state());
+            let peer = compared.iter().find(|(index, _)| *index == applied);
+            if let Some((_, other)) = peer {
+                let peer_process = self.replicas[other].process.as_ref();
+                let same = peer_process.is_some_and(|peer_process| {
+                    peer_process.replica.state() == process.replica.state()
+                });
                 if !same {
                     let detail = format!("replicas {other} and {number} differ at {applied}");
-                    return Err((Promise::OneHistory, detail));
+                    return Err((Invariant::LogAgreement, detail));
                 }
             }
-            known.push((applied, *number));
+            compared.push((applied, *number));
         }
         Ok(())
     }
 }
 
-/// Address of a replica, as its membership entry tells it.
+/// Address of a replica in the membership.
 pub fn address(number: u32) -> String {
     format!("127.0.0.{number}:1")
 }
--- a/crates/lab/src/simulate/control/world.rs
+++ b/crates/lab/src/simulate/control/world.rs
@@ -1,4 +1,4 @@
-//! The world: who is in it, what can happen, and the loop that lets it happen.
+//! State, events and event loop of the simulation.
 
 use std::collections::BTreeMap;
 
@@ -10,175 +10,170 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::simulate::{
-    Activity, Mutant, Promise, Scenario, SeedOutcome, Violation,
+    Activity, Invariant, Mutant, Scenario, SeedOutcome, Violation,
     control::{
-        administration::Administration,
-        checks::Checks,
+        administrator::Administrator,
+        checks::HistoryChecker,
         engines::SimEngine,
         operators::SimOperator,
         replicas::SimReplica,
         routers::{Arrival, SimRouter},
     },
-    network::{Network, NetworkOptions, Place},
+    network::{Network, NetworkOptions, Node},
     schedule::Schedule,
     trace::Trace,
 };
 
-/// Control replicas at the start.
+/// Initial control replicas.
 pub const REPLICAS: u32 = 3;
-/// Routers.
 pub const ROUTERS: u32 = 3;
-/// Operators that race each other.
+/// Concurrent operators.
 pub const OPERATORS: u32 = 3;
-/// Engines of the rollout scenario.
+/// Engines in the rollout scenario.
 pub const ENGINES: u32 = 5;
-/// End of the faults, milliseconds.
+/// End of fault injection, milliseconds.
 const FAULTS_END: u64 = 30_000;
-/// End of the run; the time after the faults is for recovery.
+/// End of the run, milliseconds; the time after the last fault is for recovery.
 const RUN_END: u64 = 45_000;
-/// Time between two looks at the invariants.
-const WATCH_INTERVAL: u64 = 50;
-/// Time for one send of a proposal, as in the router.
+/// Time between two checks of the invariants, milliseconds.
+const CHECK_INTERVAL: u64 = 50;
+/// Timeout of one attempt at a proposal, milliseconds; the router's value.
 pub const PROPOSE_TIMEOUT: u64 = 1_500;
-/// Pause before the next send, as in the router.
+/// Pause before the next attempt, milliseconds; the router's value.
 pub const PROPOSE_PAUSE: u64 = 30;
 
-/// What a replica is asked.
+/// A call to a replica.
 #[derive(Clone, Debug)]
 pub enum Request {
-    /// Commit a command.
+    /// Proposes a command.
     Propose(Proposal),
-    /// Vouch for the configuration.
+    /// Polls for configuration and lease confirmation.
     Poll(PollRequest),
 }
 
-/// What a replica answers.
+/// A replica's reply.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// To a proposal.
+    /// Reply to a proposal.
     Proposed(ProposeReply),
-    /// To a poll.
+    /// Reply to a poll.
     Polled(Box<PollReply>),
-    /// No process listens there.
+    /// Connection refused: the process is down.
     Refused,
 }
 
-/// What can happen.
+/// A simulated event.
 #[derive(Debug)]
 pub enum Event {
-    /// A replica's timer.
-    Tick { replica: u32, life: u32 },
-    /// A message between replicas arrives.
+    /// Timer tick of a replica.
+    Tick { replica: u32, incarnation: u32 },
+    /// A Raft message arrives.
     Raft(Box<Message>),
     /// A call arrives at a replica.
     Call {
         replica: u32,
-        from: Place,
+        from: Node,
         call: u64,
         request: Request,
     },
-    /// An answer arrives.
-    Reply {
-        place: Place,
-        call: u64,
-        reply: Reply,
-    },
-    /// No answer came in time.
-    CallTimeout { place: Place, call: u64 },
-    /// A task sends its proposal again.
-    Resend { place: Place, task: u64 },
+    /// A reply arrives.
+    Reply { node: Node, call: u64, reply: Reply },
+    /// The timeout of a call expires.
+    CallTimeout { node: Node, call: u64 },
+    /// A task resends its proposal.
+    Resend { node: Node, task: u64 },
     /// A router polls the replicas.
-    Poll { router: u32, life: u32 },
-    /// An operator acts.
-    OperatorTurn { operator: u32 },
-    /// A caller sends a request that may not be repeated.
-    CallerTurn,
-    /// The service answers an arrival.
-    ServiceAnswer { place: Place, arrival: u64 },
-    /// The service's answer did not come.
-    ServiceTimeout { place: Place, arrival: u64 },
-    /// A replica looks at the engines.
-    Rollout { replica: u32, life: u32 },
-    /// An order arrives.
+    Poll { router: u32, incarnation: u32 },
+    /// An operator starts or resends a change.
+    OperatorAction { operator: u32 },
+    /// A caller sends a request with an idempotency key.
+    CallerRequest,
+    /// The service's response arrives.
+    ServiceResponse { node: Node, arrival: u64 },
+    /// The timeout of a service call expires.
+    ServiceTimeout { node: Node, arrival: u64 },
+    /// A replica runs a rollout step.
+    RolloutCheck { replica: u32, incarnation: u32 },
+    /// An order arrives at an engine.
     Order { engine: u32, order: OrderRequest },
-    /// An engine has loaded weights.
-    Loaded {
+    /// An engine finishes loading weights.
+    WeightsLoaded {
         engine: u32,
-        life: u32,
+        incarnation: u32,
         order: OrderRequest,
     },
-    /// A process starts again.
-    Restart(Place),
-    /// A cut ends.
-    Mend(Place, Place),
-    /// The administrator looks after lost replicas.
-    Administer,
-    /// Something breaks.
-    Fault,
-    /// Nothing breaks any more.
+    /// A process restarts.
+    Restart(Node),
+    /// A partition between two nodes ends.
+    Reconnect(Node, Node),
+    /// The administrator runs a replacement step.
+    AdministratorCheck,
+    /// A fault is injected.
+    InjectFault,
+    /// All faults end.
     Heal,
-    /// The invariants are looked at.
-    Watch,
+    /// The invariants are checked.
+    CheckInvariants,
 }
 
 impl Event {
-    /// The process that handles the event; a frozen one handles it when it thaws.
-    fn place(&self) -> Option<Place> {
+    /// Node that handles the event; a frozen one handles it after it thaws.
+    fn node(&self) -> Option<Node> {
         match self {
             Self::Tick { replica, .. }
-            | Self::Rollout { replica, .. }
-            | Self::Call { replica, .. } => Some(Place::Replica(*replica)),
-            Self::Raft(message) => Some(Place::Replica(message.to.0)),
-            Self::Poll { router, .. } => Some(Place::Router(*router)),
-            Self::Reply { place, .. }
-            | Self::CallTimeout { place, .. }
-            | Self::Resend { place, .. }
-            | Self::ServiceAnswer { place, .. }
-            | Self::ServiceTimeout { place, .. } => Some(*place),
-            Self::Order { engine, .. } | Self::Loaded { engine, .. } => {
-                Some(Place::Engine(*engine))
+            | Self::RolloutCheck { replica, .. }
+            | Self::Call { replica, .. } => Some(Node::Replica(*replica)),
+            Self::Raft(message) => Some(Node::Replica(message.to.0)),
+            Self::Poll { router, .. } => Some(Node::Router(*router)),
+            Self::Reply { node, .. }
+            | Self::CallTimeout { node, .. }
+            | Self::Resend { node, .. }
+            | Self::ServiceResponse { node, .. }
+            | Self::ServiceTimeout { node, .. } => Some(*node),
+            Self::Order { engine, .. } | Self::WeightsLoaded { engine, .. } => {
+                Some(Node::Engine(*engine))
             }
             _ => None,
         }
     }
 }
 
-/// Who waits for a proposal.
+/// Receiver of a proposal's outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskOwner {
-    /// An arrival of a key.
+    /// An arrival of a keyed request.
     Arrival(u64),
-    /// An operator's change.
+    /// An operator's pending change.
     Operator(u32),
-    /// Nobody: a claim's end that is recorded in the background.
+    /// None: a claim settlement, recorded in the background.
     Background,
 }
 
-/// A proposal that is sent to one replica after another.
+/// A proposal that is retried at different replicas until it has an outcome.
 #[derive(Debug)]
-pub struct Task {
-    /// Who sends it.
-    pub place: Place,
-    /// What to commit.
+pub struct ProposalTask {
+    /// The sender.
+    pub node: Node,
+    /// The proposed command.
     pub command: Command,
-    /// What is known of it.
-    pub run: ProposalAttempts,
-    /// When to give up.
+    /// Results of the attempts so far.
+    pub attempts: ProposalAttempts,
+    /// Time at which the task gives up.
     pub deadline: u64,
-    /// Who waits for it.
+    /// Receiver of the outcome.
     pub owner: TaskOwner,
 }
 
-/// Why a call was made.
+/// Purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallPurpose {
-    /// For a task.
-    Task(u64),
-    /// A router's poll, with the router's time when it was sent.
-    Poll { router: u32, asked_at: u64 },
+    /// An attempt of a proposal task.
+    Proposal(u64),
+    /// A router's poll; `sent_at` is in the router's clock.
+    Poll { router: u32, sent_at: u64 },
 }
 
-/// A machine's clock: its own offset and rate.
+/// A machine's clock, with an offset and a rate error.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
     /// Reading at the start, milliseconds.
@@ -188,7 +183,7 @@
 }
 
 impl Clock {
-    /// A clock with a drawn offset, and a rate at most 0.05% fast.
+    /// Draws an offset, and a rate error of at most 0.05%.
     pub fn draw(random: &mut ChaCha8Rng) -> Self {
         Self {
             offset: random.random_range(0..300_000),
@@ -196,19 +191,19 @@
         }
     }
 
-    /// The clock's reading.
+    /// Returns the clock's reading at virtual time `now`.
     pub fn read(self, now: u64) -> u64 {
         self.offset + now + now * self.rate_ppm / 1_000_000
     }
 }
 
-/// Events after which a run counts as stuck.
-const EVENT_LIMIT: u64 = 2_000_000;
+/// Events after which a run is considered stuck.
+const MAX_EVENTS: u64 = 2_000_000;
 
-/// A broken promise and what was seen.
-pub type Broken = (Promise, String);
+/// A violated invariant, with details.
+pub type CheckFailure = (Invariant, String);
 
-/// Everything.
+/// State of a simulation run.
 pub struct World {
     pub scenario: Scenario,
     pub mutant: Option<Mutant>,
@@ -221,24 +216,24 @@
     pub engines: BTreeMap<u32, SimEngine>,
     pub arrivals: BTreeMap<u64, Arrival>,
     pub recent_keys: Vec<u64>,
-    pub tasks: BTreeMap<u64, Task>,
+    pub tasks: BTreeMap<u64, ProposalTask>,
     pub calls: BTreeMap<u64, CallPurpose>,
-    pub frozen: BTreeMap<Place, u64>,
-    pub administration: Administration,
-    pub checks: Checks,
+    pub frozen: BTreeMap<Node, u64>,
+    pub administrator: Administrator,
+    pub checks: HistoryChecker,
     pub activity: Activity,
     pub healed: bool,
     pub trace: Trace,
-    next_number: u64,
+    next_id: u64,
 }
 
-/// Runs one seed.
+/// Runs one seed of a scenario.
 pub fn run(scenario: Scenario, mutant: Option<Mutant>, seed: u64, keep_trace: bool) -> SeedOutcome {
     let mut world = World::new(scenario, mutant, seed, keep_trace);
-    let broken = world.start().and_then(|()| world.run_to_end());
-    let violation = broken.err().map(|(promise, detail)| Violation {
+    let result = world.start().and_then(|()| world.run_to_end());
+    let violation = result.err().map(|(invariant, detail)| Violation {
         at_ms: world.schedule.now(),
-        promise,
+        invariant,
         detail,
     });
     SeedOutcome {
@@ -252,11 +247,11 @@
     fn new(scenario: Scenario, mutant: Option<Mutant>, seed: u64, keep_trace: bool) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let options = NetworkOptions {
-            delay: random.random_range(2..20),
-            late: random.random_range(0.0..0.02),
-            late_delay: random.random_range(500..4_000),
-            loss: random.random_range(0.0..0.05),
-            repeat: random.random_range(0.0..0.05),
+            max_delay: random.random_range(2..20),
+            late_probability: random.random_range(0.0..0.02),
+            max_late_delay: random.random_range(500..4_000),
+            loss_probability: random.random_range(0.0..0.05),
+            duplicate_probability: random.random_range(0.0..0.05),
         };
         let network = Network::new(options, ChaCha8Rng::seed_from_u64(random.random()));
         Self {
@@ -274,16 +269,16 @@
             tasks: BTreeMap::new(),
             calls: BTreeMap::new(),
             frozen: BTreeMap::new(),
-            administration: Administration::default(),
-            checks: Checks::default(),
+            administrator: Administrator::default(),
+            checks: HistoryChecker::default(),
             activity: Activity::default(),
             healed: false,
             trace: Trace::new(keep_trace),
-            next_number: 0,
+            next_id: 0,
         }
     }
 
-    fn start(&mut self) -> Result<(), Broken> {
+    fn start(&mut self) -> Result<(), CheckFailure> {
         self.start_replicas();
         self.start_routers();
         self.start_operators();
@@ -291,24 +286,24 @@
             self.start_engines();
         }
         if self.scenario == Scenario::Claims {
-            self.schedule.after(2_000, Event::CallerTurn);
+            self.schedule.after(2_000, Event::CallerRequest);
         }
-        self.schedule.after(2_000, Event::Fault);
-        self.schedule.after(200, Event::Administer);
-        self.schedule.after(WATCH_INTERVAL, Event::Watch);
+        self.schedule.after(2_000, Event::InjectFault);
+        self.schedule.after(200, Event::AdministratorCheck);
+        self.schedule.after(CHECK_INTERVAL, Event::CheckInvariants);
         self.schedule.at(FAULTS_END, Event::Heal);
         Ok(())
     }
 
-    fn run_to_end(&mut self) -> Result<(), Broken> {
+    fn run_to_end(&mut self) -> Result<(), CheckFailure> {
         let mut events: u64 = 0;
         while let Some(event) = self.schedule.next(RUN_END) {
             events += 1;
-            if events > EVENT_LIMIT {
-                let detail = format!("more than {EVENT_LIMIT} events");
-                return Err((Promise::Recovery, detail));
+            if events > MAX_EVENTS {
+                let detail = format!("more than {MAX_EVENTS} events");
+                return Err((Invariant::Recovery, detail));
             }
-            if let Some(until) = event.place().and_then(|place| self.frozen_until(place)) {
+            if let Some(until) = event.node().and_then(|node| self.frozen_until(node)) {
                 self.schedule.at(until, event);
                 continue;
             }
@@ -318,86 +313,94 @@
         self.checks.check_history()
     }
 
-    fn handle(&mut self, event: Event) -> Result<(), Broken> {
+    fn handle(&mut self, event: Event) -> Result<(), CheckFailure> {
         match event {
-            Event::Tick { replica, life } => self.tick(replica, life),
+            Event::Tick {
+                replica,
+                incarnation,
+            } => self.tick(replica, incarnation),
             Event::Raft(message) => self.deliver(*message),
             Event::Call {
                 replica,
                 from,
                 call,
                 request,
-            } => self.take_call(replica, from, call, request),
-            Event::Reply { call, reply, .. } => self.take_reply(call, reply),
-            Event::CallTimeout { call, .. } => self.time_out(call),
+            } => self.handle_call(replica, from, call, request),
+            Event::Reply { call, reply, .. } => self.handle_reply(call, reply),
+            Event::CallTimeout { call, .. } => self.handle_call_timeout(call),
             Event::Resend { task, .. } => self.send_task(task),
-            Event::Poll { router, life } => {
-                self.poll(router, life);
+            Event::Poll {
+                router,
+                incarnation,
+            } => {
+                self.poll(router, incarnation);
                 Ok(())
             }
-            Event::OperatorTurn { operator } => {
-                self.operator_turn(operator);
+            Event::OperatorAction { operator } => {
+                self.run_operator(operator);
                 Ok(())
             }
-            Event::CallerTurn => self.caller_turn(),
-            Event::ServiceAnswer { arrival, .. } => self.service_answered(arrival),
-            Event::ServiceTimeout { arrival, .. } => self.service_timed_out(arrival),
-            Event::Rollout { replica, life } => self.roll_out(replica, life),
-            Event::Order { engine, order } => self.take_order(engine, order),
-            Event::Loaded {
+            Event::CallerRequest => self.send_keyed_request(),
+            Event::ServiceResponse { arrival, .. } => self.handle_service_response(arrival),
+            Event::ServiceTimeout { arrival, .. } => self.handle_service_timeout(arrival),
+            Event::RolloutCheck {
+                replica,
+                incarnation,
+            } => self.run_rollout_step(replica, incarnation),
+            Event::Order { engine, order } => self.handle_order(engine, order),
+            Event::WeightsLoaded {
                 engine,
-                life,
+                incarnation,
                 order,
             } => {
-                self.loaded(engine, life, order);
+                self.finish_loading(engine, incarnation, order);
                 Ok(())
             }
-            Event::Restart(place) => self.restart(place),
-            Event::Mend(one, other) => {
-                self.network.mend(one, other);
+            Event::Restart(node) => self.restart(node),
+            Event::Reconnect(one, other) => {
+                self.network.reconnect(one, other);
                 Ok(())
             }
-            Event::Administer => self.administer(),
-            Event::Fault => self.inject_fault(),
+            Event::AdministratorCheck => self.advance_replacement(),
+            Event::InjectFault => self.inject_fault(),
             Event::Heal => self.heal(),
-            Event::Watch => self.watch(),
+            Event::CheckInvariants => self.check_invariants(),
         }
     }
 
-    fn frozen_until(&self, place: Place) -> Option<u64> {
-        let until = self.frozen.get(&place).copied()?;
+    fn frozen_until(&self, node: Node) -> Option<u64> {
+        let until = self.frozen.get(&node).copied()?;
         (until > self.schedule.now()).then_some(until)
     }
 
-    /// Whether a process is frozen now.
-    pub fn is_frozen(&self, place: Place) -> bool {
-        self.frozen_until(place).is_some()
+    pub fn is_frozen(&self, node: Node) -> bool {
+        self.frozen_until(node).is_some()
     }
 
-    /// A number never used before in this run.
-    pub fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    /// Returns an identifier that is unique within the run.
+    pub fn next_id(&mut self) -> u64 {
+        self.next_id += 1;
+        self.next_id
     }
 
-    /// Whether a part of the system is left out on purpose.
+    /// Whether this run uses the given mutant.
     pub fn is_mutant(&self, mutant: Mutant) -> bool {
         self.mutant == Some(mutant)
     }
 
-    fn watch(&mut self) -> Result<(), Broken> {
-        self.schedule.after(WATCH_INTERVAL, Event::Watch);
+    fn check_invariants(&mut self) -> Result<(), CheckFailure> {
+        self.schedule.after(CHECK_INTERVAL, Event::CheckInvariants);
         self.check_routers()?;
         self.check_engines()
     }
 
-    /// After the faults the system must have come back by itself.
-    fn check_recovery(&mut self) -> Result<(), Broken> {
+    /// Checks that the system recovered after the last fault.
+    fn check_recovery(&mut self) -> Result<(), CheckFailure> {
         let leaders = self.leaders();
         if leaders.len() != 1 {
             self.trace_replicas();
             let detail = format!("{} leaders 15 s after the last fault", leaders.len());
-            return Err((Promise::Recovery, detail));
+            return Err((Invariant::Recovery, detail));
         }
         self.check_routers_recovered()?;
         self.check_replicas_agree()
--- a/crates/lab/src/simulate/streams/engines.rs
+++ b/crates/lab/src/simulate/streams/engines.rs
@@ -1,4 +1,4 @@
-//! Engines: the emulator's model and gate, with the origin of every cached block noted.
+//! Simulated engines: the emulator's model and gate, plus the origin of every cached block.
 
 use std::collections::BTreeMap;
 
@@ -15,77 +15,75 @@
 use rand::RngExt;
 
 use crate::simulate::{
-    Mutant, Promise,
+    Invariant, Mutant,
     streams::{
-        requests::{BLOCK_TOKENS, Origin, origins},
-        world::{Broken, Channel, Event, KnownEngine, World},
+        requests::{BLOCK_TOKENS, BlockOrigin, origins},
+        world::{CheckFailure, ConnectionId, EngineView, Event, World},
     },
 };
 
-/// The model that all engines run.
+/// Model that all engines serve.
 pub const MODEL: &str = "model";
-/// Blocks in an engine's cache; few, so that blocks are evicted.
+/// Cache blocks of an engine; few, so that evictions are frequent.
 const CACHE_BLOCKS: usize = 120;
-/// Time that loading takes, milliseconds.
+/// Time to load weights, milliseconds.
 const LOAD_TIME: u64 = 300;
-/// Time between looks at whether running answers have ended.
-const IDLE_CHECK: u64 = 10;
+/// Time between checks whether an engine is idle, milliseconds.
+const IDLE_CHECK_INTERVAL: u64 = 10;
 
-/// A request as it is sent to an engine.
+/// An attempt of a request, as sent to an engine.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
-    /// The router's request.
+    /// Number of the request at the router.
     pub request: u64,
-    /// The connection.
-    pub channel: Channel,
-    /// The attempt.
+    /// Connection for the response stream.
+    pub connection: ConnectionId,
+    /// Identifier of the attempt.
     pub attempt: u128,
-    /// The life that was chosen.
+    /// Incarnation of the engine that the router chose.
     pub incarnation: EngineIncarnation,
-    /// The weights that were chosen.
+    /// Weights version that the router chose.
     pub weights_version: WeightsVersion,
-    /// Root of the cache namespace.
+    /// Cache namespace of the prompt's blocks.
     pub namespace: CacheNamespace,
-    /// Whose prompt it is.
+    /// Tenant of the request.
     pub tenant: u32,
-    /// The prompt.
     pub prompt: String,
-    /// Tokens delivered by earlier attempts.
+    /// Number of tokens delivered by earlier attempts.
     pub delivered: u32,
-    /// Length of the whole answer.
+    /// Length of the complete response, tokens.
     pub max_tokens: u32,
 }
 
-/// An answer at an engine.
+/// A response stream at an engine.
 #[derive(Debug)]
 struct SimStream {
     request: u64,
-    channel: Channel,
+    connection: ConnectionId,
     seed: u64,
-    first: u32,
-    produced: u32,
+    first_token: u32,
+    produced_tokens: u32,
     end: Option<StreamEnd>,
-    /// When the last frame sent so far arrives; frames of one connection keep their order.
+    /// Arrival time of the last frame sent; frames of one connection keep their order.
     last_arrival: u64,
-    origins: Vec<(BlockHash, Origin)>,
+    origins: Vec<(BlockHash, BlockOrigin)>,
 }
 
-/// An engine.
 pub struct SimEngine {
-    /// Counts its processes.
-    pub life: u32,
-    /// What it lets in.
+    /// Number of the current process; rises with every restart.
+    pub incarnation: u32,
+    /// Admission checks of requests and orders.
     pub gate: Gate,
     model: EngineModel,
     streams: BTreeMap<u128, SimStream>,
     step: Option<StepOutcome>,
-    /// Whose text each cached block stands for.
-    cached: BTreeMap<BlockHash, Origin>,
+    /// Origin of each cached block.
+    cached: BTreeMap<BlockHash, BlockOrigin>,
 }
 
 impl World {
-    /// Starts an engine with an empty cache.
-    pub fn start_engine(&mut self, number: u32, life: u32) {
+    /// Starts an engine's process with an empty cache.
+    pub fn start_engine(&mut self, number: u32, incarnation: u32) {
         let costs = EngineCosts {
             cache_blocks: CACHE_BLOCKS,
             ..EngineCosts::default()
@@ -95,13 +93,13 @@
             ..GateChecks::default()
         };
         let gate = Gate::new(
-            EngineIncarnation(u64::from(number) << 32 | u64::from(life)),
+            EngineIncarnation(u64::from(number) << 32 | u64::from(incarnation)),
             ModelName::from(MODEL),
             WeightsVersion(1),
             checks,
         );
         let engine = SimEngine {
-            life,
+            incarnation,
             gate,
             model: EngineModel::new(costs),
             streams: BTreeMap::new(),
@@ -111,37 +109,37 @@
         self.engines.insert(number, engine);
     }
 
-    /// An engine dies: its connections break, some of them late.
-    pub fn lose_streams(&mut self, number: u32) {
+    /// Closes the connections of a crashed engine, each after a random delay.
+    pub fn break_connections(&mut self, number: u32) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
         for stream in std::mem::take(&mut engine.streams).into_values() {
             let event = Event::Closed {
                 request: stream.request,
-                channel: stream.channel,
+                connection: stream.connection,
             };
             let delay = self.random.random_range(1..300);
             self.schedule.after(delay, event);
         }
     }
 
-    /// The router hears an engine's state now and then.
-    pub fn hear_status(&mut self, engine: u32) {
+    /// Updates the router's view of an engine, and schedules the next update.
+    pub fn update_engine_view(&mut self, engine: u32) {
         let pause = self.random.random_range(100..900);
-        if self.goes_on() || !self.requests.is_empty() {
+        if self.faults_enabled() || !self.requests.is_empty() {
             self.schedule.after(pause, Event::Status { engine });
         }
         let gate = &self.engines[&engine].gate;
-        let known = KnownEngine {
+        let view = EngineView {
             incarnation: gate.incarnation,
             weights_version: gate.weights_version,
         };
-        self.known.insert(engine, known);
+        self.engine_views.insert(engine, view);
     }
 
-    /// A dispatch arrives.
-    pub fn dispatched(&mut self, number: u32, dispatch: Dispatch) -> Result<(), Broken> {
+    /// Handles a dispatch at its engine.
+    pub fn handle_dispatch(&mut self, number: u32, dispatch: Dispatch) -> Result<(), CheckFailure> {
         let Some(engine) = self.engines.get_mut(&number) else {
             return Ok(());
         };
@@ -150,20 +148,20 @@
             .gate
             .admit(dispatch.incarnation, &model, dispatch.weights_version);
         if admitted.is_err() {
-            self.answer_refused(dispatch.request, dispatch.channel);
+            self.refuse(dispatch.request, dispatch.connection);
             return Ok(());
         }
         if dispatch.incarnation != engine.gate.incarnation {
             let detail = format!("engine {number} took a request meant for a dead life");
-            return Err((Promise::CacheSafety, detail));
+            return Err((Invariant::CacheSafety, detail));
         }
         let chain = PrefixChain::from_text(dispatch.namespace, &dispatch.prompt, BLOCK_TOKENS);
         let stream = SimStream {
             request: dispatch.request,
-            channel: dispatch.channel,
+            connection: dispatch.connection,
             seed: completion_seed(&dispatch.prompt),
-            first: dispatch.delivered,
-            produced: dispatch.delivered,
+            first_token: dispatch.delivered,
+            produced_tokens: dispatch.delivered,
             end: None,
             last_arrival: 0,
             origins: origins(
@@ -185,33 +183,38 @@
         self.step(number)
     }
 
-    fn answer_refused(&mut self, request: u64, channel: Channel) {
+    fn refuse(&mut self, request: u64, connection: ConnectionId) {
         let delay = self.random.random_range(1..10);
-        self.schedule
-            .after(delay, Event::Refused { request, channel });
+        self.schedule.after(
+            delay,
+            Event::Refused {
+                request,
+                connection,
+            },
+        );
     }
 
-    /// A resumption arrives: the frames from there on are sent over the new connection.
-    pub fn resumed(
+    /// Handles a resumption: resends the frames from `from` on over the new connection.
+    pub fn handle_resume(
         &mut self,
         number: u32,
         attempt: u128,
         from: u32,
-        channel: Channel,
+        connection: ConnectionId,
         request: u64,
     ) {
         let stream = self
             .engines
             .get_mut(&number)
             .and_then(|engine| engine.streams.get_mut(&attempt))
-            .filter(|stream| from >= stream.first);
+            .filter(|stream| from >= stream.first_token);
         let Some(stream) = stream else {
-            self.answer_refused(request, channel);
+            self.refuse(request, connection);
             return;
         };
-        stream.channel = channel;
+        stream.connection = connection;
         stream.last_arrival = 0;
-        let produced = stream.produced;
+        let produced = stream.produced_tokens;
         let has_end = stream.end.is_some();
         for index in from..produced {
             self.send_frame(number, attempt, index, false);
@@ -221,8 +224,8 @@
         }
     }
 
-    /// Begins a step if the engine has work and is not in one.
-    pub fn step(&mut self, number: u32) -> Result<(), Broken> {
+    /// Starts a step if the engine has work and no step is running.
+    pub fn step(&mut self, number: u32) -> Result<(), CheckFailure> {
         let now = self.schedule.now();
         let Some(engine) = self.engines.get_mut(&number) else {
             return Ok(());
@@ -231,27 +234,27 @@
             return Ok(());
         }
         let outcome = engine.model.step(now * 1_000);
-        engine.check_admitted(number, &outcome)?;
-        engine.note_changes(&outcome);
+        engine.check_cached_blocks(number, &outcome)?;
+        engine.record_cache_changes(&outcome);
         let duration = outcome.duration_us.div_ceil(1_000);
-        let life = engine.life;
+        let incarnation = engine.incarnation;
         engine.step = Some(outcome);
         self.schedule.after(
             duration,
             Event::StepEnd {
                 engine: number,
-                life,
+                incarnation,
             },
         );
         Ok(())
     }
 
-    /// A step ends: its tokens are sent.
-    pub fn step_ended(&mut self, number: u32, life: u32) {
+    /// Sends the tokens of a finished step.
+    pub fn finish_step(&mut self, number: u32, incarnation: u32) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
-        if engine.life != life {
+        if engine.incarnation != incarnation {
             return;
         }
         let Some(outcome) = engine.step.take() else {
@@ -265,7 +268,7 @@
             else {
                 continue;
             };
-            stream.produced = output.index + 1;
+            stream.produced_tokens = output.index + 1;
             self.send_frame(number, output.attempt, output.index, false);
             if let Some(end) = output.end {
                 let end = StreamEnd {
@@ -285,14 +288,14 @@
         }
     }
 
-    /// Sends one frame; sometimes its connection breaks, or the frame comes twice, early, or over
-    /// the connection of another request.
+    /// Sends one frame. At random, the connection breaks instead, or a copy of the frame also arrives at
+    /// another time, possibly at another request.
     fn send_frame(&mut self, number: u32, attempt: u128, index: u32, is_end: bool) {
         let now = self.schedule.now();
-        let breaks = self.random.random_bool(self.cut_share);
+        let disconnects = self.random.random_bool(self.disconnect_probability);
         let delay = self.random.random_range(1..15);
-        let strange = self.random.random_bool(0.02);
-        let strange_delay = self.random.random_range(1..400);
+        let misdelivered = self.random.random_bool(0.02);
+        let misdelivery_delay = self.random.random_range(1..400);
         let Some(stream) = self
             .engines
             .get_mut(&number)
@@ -300,7 +303,7 @@
         else {
             return;
         };
-        let (request, channel) = (stream.request, stream.channel);
+        let (request, connection) = (stream.request, stream.connection);
         let end = stream.end.filter(|_| is_end);
         let text = if is_end {
             String::new()
@@ -315,28 +318,38 @@
         };
         let arrival = stream.last_arrival.max(now + delay);
         stream.last_arrival = arrival;
-        if breaks {
-            self.schedule
-                .at(arrival, Event::Closed { request, channel });
+        if disconnects {
+            self.schedule.at(
+                arrival,
+                Event::Closed {
+                    request,
+                    connection,
+                },
+            );
             return;
         }
-        if strange {
-            let victim = self.any_request();
+        if misdelivered {
+            let recipient = self.draw_request();
             let event = Event::Frame {
-                request: victim.unwrap_or(request),
+                request: recipient.unwrap_or(request),
                 frame: frame.clone(),
             };
-            self.schedule.after(strange_delay, event);
+            self.schedule.after(misdelivery_delay, event);
         }
         let event = Event::Frame { request, frame };
         self.schedule.at(arrival, event);
         if is_end {
-            self.schedule
-                .at(arrival, Event::Closed { request, channel });
+            self.schedule.at(
+                arrival,
+                Event::Closed {
+                    request,
+                    connection,
+                },
+            );
         }
     }
 
-    fn any_request(&mut self) -> Option<u64> {
+    fn draw_request(&mut self) -> Option<u64> {
         let open: Vec<u64> = self.requests.keys().copied().collect();
         if open.is_empty() {
             return None;
@@ -344,8 +357,8 @@
         Some(open[self.random.random_range(0..open.len())])
     }
 
-    /// An order arrives.
-    pub fn take_order(&mut self, number: u32, order: OrderRequest) {
+    /// Handles an order at an engine.
+    pub fn handle_order(&mut self, number: u32, order: OrderRequest) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
@@ -354,27 +367,27 @@
         }
         let event = Event::LoadWhenIdle {
             engine: number,
-            life: engine.life,
+            incarnation: engine.incarnation,
             order,
         };
         self.schedule.after(LOAD_TIME, event);
     }
 
-    /// An engine loads once its running answers have ended.
-    pub fn load_when_idle(&mut self, number: u32, life: u32, order: OrderRequest) {
+    /// Loads weights once the engine is idle; until then, checks again after `IDLE_CHECK_INTERVAL`.
+    pub fn load_when_idle(&mut self, number: u32, incarnation: u32, order: OrderRequest) {
         let Some(engine) = self.engines.get_mut(&number) else {
             return;
         };
-        if engine.life != life || !engine.gate.is_current(&order) {
+        if engine.incarnation != incarnation || !engine.gate.is_current(&order) {
             return;
         }
         if engine.model.has_work() {
             let event = Event::LoadWhenIdle {
                 engine: number,
-                life,
+                incarnation,
                 order,
             };
-            self.schedule.after(IDLE_CHECK, event);
+            self.schedule.after(IDLE_CHECK_INTERVAL, event);
             return;
         }
         engine.model.clear_cache();
@@ -382,7 +395,7 @@
         engine.gate.finish_loading(order);
     }
 
-    /// Cancels an attempt whose answer nobody waits for.
+    /// Cancels an abandoned attempt.
     pub fn cancel(&mut self, number: u32, attempt: u128) {
         let now = self.schedule.now();
         if let Some(engine) = self.engines.get_mut(&number) {
@@ -393,8 +406,8 @@
 }
 
 impl SimEngine {
-    /// Every cached token must stem from the same tenant, text and weights.
-    fn check_admitted(&self, number: u32, outcome: &StepOutcome) -> Result<(), Broken> {
+    /// Checks that every reused block stems from the same tenant, text and weights version.
+    fn check_cached_blocks(&self, number: u32, outcome: &StepOutcome) -> Result<(), CheckFailure> {
         for (attempt, cached_tokens) in &outcome.admitted {
             let Some(stream) = self.streams.get(attempt) else {
                 continue;
@@ -403,14 +416,14 @@
             for (hash, origin) in stream.origins.iter().take(blocks) {
                 if self.cached.get(hash) != Some(origin) {
                     let detail = format!("engine {number} reused a block of another origin");
-                    return Err((Promise::CacheSafety, detail));
+                    return Err((Invariant::CacheSafety, detail));
                 }
             }
         }
         Ok(())
     }
 
-    fn note_changes(&mut self, outcome: &StepOutcome) {
+    fn record_cache_changes(&mut self, outcome: &StepOutcome) {
         for hash in &outcome.changes.removed {
             self.cached.remove(hash);
         }
--- a/crates/lab/src/simulate/streams/requests.rs
+++ b/crates/lab/src/simulate/streams/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: the router's relay and attempts, and the caller's check of what comes.
+//! Simulated requests: the router's relay and attempts, and checks of the delivered text.
 
 use railtack_backend_api::StreamFrame;
 use railtack_core::{
@@ -15,56 +15,57 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 use crate::simulate::{
-    Mutant, Promise,
+    Invariant, Mutant,
     streams::{
         engines::{Dispatch, MODEL},
-        world::{Broken, Channel, ENGINES, Event, World},
+        world::{CheckFailure, ConnectionId, ENGINES, Event, World},
     },
 };
 
-/// Tokens in a block.
+/// Tokens per cache block.
 pub const BLOCK_TOKENS: u32 = 16;
-/// Tenants; they share all texts but the question.
+/// Tenants; they use the same prompts, so that cache hits across tenants would occur.
 const TENANTS: u32 = 3;
-/// Tries to resume a stream on the engine where it broke, as in the daemon.
-const RESUME_TRIES: u32 = 2;
-/// Pause before a stream is resumed, as in the daemon.
+/// Maximum resumptions of a stream on the same engine; the daemon's value.
+const MAX_RESUMES: u32 = 2;
+/// Pause before a resumption, milliseconds; the daemon's value.
 const RESUME_PAUSE: u64 = 30;
-/// Callers' deadline, milliseconds.
+/// Deadline of a request, milliseconds.
 const DEADLINE: u64 = 20_000;
-/// Share of dispatches that are lost on the way.
-const DISPATCH_LOSS: f64 = 0.02;
+/// Probability that a dispatch's connection fails.
+const DISPATCH_LOSS_PROBABILITY: f64 = 0.02;
 
-/// Whose text a block stands for, worked out without the hash chain.
-pub type Origin = u128;
+/// Tenant, weights version and text prefix of a block, hashed independently of the prefix chain.
+pub type BlockOrigin = u128;
 
-/// Texts that the prompts are made of.
-pub struct Texts {
-    opening: String,
-    files: Vec<String>,
+/// Building blocks of the prompts.
+pub struct PromptTexts {
+    shared_prefix: String,
+    documents: Vec<String>,
 }
 
-impl Texts {
-    /// Draws texts.
+impl PromptTexts {
+    /// Draws random texts.
     pub fn draw(random: &mut ChaCha8Rng) -> Self {
         let mut text = |length: usize| -> String {
             let letters = (0..length).map(|_| char::from(random.random_range(b'a'..=b'z')));
             letters.collect()
         };
         Self {
-            opening: text(640),
-            files: (0..4).map(|_| text(900)).collect(),
+            shared_prefix: text(640),
+            documents: (0..4).map(|_| text(900)).collect(),
         }
     }
 }
 
-/// Origins of a prompt's blocks: tenant, weights and all text up to and including each.
+/// Returns the origins of a prompt's blocks: each hashes the tenant, the weights version and the
+/// text up to the end of the block.
 pub fn origins(
     chain: &PrefixChain,
     tenant: u32,
     weights_version: WeightsVersion,
     prompt: &str,
-) -> Vec<(BlockHash, Origin)> {
+) -> Vec<(BlockHash, BlockOrigin)> {
     let block_bytes = BLOCK_TOKENS as usize * BYTES_PER_TOKEN;
     let blocks = chain.blocks.iter().enumerate();
     let origin = |position: usize| {
@@ -76,7 +77,7 @@
         .collect()
 }
 
-/// A request at the router.
+/// An open request at the router.
 pub struct SimRequest {
     tenant: u32,
     prompt: String,
@@ -86,24 +87,24 @@
     excluded: Vec<u32>,
     engine: u32,
     attempt: u128,
-    channel: Channel,
+    connection: ConnectionId,
     resumes: u32,
     text: String,
 }
 
 impl World {
-    /// A caller asks.
-    pub fn arrive(&mut self) -> Result<(), Broken> {
-        if !self.goes_on() {
+    /// Handles a new request of a caller.
+    pub fn handle_arrival(&mut self) -> Result<(), CheckFailure> {
+        if !self.faults_enabled() {
             return Ok(());
         }
         let pause = self.random.random_range(5..150);
         self.schedule.after(pause, Event::Arrival);
-        let file = self.random.random_range(0..self.texts.files.len());
+        let document = self.random.random_range(0..self.texts.documents.len());
         let question = self.random.random_range(0..6_u32);
         let prompt = format!(
             "{}{} question {question}",
-            self.texts.opening, self.texts.files[file]
+            self.texts.shared_prefix, self.texts.documents[document]
         );
         let end_marker = if self.is_mutant(Mutant::NoEndMarker) {
             EndMarker::Ignored
@@ -120,11 +121,11 @@
             excluded: Vec::new(),
             engine: 0,
             attempt: 0,
-            channel: 0,
+            connection: 0,
             resumes: 0,
             text: String::new(),
         };
-        let number = self.number();
+        let number = self.next_id();
         self.requests.insert(number, request);
         self.budget.deposit();
         self.schedule
@@ -132,49 +133,51 @@
         self.dispatch(number)
     }
 
-    /// Sends a request to some engine that was not tried yet.
-    fn dispatch(&mut self, number: u64) -> Result<(), Broken> {
-        let attempt = u128::from(self.number());
-        let channel = self.number();
+    /// Dispatches a request to a random engine that it has not tried.
+    fn dispatch(&mut self, number: u64) -> Result<(), CheckFailure> {
+        let attempt = u128::from(self.next_id());
+        let connection = self.next_id();
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
-        let choices: Vec<u32> = (1..=ENGINES)
-            .filter(|engine| !request.excluded.contains(engine) && self.known.contains_key(engine))
+        let candidates: Vec<u32> = (1..=ENGINES)
+            .filter(|engine| {
+                !request.excluded.contains(engine) && self.engine_views.contains_key(engine)
+            })
             .collect();
-        if choices.is_empty() {
-            let after = request.attempts.fail_without_engine();
-            return self.after_attempt(number, after);
+        if candidates.is_empty() {
+            let next = request.attempts.fail_without_engine();
+            return self.execute_next_step(number, next);
         }
-        let engine = choices[self.random.random_range(0..choices.len())];
-        let known = self.known[&engine];
+        let engine = candidates[self.random.random_range(0..candidates.len())];
+        let view = self.engine_views[&engine];
         request.engine = engine;
         request.attempt = attempt;
-        request.channel = channel;
+        request.connection = connection;
         request.resumes = 0;
         request.relay.begin(AttemptId(attempt));
         let dispatch = Dispatch {
             request: number,
-            channel,
+            connection,
             attempt,
-            incarnation: known.incarnation,
-            weights_version: known.weights_version,
-            namespace: namespace(self.mutant, request.tenant, known.weights_version),
+            incarnation: view.incarnation,
+            weights_version: view.weights_version,
+            namespace: namespace(self.mutant, request.tenant, view.weights_version),
             tenant: request.tenant,
             prompt: request.prompt.clone(),
             delivered: request.relay.delivered(),
             max_tokens: request.max_tokens,
         };
         let delay = self.random.random_range(1..15);
-        if self.random.random_bool(DISPATCH_LOSS) {
-            // Whether it arrives is not known to the router: its connection breaks either way.
+        if self.random.random_bool(DISPATCH_LOSS_PROBABILITY) {
+            // The connection fails whether or not the dispatch arrives, so the router cannot tell.
             if self.random.random_bool(0.5) {
                 self.schedule
                     .after(delay, Event::Dispatched { engine, dispatch });
             }
             let event = Event::Closed {
                 request: number,
-                channel,
+                connection,
             };
             self.schedule.after(delay, event);
             return Ok(());
@@ -184,138 +187,148 @@
         Ok(())
     }
 
-    /// A frame arrives; the router hands it to the relay whatever connection it came over.
-    pub fn take_frame(&mut self, number: u64, frame: StreamFrame) -> Result<(), Broken> {
+    /// Handles a frame. The relay must reject frames of other attempts, whatever connection they use.
+    pub fn handle_frame(&mut self, number: u64, frame: StreamFrame) -> Result<(), CheckFailure> {
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
         match request.relay.accept(frame) {
             FrameAction::Drop => Ok(()),
             FrameAction::Gap => {
-                let channel = request.channel;
-                self.closed(number, channel)
+                let connection = request.connection;
+                self.handle_close(number, connection)
             }
             FrameAction::Deliver(text) => {
                 request.text.push_str(&text);
-                let whole = completion_text(&request.prompt, request.max_tokens);
-                if whole.starts_with(&request.text) {
+                let expected = completion_text(&request.prompt, request.max_tokens);
+                if expected.starts_with(&request.text) {
                     return Ok(());
                 }
                 let detail = format!("request {number} was given text that is not its own");
-                Err((Promise::WholeAnswer, detail))
+                Err((Invariant::CompleteResponse, detail))
+            }
+            FrameAction::Complete(end) => {
+                self.finish_attempt(number, AttemptOutcome::Completed(end))
             }
-            FrameAction::Complete(end) => self.ended(number, AttemptOutcome::Completed(end)),
         }
     }
 
-    /// The present connection of a request broke, or its answer has a hole.
-    pub fn closed(&mut self, number: u64, channel: Channel) -> Result<(), Broken> {
+    /// Handles the loss of the current connection, or a gap in the stream.
+    pub fn handle_close(
+        &mut self,
+        number: u64,
+        connection: ConnectionId,
+    ) -> Result<(), CheckFailure> {
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
-        if request.channel != channel {
+        if request.connection != connection {
             return Ok(());
         }
         if request.relay.is_complete_on_close() {
             let end = request.relay.implied_end(0);
-            return self.ended(number, AttemptOutcome::Completed(end));
+            return self.finish_attempt(number, AttemptOutcome::Completed(end));
         }
-        if request.resumes >= RESUME_TRIES {
-            return self.ended(number, AttemptOutcome::Lost);
+        if request.resumes >= MAX_RESUMES {
+            return self.finish_attempt(number, AttemptOutcome::Lost);
         }
         request.resumes += 1;
         let event = Event::Resume {
             request: number,
-            channel,
+            connection,
         };
         self.schedule.after(RESUME_PAUSE, event);
         Ok(())
     }
 
-    /// Asks the same engine for the rest.
-    pub fn resume(&mut self, number: u64, channel: Channel) {
-        let new_channel = self.number();
+    /// Requests the remaining frames from the same engine.
+    pub fn resume(&mut self, number: u64, connection: ConnectionId) {
+        let new_connection = self.next_id();
         let delay = self.random.random_range(1..15);
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        if request.channel != channel {
+        if request.connection != connection {
             return;
         }
-        request.channel = new_channel;
+        request.connection = new_connection;
         let event = Event::Resumed {
             engine: request.engine,
             attempt: request.attempt,
             from: request.relay.delivered(),
-            channel: new_channel,
+            connection: new_connection,
             request: number,
         };
         self.schedule.after(delay, event);
     }
 
-    /// The engine refused a dispatch, or does not know the stream to resume.
-    pub fn refused(&mut self, number: u64, channel: Channel) -> Result<(), Broken> {
+    /// Handles a refused dispatch, or a resumption of an unknown stream.
+    pub fn handle_refusal(
+        &mut self,
+        number: u64,
+        connection: ConnectionId,
+    ) -> Result<(), CheckFailure> {
         let Some(request) = self.requests.get(&number) else {
             return Ok(());
         };
-        if request.channel != channel {
+        if request.connection != connection {
             return Ok(());
         }
-        let end = if request.resumes > 0 {
+        let outcome = if request.resumes > 0 {
             AttemptOutcome::Lost
         } else {
             AttemptOutcome::Refused
         };
         let engine = request.engine;
-        // The router looks at the engine again before its next choice.
+        // The router refreshes its view of the engine before it chooses again.
         let gate = &self.engines[&engine].gate;
-        let known = super::world::KnownEngine {
+        let view = super::world::EngineView {
             incarnation: gate.incarnation,
             weights_version: gate.weights_version,
         };
-        self.known.insert(engine, known);
-        self.ended(number, end)
+        self.engine_views.insert(engine, view);
+        self.finish_attempt(number, outcome)
     }
 
-    /// The caller gives up.
-    pub fn deadline(&mut self, number: u64) -> Result<(), Broken> {
+    /// Handles the deadline of a request.
+    pub fn handle_deadline(&mut self, number: u64) -> Result<(), CheckFailure> {
         if self.requests.contains_key(&number) {
-            return self.ended(number, AttemptOutcome::DeadlineExceeded);
+            return self.finish_attempt(number, AttemptOutcome::DeadlineExceeded);
         }
         Ok(())
     }
 
-    fn ended(&mut self, number: u64, end: AttemptOutcome) -> Result<(), Broken> {
+    fn finish_attempt(&mut self, number: u64, outcome: AttemptOutcome) -> Result<(), CheckFailure> {
         let Some(request) = self.requests.get_mut(&number) else {
             return Ok(());
         };
         let budget = &mut self.budget;
-        let after = request.attempts.record(end, || budget.withdraw());
+        let next = request.attempts.record(outcome, || budget.withdraw());
         request.excluded.push(request.engine);
         let (engine, attempt) = (request.engine, request.attempt);
-        if !matches!(end, AttemptOutcome::Completed(_)) {
+        if !matches!(outcome, AttemptOutcome::Completed(_)) {
             self.cancel(engine, attempt);
         }
-        self.after_attempt(number, after)
+        self.execute_next_step(number, next)
     }
 
-    fn after_attempt(&mut self, number: u64, after: NextStep) -> Result<(), Broken> {
-        match after {
+    fn execute_next_step(&mut self, number: u64, next: NextStep) -> Result<(), CheckFailure> {
+        match next {
             NextStep::Retry => self.dispatch(number),
             NextStep::Completed(_) => {
                 let Some(request) = self.requests.remove(&number) else {
                     return Ok(());
                 };
                 self.activity.completed += 1;
-                let whole = completion_text(&request.prompt, request.max_tokens);
-                if request.text == whole {
+                let expected = completion_text(&request.prompt, request.max_tokens);
+                if request.text == expected {
                     return Ok(());
                 }
                 let detail = format!("request {number} was cut and looks whole");
-                Err((Promise::WholeAnswer, detail))
+                Err((Invariant::CompleteResponse, detail))
             }
             NextStep::Fail(_) | NextStep::Abandon => {
-                // The caller is told explicitly that there will be no more.
+                // The caller receives an explicit error.
                 self.requests.remove(&number);
                 self.activity.refused += 1;
                 Ok(())
--- a/crates/lab/src/simulate/trace.rs
+++ b/crates/lab/src/simulate/trace.rs
@@ -1,29 +1,29 @@
-//! The last steps of a run, kept only when asked for.
+//! Optional trace of a run's last steps.
 
 use std::collections::VecDeque;
 
-/// Steps kept.
+/// Maximum steps kept; older ones are dropped.
 const STEPS_KEPT: usize = 60;
 
-/// A trace.
+/// Bounded log of a run's steps.
 #[derive(Clone, Debug, Default)]
 pub struct Trace {
-    keeps: bool,
+    enabled: bool,
     steps: VecDeque<String>,
 }
 
 impl Trace {
-    /// A trace that keeps steps, or one that does not.
-    pub fn new(keeps: bool) -> Self {
+    /// Creates a trace; a disabled one records nothing.
+    pub fn new(enabled: bool) -> Self {
         Self {
-            keeps,
+            enabled,
             steps: VecDeque::new(),
         }
     }
 
-    /// Notes a step; the text is made only if it is kept.
-    pub fn note(&mut self, at: u64, step: impl FnOnce() -> String) {
-        if !self.keeps {
+    /// Records a step. The text is formatted only if the trace is enabled.
+    pub fn record(&mut self, at: u64, step: impl FnOnce() -> String) {
+        if !self.enabled {
             return;
         }
         if self.steps.len() >= STEPS_KEPT {
@@ -32,7 +32,7 @@
         self.steps.push_back(format!("{at:>7}  {}", step()));
     }
 
-    /// The steps, oldest first.
+    /// Returns the steps, oldest first.
     pub fn into_steps(self) -> Vec<String> {
         self.steps.into()
     }
--- a/crates/lab/src/soak/command.rs
+++ b/crates/lab/src/soak/command.rs
@@ -9,33 +9,33 @@
     soak::run::{self, Builds, SoakReport},
 };
 
-/// What to run.
+/// Options of `railtack-lab soak`.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// Seeds, each on a fleet of its own.
+    /// Seeds to run, each on a new fleet.
     pub seeds: Range<u64>,
     /// Length of each schedule.
     pub length: Duration,
-    /// Where the logs of seeds that fail are kept.
-    pub keep: Option<PathBuf>,
-    /// The lab of a former build that the fleets begin with.
-    pub former: Option<PathBuf>,
+    /// Parent folder of the logs, which are kept for failing seeds; the temporary folder by default.
+    pub log_folder: Option<PathBuf>,
+    /// Lab binary of a previous build, with which the fleets start.
+    pub previous_build: Option<PathBuf>,
 }
 
-/// Runs each seed, and tells how many passed.
+/// Runs each seed and prints the results; fails if any seed has violations.
 pub async fn run(options: SoakOptions) -> Result<(), Report<LabError>> {
     let builds = builds(&options)?;
     let mut failed: u64 = 0;
     let mut passed: u64 = 0;
     for seed in options.seeds.clone() {
-        let folder = folder_of(&options, seed);
+        let folder = seed_folder(&options, seed);
         run::prepare_folder(&folder)?;
         let report = run::soak(seed, options.length, &folder, builds.as_ref()).await;
         let holds = matches!(&report, Ok(report) if report.violations() == 0);
-        print(seed, &report);
+        print_report(seed, &report);
         if holds {
             passed += 1;
-            // What is left of a folder does no harm.
+            // Leftover files do not affect other runs.
             let _ = std::fs::remove_dir_all(&folder);
         } else {
             failed += 1;
@@ -50,31 +50,34 @@
 }
 
 fn builds(options: &SoakOptions) -> Result<Option<Builds>, Report<LabError>> {
-    let Some(former) = options.former.clone() else {
+    let Some(previous) = options.previous_build.clone() else {
         return Ok(None);
     };
-    let present = std::env::current_exe().change_context(LabError::Spawn {
+    let current = std::env::current_exe().change_context(LabError::Spawn {
         name: "soak".to_owned(),
     })?;
-    Ok(Some(Builds { former, present }))
+    Ok(Some(Builds { previous, current }))
 }
 
-fn folder_of(options: &SoakOptions, seed: u64) -> PathBuf {
+fn seed_folder(options: &SoakOptions, seed: u64) -> PathBuf {
     let name = format!("railtack-soak-{}-{seed}", std::process::id());
-    let parent = options.keep.clone().unwrap_or_else(std::env::temp_dir);
+    let parent = options
+        .log_folder
+        .clone()
+        .unwrap_or_else(std::env::temp_dir);
     parent.join(name)
 }
 
-fn print(seed: u64, report: &Result<SoakReport, Report<LabError>>) {
+fn print_report(seed: u64, report: &Result<SoakReport, Report<LabError>>) {
     match report {
         Ok(report) => {
             println!("seed {seed}: {} violations", report.violations());
-            for finding in &report.findings {
-                println!("  {finding}");
+            for measurement in &report.measurements {
+                println!("  {measurement}");
             }
             if report.violations() > 0 {
-                for (due, act) in &report.schedule.acts {
-                    println!("  {:>7.3} s  {act}", due.as_secs_f64());
+                for (due, action) in &report.schedule.actions {
+                    println!("  {:>7.3} s  {action}", due.as_secs_f64());
                 }
             }
         }
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! Carrying a schedule out on a fleet under load, and judging what came of it.
+//! Runs a fault schedule on a fleet under load, and measures its effect.
 
 use std::{
     net::SocketAddr,
@@ -25,63 +25,66 @@
 use crate::{
     LabError,
     demo::{self, FleetOptions, PreparedFleet},
-    fault::{Finding, background::BackgroundLoad},
+    fault::{Measurement, background::BackgroundLoad},
     fleet::{Fault, Fleet, FleetKind, FleetShape, LabProcess, process},
     load::{
         Caller, KeyedRecord,
         caller::{self, ResponseMode},
         keyed::key_name,
     },
-    soak::schedule::{Act, FleetSize, Schedule, Target},
+    soak::schedule::{Action, FleetSize, Schedule, Target},
 };
 
-/// Callers that ask models at the same time, and callers of a service that may not be called twice.
-const ASKERS: usize = 8;
+/// Concurrent callers of models, and of a service whose requests carry idempotency keys.
+const MODEL_CALLERS: usize = 8;
 const KEYED_CALLERS: usize = 4;
-/// Arrivals of one key at most, at different routers.
-const ARRIVALS: u64 = 3;
-/// Time for connecting to a router.
+/// Maximum concurrent requests with the same key, each to another router.
+const MAX_REQUESTS_PER_KEY: u64 = 3;
+/// Timeout for connecting to a router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time in which a process that was told to stop ends, before it is killed.
-const STOPS_WITHIN: Duration = Duration::from_secs(12);
-/// Time after the schedule in which every router has to serve again: an engine counts as lost and is heard
-/// again, a leader is elected, and routers poll, each within a few seconds.
-const SERVES_WITHIN: Duration = Duration::from_secs(20);
-/// Pause between two looks at that.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
-/// Time for changing the configuration; without a majority a change is given up.
+/// Time after which a process that was asked to stop is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(12);
+/// Time after the schedule within which every router must serve again. Engine loss is detected and
+/// cleared, a leader is elected, and routers poll, each within a few seconds.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between two requests to a router that does not serve yet.
+const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of a configuration change; without a quorum, the change is abandoned.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a soak showed.
+/// Results of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// What was done.
+    /// The schedule that was run.
     pub schedule: Schedule,
-    /// What was measured.
-    pub findings: Vec<Finding>,
+    /// Measurements, with their limits.
+    pub measurements: Vec<Measurement>,
 }
 
 impl SoakReport {
-    /// Promises that were broken.
+    /// Number of measurements that exceed their limits.
     pub fn violations(&self) -> usize {
-        self.findings.iter().filter(|one| !one.holds()).count()
+        self.measurements
+            .iter()
+            .filter(|measurement| !measurement.is_within_limit())
+            .count()
     }
 }
 
-/// Two builds of the programs in one fleet, each by the path of its lab. The fleet begins with the former one. A
-/// control replica that is started again has the present one from then on; a router has either of both.
+/// Two builds in one fleet, each by the path of its lab binary. The fleet starts with the previous build. A
+/// restarted control replica switches to the current build; a restarted router uses either of them.
 #[derive(Clone, Debug)]
 pub struct Builds {
-    /// The build that the fleet begins with.
-    pub former: PathBuf,
-    /// The build that takes its place.
-    pub present: PathBuf,
+    /// Build with which the fleet starts.
+    pub previous: PathBuf,
+    /// Build that replaces it.
+    pub current: PathBuf,
 }
 
-/// One start of a router in so many has the former build.
-const PUT_BACK: u32 = 3;
+/// One router restart in this many uses the previous build.
+const ROLLBACK_RATIO: u32 = 3;
 
-/// Runs a soak of a length on a fleet of its own in `folder`, of one build, or of two.
+/// Runs a soak on a new fleet in `folder`; with `builds`, the fleet mixes two builds.
 pub async fn soak(
     seed: u64,
     length: Duration,
@@ -89,7 +92,7 @@
     builds: Option<&Builds>,
 ) -> Result<SoakReport, Report<LabError>> {
     if let Some(builds) = builds {
-        process::use_lab_binary(&builds.former);
+        process::use_lab_binary(&builds.previous);
     }
     let shape = FleetShape::demonstration(FleetKind::Brasov);
     let size = FleetSize {
@@ -105,76 +108,90 @@
     };
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut prepared = demo::prepare(shape, &options, &mut random).await?;
-    let models = BackgroundLoad::start(&prepared, ASKERS, seed);
+    let models = BackgroundLoad::start(&prepared, MODEL_CALLERS, seed);
     let keyed = KeyedLoad::start(&prepared, seed);
-    let carried_out = carry_out(&schedule, seed, &mut prepared.fleet, builds).await;
-    let served_again = serves_again(&prepared).await;
-    // Callers end with their fleet also where the schedule could not be carried out.
-    let asked = models.finish().await;
-    let told = keyed.finish().await;
-    carried_out?;
+    let schedule_result = run_schedule(&schedule, seed, &mut prepared.fleet, builds).await;
+    let recovery_seconds = wait_until_routers_serve(&prepared).await;
+    // Stop the callers even if the schedule failed.
+    let model_report = models.finish().await;
+    let keyed_record = keyed.finish().await;
+    schedule_result?;
     let executions = prepared.fleet.executions().await?.by_key;
-    let judged = told.check(&executions);
-    let (whole, not_run, unknown) = told.totals();
-    let findings = vec![
-        Finding::report("acts", schedule.acts.len() as f64),
-        Finding::report("whole answers of models", asked.summary.completed as f64),
-        Finding::report("streams that callers saw cut", asked.cut_off()),
-        Finding::report("keyed requests answered", whole as f64),
-        Finding::report("keyed requests told not run", not_run as f64),
-        Finding::report("keyed requests told neither", unknown as f64),
-        Finding::at_most(
+    let violations = keyed_record.check(&executions);
+    let (completed, not_run, unknown) = keyed_record.totals();
+    let measurements = vec![
+        Measurement::informational("acts", schedule.actions.len() as f64),
+        Measurement::informational(
+            "whole answers of models",
+            model_report.summary.completed as f64,
+        ),
+        Measurement::informational("streams that callers saw cut", model_report.interrupted()),
+        Measurement::informational("keyed requests answered", completed as f64),
+        Measurement::informational("keyed requests told not run", not_run as f64),
+        Measurement::informational("keyed requests told neither", unknown as f64),
+        Measurement::at_most(
             "answers that looked whole and were not",
-            asked.summary.wrong.len() as f64,
+            model_report.summary.wrong.len() as f64,
+            0.0,
+        ),
+        Measurement::at_most(
+            "requests without any end",
+            model_report.summary.lost as f64,
             0.0,
         ),
-        Finding::at_most("requests without any end", asked.summary.lost as f64, 0.0),
-        Finding::at_most("keys executed twice", judged.ran_twice as f64, 0.0),
-        Finding::at_most("untrue \"not run\"", judged.false_not_run as f64, 0.0),
-        Finding::at_most(
+        Measurement::at_most("keys executed twice", violations.ran_twice as f64, 0.0),
+        Measurement::at_most("untrue \"not run\"", violations.false_not_run as f64, 0.0),
+        Measurement::at_most(
             "answers without an execution",
-            judged.completed_without_execution as f64,
+            violations.completed_without_execution as f64,
             0.0,
         ),
-        Finding::at_most(
+        Measurement::at_most(
             "seconds until every router served again",
-            served_again,
-            SERVES_WITHIN.as_secs_f64(),
+            recovery_seconds,
+            RECOVERY_TIMEOUT.as_secs_f64(),
         ),
     ];
-    Ok(SoakReport { schedule, findings })
+    Ok(SoakReport {
+        schedule,
+        measurements,
+    })
 }
 
-async fn carry_out(
+async fn run_schedule(
     schedule: &Schedule,
     seed: u64,
     fleet: &mut Fleet,
     builds: Option<&Builds>,
 ) -> Result<(), Report<LabError>> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let mut changes = Vec::new();
-    for (number, (due, act)) in schedule.acts.iter().enumerate() {
-        sleep_until(began_at + *due).await;
-        match act {
-            Act::Signal(target, fault) => process_of(fleet, *target).inject(*fault).await?,
-            Act::Start(target) => {
+    for (number, (due, action)) in schedule.actions.iter().enumerate() {
+        sleep_until(started_at + *due).await;
+        match action {
+            Action::Signal(target, fault) => process_of(fleet, *target).inject(*fault).await?,
+            Action::Start(target) => {
                 let process = process_of(fleet, *target);
                 if let Some(builds) = builds {
                     choose_build(process, *target, builds, &mut random);
                 }
                 start(process).await?;
             }
-            Act::Change(count) => {
+            Action::Change(count) => {
                 let operation = format!("soak-{seed}-{number}");
-                let addresses = fleet.endpoints.control.iter().map(|place| place.listen);
+                let addresses = fleet
+                    .endpoints
+                    .control
+                    .iter()
+                    .map(|endpoints| endpoints.listen);
                 let addresses: Vec<SocketAddr> = addresses.collect();
-                changes.push(tokio::spawn(change(addresses, operation, *count)));
+                changes.push(tokio::spawn(submit_changes(addresses, operation, *count)));
             }
         }
     }
     for change in changes {
-        // One that found no majority changed nothing.
+        // A change without a quorum has no effect.
         let _ = change.await;
     }
     Ok(())
@@ -186,12 +203,12 @@
     builds: &Builds,
     random: &mut ChaCha8Rng,
 ) {
-    let is_put_back = random.random_ratio(1, PUT_BACK);
+    let rolls_back = random.random_ratio(1, ROLLBACK_RATIO);
     match target {
-        // The stand-ins are not what is replaced.
+        // Emulated engines are not upgraded.
         Target::Engine(_) => {}
-        Target::Router(_) if is_put_back => process.set_binary(&builds.former),
-        Target::Router(_) | Target::Control(_) => process.set_binary(&builds.present),
+        Target::Router(_) if rolls_back => process.set_binary(&builds.previous),
+        Target::Router(_) | Target::Control(_) => process.set_binary(&builds.current),
     }
 }
 
@@ -205,7 +222,7 @@
 
 async fn start(process: &mut LabProcess) -> Result<(), Report<LabError>> {
     if process.id().is_some()
-        && process.wait(STOPS_WITHIN).await.is_none()
+        && process.wait(STOP_TIMEOUT).await.is_none()
         && process.id().is_some()
     {
         process.inject(Fault::Kill).await?;
@@ -213,7 +230,7 @@
     process.restart()
 }
 
-async fn change(addresses: Vec<SocketAddr>, operation: String, count: u64) {
+async fn submit_changes(addresses: Vec<SocketAddr>, operation: String, count: u64) {
     let client = ControlClient::new(addresses);
     for number in 0..count {
         let change = ConfigurationChange::SetDrain {
@@ -222,35 +239,35 @@
             drained: number.is_multiple_of(2),
         };
         let operation = OperationId(format!("{operation}-{number}"));
-        // Without a majority nothing changes.
+        // A change without a quorum times out.
         let _ = tokio::time::timeout(CHANGE_TIMEOUT, client.configure(&operation, change)).await;
     }
 }
 
-/// Seconds until each router has answered a question, from now on.
-async fn serves_again(prepared: &PreparedFleet) -> f64 {
-    let began_at = Instant::now();
+/// Waits until each router has served a request, and returns the seconds that this took.
+async fn wait_until_routers_serve(prepared: &PreparedFleet) -> f64 {
+    let started_at = Instant::now();
     let client = HttpClient::new(CONNECT_TIMEOUT);
     let caller = Caller::new(client, &prepared.documents.tenants[0].key);
-    let question = prepared
+    let request = prepared
         .documents
         .model_request(0, &mut ChaCha8Rng::seed_from_u64(0));
-    for place in &prepared.fleet.endpoints.routers {
+    for endpoints in &prepared.fleet.endpoints.routers {
         loop {
-            let finding = caller
-                .generate(place.listen, &question, ResponseMode::Unary)
+            let outcome = caller
+                .generate(endpoints.listen, &request, ResponseMode::Unary)
                 .await;
-            let is_served = matches!(finding, caller::CallOutcome::Complete { .. });
-            if is_served || began_at.elapsed() > SERVES_WITHIN * 2 {
+            let is_served = matches!(outcome, caller::CallOutcome::Complete { .. });
+            if is_served || started_at.elapsed() > RECOVERY_TIMEOUT * 2 {
                 break;
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(RECOVERY_POLL_INTERVAL).await;
         }
     }
-    began_at.elapsed().as_secs_f64()
+    started_at.elapsed().as_secs_f64()
 }
 
-/// Callers of a service that may not be called twice, each key once or several times at different routers.
+/// Callers of a service with idempotency keys; they send each key once or several times, to different routers.
 struct KeyedLoad {
     shared: Arc<KeyedShared>,
     callers: Vec<JoinHandle<()>>,
@@ -274,17 +291,17 @@
         let address = self.routers[router % self.routers.len()];
         let path = format!("once/{key}");
         let name = key_name(key);
-        let finding = self
+        let outcome = self
             .caller
             .call(address, &self.service, &path, Some(&name))
             .await;
-        self.record().record(key, &finding);
+        self.record().record(key, &outcome);
     }
 }
 
 impl KeyedLoad {
     fn start(prepared: &PreparedFleet, seed: u64) -> Self {
-        let places = prepared.fleet.endpoints.routers.iter();
+        let routers = prepared.fleet.endpoints.routers.iter();
         let shared = Arc::new(KeyedShared {
             stop: AtomicBool::new(false),
             next_key: AtomicU64::new(0),
@@ -294,7 +311,7 @@
                 &prepared.documents.tenants[0].key,
             ),
             service: prepared.documents.service_names().1.to_owned(),
-            routers: places.map(|place| place.listen).collect(),
+            routers: routers.map(|endpoints| endpoints.listen).collect(),
         });
         let callers = (0..KEYED_CALLERS as u64).map(|number| {
             let shared = Arc::clone(&shared);
@@ -309,7 +326,7 @@
     async fn finish(self) -> KeyedRecord {
         self.shared.stop.store(true, Ordering::Relaxed);
         for caller in self.callers {
-            // A caller that panicked has told nothing.
+            // A caller that panicked has recorded no further results.
             let _ = caller.await;
         }
         self.shared.record().clone()
@@ -321,13 +338,13 @@
     while !shared.stop.load(Ordering::Relaxed) {
         let key = shared.next_key.fetch_add(1, Ordering::Relaxed);
         let first = random.random_range(0..shared.routers.len());
-        let arrivals = (0..random.random_range(1..=ARRIVALS) as usize)
+        let arrivals = (0..random.random_range(1..=MAX_REQUESTS_PER_KEY) as usize)
             .map(|number| shared.call(key, first + number));
         futures::future::join_all(arrivals).await;
     }
 }
 
-/// The folder of one seed.
+/// Creates the folder of one seed.
 pub fn prepare_folder(folder: &Path) -> Result<(), Report<LabError>> {
     std::fs::create_dir_all(folder).change_context_lazy(|| LabError::File {
         path: folder.to_owned(),
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/lab/src/soak/schedule.rs
@@ -1,7 +1,7 @@
-//! What a soak does to its fleet, and when; drawn from a seed. Pure.
+//! Fault schedules of soaks, drawn from a seed. Pure.
 //!
-//! Invariants: a schedule is repeated by its seed; whatever it stops it starts again before its end; of one
-//! process no two series overlap, while those of different ones do.
+//! Invariants: a seed always gives the same schedule; every process that is stopped or frozen is resumed;
+//! fault episodes of one process do not overlap, while those of different processes may.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -13,42 +13,42 @@
 
 use crate::fleet::Fault;
 
-/// Mean time between the beginnings of two series.
-const BETWEEN_SERIES: Duration = Duration::from_millis(450);
-/// Time at the beginning and the end in which nothing new begins.
-const CALM: Duration = Duration::from_millis(500);
-/// Longest time for which a process is frozen or away; above every lease and election timeout.
-const LONGEST_ABSENCE_MS: u64 = 3_500;
-/// Time after SIGTERM at which a process is started again; an answer may take a while until it ends.
-const TERMINATION: Duration = Duration::from_millis(2_500);
-/// Most changes of configuration in one series.
-const MOST_CHANGES: u64 = 6;
-/// One series in this many is a crash of all routers at once.
-const HERDS: u32 = 12;
+/// Mean time between the starts of two fault episodes.
+const MEAN_EPISODE_INTERVAL: Duration = Duration::from_millis(450);
+/// Time at the start and the end in which no episode starts.
+const QUIET_PERIOD: Duration = Duration::from_millis(500);
+/// Maximum downtime or freeze of a process; above the default election timeout.
+const MAX_DOWNTIME_MS: u64 = 3_500;
+/// Time between SIGTERM and the restart, so that open responses can complete.
+const TERMINATION_PERIOD: Duration = Duration::from_millis(2_500);
+/// Maximum configuration changes in one episode.
+const MAX_CHANGES: u64 = 6;
+/// One episode in this many crashes all routers at once.
+const ALL_ROUTERS_CRASH_RATIO: u32 = 12;
 
 /// A process of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
     /// A router, by its position.
     Router(usize),
-    /// A control replica.
+    /// A control replica, by its position.
     Control(usize),
-    /// An engine.
+    /// An engine, by its position.
     Engine(usize),
 }
 
-/// One thing that is done to the fleet.
+/// A scheduled action on the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// A process is sent a signal.
+pub enum Action {
+    /// Sends a signal to a process.
     Signal(Target, Fault),
-    /// A process that was killed, or has been told to stop, is started again.
+    /// Restarts a process that was killed or asked to stop.
     Start(Target),
-    /// The configuration is changed so many times, one right after the other.
+    /// Submits this many configuration changes in sequence.
     Change(u64),
 }
 
-impl Display for Act {
+impl Display for Action {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::Signal(target, fault) => write!(formatter, "{fault:?} {target:?}"),
@@ -58,7 +58,7 @@
     }
 }
 
-/// How many processes of each kind a fleet has.
+/// Number of processes of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     /// Routers.
@@ -70,7 +70,7 @@
 }
 
 impl FleetSize {
-    fn draw(self, random: &mut ChaCha8Rng) -> Target {
+    fn draw_target(self, random: &mut ChaCha8Rng) -> Target {
         let position = random.random_range(0..self.routers + self.control + self.engines);
         if position < self.routers {
             return Target::Router(position);
@@ -83,93 +83,101 @@
     }
 }
 
-/// Everything that is done, in order of time.
+/// A fault schedule, ordered by time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Schedule {
-    /// The acts, each with the time since the beginning at which it is due.
-    pub acts: Vec<(Duration, Act)>,
+    /// Actions, each with its time since the start.
+    pub actions: Vec<(Duration, Action)>,
 }
 
 impl Schedule {
-    /// Draws a schedule of a length.
+    /// Draws a schedule of the given length.
     pub fn draw(seed: u64, size: FleetSize, length: Duration) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut schedule = Self::default();
         let mut busy: Vec<(Target, Duration)> = Vec::new();
-        let mut begins = CALM;
-        while begins + CALM < length {
-            let ends = schedule.add_series(&mut random, size, begins, &busy);
-            busy.extend(ends);
-            begins += BETWEEN_SERIES.mul_f64(random.random_range(0.2..1.8));
+        let mut starts_at = QUIET_PERIOD;
+        while starts_at + QUIET_PERIOD < length {
+            let episodes = schedule.add_episode(&mut random, size, starts_at, &busy);
+            busy.extend(episodes);
+            starts_at += MEAN_EPISODE_INTERVAL.mul_f64(random.random_range(0.2..1.8));
         }
-        schedule.acts.sort_by_key(|(due, _)| *due);
+        schedule.actions.sort_by_key(|(due, _)| *due);
         schedule
     }
 
-    /// Adds one series that begins at a moment; the processes that it deals with, each with the end of that.
-    fn add_series(
+    /// Adds one fault episode at `starts_at`. Returns the affected processes, each with the end of its episode.
+    fn add_episode(
         &mut self,
         random: &mut ChaCha8Rng,
         size: FleetSize,
-        begins: Duration,
+        starts_at: Duration,
         busy: &[(Target, Duration)],
     ) -> Vec<(Target, Duration)> {
         let is_free = |target: Target| {
             let mut others = busy.iter();
-            others.all(|(other, until)| *other != target || *until < begins)
+            others.all(|(other, until)| *other != target || *until < starts_at)
         };
-        if random.random_ratio(1, HERDS) {
+        if random.random_ratio(1, ALL_ROUTERS_CRASH_RATIO) {
             let routers = (0..size.routers).map(Target::Router);
-            let herd: Vec<Target> = routers.filter(|target| is_free(*target)).collect();
-            let back = begins + absence(random);
-            return herd
+            let idle_routers: Vec<Target> = routers.filter(|target| is_free(*target)).collect();
+            let restarts_at = starts_at + draw_downtime(random);
+            return idle_routers
                 .into_iter()
-                .map(|target| self.add_kill(target, begins, back))
+                .map(|target| self.add_kill(target, starts_at, restarts_at))
                 .collect();
         }
-        let target = size.draw(random);
+        let target = size.draw_target(random);
         let kind = random.random_range(0..4_u32);
         if kind == 0 || !is_free(target) {
-            let count = random.random_range(1..=MOST_CHANGES);
-            self.acts.push((begins, Act::Change(count)));
+            let count = random.random_range(1..=MAX_CHANGES);
+            self.actions.push((starts_at, Action::Change(count)));
             return Vec::new();
         }
-        let ends = match kind {
-            1 => self.add_kill(target, begins, begins + absence(random)),
-            2 => self.add_freeze(target, begins, begins + absence(random)),
-            _ => self.add_stop(target, begins),
+        let episode = match kind {
+            1 => self.add_kill(target, starts_at, starts_at + draw_downtime(random)),
+            2 => self.add_freeze(target, starts_at, starts_at + draw_downtime(random)),
+            _ => self.add_termination(target, starts_at),
         };
-        vec![ends]
+        vec![episode]
     }
 
-    fn add_kill(&mut self, target: Target, begins: Duration, back: Duration) -> (Target, Duration) {
-        self.acts.push((begins, Act::Signal(target, Fault::Kill)));
-        self.acts.push((back, Act::Start(target)));
-        (target, back)
+    fn add_kill(
+        &mut self,
+        target: Target,
+        starts_at: Duration,
+        restarts_at: Duration,
+    ) -> (Target, Duration) {
+        self.actions
+            .push((starts_at, Action::Signal(target, Fault::Kill)));
+        self.actions.push((restarts_at, Action::Start(target)));
+        (target, restarts_at)
     }
 
     fn add_freeze(
         &mut self,
         target: Target,
-        begins: Duration,
-        ends: Duration,
+        starts_at: Duration,
+        ends_at: Duration,
     ) -> (Target, Duration) {
-        self.acts.push((begins, Act::Signal(target, Fault::Freeze)));
-        self.acts.push((ends, Act::Signal(target, Fault::Thaw)));
-        (target, ends)
+        self.actions
+            .push((starts_at, Action::Signal(target, Fault::Freeze)));
+        self.actions
+            .push((ends_at, Action::Signal(target, Fault::Thaw)));
+        (target, ends_at)
     }
 
-    fn add_stop(&mut self, target: Target, begins: Duration) -> (Target, Duration) {
-        let back = begins + TERMINATION;
-        self.acts
-            .push((begins, Act::Signal(target, Fault::Terminate)));
-        self.acts.push((back, Act::Start(target)));
-        (target, back)
+    fn add_termination(&mut self, target: Target, starts_at: Duration) -> (Target, Duration) {
+        let restarts_at = starts_at + TERMINATION_PERIOD;
+        self.actions
+            .push((starts_at, Action::Signal(target, Fault::Terminate)));
+        self.actions.push((restarts_at, Action::Start(target)));
+        (target, restarts_at)
     }
 }
 
-fn absence(random: &mut ChaCha8Rng) -> Duration {
-    // Most are short: those are the ones that leases and timeouts have to tell apart.
-    let shortest = random.random_range(1..LONGEST_ABSENCE_MS);
-    Duration::from_millis(random.random_range(1..=shortest))
+fn draw_downtime(random: &mut ChaCha8Rng) -> Duration {
+    // Short downtimes are more frequent: they are close to leases and timeouts.
+    let max_downtime = random.random_range(1..MAX_DOWNTIME_MS);
+    Duration::from_millis(random.random_range(1..=max_downtime))
 }
