--- a/crates/lab/src/fault/background.rs
+++ b/crates/lab/src/fault/background.rs
@@ -39,7 +39,7 @@
 }
 
 impl BackgroundReport {
-    /// Longest time between two complete responses after `start`, seconds.
+    /// Longest time without a complete response from `start` to the last one, seconds.
     pub fn longest_gap_after(&self, start: Instant) -> f64 {
         let mut previous = start;
         let mut longest = Duration::ZERO;
--- a/crates/lab/src/simulate/streams/requests.rs
+++ b/crates/lab/src/simulate/streams/requests.rs
@@ -24,7 +24,7 @@
 
 /// Tokens per cache block.
 pub const BLOCK_TOKENS: u32 = 16;
-/// Tenants; they use the same prompts, so that cache hits across tenants would occur.
+/// Tenants; they use the same prompts, so that blocks are shared if isolation fails.
 const TENANTS: u32 = 3;
 /// Maximum resumptions of a stream on the same engine; the daemon's value.
 const MAX_RESUMES: u32 = 2;
