--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -11,7 +11,7 @@
 //! | admit the request, wait for the first lease, or refuse | [`entry`] | |
 //! | refuse requests that crash replicas | [`quarantine`] (pure), [`crash_detection`] | |
 //! | acquire a part of the tenant's quota | [`quota`], through [`control_peers`] | |
-//! | select the service | [`traffic_split`] | yes |
+//! | select the service | [`weighted_split`] | yes |
 //! | select the replica | [`scoring`], with [`affinity`], [`health`], [`weight_versions`] and [`railtack_serving::availability`] | yes |
 //! | place prompts in a large fleet | [`homes`] | yes |
 //! | combine the load seen by all routers | [`fleet_view`] | yes |
@@ -61,9 +61,9 @@
 pub mod state;
 pub mod store_budget;
 pub mod stream;
-pub mod traffic_split;
 pub mod view;
 pub mod weight_versions;
+pub mod weighted_split;
 
 pub use backend::{BackendProtocol, Dispatch, ResponseClass};
 pub use pipeline::handle;
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -34,9 +34,9 @@
     retry_pacing::RetryPacer,
     selection::ExhaustedLimits,
     store_budget::{SaveBudget, StoreCapacity},
-    traffic_split::TrafficSplitter,
     view::ServingView,
     weight_versions::WeightVersions,
+    weighted_split::TrafficSplitter,
 };
 
 /// Options of a router.
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -12,8 +12,8 @@
     lease::Lease,
     retry_decision::{ExchangeFacts, ExchangeProof, NextStep, next_step, without_retry},
     scoring::{Candidate, RequestSize, SharedLoad, choose},
-    traffic_split::TrafficSplitter,
     weight_versions::WeightVersions,
+    weighted_split::TrafficSplitter,
 };
 use railtack_rpc::{
     FeatureLevel,
